--- a/cmd/ryeweir/demo.go
+++ b/cmd/ryeweir/demo.go
@@ -16,8 +16,8 @@
 	"github.com/spf13/cobra"
 	"golang.org/x/term"
 
-	"ryeweir/internal/lab"
-	"ryeweir/internal/world/referee"
+	"ryeweir/internal/emulator/referee"
+	"ryeweir/internal/experiment"
 )
 
 func demoCommand() *cobra.Command {
@@ -59,14 +59,14 @@
 	if err != nil {
 		return err
 	}
-	spec := lab.DemoDay(length)
+	spec := experiment.DemoDay(length)
 	day, err := spec.Draw(seed)
 	if err != nil {
 		return err
 	}
 	fmt.Fprintf(out, "%d order nodes, %d agents, %.0f requests a second for %v (%d in all)\n", len(day.Nodes), len(day.Agents), day.Rate, length, len(day.Plan))
 	s := newScreen(out)
-	o, err := lab.Play(ctx, day, lab.Arm{Name: "agent", Command: []string{self, "agent"}}, s.show)
+	o, err := experiment.Play(ctx, day, experiment.Arm{Name: "agent", Command: []string{self, "agent"}}, s.show)
 	if err != nil {
 		return err
 	}
@@ -96,7 +96,7 @@
 }
 
 // printFigures prints how requests ended, the service and the latencies of each class.
-func printFigures(out io.Writer, o lab.Outcome) {
+func printFigures(out io.Writer, o experiment.Outcome) {
 	a := o.Account
 	fmt.Fprintf(out, "requests %d  completed %d  rejected %d  failed %d  unanswered %d\n", a.Requests, a.Completed, a.Rejected, a.Failed, a.Unanswered)
 	fmt.Fprintf(out, "service %.3f  worst 10 s %.3f\n", o.Whole, o.WorstWindow)
@@ -107,7 +107,7 @@
 }
 
 // printOutcome prints the account and the verdict.
-func printOutcome(out io.Writer, o lab.Outcome) {
+func printOutcome(out io.Writer, o experiment.Outcome) {
 	a := o.Account
 	fmt.Fprintln(out)
 	printFigures(out, o)
@@ -147,7 +147,7 @@
 }
 
 // show draws a look.
-func (s *screen) show(l lab.Live) {
+func (s *screen) show(l experiment.Live) {
 	a := l.Account
 	calls := l.Calls
 	latencies := referee.Latencies(calls, -1)
--- a/cmd/ryeweir/demo_test.go
+++ b/cmd/ryeweir/demo_test.go
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"ryeweir/internal/lab"
+	"ryeweir/internal/experiment"
 )
 
 // output is what a command prints, read while it runs.
@@ -54,7 +54,7 @@
 	if err != nil {
 		t.Fatalf("%v\n%s", err, out.String())
 	}
-	var o lab.Outcome
+	var o experiment.Outcome
 	if err := json.Unmarshal(text, &o); err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/ryeweir/drill.go
+++ b/cmd/ryeweir/drill.go
@@ -7,7 +7,7 @@
 
 	"github.com/spf13/cobra"
 
-	"ryeweir/internal/lab"
+	"ryeweir/internal/experiment"
 )
 
 func labCommand() *cobra.Command {
@@ -30,7 +30,7 @@
 			ctx, stop := interruptible(c.Context())
 			defer stop()
 			for play := 1; ; play++ {
-				spec, d, err := lab.Drill(ctx, args[0], self, long)
+				spec, d, err := experiment.Drill(ctx, args[0], self, long)
 				if err != nil {
 					return err
 				}
@@ -56,7 +56,7 @@
 }
 
 // printDrill prints what came of a drill.
-func printDrill(out io.Writer, spec *lab.DrillSpec, d lab.Drilled) {
+func printDrill(out io.Writer, spec *experiment.DrillSpec, d experiment.Drilled) {
 	o := d.Outcome
 	fmt.Fprintf(out, "%s: %s\n", spec.Name, spec.Question)
 	fmt.Fprintf(out, "%+v\nservice %.3f, attempts a request %.2f, chokes %d, probe work %.4f, cold peak %.2f", o.Account, o.Whole, o.Attempts, o.Chokes,
--- a/cmd/ryeweir/faults_test.go
+++ b/cmd/ryeweir/faults_test.go
@@ -11,8 +11,8 @@
 	"time"
 
 	"ryeweir/internal/config"
-	"ryeweir/internal/lab"
-	"ryeweir/internal/world"
+	"ryeweir/internal/emulator"
+	"ryeweir/internal/experiment"
 )
 
 // children counts the processes whose parent is this one.
@@ -45,12 +45,12 @@
 		t.Fatal(err)
 	}
 	secs := func(s float64) config.Duration { return config.Duration(s * float64(time.Second)) }
-	spec := world.DefaultDay()
+	spec := emulator.DefaultDay()
 	spec.Name, spec.Length, spec.Agents = "faults", config.Duration(8*time.Second), 6
-	spec.Fleet.Agents = []world.AgentSpec{
-		{Kind: world.AgentKill, Share: 0.5, From: secs(2), Away: secs(1)},
-		{Kind: world.AgentPause, Share: 1.0 / 6, From: secs(3.5), Away: secs(2)},
-		{Kind: world.AgentRestart, Share: 1.0 / 6, From: secs(5.7), Away: secs(0.5), Kept: true},
+	spec.Fleet.Agents = []emulator.AgentSpec{
+		{Kind: emulator.AgentKill, Share: 0.5, From: secs(2), Away: secs(1)},
+		{Kind: emulator.AgentPause, Share: 1.0 / 6, From: secs(3.5), Away: secs(2)},
+		{Kind: emulator.AgentRestart, Share: 1.0 / 6, From: secs(5.7), Away: secs(0.5), Kept: true},
 	}
 	day, err := spec.Draw(3)
 	if err != nil {
@@ -58,7 +58,7 @@
 	}
 	before := len(children(t))
 	const peers = "../../deploy/peers.toml"
-	o, err := lab.Play(t.Context(), day, lab.Arm{Name: "agent", Command: []string{self, "agent", "--operator", peers}, Operator: peers}, nil)
+	o, err := experiment.Play(t.Context(), day, experiment.Arm{Name: "agent", Command: []string{self, "agent", "--operator", peers}, Operator: peers}, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -71,7 +71,7 @@
 	for _, m := range o.Marks {
 		seen[m.Text]++
 	}
-	if seen[world.AgentKill] != 3 || seen[world.AgentPause] != 1 || seen[world.AgentRestart] != 1 {
+	if seen[emulator.AgentKill] != 3 || seen[emulator.AgentPause] != 1 || seen[emulator.AgentRestart] != 1 {
 		t.Errorf("befell %v", seen)
 	}
 	if left := children(t); len(left) > before {
@@ -119,7 +119,7 @@
 }
 
 // drill plays a drill's file with a program. Its exit says no more than what it tells.
-func drill(t *testing.T, program, file string) (d lab.Drilled) {
+func drill(t *testing.T, program, file string) (d experiment.Drilled) {
 	t.Helper()
 	result := filepath.Join(t.TempDir(), "result.json")
 	args := []string{"lab", file, "--json", result, "--plays", "3"}
--- a/cmd/ryeweir/fleet.go
+++ b/cmd/ryeweir/fleet.go
@@ -8,7 +8,7 @@
 
 	"github.com/spf13/cobra"
 
-	"ryeweir/internal/lab"
+	"ryeweir/internal/experiment"
 )
 
 func fleetCommand() *cobra.Command {
@@ -22,17 +22,17 @@
 		Example: "  ryeweir fleet deploy/experiments/fleet-start.toml",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			spec := lab.DefaultFleet()
+			spec := experiment.DefaultFleet()
 			if err := readTOML(c, args[0], &spec); err != nil {
 				return err
 			}
-			figures, err := lab.Fleet(&spec, c.OutOrStdout())
+			figures, err := experiment.Fleet(&spec, c.OutOrStdout())
 			if err != nil || file == "" {
 				return err
 			}
 			text, err := json.MarshalIndent(struct {
-				Name    string             `json:"name"`
-				Figures []lab.FleetFigures `json:"figures"`
+				Name    string                    `json:"name"`
+				Figures []experiment.FleetFigures `json:"figures"`
 			}{spec.Name, figures}, "", "  ")
 			if err != nil {
 				return err
--- a/cmd/ryeweir/lab.go
+++ b/cmd/ryeweir/lab.go
@@ -15,9 +15,9 @@
 
 	"ryeweir/internal/config"
 	"ryeweir/internal/config/operator"
-	"ryeweir/internal/lab"
-	"ryeweir/internal/procnet"
-	"ryeweir/internal/world"
+	"ryeweir/internal/emulator"
+	"ryeweir/internal/experiment"
+	"ryeweir/internal/processrig"
 )
 
 // readTOML reads and checks one of our files. What is wrong with it has been said when it returns errSaid.
@@ -63,13 +63,13 @@
 				defer stop()
 				ctx, end := context.WithTimeout(ctx, hunt)
 				defer end()
-				found, err := lab.Hunt(ctx, seed, 0, dir, c.OutOrStdout())
+				found, err := experiment.Hunt(ctx, seed, 0, dir, c.OutOrStdout())
 				if err == nil && len(found.Found) > 0 {
 					return errSaid
 				}
 				return err
 			}
-			var spec lab.Spec
+			var spec experiment.Spec
 			if err := readTOML(c, args[0], &spec); err != nil {
 				return err
 			}
@@ -86,7 +86,7 @@
 			}
 			ctx, stop := interruptible(c.Context())
 			defer stop()
-			f, err := lab.Run(ctx, &spec, self, dir, against, c.OutOrStdout())
+			f, err := experiment.Run(ctx, &spec, self, dir, against, c.OutOrStdout())
 			if err != nil {
 				return err
 			}
@@ -143,7 +143,7 @@
 }
 
 // printViews prints what agents that talk with each other saw of their peers.
-func printViews(out io.Writer, o lab.Outcome) {
+func printViews(out io.Writer, o experiment.Outcome) {
 	v := o.Views
 	if v == nil {
 		return
@@ -165,7 +165,7 @@
 		Example: "  ryeweir world deploy/experiments/world.toml",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			var spec lab.WorldSpec
+			var spec experiment.WorldSpec
 			if err := readTOML(c, args[0], &spec); err != nil {
 				return err
 			}
@@ -176,7 +176,7 @@
 	}
 }
 
-func runWorld(ctx context.Context, c *cobra.Command, spec *lab.WorldSpec) error {
+func runWorld(ctx context.Context, c *cobra.Command, spec *experiment.WorldSpec) error {
 	day, err := spec.Day.Draw(spec.Seed)
 	if err != nil {
 		return err
@@ -190,19 +190,19 @@
 	} else if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
 	}
-	w, err := world.Start(context.WithoutCancel(ctx), day, &world.Loopback{}, false)
+	w, err := emulator.Start(context.WithoutCancel(ctx), day, &emulator.Loopback{}, false)
 	if err != nil {
 		return err
 	}
 	defer w.Close()
 	out := c.OutOrStdout()
 	for i, name := range day.Agents {
-		listen, control, err := procnet.TwoPorts("127.0.0.1", i)
+		listen, control, err := processrig.TwoPorts("127.0.0.1", i)
 		if err != nil {
 			return err
 		}
 		known := w.Known(i)
-		text, err := day.AgentConfig(i, listen, control, w.Discovery(i), world.DefaultLimits(), &known)
+		text, err := day.AgentConfig(i, listen, control, w.Discovery(i), emulator.DefaultLimits(), &known)
 		if err != nil {
 			return err
 		}
@@ -253,14 +253,14 @@
 			if compare {
 				return compareCost(ctx, c, time.Duration(seconds)*time.Second, file)
 			}
-			var spec lab.LoadSpec
+			var spec experiment.LoadSpec
 			if err := readTOML(c, args[0], &spec); err != nil {
 				return err
 			}
 			if len(spec.Targets) == 0 {
 				return &config.Error{File: args[0], Key: "targets", Err: errors.New("names no agent's address")}
 			}
-			o, err := lab.Load(ctx, &spec)
+			o, err := experiment.Load(ctx, &spec)
 			if err != nil {
 				return err
 			}
@@ -296,7 +296,7 @@
 			if err != nil {
 				return err
 			}
-			return lab.PlainProxy(ctx, l, targets)
+			return experiment.PlainProxy(ctx, l, targets)
 		},
 	}
 	c.Flags().StringVar(&listen, "listen", "127.0.0.1:0", "where clients connect")
@@ -309,7 +309,7 @@
 	if err != nil {
 		return err
 	}
-	costs, ratios, err := lab.Compare(ctx, self, each)
+	costs, ratios, err := experiment.Compare(ctx, self, each)
 	if err != nil {
 		return err
 	}
@@ -331,25 +331,25 @@
 
 // describeTOML says what a TOML file of ours means, or what is wrong with it.
 func describeTOML(file string, data []byte) (string, error) {
-	kind, err := lab.KindOf(file, data)
+	kind, err := experiment.KindOf(file, data)
 	if err != nil {
 		return "", err
 	}
 	switch kind {
 	case "experiment":
-		var s lab.Spec
+		var s experiment.Spec
 		if err := config.TOML(file, data, &s); err != nil {
 			return "", err
 		}
 		return fmt.Sprintf("experiment %s: %d days with %d arms, %d repeats", s.Name, len(s.Days), len(s.Arms), s.Repeats), nil
 	case "drill":
-		var s lab.DrillSpec
+		var s experiment.DrillSpec
 		if err := config.TOML(file, data, &s); err != nil {
 			return "", err
 		}
 		return describeDay("drill "+s.Name, &s.Day, s.Seed)
 	case "fleet":
-		s := lab.DefaultFleet()
+		s := experiment.DefaultFleet()
 		if err := config.TOML(file, data, &s); err != nil {
 			return "", err
 		}
@@ -363,13 +363,13 @@
 		f.Describe(&text)
 		return strings.TrimSuffix(text.String(), "\n"), nil
 	case "load":
-		var s lab.LoadSpec
+		var s experiment.LoadSpec
 		if err := config.TOML(file, data, &s); err != nil {
 			return "", err
 		}
 		return describeDay("load on "+fmt.Sprint(s.Targets), &s.Day, s.Seed)
 	case "world":
-		var s lab.WorldSpec
+		var s experiment.WorldSpec
 		if err := config.TOML(file, data, &s); err != nil {
 			return "", err
 		}
@@ -378,7 +378,7 @@
 	return "", &config.Error{File: file, Err: errors.New("is neither an experiment, a model of a fleet, an operators' file, a world, load nor a deployment")}
 }
 
-func describeDay(what string, d *world.DaySpec, seed uint64) (string, error) {
+func describeDay(what string, d *emulator.DaySpec, seed uint64) (string, error) {
 	day, err := d.Draw(seed)
 	if err != nil {
 		return "", err
--- a/internal/accept/accept.go
+++ b/internal/acceptretry/accept.go
@@ -1,7 +1,7 @@
-// Package accept keeps a listener accepting through failures. accept(2) fails for lack of descriptors or memory, for a client
+// Package acceptretry keeps a listener accepting through failures. accept(2) fails for lack of descriptors or memory, for a client
 // that has gone again, and with errors of the network that are pending on the new connection: none of them says that the
 // listener is of no use, while http.Server ends at most of them.
-package accept
+package acceptretry
 
 import (
 	"encoding/json"
--- a/internal/accept/accept_test.go
+++ b/internal/acceptretry/accept_test.go
@@ -1,4 +1,4 @@
-package accept
+package acceptretry
 
 import (
 	"encoding/json"
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -10,6 +10,7 @@
 	"sync"
 	"time"
 
+	"ryeweir/internal/bodybuffer"
 	"ryeweir/internal/budget"
 	"ryeweir/internal/config/operator"
 	"ryeweir/internal/config/platform"
@@ -17,13 +18,12 @@
 	"ryeweir/internal/core"
 	"ryeweir/internal/discovery"
 	"ryeweir/internal/event"
-	"ryeweir/internal/flow"
 	fronthttp "ryeweir/internal/front/http"
+	"ryeweir/internal/healthcheck"
 	"ryeweir/internal/httpmsg"
 	"ryeweir/internal/invariant"
 	"ryeweir/internal/metrics"
 	"ryeweir/internal/pool"
-	"ryeweir/internal/probe"
 	"ryeweir/internal/snapshot"
 	uphttp "ryeweir/internal/upstream/http"
 	"ryeweir/logic"
@@ -56,7 +56,7 @@
 	defer sockets.Clients.Close()
 	settings := cfg.Site.Logic
 	ops.Probes.Apply(&settings)
-	settings.AdmitAll = ops.Overload.Fleet
+	settings.ExternalAdmission = ops.Overload.Fleet
 	balancer, err := logic.New(settings, cfg.Seed)
 	if err != nil {
 		return fmt.Errorf("settings: %w", err)
@@ -93,7 +93,7 @@
 	if sockets.Inherited {
 		memory /= 2
 	}
-	bodies := flow.NewBudget(int64(memory))
+	bodies := bodybuffer.NewBudget(int64(memory))
 	figures.Add("events", func() any { return events })
 	figures.Add("invariants", func() any { return monitor })
 	figures.Add("connections", func() any { return conns.Counts() })
@@ -103,7 +103,7 @@
 		Noted: func(err error) {
 			badReport.Do(func() { log.Warn("passing over a malformed report; further ones are not logged", "error", err) })
 		}}
-	prober := probe.New(probe.Config{Settings: ops.Probes.Settings(), Reports: len(cfg.Site.ReportFields) > 0, Clock: clock, Asker: upstream, Log: log})
+	prober := healthcheck.New(healthcheck.Config{Settings: ops.Probes.Settings(), Reports: len(cfg.Site.ReportFields) > 0, Clock: clock, Asker: upstream, Log: log})
 	figures.Add("probes", func() any { return prober.Counts() })
 	fleet, order, err := ops.Overload.Budget(cfg.Site.Logic, cfg.Site.MaxRetryAfter, cfg.Seed)
 	if err != nil {
@@ -119,12 +119,12 @@
 		observe = talk.observe
 		figures.Add("peers", talk.figures)
 	}
-	c := core.New(core.Config{Observe: observe, Balancer: balancer, Clock: clock, Upstream: upstream, Prober: prober, Upload: httpmsg.LongestUpload,
-		Subscribe: func() { disco.Ask() }, Members: figures.SetMembers, Log: log, Budget: fleet, Order: order,
+	c := core.New(core.Config{Observe: observe, Balancer: balancer, Clock: clock, Upstream: upstream, HealthChecker: prober, UploadTimeout: httpmsg.LongestUpload,
+		Subscribe: func() { disco.Ask() }, EndpointCounts: figures.SetMembers, Log: log, Budget: fleet, PriorityOrder: order,
 		Events: events, Monitor: monitor})
 	if fleet != nil {
-		figures.Add("overload", func() any { return c.BudgetFigures() })
-		own := budget.Own{Wait: ops.Overload.Own.Wait.D(), CPU: ops.Overload.Own.CPU, Memory: ops.Overload.Own.Memory}
+		figures.Add("overload", func() any { return c.BudgetStats() })
+		own := budget.SelfLimits{Wait: ops.Overload.Own.Wait.D(), CPU: ops.Overload.Own.CPU, Memory: ops.Overload.Own.Memory}
 		parts.Go(func() { watchOwn(inner, c, own, cfg.Cores, int64(cfg.MemoryMB)<<20, log) })
 	}
 	var sink discovery.Sink = c
@@ -133,9 +133,9 @@
 		sink = talk
 		parts.Go(func() { talk.run(inner) })
 	}
-	disco = discovery.New(discovery.Config{Addr: cfg.Discovery, Agents: cfg.Site.Logic.Balancers, Asked: cfg.Site.Logic.Subscribe,
+	disco = discovery.New(discovery.Config{Addr: cfg.Discovery, Agents: cfg.Site.Logic.Balancers, Asked: cfg.Site.Logic.SubscriptionRequired,
 		Zones: cfg.Site.Zones, Known: cfg.Known, Seed: cfg.Seed, Clock: clock, Dial: sockets.Dial, Sink: sink, Log: log, Events: events})
-	figures.Add("border", func() any { return c.Faults() })
+	figures.Add("border", func() any { return c.BoundaryViolations() })
 	front := fronthttp.New(fronthttp.Config{Site: cfg.Site, Core: c, Clock: clock, Metrics: figures, Budget: bodies,
 		Most: share.fromClients, AcceptFor: cfg.AcceptFor, DrainFor: ops.Drain.Longest.D(), SocketBuffer: ops.Connections.SocketBufferBytes, Log: log,
 		Events: events, Monitor: monitor})
@@ -168,7 +168,7 @@
 func connections(cfg platform.Config, most int) pool.Settings {
 	set := pool.DefaultSettings(most)
 	set.Idle, set.Wait = cfg.Site.ConnIdle, cfg.Site.ConnectTimeout
-	set.Agents, set.ColdFrom, set.ColdFor = cfg.Site.Logic.Balancers, cfg.Site.Logic.ColdFrom, cfg.Site.Logic.ColdFor
+	set.Agents, set.ColdFrom, set.ColdFor = cfg.Site.Logic.Balancers, cfg.Site.Logic.SlowStartInitialFraction, cfg.Site.Logic.SlowStartWindow
 	return set
 }
 
--- a/internal/agent/closes_test.go
+++ b/internal/agent/closes_test.go
@@ -8,8 +8,8 @@
 	"time"
 
 	"ryeweir/internal/config/operator"
-	"ryeweir/internal/world"
-	"ryeweir/internal/world/node"
+	"ryeweir/internal/emulator"
+	"ryeweir/internal/emulator/node"
 )
 
 // connections are an agent's figures on connections.
@@ -50,7 +50,7 @@
 			var crossed, stale, opened, reused int64
 			closed := map[string]int64{}
 			scene{ops: ops, service: 0.95, verify: effects,
-				day: func(d *world.DaySpec) {
+				day: func(d *emulator.DaySpec) {
 					d.Length = sec(length)
 					add(trouble(node.IdleClose, 5, 0.5, length, 0.9))(d)
 				},
--- a/internal/agent/fleet_test.go
+++ b/internal/agent/fleet_test.go
@@ -8,13 +8,13 @@
 	"time"
 
 	"ryeweir/internal/config/operator"
-	"ryeweir/internal/world"
-	"ryeweir/internal/world/link"
+	"ryeweir/internal/emulator"
+	"ryeweir/internal/emulator/link"
 )
 
 // fleetDay is a whole fleet's day, small: 24 whole agents before 12 nodes.
-func fleetDay(t *testing.T, kind string, seed uint64) *world.Day {
-	f := world.FleetDay{Kind: kind, Agents: 24, Nodes: 12}
+func fleetDay(t *testing.T, kind string, seed uint64) *emulator.Day {
+	f := emulator.FleetDay{Kind: kind, Agents: 24, Nodes: 12}
 	if err := f.Check(""); err != nil {
 		t.Fatal(err)
 	}
@@ -46,8 +46,8 @@
 	if longForm() {
 		seeds = []uint64{1, 2, 3, 4, 5}
 	}
-	for kind, least := range map[string]float64{world.CalmDay: 0.9, world.RollDay: 0.75, world.HerdDay: 0.7, world.ZoneDay: 0.75,
-		world.SplitDay: 0.7, world.JoinDay: 0.75} {
+	for kind, least := range map[string]float64{emulator.CalmDay: 0.9, emulator.RollDay: 0.75, emulator.HerdDay: 0.7, emulator.ZoneDay: 0.75,
+		emulator.SplitDay: 0.7, emulator.JoinDay: 0.75} {
 		for _, seed := range seeds {
 			t.Run(kind, func(t *testing.T) {
 				t.Parallel()
@@ -57,15 +57,15 @@
 	}
 }
 
-func playFleet(t *testing.T, day *world.Day, least float64) {
+func playFleet(t *testing.T, day *emulator.Day, least float64) {
 	network := link.NewNetwork(day.Seed)
-	w, err := world.Start(t.Context(), day, world.Memory{Network: network}, true)
+	w, err := emulator.Start(t.Context(), day, emulator.Memory{Network: network}, true)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer w.Close()
 	f := &fleet{stage: &stage{World: w, t: t, network: network, ops: operator.Default()}, away: make([]bool, len(day.Agents))}
-	limits := world.Limits{Cores: 1, MemoryMB: 64, Sockets: 544}
+	limits := emulator.Limits{Cores: 1, MemoryMB: 64, Sockets: 544}
 	for i := range day.Agents {
 		f.start(i, limits)
 	}
@@ -85,7 +85,7 @@
 	lives.Wait()
 	f.end()
 	f.judge(scene{service: least})
-	time.Sleep(2 * world.IdleLimit)
+	time.Sleep(2 * emulator.IdleLimit)
 	synctest.Wait()
 	for _, a := range day.Agents {
 		if n := network.Open(a); n > 0 {
@@ -102,7 +102,7 @@
 }
 
 // befall ends an agent, planned or not, and starts the next in its place.
-func (f *fleet) befall(a world.AgentTrouble, limits world.Limits) {
+func (f *fleet) befall(a emulator.AgentTrouble, limits emulator.Limits) {
 	f.mu.Lock()
 	if f.away[a.Agent] {
 		f.mu.Unlock()
@@ -111,13 +111,13 @@
 	f.away[a.Agent] = true
 	f.mu.Unlock()
 	name := f.Day.Agents[a.Agent]
-	if a.Kind == world.AgentKill {
+	if a.Kind == emulator.AgentKill {
 		from := f.Now()
 		f.Referee.Killed(name, from, from+a.Away+time.Second) // first: callers see the closes as soon as the network makes them
 		f.network.Kill(name)
 	}
 	f.stop[a.Agent]()
-	if err := <-f.ended[a.Agent]; err != nil && a.Kind != world.AgentKill { // one that is killed has its sockets closed under it
+	if err := <-f.ended[a.Agent]; err != nil && a.Kind != emulator.AgentKill { // one that is killed has its sockets closed under it
 		f.t.Errorf("%s: %v", name, err)
 	}
 	time.Sleep(a.Away)
--- a/internal/agent/learnt.go
+++ b/internal/agent/learnt.go
@@ -35,7 +35,7 @@
 	case err != nil:
 		log.Info("starting without what was learnt before", "reason", err)
 	default:
-		b.Recall(clock.Now(), k, ago)
-		log.Info("starting with what was learnt before", "servers", len(k.Servers), "ago", ago.Round(time.Millisecond))
+		b.Restore(clock.Now(), k, ago)
+		log.Info("starting with what was learnt before", "servers", len(k.Endpoints), "ago", ago.Round(time.Millisecond))
 	}
 }
--- a/internal/agent/own.go
+++ b/internal/agent/own.go
@@ -16,18 +16,18 @@
 
 // watchOwn takes the fleet's level down while the agent itself is over, until the context ends: what it can't carry is better
 // refused by worth at once than late and at random.
-func watchOwn(ctx context.Context, c *core.Core, limits budget.Own, cores float64, memory int64, log *slog.Logger) {
+func watchOwn(ctx context.Context, c *core.Core, limits budget.SelfLimits, cores float64, memory int64, log *slog.Logger) {
 	if cores <= 0 { // the platform says nothing of them
 		cores = 1
 	}
 	used, at, was := processorTime(), time.Now(), ""
 	every(ctx, ownEvery, func() {
 		now, total := time.Now(), processorTime()
-		load := budget.Load{Wait: c.Waited(), CPU: (total - used).Seconds() / (now.Sub(at).Seconds() * cores),
+		load := budget.SelfLoad{Wait: c.QueueDelay(), CPU: (total - used).Seconds() / (now.Sub(at).Seconds() * cores),
 			Memory: float64(heldMemory()) / float64(memory)}
 		used, at = total, now
-		over := limits.Over(load)
-		c.Own(over != "")
+		over := limits.Exceeded(load)
+		c.SetSelfOverloaded(over != "")
 		if over != was {
 			log.Info("the agent's own load", "over", over, "wait", load.Wait, "cpu", load.CPU, "memory", load.Memory)
 			was = over
--- a/internal/agent/peers.go
+++ b/internal/agent/peers.go
@@ -14,7 +14,7 @@
 	"ryeweir/internal/config/operator"
 	"ryeweir/internal/core"
 	"ryeweir/internal/fleetstate"
-	"ryeweir/internal/fleetstate/member"
+	"ryeweir/internal/fleetstate/membership"
 	"ryeweir/logic"
 )
 
@@ -35,7 +35,7 @@
 	core   *core.Core
 	clock  core.Clock
 	log    *slog.Logger
-	member *member.Member
+	member *membership.Member
 	wake   chan struct{} // holds one: peers told something
 
 	order sync.Mutex // of what the core is told of the list; taken before mu
@@ -68,18 +68,18 @@
 
 // listed is a server as the own list has it.
 type listed struct {
-	core.Member
+	core.Endpoint
 	since time.Duration // when this life of it was first listed
 }
 
 // life is the life of a server that is listed, as all agents name it: each has a clock of its own.
-func (p *peers) life(m core.Member) fleetstate.Life {
+func (p *peers) life(m core.Endpoint) fleetstate.Life {
 	return fleetstate.Life{Server: m.ID, Started: m.StartedMS}
 }
 
 type heardPart struct {
 	number uint64
-	part   budget.Part
+	part   budget.PeerState
 	at     time.Time
 }
 
@@ -88,7 +88,7 @@
 	p := &peers{name: name, set: set, clock: clock, log: log, wake: make(chan struct{}, 1), state: fleetstate.New(fleetstate.DefaultLimits()),
 		doubts: fleetstate.NewDoubts(mostDoubts), overlay: fleetstate.NewOverlay(confirmIn), listed: map[string]listed{},
 		parts: map[string]heardPart{}, suspects: map[string]bool{}}
-	cfg := member.Config{Name: name, Bind: set.Bind, Advertise: set.Advertise, Seeds: set.Seeds, Label: set.Label, Timing: member.DefaultTiming(),
+	cfg := membership.Config{Name: name, Bind: set.Bind, Advertise: set.Advertise, Seeds: set.Seeds, Label: set.Label, Timing: membership.DefaultTiming(),
 		Handler: p, Log: log}
 	if set.KeyFile != "" {
 		var err error
@@ -96,7 +96,7 @@
 			return nil, fmt.Errorf("peers: the key: %w", err)
 		}
 	}
-	m, err := member.Start(cfg)
+	m, err := membership.Start(cfg)
 	if err != nil {
 		return nil, err
 	}
@@ -104,8 +104,8 @@
 	return p, nil
 }
 
-// SetList takes the own list or a change of it.
-func (p *peers) SetList(l core.List) {
+// UpdateEndpoints takes the own list or a change of it.
+func (p *peers) UpdateEndpoints(l core.EndpointList) {
 	p.order.Lock()
 	defer p.order.Unlock()
 	now := p.clock.Now()
@@ -120,20 +120,20 @@
 			}
 		}
 	}
-	for _, m := range l.Members {
+	for _, m := range l.Endpoints {
 		named[m.ID] = true
 		old, known := p.listed[m.ID]
 		next := listed{m, now}
 		switch {
-		case known && p.life(old.Member) == p.life(m):
+		case known && p.life(old.Endpoint) == p.life(m):
 			next.since = old.since
-		case known && m.Started > old.Started: // who is not told takes the new process, which is cold, for the one before
-			end(p.life(old.Member), fleetstate.Gone)
+		case known && m.StartedAt > old.StartedAt: // who is not told takes the new process, which is cold, for the one before
+			end(p.life(old.Endpoint), fleetstate.Gone)
 		}
 		switch m.State {
-		case logic.Gone:
+		case logic.Removed:
 			if known {
-				end(p.life(old.Member), fleetstate.Gone)
+				end(p.life(old.Endpoint), fleetstate.Gone)
 			}
 			delete(p.listed, m.ID)
 			continue
@@ -145,28 +145,28 @@
 	if l.Full {
 		for id, old := range p.listed {
 			if !named[id] {
-				end(p.life(old.Member), fleetstate.Gone)
+				end(p.life(old.Endpoint), fleetstate.Gone)
 				delete(p.listed, id)
 			}
 		}
 	}
 	changed := p.hold()
-	out := core.List{Full: l.Full}
-	for _, m := range l.Members {
-		out.Members = append(out.Members, p.shown(m))
+	out := core.EndpointList{Full: l.Full}
+	for _, m := range l.Endpoints {
+		out.Endpoints = append(out.Endpoints, p.shown(m))
 		delete(changed, m.ID)
 	}
 	p.mu.Unlock()
 	p.member.Tell(tell)
-	p.core.SetList(out)
+	p.core.UpdateEndpoints(out)
 	p.setChanged(changed)
 }
 
-// ListUnavailable passes on that the own list could not be had.
-func (p *peers) ListUnavailable() { p.core.ListUnavailable() }
+// DiscoveryUnavailable passes on that the own list could not be had.
+func (p *peers) DiscoveryUnavailable() { p.core.DiscoveryUnavailable() }
 
 // shown is a server of the own list as the core is to know it. The lock is held.
-func (p *peers) shown(m core.Member) core.Member {
+func (p *peers) shown(m core.Endpoint) core.Endpoint {
 	if m.State == logic.Ready && p.overlay.Held(p.life(m)) {
 		m.State = logic.Draining
 	}
@@ -174,12 +174,12 @@
 }
 
 // hold asks anew what peers' word holds back, and returns the servers of which that has changed. The lock is held.
-func (p *peers) hold() map[string]core.Member {
+func (p *peers) hold() map[string]core.Endpoint {
 	ready, before := map[fleetstate.Life]bool{}, map[string]bool{}
 	for id, l := range p.listed {
 		if l.State == logic.Ready {
-			ready[p.life(l.Member)] = true
-			before[id] = p.overlay.Held(p.life(l.Member))
+			ready[p.life(l.Endpoint)] = true
+			before[id] = p.overlay.Held(p.life(l.Endpoint))
 		}
 	}
 	now := time.Now()
@@ -187,10 +187,10 @@
 	if !differs {
 		return nil
 	}
-	changed := map[string]core.Member{}
+	changed := map[string]core.Endpoint{}
 	for id, was := range before {
-		if is := p.overlay.Held(p.life(p.listed[id].Member)); is != was {
-			changed[id] = p.listed[id].Member
+		if is := p.overlay.Held(p.life(p.listed[id].Endpoint)); is != was {
+			changed[id] = p.listed[id].Endpoint
 			if is {
 				p.saved.Add(1)
 			}
@@ -200,17 +200,17 @@
 }
 
 // setChanged tells the core of servers that are held back now, or no more. The order is held.
-func (p *peers) setChanged(changed map[string]core.Member) {
+func (p *peers) setChanged(changed map[string]core.Endpoint) {
 	if len(changed) == 0 {
 		return
 	}
-	var l core.List
+	var l core.EndpointList
 	p.mu.Lock()
 	for _, m := range changed {
-		l.Members = append(l.Members, p.shown(m))
+		l.Endpoints = append(l.Endpoints, p.shown(m))
 	}
 	p.mu.Unlock()
-	p.core.SetList(l)
+	p.core.UpdateEndpoints(l)
 }
 
 // observe counts how an attempt went, for the core.
@@ -218,7 +218,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if l, ok := p.listed[server]; ok && sent >= l.since { // else it went to the life before
-		p.doubts.Ended(p.life(l.Member), well)
+		p.doubts.Ended(p.life(l.Endpoint), well)
 	}
 }
 
@@ -267,7 +267,7 @@
 }
 
 // Part takes in a peer's part of the fleet's level.
-func (p *peers) Part(from string, number uint64, part budget.Part) {
+func (p *peers) Part(from string, number uint64, part budget.PeerState) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	old, known := p.parts[from]
@@ -281,7 +281,7 @@
 	var all sync.WaitGroup
 	defer all.Wait()
 	all.Go(func() { p.member.Run(ctx) })
-	tell, level := time.NewTicker(tellEvery), time.NewTicker(budget.TellEvery)
+	tell, level := time.NewTicker(tellEvery), time.NewTicker(budget.GossipInterval)
 	defer tell.Stop()
 	defer level.Stop()
 	for {
@@ -334,10 +334,10 @@
 		return
 	}
 	there := p.member.Peers()
-	var parts []budget.Part
+	var parts []budget.PeerState
 	p.mu.Lock()
 	for from, h := range p.parts {
-		if time.Since(h.at) > budget.StaleAfter {
+		if time.Since(h.at) > budget.PeerStateTTL {
 			delete(p.parts, from)
 		}
 	}
@@ -347,8 +347,8 @@
 		}
 	}
 	p.mu.Unlock()
-	if own, ok := p.core.Exchange(parts, len(there)); ok {
-		p.member.SendPart(own, budget.TellTo)
+	if own, ok := p.core.ExchangePeerState(parts, len(there)); ok {
+		p.member.SendPart(own, budget.GossipFanout)
 	}
 }
 
@@ -361,25 +361,25 @@
 	p.mu.Lock()
 	is := map[string]bool{}
 	for life := range p.state.Suspects(time.Now(), there, len(p.listed)) {
-		if l, ok := p.listed[life.Server]; ok && p.life(l.Member) == life {
+		if l, ok := p.listed[life.Server]; ok && p.life(l.Endpoint) == life {
 			is[l.ID] = true
 		}
 	}
 	p.mu.Unlock()
 	for id := range p.suspects {
 		if !is[id] {
-			p.core.Hearsay(id, false)
+			p.core.PeerReport(id, false)
 		}
 	}
 	for id := range is {
-		p.core.Hearsay(id, true)
+		p.core.PeerReport(id, true)
 	}
 	p.suspects = is
 }
 
 // peerFigures are what operators read of it.
 type peerFigures struct {
-	member.Counts
+	membership.Counts
 	Facts     fleetstate.Figures `json:"facts"`
 	Digest    string             `json:"digest"`          // of the notices held: equal at agents whose copies agree
 	HeldBack  int64              `json:"held_back"`       // times that a server got nothing new on peers' word, before the own list's
--- a/internal/agent/peers_test.go
+++ b/internal/agent/peers_test.go
@@ -80,29 +80,29 @@
 }
 
 // carrier is an upstream that carries nothing and notes the state of each server that it is told of.
-type carrier struct{ told chan core.List }
+type carrier struct{ told chan core.EndpointList }
 
-func (c carrier) Update(l core.List) (int, int) {
+func (c carrier) UpdateEndpoints(l core.EndpointList) (int, int) {
 	c.told <- l
-	return len(l.Members), len(l.Members)
+	return len(l.Endpoints), len(l.Endpoints)
 }
-func (carrier) Bind(string) any                        { return nil }
-func (carrier) Try(_ context.Context, _ *core.Attempt) {}
+func (carrier) Bind(string) any                            { return nil }
+func (carrier) Execute(_ context.Context, _ *core.Attempt) {}
 
 // talking is the peers' side of an agent with a core that carries nothing.
-func talking(t *testing.T) (*peers, chan core.List) {
+func talking(t *testing.T) (*peers, chan core.EndpointList) {
 	t.Helper()
 	clock := core.NewClock()
 	p, err := newPeers("me", operator.Peers{On: true, Bind: "127.0.0.1:0", Facts: true}, clock, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
-	balancer, err := logic.New(logic.Settings{Balancers: 2, MaxAttempts: 1, Classes: []logic.Class{{Aim: time.Second, Deadline: time.Second}}}, 1)
+	balancer, err := logic.New(logic.Settings{Balancers: 2, MaxAttempts: 1, Classes: []logic.Class{{LatencyObjective: time.Second, Timeout: time.Second}}}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	told := make(chan core.List, 16)
-	p.core = core.New(core.Config{Balancer: balancer, Clock: clock, Upstream: carrier{told}, Members: func(int, int) {}, Log: slog.New(slog.DiscardHandler)})
+	told := make(chan core.EndpointList, 16)
+	p.core = core.New(core.Config{Balancer: balancer, Clock: clock, Upstream: carrier{told}, EndpointCounts: func(int, int) {}, Log: slog.New(slog.DiscardHandler)})
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan struct{}, 2)
 	go func() { p.core.Run(ctx); ended <- struct{}{} }()
@@ -112,13 +112,13 @@
 }
 
 // ready is a server that started at a time of day, in milliseconds.
-func (p *peers) ready(id string, started int64) core.Member {
-	return core.Member{Server: logic.Server{ID: id, State: logic.Ready, Started: p.clock.FromUnix(started)}, Addr: "127.0.0.1:1", StartedMS: started}
+func (p *peers) ready(id string, started int64) core.Endpoint {
+	return core.Endpoint{Endpoint: logic.Endpoint{ID: id, State: logic.Ready, StartedAt: p.clock.FromUnix(started)}, Addr: "127.0.0.1:1", StartedMS: started}
 }
 
-func states(l core.List) map[string]logic.State {
-	out := map[string]logic.State{}
-	for _, m := range l.Members {
+func states(l core.EndpointList) map[string]logic.EndpointState {
+	out := map[string]logic.EndpointState{}
+	for _, m := range l.Endpoints {
 		out[m.ID] = m.State
 	}
 	return out
@@ -128,7 +128,7 @@
 // server, or of all servers at once, changes nothing; what this agent is told itself it tells its peers.
 func TestPeersWordGoesBeforeTheOwnList(t *testing.T) {
 	p, told := talking(t)
-	p.SetList(core.List{Full: true, Members: []core.Member{p.ready("a", 7), p.ready("b", 8), p.ready("c", 9)}})
+	p.UpdateEndpoints(core.EndpointList{Full: true, Endpoints: []core.Endpoint{p.ready("a", 7), p.ready("b", 8), p.ready("c", 9)}})
 	if s := states(<-told); s["a"] != logic.Ready {
 		t.Fatalf("%v", s)
 	}
@@ -145,7 +145,7 @@
 		t.Errorf("told of %v", s)
 	}
 	// The own list says again that it is ready, and it is held back all the same.
-	p.SetList(core.List{Members: []core.Member{p.ready("a", 7)}})
+	p.UpdateEndpoints(core.EndpointList{Endpoints: []core.Endpoint{p.ready("a", 7)}})
 	if s := states(<-told); s["a"] != logic.Draining {
 		t.Errorf("told of %v", s)
 	}
@@ -155,7 +155,7 @@
 		t.Errorf("told of %v", s)
 	}
 	// A server that was started anew: whoever is not told would take the cold process for the one before.
-	p.SetList(core.List{Members: []core.Member{p.ready("c", 90)}})
+	p.UpdateEndpoints(core.EndpointList{Endpoints: []core.Endpoint{p.ready("c", 90)}})
 	<-told
 	says := func(server string, life int64) (value int64) {
 		for _, f := range p.Whole() {
@@ -170,7 +170,7 @@
 	}
 	draining := p.ready("c", 90)
 	draining.State = logic.Draining
-	p.SetList(core.List{Members: []core.Member{draining}})
+	p.UpdateEndpoints(core.EndpointList{Endpoints: []core.Endpoint{draining}})
 	<-told
 	if says("c", 90) != fleetstate.Draining {
 		t.Errorf("what the own list says is not told: %v", p.Whole())
--- a/internal/agent/scenes_test.go
+++ b/internal/agent/scenes_test.go
@@ -14,11 +14,11 @@
 	"ryeweir/internal/config"
 	"ryeweir/internal/config/operator"
 	"ryeweir/internal/config/platform"
-	"ryeweir/internal/world"
-	"ryeweir/internal/world/callers"
-	"ryeweir/internal/world/link"
-	"ryeweir/internal/world/node"
-	"ryeweir/internal/world/referee"
+	"ryeweir/internal/emulator"
+	"ryeweir/internal/emulator/callers"
+	"ryeweir/internal/emulator/link"
+	"ryeweir/internal/emulator/node"
+	"ryeweir/internal/emulator/referee"
 )
 
 // Scenes play the whole real agent in a world in memory and in fake time: sockets, discovery, nodes and callers behave as
@@ -26,7 +26,7 @@
 
 // stage is a world with its agents, as a scene sees it.
 type stage struct {
-	*world.World
+	*emulator.World
 	t       *testing.T
 	network *link.Network
 	addrs   []string
@@ -39,16 +39,16 @@
 
 // scene is a day with something to do beside it and what must have come of it.
 type scene struct {
-	day     func(*world.DaySpec)
+	day     func(*emulator.DaySpec)
 	during  func(*stage)             // beside the callers; may be nil
 	service float64                  // the least
 	verify  func(*testing.T, *stage) // beyond the rules; may be nil
-	limits  func(*world.Limits)      // may be nil
+	limits  func(*emulator.Limits)   // may be nil
 	ops     func(*operator.File)     // what operators changed; may be nil
 }
 
-func usualDay() world.DaySpec {
-	d := world.DefaultDay()
+func usualDay() emulator.DaySpec {
+	d := emulator.DefaultDay()
 	d.Load, d.Length = 0.35, config.Duration(12*time.Second)
 	for i := range d.Kinds {
 		d.Kinds[i].Nodes = 2 + i
@@ -74,7 +74,7 @@
 		}
 		network := link.NewNetwork(7)
 		ctx := t.Context()
-		w, err := world.Start(ctx, day, world.Memory{Network: network}, true)
+		w, err := emulator.Start(ctx, day, emulator.Memory{Network: network}, true)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -83,7 +83,7 @@
 		if sc.ops != nil {
 			sc.ops(&s.ops)
 		}
-		limits := world.DefaultLimits()
+		limits := emulator.DefaultLimits()
 		if sc.limits != nil {
 			sc.limits(&limits)
 		}
@@ -140,7 +140,7 @@
 }
 
 // start starts an agent's process.
-func (s *stage) start(i int, limits world.Limits) {
+func (s *stage) start(i int, limits emulator.Limits) {
 	name := s.Day.Agents[i]
 	l, err := s.network.Listen(name + ":8081")
 	if err != nil {
@@ -202,13 +202,13 @@
 	return s.Day.Agents[p.Agent], s.clients[p.Agent], func(referee.End) {}
 }
 
-func trouble(kind node.Kind, nodes int, from, to, size float64) world.TroubleSpec {
-	return world.TroubleSpec{Kind: string(kind), Nodes: nodes, From: sec(from), To: sec(to), Size: size}
+func trouble(kind node.Kind, nodes int, from, to, size float64) emulator.TroubleSpec {
+	return emulator.TroubleSpec{Kind: string(kind), Nodes: nodes, From: sec(from), To: sec(to), Size: size}
 }
 
 // add puts troubles into a day.
-func add(troubles ...world.TroubleSpec) func(*world.DaySpec) {
-	return func(d *world.DaySpec) { d.Troubles = append(d.Troubles, troubles...) }
+func add(troubles ...emulator.TroubleSpec) func(*emulator.DaySpec) {
+	return func(d *emulator.DaySpec) { d.Troubles = append(d.Troubles, troubles...) }
 }
 
 func TestScenes(t *testing.T) {
@@ -234,25 +234,25 @@
 		"a replacement":            {day: add(trouble(node.Replace, 2, 3, 4, 0)), service: 0.85},
 		"a rolling restart":        {day: add(trouble(node.Restart, 1, 1, 3, 0), trouble(node.Restart, 1, 4, 6, 0), trouble(node.Restart, 1, 7, 9, 0)), service: 0.8},
 		"troubles that overlap":    {day: add(trouble(node.Slow, 1, 2, 10, 5), trouble(node.FastFail, 1, 4, 9, 0.8), trouble(node.Drain, 1, 5, 8, 0)), service: 0.6},
-		"overload":                 {day: func(d *world.DaySpec) { d.Load, d.Length = 2.2, sec(6) }, service: 0.25, verify: refusedAtOnce},
-		"a burst":                  {day: func(d *world.DaySpec) { d.Shape, d.Swing, d.Period = "burst", 3, sec(4) }, service: 0.6},
-		"all cold":                 {day: func(d *world.DaySpec) { coldNodes(d); d.Load = 0.2 }, service: 0.3},
-		"rude and slow callers":    {day: func(d *world.DaySpec) { d.Clients.Slow = 0.2 }, during: rude, service: 0.7},
-		"large answers":            {day: func(d *world.DaySpec) { d.Answer, d.Load, d.Agents, d.Length = 300<<10, 0.1, 1, sec(6) }, service: 0.9},
-		"large requests":           {day: func(d *world.DaySpec) { d.Body, d.Load, d.Agents = 200<<10, 0.1, 1 }, service: 0.9},
+		"overload":                 {day: func(d *emulator.DaySpec) { d.Load, d.Length = 2.2, sec(6) }, service: 0.25, verify: refusedAtOnce},
+		"a burst":                  {day: func(d *emulator.DaySpec) { d.Shape, d.Swing, d.Period = "burst", 3, sec(4) }, service: 0.6},
+		"all cold":                 {day: func(d *emulator.DaySpec) { coldNodes(d); d.Load = 0.2 }, service: 0.3},
+		"rude and slow callers":    {day: func(d *emulator.DaySpec) { d.Clients.Slow = 0.2 }, during: rude, service: 0.7},
+		"large answers":            {day: func(d *emulator.DaySpec) { d.Answer, d.Load, d.Agents, d.Length = 300<<10, 0.1, 1, sec(6) }, service: 0.9},
+		"large requests":           {day: func(d *emulator.DaySpec) { d.Body, d.Load, d.Agents = 200<<10, 0.1, 1 }, service: 0.9},
 		"discovery is down":        {day: outage(2, 9), service: 0.95},
-		"a death no list tells":    {day: func(d *world.DaySpec) { outage(2, 9)(d); add(trouble(node.Restart, 1, 3, 11, 0))(d) }, service: 0.85},
-		"discovery is slow":        {day: func(d *world.DaySpec) { d.List.Rate = 3; add(trouble(node.Drain, 1, 3, 8, 0))(d) }, service: 0.9},
+		"a death no list tells":    {day: func(d *emulator.DaySpec) { outage(2, 9)(d); add(trouble(node.Restart, 1, 3, 11, 0))(d) }, service: 0.85},
+		"discovery is slow":        {day: func(d *emulator.DaySpec) { d.List.Rate = 3; add(trouble(node.Drain, 1, 3, 8, 0))(d) }, service: 0.9},
 		"nothing reaches a node":   {during: func(s *stage) { s.oneWay(true) }, service: 0.85},
 		"no answer comes back":     {during: func(s *stage) { s.oneWay(false) }, service: 0.85, verify: effects},
 		"all connections break":    {during: breaks, service: 0.85, verify: effects},
-		"lossy links to nodes":     {day: func(d *world.DaySpec) { d.Net.Loss = 0.02 }, service: 0.5, verify: effects},
-		"callers on poor links":    {day: func(d *world.DaySpec) { d.Load = 0.1 }, during: func(s *stage) { s.clientsOn(bad) }, verify: effects},
+		"lossy links to nodes":     {day: func(d *emulator.DaySpec) { d.Net.Loss = 0.02 }, service: 0.5, verify: effects},
+		"callers on poor links":    {day: func(d *emulator.DaySpec) { d.Load = 0.1 }, during: func(s *stage) { s.clientsOn(bad) }, verify: effects},
 		"operators drain an agent": {during: operatorDrain, service: 0.9},
 		"an agent ends":            {during: ends, verify: ended},
 		"an agent is killed":       {during: killed, service: 0.6},
-		"few descriptors":          {limits: func(l *world.Limits) { l.Sockets = 128 }, service: 0.9},
-		"a tenth of the memory":    {day: func(d *world.DaySpec) { d.Answer, d.Load, d.Length = 200<<10, 0.1, sec(6) }, limits: func(l *world.Limits) { l.MemoryMB = 20 }, service: 0.9},
+		"few descriptors":          {limits: func(l *emulator.Limits) { l.Sockets = 128 }, service: 0.9},
+		"a tenth of the memory":    {day: func(d *emulator.DaySpec) { d.Answer, d.Load, d.Length = 200<<10, 0.1, sec(6) }, limits: func(l *emulator.Limits) { l.MemoryMB = 20 }, service: 0.9},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -275,14 +275,14 @@
 	}
 }
 
-func coldNodes(d *world.DaySpec) {
+func coldNodes(d *emulator.DaySpec) {
 	for i := range d.Kinds {
 		d.Kinds[i].Cold = true
 	}
 }
 
-func outage(from, to float64) func(*world.DaySpec) {
-	return func(d *world.DaySpec) { d.Outages = []world.OutageSpec{{From: sec(from), To: sec(to)}} }
+func outage(from, to float64) func(*emulator.DaySpec) {
+	return func(d *emulator.DaySpec) { d.Outages = []emulator.OutageSpec{{From: sec(from), To: sec(to)}} }
 }
 
 // rude lets clients come that send no requests.
@@ -379,6 +379,6 @@
 	s.network.Kill(s.Day.Agents[0])
 	s.stop[0]()
 	<-s.ended[0]
-	s.start(0, world.DefaultLimits())
+	s.start(0, emulator.DefaultLimits())
 	s.ready(0)
 }
--- a/internal/agent/scripted_test.go
+++ b/internal/agent/scripted_test.go
@@ -16,10 +16,10 @@
 	"ryeweir/internal/agent"
 	"ryeweir/internal/config/operator"
 	"ryeweir/internal/config/platform"
-	"ryeweir/internal/world"
-	"ryeweir/internal/world/discovery"
-	"ryeweir/internal/world/link"
-	"ryeweir/internal/world/peer"
+	"ryeweir/internal/emulator"
+	"ryeweir/internal/emulator/discovery"
+	"ryeweir/internal/emulator/link"
+	"ryeweir/internal/emulator/peer"
 )
 
 // A backend that does exactly what a script says: what the client gets, and how often the backend was asked.
@@ -73,7 +73,7 @@
 	for _, id := range nodes {
 		known.Servers = append(known.Servers, discovery.Entry{ID: id, Addr: id + ":80", Zone: "colombo", State: discovery.Ready, Weight: 1})
 	}
-	text, err := day.AgentConfig(0, "127.0.0.1:80", control, "nowhere:1", world.DefaultLimits(), &known)
+	text, err := day.AgentConfig(0, "127.0.0.1:80", control, "nowhere:1", emulator.DefaultLimits(), &known)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/agent/soak_test.go
+++ b/internal/agent/soak_test.go
@@ -8,9 +8,9 @@
 	"time"
 
 	"ryeweir/internal/config/operator"
-	"ryeweir/internal/world"
-	"ryeweir/internal/world/callers"
-	"ryeweir/internal/world/link"
+	"ryeweir/internal/emulator"
+	"ryeweir/internal/emulator/callers"
+	"ryeweir/internal/emulator/link"
 )
 
 // A soak in fake time: nodes replaced all the time, new keys in each round, clients that keep a connection for a while and leave. Heap,
@@ -30,14 +30,14 @@
 			t.Fatal(err)
 		}
 		network := link.NewNetwork(5)
-		w, err := world.Start(t.Context(), day, world.Memory{Network: network}, true)
+		w, err := emulator.Start(t.Context(), day, emulator.Memory{Network: network}, true)
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer w.Close()
 		s := &stage{World: w, t: t, network: network, ops: operator.Default()}
 		for i := range day.Agents {
-			s.start(i, world.Limits{Cores: 1, MemoryMB: 48, Sockets: 256})
+			s.start(i, emulator.Limits{Cores: 1, MemoryMB: 48, Sockets: 256})
 		}
 		for i := range day.Agents {
 			s.ready(i)
--- a/internal/agent/stages_test.go
+++ b/internal/agent/stages_test.go
@@ -20,8 +20,8 @@
 	"ryeweir/internal/agent"
 	"ryeweir/internal/config/operator"
 	"ryeweir/internal/config/platform"
-	"ryeweir/internal/world/link"
-	"ryeweir/internal/world/peer"
+	"ryeweir/internal/emulator/link"
+	"ryeweir/internal/emulator/peer"
 )
 
 // desk is an agent in memory with one scripted backend, and clients that write bytes.
@@ -300,7 +300,7 @@
 func TestEndBeforeTheDeadline(t *testing.T) {
 	patient := func(cfg *platform.Config) {
 		for i := range cfg.Site.Logic.Classes {
-			cfg.Site.Logic.Classes[i].Deadline = 20 * time.Second
+			cfg.Site.Logic.Classes[i].Timeout = 20 * time.Second
 		}
 	}
 	order, basket := "/place-order", "/price-basket"
--- a/internal/flow/flow.go
+++ b/internal/bodybuffer/flow.go
@@ -1,5 +1,5 @@
-// Package flow carries bodies from a reader to a writer through buffers of bounded size, which all share one budget.
-package flow
+// Package bodybuffer carries bodies from a reader to a writer through buffers of bounded size, which all share one budget.
+package bodybuffer
 
 import (
 	"errors"
--- a/internal/flow/flow_test.go
+++ b/internal/bodybuffer/flow_test.go
@@ -1,4 +1,4 @@
-package flow
+package bodybuffer
 
 import (
 	"bytes"
--- a/internal/budget/budget.go
+++ b/internal/budget/budget.go
@@ -66,27 +66,27 @@
 	return errors.Join(all...)
 }
 
-// Figures are what the budget has done, for operators. Counts only grow.
-type Figures struct {
-	Admitted     float64 // the share of demand that the level takes at present
-	Rate         float64 // requests a second that it lets through
-	Demand       float64 // requests a second that are asked for
-	Fleet        float64 // the rate of all agents together, where peers tell theirs; else 0
-	Shed         int64   // requests refused by the level
-	ShedInOrder  int64   // of them, those shed as worthier demand fills the level
-	Withheld     int64   // retries not sent, as the budget had none
-	ProbesDenied int64   // probes not sent
-	Overloads    int64   // attempts that met overload
-	Pressed      int64   // times that the agent itself was over
-	Level        float64 // requests a second that its own level would let through
-	Worths       []WorthFigures
+// Stats are what the budget has done, for operators. Counts only grow.
+type Stats struct {
+	Admitted     float64         `json:"Admitted"`     // the share of demand that the level takes at present
+	Rate         float64         `json:"Rate"`         // requests a second that it lets through
+	Demand       float64         `json:"Demand"`       // requests a second that are asked for
+	Fleet        float64         `json:"Fleet"`        // the rate of all agents together, where peers tell theirs; else 0
+	Shed         int64           `json:"Shed"`         // requests refused by the level
+	ShedInOrder  int64           `json:"ShedInOrder"`  // of them, those shed as worthier demand fills the level
+	Withheld     int64           `json:"Withheld"`     // retries not sent, as the budget had none
+	ProbesDenied int64           `json:"ProbesDenied"` // probes not sent
+	Overloads    int64           `json:"Overloads"`    // attempts that met overload
+	Pressed      int64           `json:"Pressed"`      // times that the agent itself was over
+	Level        float64         `json:"Level"`        // requests a second that its own level would let through
+	Worths       []PriorityStats `json:"Worths"`
 }
 
-// WorthFigures are those of one worth, the highest first.
-type WorthFigures struct {
-	Worth  float64
-	Demand float64 // requests a second that are asked for
-	Shed   int64   // requests refused by the level
+// PriorityStats are those of one worth, the highest first.
+type PriorityStats struct {
+	Worth  float64 `json:"Worth"`
+	Demand float64 `json:"Demand"` // requests a second that are asked for
+	Shed   int64   `json:"Shed"`   // requests refused by the level
 }
 
 // Budget is one agent's part of the fleet's budgets. Its zero value is not usable: see New.
@@ -101,7 +101,7 @@
 	room    float64     // requests that may be let through now
 	retries float64     // retries that may be sent
 	probes  float64     // probes that may be sent
-	figs    Figures
+	figs    Stats
 
 	heard     time.Duration // when peers last told
 	fleetRate float64       // the rates of the peers
@@ -129,15 +129,15 @@
 
 // Verdict is what the budget says of a request that arrives.
 type Verdict struct {
-	Admit bool
-	After time.Duration // a come-back time for one that is shed; 0 for none
+	Admit      bool
+	RetryAfter time.Duration // a come-back time for one that is shed; 0 for none
 }
 
-// Arrive counts a request of a worth and says whether to take it. The rate is filled with demand from the highest worth down:
+// Admit counts a request of a worth and says whether to take it. The rate is filled with demand from the highest worth down:
 // what it covers is taken while there is room; the class at its edge while there is more room than the worthier may need at
 // once, which is the more the more of the rate is theirs; and what is below is shed, unless the room lies unused. So
 // place-order, the worthiest, is shed last.
-func (b *Budget) Arrive(now time.Duration, worth float64) Verdict {
+func (b *Budget) Admit(now time.Duration, worth float64) Verdict {
 	b.advance(now)
 	b.count(worth)
 	b.latest.add(now, latestMemory, 1)
@@ -165,7 +165,7 @@
 	if inOrder {
 		b.figs.ShedInOrder++
 	}
-	return Verdict{After: b.comeBack(now)}
+	return Verdict{RetryAfter: b.comeBack(now)}
 }
 
 // comeBack is about how long the rate takes to rise to the demand, if the nodes turn nothing away meanwhile.
@@ -185,7 +185,7 @@
 func (b *Budget) count(worth float64) {
 	i, found := b.search(worth)
 	if !found {
-		if len(b.demand) >= MostWorths {
+		if len(b.demand) >= MaxPriorities {
 			i = len(b.demand) - 1 // the lowest kept stands for all below
 		} else {
 			// As old as the budget: a class that begins to come is read by the memory, not by its own youth.
@@ -221,11 +221,11 @@
 // Outcome is what became of an attempt, as the budget needs it.
 type Outcome struct {
 	Overload bool          // turned away unseen or timed out: the node had no room
-	Sent     time.Duration // when the attempt was sent
+	SentAt   time.Duration // when the attempt was sent
 }
 
-// Ended counts the outcome of an attempt.
-func (b *Budget) Ended(now time.Duration, o Outcome) {
+// AttemptEnded counts the outcome of an attempt.
+func (b *Budget) AttemptEnded(now time.Duration, o Outcome) {
 	b.advance(now)
 	if o.Overload {
 		b.figs.Overloads++
@@ -233,8 +233,8 @@
 	b.level.outcome(now, o, b.asked(now))
 }
 
-// Share is the share of demand that is taken at present.
-func (b *Budget) Share() float64 { return b.share(b.now) }
+// AdmittedFraction is the share of demand that is taken at present.
+func (b *Budget) AdmittedFraction() float64 { return b.share(b.now) }
 
 func (b *Budget) share(now time.Duration) float64 {
 	if asked := b.asked(now); asked > 0 {
@@ -258,9 +258,9 @@
 // mostRetries bounds what may be saved: the floor's part for one second.
 func (b *Budget) mostRetries() float64 { return max(leastTokens, b.floor()) }
 
-// Retry says whether a retry may be sent, and spends one if so. Retries are earned as a share of first tries; the floor lets
+// AllowRetry says whether a retry may be sent, and spends one if so. Retries are earned as a share of first tries; the floor lets
 // a quiet agent retry at all.
-func (b *Budget) Retry(now time.Duration) bool {
+func (b *Budget) AllowRetry(now time.Duration) bool {
 	b.advance(now)
 	if b.retries >= 1 {
 		b.retries--
@@ -270,8 +270,8 @@
 	return false
 }
 
-// Probe says whether a probe may be sent, and spends one if so.
-func (b *Budget) Probe() bool {
+// AllowHealthCheck says whether a probe may be sent, and spends one if so.
+func (b *Budget) AllowHealthCheck() bool {
 	if b.probes >= 1 {
 		b.probes--
 		return true
@@ -296,14 +296,14 @@
 	b.now = now
 }
 
-// Figures returns what it has done.
-func (b *Budget) Figures() Figures {
+// Stats returns what it has done.
+func (b *Budget) Stats() Stats {
 	f := b.figs
-	f.Admitted, f.Rate, f.Demand = b.Share(), b.allowed(b.now), b.asked(b.now)
+	f.Admitted, f.Rate, f.Demand = b.AdmittedFraction(), b.allowed(b.now), b.asked(b.now)
 	f.Level = b.rate()
 	for i := range b.demand {
 		d := &b.demand[i]
-		f.Worths = append(f.Worths, WorthFigures{d.worth, d.perSecond(b.now, b.set.Memory), d.shed})
+		f.Worths = append(f.Worths, PriorityStats{d.worth, d.perSecond(b.now, b.set.Memory), d.shed})
 	}
 	if b.together(b.now) {
 		f.Fleet = b.fleetRate + b.rate()
--- a/internal/budget/budget_test.go
+++ b/internal/budget/budget_test.go
@@ -60,13 +60,13 @@
 	for end := f.now + length; f.now < end; f.now += step {
 		if f.talk > 0 && f.now%f.talk == 0 {
 			for i, b := range f.agents {
-				var parts []Part
+				var parts []PeerState
 				for j, other := range f.agents {
 					if j != i {
-						parts = append(parts, other.Part(f.now))
+						parts = append(parts, other.PeerState(f.now))
 					}
 				}
-				b.Peers(f.now, parts, len(parts))
+				b.UpdatePeers(f.now, parts, len(parts))
 			}
 		}
 		var sent []int
@@ -77,7 +77,7 @@
 				f.asked[i]++
 				c := f.byWorth[w]
 				c[0]++
-				if b.Arrive(f.now, w).Admit {
+				if b.Admit(f.now, w).Admit {
 					sent = append(sent, i)
 					f.taken[i]++
 					c[1]++
@@ -95,7 +95,7 @@
 				f.served++
 				f.backlog++
 			}
-			f.agents[i].Ended(f.now, Outcome{Overload: over, Sent: f.now})
+			f.agents[i].AttemptEnded(f.now, Outcome{Overload: over, SentAt: f.now})
 		}
 	}
 }
@@ -153,11 +153,11 @@
 	}
 	// What peers told is gone by for a while only.
 	b := f.agents[0]
-	if b.Figures().Fleet == 0 {
+	if b.Stats().Fleet == 0 {
 		t.Error("peers do not count")
 	}
-	b.Arrive(f.now+StaleAfter+time.Second, 1)
-	if b.Figures().Fleet != 0 {
+	b.Admit(f.now+PeerStateTTL+time.Second, 1)
+	if b.Stats().Fleet != 0 {
 		t.Error("peers that fell silent still count")
 	}
 }
@@ -202,7 +202,7 @@
 	if part := low[1] / low[0]; part < 0.3 || part > 0.6 {
 		t.Errorf("of the least worth %.3f taken", part)
 	}
-	if fig := f.agents[0].Figures(); fig.Shed == 0 || fig.Overloads == 0 || fig.Admitted >= 1 {
+	if fig := f.agents[0].Stats(); fig.Shed == 0 || fig.Overloads == 0 || fig.Admitted >= 1 {
 		t.Errorf("%+v", fig)
 	}
 }
@@ -212,15 +212,15 @@
 	f := newFleet(t, 400, 600)
 	f.run(10 * time.Second)
 	b := f.agents[0]
-	rate := b.Figures().Rate
+	rate := b.Stats().Rate
 	for share, want := range map[float64]float64{0: 1, 0.1: 0.7, 5: 0.3} {
-		b.Jam(f.now, share)
-		if got := b.Figures().Rate / rate; math.Abs(got-want) > 0.01 {
+		b.SetLatencyOverload(f.now, share)
+		if got := b.Stats().Rate / rate; math.Abs(got-want) > 0.01 {
 			t.Errorf("with %.1f to refuse %.2f of the rate is let through, not %.2f", share, got, want)
 		}
 	}
-	b.Jam(f.now+2*time.Second, 5)
-	if got := b.Figures().Rate / rate; got < 0.9 {
+	b.SetLatencyOverload(f.now+2*time.Second, 5)
+	if got := b.Stats().Rate / rate; got < 0.9 {
 		t.Errorf("late answers of 2 s ago leave %.2f of the rate", got)
 	}
 }
@@ -231,16 +231,16 @@
 	now := time.Second
 	for range 500 { // 100 a second, answered after 100 ms
 		now += 10 * ms
-		b.Arrive(now, 1)
-		b.Ended(now, Outcome{Sent: now - 100*ms})
+		b.Admit(now, 1)
+		b.AttemptEnded(now, Outcome{SentAt: now - 100*ms})
 	}
-	before := b.Figures().Level
+	before := b.Stats().Level
 	for range 140 {
 		now += ms
-		b.Arrive(now, 1)
-		b.Ended(now, Outcome{Sent: now, Overload: true})
+		b.Admit(now, 1)
+		b.AttemptEnded(now, Outcome{SentAt: now, Overload: true})
 	}
-	if after := b.Figures().Level; after < 0.85*before || after >= before {
+	if after := b.Stats().Level; after < 0.85*before || after >= before {
 		t.Errorf("the level fell from %.1f to %.1f in 140 ms", before, after)
 	}
 }
@@ -252,10 +252,10 @@
 	second := func(each time.Duration) (high, low int) {
 		for end := now + time.Second; now < end; now += each {
 			for _, worth := range []float64{1, 8} {
-				if !b.Arrive(now, worth).Admit {
+				if !b.Admit(now, worth).Admit {
 					continue
 				}
-				b.Ended(now, Outcome{Sent: now - 30*ms})
+				b.AttemptEnded(now, Outcome{SentAt: now - 30*ms})
 				if worth > 1 {
 					high++
 				} else {
@@ -282,18 +282,18 @@
 	f.run(10 * time.Second)
 	sum := func() (s float64) {
 		for _, b := range f.agents {
-			s += b.Figures().Level
+			s += b.Stats().Level
 		}
 		return s
 	}
 	before := sum()
 	for range 20 {
-		var parts []Part
+		var parts []PeerState
 		for _, b := range f.agents {
-			parts = append(parts, b.Part(f.now))
+			parts = append(parts, b.PeerState(f.now))
 		}
 		for i, b := range f.agents {
-			b.Peers(f.now, slices.Concat(parts[:i], parts[i+1:]), len(parts)-1)
+			b.UpdatePeers(f.now, slices.Concat(parts[:i], parts[i+1:]), len(parts)-1)
 		}
 	}
 	if after := sum(); math.Abs(after/before-1) > 0.05 {
@@ -325,13 +325,13 @@
 	}{{2 * ms, 0.45, 0.7}, {40 * ms, 0.8, 1.1}} {
 		b, now := fresh(t, nil), time.Second
 		for end := now + 400*ms; now < end; now += c.each {
-			if b.Arrive(now, 1).Admit {
-				b.Ended(now, Outcome{Sent: now})
+			if b.Admit(now, 1).Admit {
+				b.AttemptEnded(now, Outcome{SentAt: now})
 			}
 		}
-		before := b.Figures()
-		b.Ended(now, Outcome{Overload: true, Sent: now - ms})
-		if left := b.Figures().Rate / min(before.Rate, before.Demand); left < c.least || left > c.most {
+		before := b.Stats()
+		b.AttemptEnded(now, Outcome{Overload: true, SentAt: now - ms})
+		if left := b.Stats().Rate / min(before.Rate, before.Demand); left < c.least || left > c.most {
 			t.Errorf("one each %v: %.2f of the rate is left after the first overload", c.each, left)
 		}
 	}
@@ -343,15 +343,15 @@
 	play := func(length, each time.Duration, full float64) (asked, taken float64) {
 		for end := now + length; now < end; now += each {
 			asked++
-			if b.Arrive(now, 1).Admit {
+			if b.Admit(now, 1).Admit {
 				taken++
-				b.Ended(now, Outcome{Overload: taken > full*length.Seconds(), Sent: now - 20*ms})
+				b.AttemptEnded(now, Outcome{Overload: taken > full*length.Seconds(), SentAt: now - 20*ms})
 			}
 		}
 		return asked, taken
 	}
 	play(3*time.Second, 2*ms, 20)
-	if rate := b.Figures().Rate; rate > 40 {
+	if rate := b.Stats().Rate; rate > 40 {
 		t.Fatalf("in the surge at a rate of %.0f", rate)
 	}
 	play(500*ms, 20*ms, 1000)
@@ -365,22 +365,22 @@
 	f := newFleet(t, 800, 400)
 	b := f.agents[0]
 	f.run(5 * time.Second)
-	before := b.Figures().Rate
+	before := b.Stats().Rate
 	for range 12 {
 		f.run(250 * ms)
-		b.Own(f.now, true)
+		b.SetSelfOverloaded(f.now, true)
 	}
-	if fig := b.Figures(); fig.Rate > before/2 || fig.Pressed != 12 || fig.Shed == 0 {
+	if fig := b.Stats(); fig.Rate > before/2 || fig.Pressed != 12 || fig.Shed == 0 {
 		t.Errorf("rate %.0f before, %+v", before, fig)
 	}
 	f.demand[0] = 0
 	for range 100 {
 		f.run(250 * ms)
-		b.Own(f.now, true)
+		b.SetSelfOverloaded(f.now, true)
 	}
 	for range 25 {
 		f.run(250 * ms)
-		b.Own(f.now, false)
+		b.SetSelfOverloaded(f.now, false)
 	}
 	f.demand[0] = 4
 	f.reset()
@@ -392,7 +392,7 @@
 
 // What a tenant asks for over its share counts for less.
 func TestOverShareGoesFirst(t *testing.T) {
-	o := NewOrder([]float64{8, 1}, []float64{0.5, 0.5}, 0.25, 1)
+	o := NewPriorityOrder([]float64{8, 1}, []float64{0.5, 0.5}, 0.25, 1)
 	low := make([]int, 2)
 	now := time.Second
 	for i := range 4000 {
@@ -400,7 +400,7 @@
 		if i%10 == 0 {
 			tenant = 1
 		}
-		if o.Worth(now, 0, tenant) < 8 {
+		if o.Priority(now, 0, tenant) < 8 {
 			low[tenant]++
 		}
 		now += ms
@@ -409,7 +409,7 @@
 	if got := float64(low[0]) / 3600; got < 0.35 || got > 0.5 || low[1] > 0 {
 		t.Errorf("of tenant 0 %.3f over its share, of tenant 1 %d", got, low[1])
 	}
-	if o.Worth(now, 1, -1) != 1 || o.Worth(now, 5, 0) != 0 {
+	if o.Priority(now, 1, -1) != 1 || o.Priority(now, 5, 0) != 0 {
 		t.Error("a request without a tenant or of no class")
 	}
 }
@@ -421,9 +421,9 @@
 	now := time.Second
 	retries := 0
 	for range 1000 {
-		b.Arrive(now, 1)
-		b.Ended(now, Outcome{})
-		for b.Retry(now) {
+		b.Admit(now, 1)
+		b.AttemptEnded(now, Outcome{})
+		for b.AllowRetry(now) {
 			retries++
 		}
 		now += 100 * ms
@@ -432,10 +432,10 @@
 	if retries < 195 || retries > 204 {
 		t.Errorf("%d retries", retries)
 	}
-	if f := b.Figures(); f.Withheld < 1000 {
+	if f := b.Stats(); f.Withheld < 1000 {
 		t.Errorf("%+v", f)
 	}
-	if b.Retry(now + time.Hour); b.retries > b.mostRetries() {
+	if b.AllowRetry(now + time.Hour); b.retries > b.mostRetries() {
 		t.Errorf("saved %.1f", b.retries)
 	}
 }
@@ -445,10 +445,10 @@
 	b := fresh(t, nil)
 	probes, tries := 0, 0
 	for i := range 10000 {
-		if b.Arrive(time.Second+time.Duration(i)*10*ms, 1).Admit {
+		if b.Admit(time.Second+time.Duration(i)*10*ms, 1).Admit {
 			tries++
 		}
-		if b.Probe() {
+		if b.AllowHealthCheck() {
 			probes++
 		}
 	}
@@ -463,12 +463,12 @@
 		b := fresh(t, func(s *Settings) { s.Longest = longest })
 		v, now := Verdict{Admit: true}, time.Second
 		for range 1000 {
-			if v = b.Arrive(now, 1); v.Admit {
-				b.Ended(now, Outcome{Overload: true})
+			if v = b.Admit(now, 1); v.Admit {
+				b.AttemptEnded(now, Outcome{Overload: true})
 			}
 			now += ms
 		}
-		if v.Admit || v.After > longest || longest > 0 && v.After < 100*ms {
+		if v.Admit || v.RetryAfter > longest || longest > 0 && v.RetryAfter < 100*ms {
 			t.Errorf("longest %v: %+v", longest, v)
 		}
 	}
--- a/internal/budget/level.go
+++ b/internal/budget/level.go
@@ -138,7 +138,7 @@
 		}
 		// At the onset of a surge many attempts meet overload that were on their way together, and being turned away takes no
 		// time: cuts for each, or before the nodes' queues can show the first, would close the level within a few of them.
-		if o.Sent < l.cut+time.Duration(cutApart*float64(l.took)) {
+		if o.SentAt < l.cut+time.Duration(cutApart*float64(l.took)) {
 			return
 		}
 		l.cut = now
@@ -149,7 +149,7 @@
 		return
 	}
 	l.served.add(now, l.set.Memory, 1)
-	if took := now - o.Sent; l.took == 0 {
+	if took := now - o.SentAt; l.took == 0 {
 		l.took = took
 	} else {
 		l.took += (took - l.took) / tookSamples
--- a/internal/budget/peers.go
+++ b/internal/budget/peers.go
@@ -8,23 +8,23 @@
 
 // Demand is what is asked for of one worth.
 type Demand struct {
-	Worth float64 `codec:"w"`
-	Rate  float64 `codec:"r"` // requests a second
+	Priority float64 `codec:"w"`
+	Rate     float64 `codec:"r"` // requests a second
 }
 
-// Part is an agent's part of the fleet's level, as it tells its peers.
-type Part struct {
+// PeerState is an agent's part of the fleet's level, as it tells its peers.
+type PeerState struct {
 	Demand []Demand `codec:"d"` // highest worth first, at most MostWorths
 	Rate   float64  `codec:"l"` // requests a second that its own level lets through
 }
 
-// MostWorths bounds the table of demand by worth: worths beyond it are counted with the lowest that is kept.
-const MostWorths = 64
+// MaxPriorities bounds the table of demand by worth: worths beyond it are counted with the lowest that is kept.
+const MaxPriorities = 64
 
-// Part is what this agent tells its peers.
-func (b *Budget) Part(now time.Duration) Part {
+// PeerState is what this agent tells its peers.
+func (b *Budget) PeerState(now time.Duration) PeerState {
 	b.advance(now)
-	p, onset := Part{Rate: b.rate()}, b.onset(now)
+	p, onset := PeerState{Rate: b.rate()}, b.onset(now)
 	for i := range b.demand {
 		if r := onset * b.demand[i].perSecond(now, b.set.Memory); r > 0 {
 			p.Demand = append(p.Demand, Demand{b.demand[i].worth, r})
@@ -33,11 +33,11 @@
 	return p
 }
 
-// Peers hands over the latest parts of the other agents that are there, of so many in all: where only some of them have told
+// UpdatePeers hands over the latest parts of the other agents that are there, of so many in all: where only some of them have told
 // theirs lately, those stand for the rest. What is not among them no longer counts. The rates of all are one budget, and the
 // demand of all is filled from it by worth, so that each agent sheds the same worths by the same share, whatever its own
 // traffic. After StaleAfter without a call the agent goes by its own level alone.
-func (b *Budget) Peers(now time.Duration, parts []Part, peers int) {
+func (b *Budget) UpdatePeers(now time.Duration, parts []PeerState, peers int) {
 	b.advance(now)
 	b.heard, b.fleetRate = now, 0
 	b.others = b.others[:0]
@@ -45,13 +45,13 @@
 	for _, p := range b.believed(now, parts) {
 		b.fleetRate += each * p.Rate
 		for _, d := range p.Demand {
-			b.others = append(b.others, Demand{d.Worth, each * d.Rate})
+			b.others = append(b.others, Demand{d.Priority, each * d.Rate})
 		}
 	}
-	slices.SortFunc(b.others, func(x, y Demand) int { return cmp.Compare(y.Worth, x.Worth) })
+	slices.SortFunc(b.others, func(x, y Demand) int { return cmp.Compare(y.Priority, x.Priority) })
 	kept := b.others[:0]
 	for _, d := range b.others {
-		if n := len(kept); n > 0 && kept[n-1].Worth == d.Worth {
+		if n := len(kept); n > 0 && kept[n-1].Priority == d.Priority {
 			kept[n-1].Rate += d.Rate
 		} else {
 			kept = append(kept, d)
@@ -69,14 +69,14 @@
 // believed are the parts as far as one agent may move the others, whether it is wrong or lies: of a rate and of a demand many times
 // those of the agent in the middle the rest counts for nothing, and neither does demand far beyond what the rate that is told with
 // it makes likely. Who asks for much and has no rate for it would take from all the others, and give to nobody.
-func (b *Budget) believed(now time.Duration, parts []Part) []Part {
-	own := Part{Rate: b.rate(), Demand: []Demand{{Rate: b.asked(now)}}}
-	out := make([]Part, 0, len(parts))
+func (b *Budget) believed(now time.Duration, parts []PeerState) []PeerState {
+	own := PeerState{Rate: b.rate(), Demand: []Demand{{Rate: b.asked(now)}}}
+	out := make([]PeerState, 0, len(parts))
 	rates, demands := []float64{own.Rate}, []float64{own.demand()}
 	for _, p := range parts {
-		q := Part{Rate: sound(p.Rate)}
-		for _, d := range p.Demand[:min(len(p.Demand), MostWorths)] {
-			q.Demand = append(q.Demand, Demand{d.Worth, sound(d.Rate)})
+		q := PeerState{Rate: sound(p.Rate)}
+		for _, d := range p.Demand[:min(len(p.Demand), MaxPriorities)] {
+			q.Demand = append(q.Demand, Demand{d.Priority, sound(d.Rate)})
 		}
 		out, rates, demands = append(out, q), append(rates, q.Rate), append(demands, q.demand())
 	}
@@ -98,7 +98,7 @@
 	likelyTimes   = 4
 )
 
-func (p Part) demand() (sum float64) {
+func (p PeerState) demand() (sum float64) {
 	for _, d := range p.Demand {
 		sum += d.Rate
 	}
@@ -106,7 +106,7 @@
 }
 
 // scale takes a part's demand down to a sum.
-func (p Part) scale(most float64) {
+func (p PeerState) scale(most float64) {
 	if sum := p.demand(); sum > most {
 		for i := range p.Demand {
 			p.Demand[i].Rate *= most / sum
@@ -128,19 +128,19 @@
 }
 
 const (
-	// TellEvery is how often an agent tells its part of the level.
-	TellEvery = 250 * time.Millisecond
-	// TellTo is to how many peers at a time, drawn anew.
-	TellTo = 4
-	// StaleAfter is how long what peers told is gone by.
-	StaleAfter   = 3 * time.Second
+	// GossipInterval is how often an agent tells its part of the level.
+	GossipInterval = 250 * time.Millisecond
+	// GossipFanout is to how many peers at a time, drawn anew.
+	GossipFanout = 4
+	// PeerStateTTL is how long what peers told is gone by.
+	PeerStateTTL = 3 * time.Second
 	towardsFleet = 0.2
 	beyondOwn    = 1.25 // as a multiple of its own level: the most that an agent takes on its peers' word
 )
 
 // together says whether what peers told still counts.
 func (b *Budget) together(now time.Duration) bool {
-	return len(b.others) > 0 && now-b.heard <= StaleAfter
+	return len(b.others) > 0 && now-b.heard <= PeerStateTTL
 }
 
 // allowed is what this agent may send a second: its own level, or its part of the fleet's, less what a jam takes.
@@ -190,9 +190,9 @@
 		all += b.fleetRate
 		for _, d := range b.others {
 			switch {
-			case d.Worth > worth:
+			case d.Priority > worth:
 				above += d.Rate
-			case d.Worth == worth:
+			case d.Priority == worth:
 				of += d.Rate
 			}
 		}
--- a/internal/config/operator/operator.go
+++ b/internal/config/operator/operator.go
@@ -14,8 +14,8 @@
 
 	"ryeweir/internal/budget"
 	"ryeweir/internal/config"
+	"ryeweir/internal/healthcheck"
 	"ryeweir/internal/pool"
-	"ryeweir/internal/probe"
 	"ryeweir/internal/wire"
 	"ryeweir/logic"
 )
@@ -80,7 +80,7 @@
 
 // Budget is an agent's part of the fleet's budgets and the order by which it sheds, with the module's settings and the longest
 // come-back time that clients heed; nil where the file does not switch them on.
-func (o *Overload) Budget(site logic.Settings, longest time.Duration, seed uint64) (*budget.Budget, *budget.Order, error) {
+func (o *Overload) Budget(site logic.Settings, longest time.Duration, seed uint64) (*budget.Budget, *budget.PriorityOrder, error) {
 	if !o.Fleet {
 		return nil, nil, nil
 	}
@@ -90,9 +90,9 @@
 	}
 	var worths []float64
 	for _, c := range site.Classes {
-		worths = append(worths, c.Worth)
+		worths = append(worths, c.PriorityWeight)
 	}
-	return b, budget.NewOrder(worths, site.Shares, site.OverShareWorth, seed^0x6f7665726c6f6164), nil
+	return b, budget.NewPriorityOrder(worths, site.TenantQuotas, site.OverQuotaWeight, seed^0x6f7665726c6f6164), nil
 }
 
 func overloadDefaults() Overload {
@@ -118,14 +118,14 @@
 }
 
 // Settings are the limits of those who carry probes out.
-func (p *Probes) Settings() probe.Settings {
-	return probe.Settings{Most: p.Concurrent, Timeout: p.Timeout.D()}
+func (p *Probes) Settings() healthcheck.Settings {
+	return healthcheck.Settings{Most: p.Concurrent, Timeout: p.Timeout.D()}
 }
 
 // Apply puts what the file says into the settings of the module.
 func (p *Probes) Apply(set *logic.Settings) {
-	if set.ProbeShare > 0 { // else the platform allows none
-		set.ProbeShare, set.ServerProbes = p.Share, p.PerServer
+	if set.HealthChecksPerRequest > 0 { // else the platform allows none
+		set.HealthChecksPerRequest, set.EndpointHealthCheckRate = p.Share, p.PerServer
 	}
 }
 
@@ -165,7 +165,7 @@
 	return File{Connections: Connections{Reuse: "newest", AgeJitter: 0.2, IdlePart: set.IdlePart, IdleLeast: config.Duration(set.IdleLeast),
 		IdleHeal: config.Duration(set.IdleHeal), SurePart: set.SurePart, SuspectAfter: set.SuspectFailures,
 		SuspectWithin: config.Duration(set.SuspectWithin), Suspect: "close", AheadMost: set.AheadMost},
-		Probes:   Probes{Share: wire.ProbeShare, PerServer: wire.ServerProbes, Concurrent: probe.DefaultMost, Timeout: config.Duration(probe.DefaultTimeout)},
+		Probes:   Probes{Share: wire.ProbeShare, PerServer: wire.ServerProbes, Concurrent: healthcheck.DefaultMost, Timeout: config.Duration(healthcheck.DefaultTimeout)},
 		Snapshot: Snapshot{Every: config.Duration(2 * time.Second), Oldest: config.Duration(30 * time.Second)}, Overload: overloadDefaults(),
 		Peers: Peers{Bind: "127.0.0.1:0", Seeds: []string{}, Facts: true, Level: true}}
 }
--- a/internal/config/platform/platform.go
+++ b/internal/config/platform/platform.go
@@ -150,7 +150,7 @@
 	// On sockets any refusal may carry Retry-After, also where the simulator's clients are given none.
 	site.Logic.MaxRetryAfter = site.MaxRetryAfter
 	// Nor is anybody there allowed four times the usual time after a call that failed.
-	site.Logic.AskAgain = discovery.AskAgain
+	site.Logic.MaxPollRetryInterval = discovery.AskAgain
 	return site, nil
 }
 
@@ -181,9 +181,9 @@
 	}
 	fmt.Fprintf(w, "agent %s: clients at %s, operators at %s, discovery at %s\n", cfg.Name, cfg.Listen, control, cfg.Discovery)
 	fmt.Fprintf(w, "limits: %g cores, %d MB, %d descriptors\n", cfg.Cores, cfg.MemoryMB, cfg.Sockets)
-	fmt.Fprintf(w, "fleet: agent %d of %d; %d backends known from before\n", cfg.Site.Logic.Me, cfg.Site.Logic.Balancers, len(cfg.Known.Servers))
-	effects := map[logic.Effect]string{logic.Safe: "safe to repeat", logic.Keyed: "carries a key", logic.Unsafe: "must never run twice"}
+	fmt.Fprintf(w, "fleet: agent %d of %d; %d backends known from before\n", cfg.Site.Logic.BalancerIndex, cfg.Site.Logic.Balancers, len(cfg.Known.Servers))
+	effects := map[logic.Idempotency]string{logic.Idempotent: "safe to repeat", logic.IdempotentWithKey: "carries a key", logic.NonIdempotent: "must never run twice"}
 	for _, c := range cfg.Site.Logic.Classes {
-		fmt.Fprintf(w, "class %s: %s, wanted within %v, deadline %v, worth %g\n", c.Name, effects[c.Effect], c.Aim, c.Deadline, c.Worth)
+		fmt.Fprintf(w, "class %s: %s, wanted within %v, deadline %v, worth %g\n", c.Name, effects[c.Idempotency], c.LatencyObjective, c.Timeout, c.PriorityWeight)
 	}
 }
--- a/internal/connlimit/ahead_test.go
+++ b/internal/connlimit/ahead_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"ryeweir/internal/flow"
+	"ryeweir/internal/bodybuffer"
 	"ryeweir/internal/framing"
 )
 
@@ -100,7 +100,7 @@
 
 // One that has left before its request is looked at is noticed then, below all that wraps its connection: nothing begins for it.
 func TestClientThatHasLeft(t *testing.T) {
-	l := New(framing.Listener{Listener: flow.Listener{Listener: listen(t)}}, 1)
+	l := New(framing.Listener{Listener: bodybuffer.Listener{Listener: listen(t)}}, 1)
 	c, far := pair(t, l)
 	far.Close()
 	eventually(t, "its close has come", func() bool { return closed(c) })
--- a/internal/connlimit/connlimit.go
+++ b/internal/connlimit/connlimit.go
@@ -119,7 +119,7 @@
 	for len(t.open) >= t.most && !t.closed {
 		if c := t.leastUseful(); c != nil {
 			c.hurry = true
-			c.retire(event.RoomNeeded)
+			c.retire(event.CapacityNeeded)
 		}
 		t.room.Wait()
 	}
--- a/internal/connlimit/connlimit_test.go
+++ b/internal/connlimit/connlimit_test.go
@@ -193,7 +193,7 @@
 			defer l.mu.Unlock()
 			c := l.leastUseful()
 			c.hurry = true
-			c.retire(event.RoomNeeded)
+			c.retire(event.CapacityNeeded)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -12,7 +12,7 @@
 	"net/http"
 	"time"
 
-	"ryeweir/internal/accept"
+	"ryeweir/internal/acceptretry"
 	"ryeweir/internal/connlimit"
 )
 
@@ -36,7 +36,7 @@
 
 // Serve answers calls until the context ends. The figures are given as JSON.
 func Serve(ctx context.Context, l net.Listener, a Agent, figures json.Marshaler, log *slog.Logger) error {
-	conns := connlimit.New(accept.New(l, log, nil), mostConns)
+	conns := connlimit.New(acceptretry.New(l, log, nil), mostConns)
 	srv := &http.Server{
 		Handler:           handler(a, figures),
 		ReadHeaderTimeout: headTimeout,
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -14,7 +14,7 @@
 	"testing/synctest"
 	"time"
 
-	"ryeweir/internal/world/link"
+	"ryeweir/internal/emulator/link"
 )
 
 // fakeAgent is steered and asked.
--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -13,24 +13,24 @@
 type Upstream interface {
 	// Update takes the list of servers or a change of it, and returns how many are listed and how many of them may get
 	// something new. Nothing new goes to one that may not from the moment that it returns. It must not block.
-	Update(List) (listed, ready int)
+	UpdateEndpoints(EndpointList) (listed, ready int)
 	// Bind returns the present life of a server for an attempt on it, or nil. A server that starts anew or moves has another
 	// life, which gets nothing that was meant for the one before. It must not block.
 	Bind(server string) any
 	// Try carries out the attempt: it reports one outcome by the time that a.Until states, and may go on to bring in a long
 	// answer after that. What may have run is never said not to have. It never sends again by itself. When the context ends
 	// it ends too.
-	Try(ctx context.Context, a *Attempt)
+	Execute(ctx context.Context, a *Attempt)
 }
 
 // Attempt is one Send of the module: a call on its way to one server.
 type Attempt struct {
-	Call    *Call
-	Number  int // from 0
-	Server  string
-	Target  any           // what Bind returned at the time of the Send
-	Sent    time.Duration // when the module decided on it
-	WriteBy time.Duration // when it is too late to begin: at Until, or earlier for a keyed call sent before
+	Call          *Call
+	Number        int // from 0
+	Endpoint      string
+	Target        any           // what Bind returned at the time of the Send
+	SentAt        time.Duration // when the module decided on it
+	WriteDeadline time.Duration // when it is too late to begin: at Until, or earlier for a keyed call sent before
 
 	until   atomic.Int64
 	written atomic.Int64
@@ -42,8 +42,8 @@
 	overdue int           // looks of the core that found its outcome overdue
 }
 
-// Until is when the agent stops waiting, on the core's clock.
-func (a *Attempt) Until() time.Duration { return time.Duration(a.until.Load()) }
+// Deadline is when the agent stops waiting, on the core's clock.
+func (a *Attempt) Deadline() time.Duration { return time.Duration(a.until.Load()) }
 
 // The states of an attempt's claim. It leaves the first once, for good.
 const (
@@ -56,21 +56,23 @@
 // written. Of a call that ends without an attempt that has begun, it is certain that none has run.
 func (a *Attempt) Begin() bool { return a.claim.CompareAndSwap(waiting, begun) }
 
-// Written says that a Partial call has gone on whole. Its time-out runs from then on.
-func (a *Attempt) Written(now time.Duration) {
+// RequestWritten says that a Partial call has gone on whole. Its time-out runs from then on.
+func (a *Attempt) RequestWritten(now time.Duration) {
 	a.written.Store(int64(now))
 	a.until.Store(int64(now + a.Call.Timeout))
 }
 
-// Began is since when the server may owe an answer: the Send, or the end of a Partial call's message.
-func (a *Attempt) Began() time.Duration { return max(a.Sent, time.Duration(a.written.Load())) }
+// AwaitingSince is since when the server may owe an answer: the Send, or the end of a Partial call's message.
+func (a *Attempt) AwaitingSince() time.Duration {
+	return max(a.SentAt, time.Duration(a.written.Load()))
+}
 
 // Outcome is how an attempt ended.
 type Outcome struct {
-	Result  logic.Result
-	Report  logic.Report // of the server's load; logic.NoReport without one
-	Content Content      // of an OK
-	Spent   bool         // the call's message can't be sent again
+	Result        logic.Result
+	LoadReport    logic.LoadReport // of the server's load; logic.NoReport without one
+	Content       Content          // of an OK
+	NotReplayable bool             // the call's message can't be sent again
 }
 
 // Report tells the outcome. Every attempt has exactly one: a further one is counted and dropped.
@@ -78,10 +80,10 @@
 	if !a.told.CompareAndSwap(false, true) {
 		if a.core != nil {
 			a.core.faults.Twice.Add(1)
-			a.core.cfg.Monitor.Violated(invariant.OutcomeReportedTwice, a.Call.ID, "attempt on "+a.Server)
+			a.core.cfg.Monitor.Violated(invariant.OutcomeReportedTwice, a.Call.ID, "attempt on "+a.Endpoint)
 		}
 		if o.Content != nil {
-			o.Content.Drop()
+			o.Content.Discard()
 		}
 		return
 	}
@@ -94,17 +96,17 @@
 
 // NewAttempt is an attempt outside a core, whose outcome goes to tell: for tests of upstreams and for tools.
 func NewAttempt(call *Call, target any, until, writeBy time.Duration, tell func(Outcome)) *Attempt {
-	a := &Attempt{Call: call, Target: target, WriteBy: writeBy, tell: tell}
+	a := &Attempt{Call: call, Target: target, WriteDeadline: writeBy, tell: tell}
 	a.until.Store(int64(until))
 	return a
 }
 
 // try lets the upstream carry out an attempt. One that ends without an outcome may have run.
 func (c *Core) try(ctx context.Context, a *Attempt) {
-	c.upstream.Try(ctx, a)
+	c.upstream.Execute(ctx, a)
 	if a.told.CompareAndSwap(false, true) {
 		c.faults.Unreported.Add(1)
-		c.tell(ended{a, Outcome{Result: logic.Reset, Report: logic.NoReport}})
+		c.tell(ended{a, Outcome{Result: logic.Reset, LoadReport: logic.NoLoadReport}})
 	}
 }
 
@@ -114,13 +116,13 @@
 	if until == 0 { // known when the message has come
 		until = now + upload
 	}
-	if act.After > 0 {
-		until = min(until, now+act.After)
+	if act.Delay > 0 {
+		until = min(until, now+act.Delay)
 	}
-	a := &Attempt{Call: c, Number: c.sends, Server: act.Server, Sent: now, WriteBy: until, next: c.flying}
+	a := &Attempt{Call: c, Number: c.sends, Endpoint: act.Endpoint, SentAt: now, WriteDeadline: until, next: c.flying}
 	a.until.Store(int64(until))
-	if first := c.mayHaveRun(); first > 0 && c.Window > 0 { // the module decides by the time now, but a dial may take until after the window
-		a.WriteBy = min(until, first+c.Window)
+	if first := c.mayHaveRun(); first > 0 && c.IdempotencyWindow > 0 { // the module decides by the time now, but a dial may take until after the window
+		a.WriteDeadline = min(until, first+c.IdempotencyWindow)
 	}
 	c.flying = a
 	c.sends++
@@ -140,8 +142,8 @@
 	switch result {
 	case logic.NotSent, logic.ConnectFailed, logic.Rejected:
 	default:
-		if c.ran == 0 || a.Sent < c.ran {
-			c.ran = a.Sent
+		if c.ran == 0 || a.SentAt < c.ran {
+			c.ran = a.SentAt
 		}
 	}
 }
@@ -167,8 +169,8 @@
 func (c *Call) mayHaveRun() time.Duration {
 	first := c.ran
 	for a := c.flying; a != nil; a = a.next {
-		if first == 0 || a.Sent < first {
-			first = a.Sent
+		if first == 0 || a.SentAt < first {
+			first = a.SentAt
 		}
 	}
 	return first
--- a/internal/core/border.go
+++ b/internal/core/border.go
@@ -8,9 +8,9 @@
 	"ryeweir/logic"
 )
 
-// Faults counts where a front or an upstream did not keep to what it owes the core. Each should stay 0. The account holds
+// BoundaryViolations counts where a front or an upstream did not keep to what it owes the core. Each should stay 0. The account holds
 // all the same: every attempt has one outcome, every call one answer.
-type Faults struct {
+type BoundaryViolations struct {
 	Twice       atomic.Int64 // attempts whose outcome was reported again, or after it was overdue
 	Unreported  atomic.Int64 // attempts that ended without an outcome
 	Overdue     atomic.Int64 // attempts whose outcome did not come in time
@@ -20,13 +20,13 @@
 }
 
 // MarshalJSON gives the counts in the operators' form.
-func (f *Faults) MarshalJSON() ([]byte, error) {
+func (f *BoundaryViolations) MarshalJSON() ([]byte, error) {
 	return json.Marshal(map[string]int64{"reported_twice": f.Twice.Load(), "unreported": f.Unreported.Load(), "overdue": f.Overdue.Load(),
 		"unread": f.Unread.Load(), "resubmitted": f.Resubmitted.Load(), "unfinished": f.Unfinished.Load()})
 }
 
-// Faults are the counts so far.
-func (c *Core) Faults() *Faults { return &c.faults }
+// BoundaryViolations are the counts so far.
+func (c *Core) BoundaryViolations() *BoundaryViolations { return &c.faults }
 
 const (
 	watchEvery = 500 * time.Millisecond
@@ -53,7 +53,7 @@
 // show lets the budget's figures be read.
 func (c *Core) show() {
 	if c.cfg.Budget != nil {
-		f := c.cfg.Budget.Figures()
+		f := c.cfg.Budget.Stats()
 		c.budget.Store(&f)
 	}
 }
@@ -61,7 +61,7 @@
 // watch looks for what fronts and upstreams owe.
 func (c *Core) watch() {
 	now := c.clock.Now()
-	c.cfg.Members(c.members, c.balancer.Unavailable())
+	c.cfg.EndpointCounts(c.members, c.balancer.Unavailable())
 	c.show()
 	kept := c.given[:0]
 	for _, h := range c.given {
@@ -84,18 +84,18 @@
 	clear(c.given[len(kept):])
 	c.given = kept
 	for _, call := range c.calls {
-		if call.Partial && call.Deadline == 0 && !call.over.Load() && now-call.taken > c.cfg.Upload+overdueBy {
+		if call.BodyPending && call.Deadline == 0 && !call.over.Load() && now-call.taken > c.cfg.UploadTimeout+overdueBy {
 			c.faults.Unfinished.Add(1)
 			c.leave(call)
 		}
 		for a := call.flying; a != nil; {
 			next := a.next
-			if now > a.Until()+overdueBy {
+			if now > a.Deadline()+overdueBy {
 				a.overdue++
 			}
 			if a.overdue >= overdueLooks && a.told.CompareAndSwap(false, true) {
 				c.faults.Overdue.Add(1)
-				c.end(a, Outcome{Result: logic.TimedOut, Report: logic.NoReport})
+				c.end(a, Outcome{Result: logic.TimedOut, LoadReport: logic.NoLoadReport})
 			}
 			a = next
 		}
--- a/internal/core/call.go
+++ b/internal/core/call.go
@@ -10,18 +10,18 @@
 // Call is what a client asks: what the decisions need, the message itself, and the place for its one answer. A front fills
 // in the exported fields and hands it over with Submit; they are not changed after that.
 type Call struct {
-	ID            string
-	Class, Tenant int           // indices into the settings; a tenant below 0 is none
-	Key           string        // what it is about; may be empty
-	Timeout       time.Duration // how long the answer may take from the message's last byte on
-	Margin        time.Duration // the client waits for so much longer than Timeout
-	Aim           time.Duration // an answer may take so long: until then no server is to blame that none has come
-	Deadline      time.Duration // when that is over, on the core's clock; 0 of a Partial call until Received
-	Partial       bool          // its message still comes in and can be read once
-	Careful       bool          // a repeat of it does harm: what may be closing is not for it
-	Window        time.Duration // of a keyed class: how long after the first attempt another may begin; else 0
-	Message       any           // only the front and the upstream of its protocol look into it
-	Release       func()        // is called once, when nothing holds the message any more; may be nil
+	ID                string
+	Class, Tenant     int           // indices into the settings; a tenant below 0 is none
+	Key               string        // what it is about; may be empty
+	Timeout           time.Duration // how long the answer may take from the message's last byte on
+	TimeoutSlack      time.Duration // the client waits for so much longer than Timeout
+	LatencyObjective  time.Duration // an answer may take so long: until then no server is to blame that none has come
+	Deadline          time.Duration // when that is over, on the core's clock; 0 of a Partial call until Received
+	BodyPending       bool          // its message still comes in and can be read once
+	NonIdempotent     bool          // a repeat of it does harm: what may be closing is not for it
+	IdempotencyWindow time.Duration // of a keyed class: how long after the first attempt another may begin; else 0
+	Message           any           // only the front and the upstream of its protocol look into it
+	Release           func()        // is called once, when nothing holds the message any more; may be nil
 
 	answer      chan Answer // holds one, so that the loop never waits for a client
 	submitted   atomic.Bool
@@ -37,8 +37,8 @@
 	ran        time.Duration // when the first of those that have ended and may have run was sent; 0 without one
 }
 
-// Gone is closed when nobody waits for the call's answer any more; nil of a call that was not handed over.
-func (c *Call) Gone() <-chan struct{} { return c.gone }
+// Done is closed when nobody waits for the call's answer any more; nil of a call that was not handed over.
+func (c *Call) Done() <-chan struct{} { return c.gone }
 
 // ends says that nobody waits for the answer any more, and lets no attempt begin. It is called once.
 func (c *Call) ends(now time.Duration) {
@@ -48,11 +48,11 @@
 	close(c.gone)
 }
 
-// Over reports whether nobody waits for the call's answer any more. It may be called by anybody.
-func (c *Call) Over() bool { return c.over.Load() }
+// Finished reports whether nobody waits for the call's answer any more. It may be called by anybody.
+func (c *Call) Finished() bool { return c.over.Load() }
 
-// OverSince is when that began, on the core's clock. It may be called by anybody.
-func (c *Call) OverSince() time.Duration { return time.Duration(c.overSince.Load()) }
+// FinishedAt is when that began, on the core's clock. It may be called by anybody.
+func (c *Call) FinishedAt() time.Duration { return time.Duration(c.overSince.Load()) }
 
 func (c *Call) release() {
 	if c.Release != nil {
@@ -66,7 +66,7 @@
 // The verdicts.
 const (
 	Served    Verdict = iota // with what a server made
-	Refused                  // trying again is harmless
+	Rejected                 // trying again is harmless
 	Failed                   // no promise about an effect
 	Duplicate                // another call under its id is open
 )
@@ -83,12 +83,12 @@
 // look into it.
 type Content interface {
 	// Drop gives it up, unless that was done. It may be called by anybody.
-	Drop()
+	Discard()
 }
 
 // drop gives up an answer that no client gets.
 func (a Answer) drop() {
 	if a.Content != nil {
-		a.Content.Drop()
+		a.Content.Discard()
 	}
 }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -20,19 +20,19 @@
 
 // Config is what a Core works with.
 type Config struct {
-	Balancer  *logic.Balancer
-	Clock     Clock
-	Upstream  Upstream
-	Upload    time.Duration             // how long a Partial call may take to come in
-	Prober    Prober                    // nil where the module asks for no probes
-	Subscribe func()                    // asks for the list, where it must be asked for
-	Members   func(listed, avoided int) // is told how many servers are listed, and how many of them are avoided
-	Log       *slog.Logger
+	Balancer       *logic.Balancer
+	Clock          Clock
+	Upstream       Upstream
+	UploadTimeout  time.Duration             // how long a Partial call may take to come in
+	HealthChecker  HealthChecker             // nil where the module asks for no probes
+	Subscribe      func()                    // asks for the list, where it must be asked for
+	EndpointCounts func(listed, avoided int) // is told how many servers are listed, and how many of them are avoided
+	Log            *slog.Logger
 	// Budget, where there is one, is the agent's part of the fleet's budgets, beside a module that admits all: it may shed a
 	// call before the module sees it, and withhold a retry or a probe that the module asks for, which the module then learns
 	// of as not sent. Nil for none.
-	Budget *budget.Budget
-	Order  *budget.Order // by which it sheds; goes with Budget
+	Budget        *budget.Budget
+	PriorityOrder *budget.PriorityOrder // by which it sheds; goes with Budget
 	// Observe, where it is set, is told of each attempt on a server that ended and says something of it: when it was decided on,
 	// and whether it went well. The loop calls it: it must not wait.
 	Observe func(server string, sent time.Duration, well bool)
@@ -40,10 +40,10 @@
 	Monitor *invariant.Monitor // counts broken rules; nil for nobody
 }
 
-// Prober asks a server's present life, as the upstream's Bind returned it, how it does. It returns within its own time-out, or
+// HealthChecker asks a server's present life, as the upstream's Bind returned it, how it does. It returns within its own time-out, or
 // when the context ends.
-type Prober interface {
-	Probe(ctx context.Context, server string, target any) logic.Probed
+type HealthChecker interface {
+	Check(ctx context.Context, server string, target any) logic.HealthChecked
 }
 
 // Core is the one goroutine that owns the module: events come in by a channel, and it carries out what the module decides.
@@ -57,11 +57,11 @@
 	done     chan struct{} // closed when the loop has ended
 	ready    atomic.Bool   // there is a server to send to
 	listed   chan struct{} // closed when there first is one
-	faults   Faults
-	taken    atomic.Int64                   // calls
-	budget   atomic.Pointer[budget.Figures] // of the budget, as the loop last looked
-	waited   atomic.Int64                   // the least that a call waited for the loop since that was last asked for; nobody where none came
-	known    int64                          // of them when what was learnt was last asked for
+	faults   BoundaryViolations
+	taken    atomic.Int64                 // calls
+	budget   atomic.Pointer[budget.Stats] // of the budget, as the loop last looked
+	waited   atomic.Int64                 // the least that a call waited for the loop since that was last asked for; nobody where none came
+	known    int64                        // of them when what was learnt was last asked for
 
 	first    sync.Once
 	ctx      context.Context // of the attempts
@@ -79,8 +79,8 @@
 	if cfg.Subscribe == nil {
 		cfg.Subscribe = func() {}
 	}
-	if cfg.Members == nil {
-		cfg.Members = func(int, int) {}
+	if cfg.EndpointCounts == nil {
+		cfg.EndpointCounts = func(int, int) {}
 	}
 	c := &Core{balancer: cfg.Balancer, clock: cfg.Clock, upstream: cfg.Upstream, cfg: cfg, events: make(chan message, eventQueue),
 		done: make(chan struct{}), listed: make(chan struct{}), calls: map[string]*Call{}}
@@ -103,17 +103,17 @@
 	return call.answer
 }
 
-// Received says when the last byte of a Partial call came.
-func (c *Core) Received(call *Call, at time.Duration) { c.tell(received{call, at}) }
+// BodyReceived says when the last byte of a Partial call came.
+func (c *Core) BodyReceived(call *Call, at time.Duration) { c.tell(received{call, at}) }
 
-// Leave says that nobody waits for the call's answer any more.
-func (c *Core) Leave(call *Call) { c.tell(left{call}) }
+// Abandon says that nobody waits for the call's answer any more.
+func (c *Core) Abandon(call *Call) { c.tell(left{call}) }
 
-// SetList takes the list of servers or a change of it.
-func (c *Core) SetList(l List) { c.tell(l) }
+// UpdateEndpoints takes the list of servers or a change of it.
+func (c *Core) UpdateEndpoints(l EndpointList) { c.tell(l) }
 
-// ListUnavailable says that a subscription to the list ended or could not be had.
-func (c *Core) ListUnavailable() { c.tell(unavailable{}) }
+// DiscoveryUnavailable says that a subscription to the list ended or could not be had.
+func (c *Core) DiscoveryUnavailable() { c.tell(unavailable{}) }
 
 // Knowledge is what has been learnt so far; false when no call has come since it was last asked, or the core has ended. It is
 // for one caller.
@@ -133,18 +133,18 @@
 	}
 }
 
-// Hearsay says that other agents see a server fail, or no longer do.
-func (c *Core) Hearsay(server string, suspect bool) {
-	c.tell(hearsay{logic.Hearsay{Server: server, Suspect: suspect}})
+// PeerReport says that other agents see a server fail, or no longer do.
+func (c *Core) PeerReport(server string, suspect bool) {
+	c.tell(hearsay{logic.PeerReport{Endpoint: server, Unhealthy: suspect}})
 }
 
-// Own says whether the agent itself has more to do than it can, at each look: the fleet's budget, where there is one, takes less
+// SetSelfOverloaded says whether the agent itself has more to do than it can, at each look: the fleet's budget, where there is one, takes less
 // while it has.
-func (c *Core) Own(over bool) { c.tell(pressed{over}) }
+func (c *Core) SetSelfOverloaded(over bool) { c.tell(pressed{over}) }
 
-// Waited is the least that a call waited for the loop since this was last asked for; 0 where none came. The least, as a queue
+// QueueDelay is the least that a call waited for the loop since this was last asked for; 0 where none came. The least, as a queue
 // that stands makes each wait, but a stall (a process that was paused, a core that others held) only those that came in it.
-func (c *Core) Waited() time.Duration {
+func (c *Core) QueueDelay() time.Duration {
 	if least := c.waited.Swap(nobody); least != nobody {
 		return time.Duration(least)
 	}
@@ -154,41 +154,41 @@
 // nobody stands for the wait of a while in which no call came.
 const nobody = math.MaxInt64
 
-// Exchange hands the parts of the fleet's level that peers told, of so many peers, to the budget, and returns this agent's; false without a budget, or when
+// ExchangePeerState hands the parts of the fleet's level that peers told, of so many peers, to the budget, and returns this agent's; false without a budget, or when
 // the core has ended.
-func (c *Core) Exchange(parts []budget.Part, peers int) (budget.Part, bool) {
+func (c *Core) ExchangePeerState(parts []budget.PeerState, peers int) (budget.PeerState, bool) {
 	if c.cfg.Budget == nil {
-		return budget.Part{}, false
+		return budget.PeerState{}, false
 	}
-	own := make(chan budget.Part, 1)
+	own := make(chan budget.PeerState, 1)
 	c.tell(exchanged{parts, peers, own})
 	select {
 	case p := <-own:
 		return p, true
 	case <-c.done:
-		return budget.Part{}, false
+		return budget.PeerState{}, false
 	}
 }
 
-// BudgetFigures is what the fleet's budget had done when the loop last looked, about every watch period while calls are open.
-func (c *Core) BudgetFigures() budget.Figures {
+// BudgetStats is what the fleet's budget had done when the loop last looked, about every watch period while calls are open.
+func (c *Core) BudgetStats() budget.Stats {
 	if f := c.budget.Load(); f != nil {
 		return *f
 	}
-	return budget.Figures{Admitted: 1}
+	return budget.Stats{Admitted: 1}
 }
 
-// Finish gives every open call its answer now, and those that come later at once: the process is about to end.
-func (c *Core) Finish() { c.tell(finishing{}) }
+// Shutdown gives every open call its answer now, and those that come later at once: the process is about to end.
+func (c *Core) Shutdown() { c.tell(finishing{}) }
 
 // Done is closed when the core has ended: no call gets an answer any more.
 func (c *Core) Done() <-chan struct{} { return c.done }
 
-// Listed is closed when there first is a server to send to.
-func (c *Core) Listed() <-chan struct{} { return c.listed }
+// EndpointsKnown is closed when there first is a server to send to.
+func (c *Core) EndpointsKnown() <-chan struct{} { return c.listed }
 
-// HasList reports whether a list of servers with one to send to has ever come.
-func (c *Core) HasList() bool {
+// HasEndpoints reports whether a list of servers with one to send to has ever come.
+func (c *Core) HasEndpoints() bool {
 	select {
 	case <-c.listed:
 		return true
@@ -267,30 +267,30 @@
 			return // it is over, and its id may be another's
 		}
 		e.call.Deadline = e.at + e.call.Timeout
-		c.decide(logic.Received{Request: e.call.ID, Deadline: e.call.Deadline})
+		c.decide(logic.BodyReceived{Request: e.call.ID, Deadline: e.call.Deadline})
 	case left:
 		c.leave(e.call)
-	case List:
+	case EndpointList:
 		c.list(e)
 	case probed:
-		c.decide(e.Probed)
+		c.decide(e.HealthChecked)
 	case hearsay:
-		c.decide(e.Hearsay)
+		c.decide(e.PeerReport)
 	case pressed:
 		if b := c.cfg.Budget; b != nil {
-			b.Own(c.clock.Now(), e.over)
+			b.SetSelfOverloaded(c.clock.Now(), e.over)
 			c.show()
 		}
 	case exchanged:
-		c.cfg.Budget.Peers(c.clock.Now(), e.parts, e.peers)
-		e.own <- c.cfg.Budget.Part(c.clock.Now())
+		c.cfg.Budget.UpdatePeers(c.clock.Now(), e.parts, e.peers)
+		e.own <- c.cfg.Budget.PeerState(c.clock.Now())
 		c.show()
 	case asked:
 		e.knowledge <- c.balancer.Knowledge(c.clock.Now())
 	case finishing:
-		c.decide(logic.Ending{})
+		c.decide(logic.Shutdown{})
 	case unavailable:
-		c.decide(logic.ListUnavailable{})
+		c.decide(logic.DiscoveryUnavailable{})
 	}
 }
 
@@ -311,25 +311,25 @@
 		if waited := int64(call.taken - call.submittedAt); waited < c.waited.Load() {
 			c.waited.Store(waited) // one look may be lost to Waited, which asks again soon
 		}
-		b.Jam(call.taken, c.balancer.Jam())
-		worth := c.cfg.Order.Worth(call.taken, call.Class, call.Tenant)
-		if v := b.Arrive(call.taken, worth); !v.Admit { // refused now, as all that is given up
+		b.SetLatencyOverload(call.taken, c.balancer.OverloadLevel())
+		worth := c.cfg.PriorityOrder.Priority(call.taken, call.Class, call.Tenant)
+		if v := b.Admit(call.taken, worth); !v.Admit { // refused now, as all that is given up
 			call.ends(c.clock.Now())
 			call.release()
-			c.give(call, Answer{Verdict: Refused, Reason: event.BudgetShed, RetryAfter: v.After})
+			c.give(call, Answer{Verdict: Rejected, Reason: event.BudgetShed, RetryAfter: v.RetryAfter})
 			return
 		}
 	}
 	c.calls[call.ID] = call
 	c.decide(logic.Request{ID: call.ID, Class: call.Class, Tenant: call.Tenant, Key: call.Key, Deadline: call.Deadline,
-		Partial: call.Partial})
+		BodyPending: call.BodyPending})
 }
 
 // leave ends a call that nobody waits for. An answer that came before that was noticed is given up.
 func (c *Core) leave(call *Call) {
 	if !call.over.Load() {
 		call.ends(c.clock.Now())
-		c.decide(logic.ClientGone{Request: call.ID})
+		c.decide(logic.ClientDisconnected{Request: call.ID})
 		c.forget(call)
 		return
 	}
@@ -343,16 +343,16 @@
 func (c *Core) end(a *Attempt, o Outcome) {
 	call := a.Call
 	call.ended(a, o.Result)
-	c.cfg.Events.Record(event.Event{Kind: event.AttemptEnded, Reason: resultReasons[o.Result], Request: call.ID, Attempt: a.Number, Server: a.Server})
+	c.cfg.Events.Record(event.Event{Kind: event.AttemptEnded, Reason: resultReasons[o.Result], Request: call.ID, Attempt: a.Number, Endpoint: a.Endpoint})
 	if o.Result == logic.OK {
 		c.finish(call, Answer{Verdict: Served, Reason: event.Served, Content: o.Content})
 	}
 	if b := c.cfg.Budget; b != nil && o.Result != logic.NotSent {
-		b.Ended(c.clock.Now(), budget.Outcome{Overload: o.Result == logic.Rejected || o.Result == logic.TimedOut, Sent: a.Began()})
+		b.AttemptEnded(c.clock.Now(), budget.Outcome{Overload: o.Result == logic.Rejected || o.Result == logic.TimedOut, SentAt: a.AwaitingSince()})
 	}
 	c.observe(a, o)
-	c.decide(logic.Outcome{Request: call.ID, Attempt: a.Number, Server: a.Server, Result: o.Result,
-		Took: c.clock.Now() - a.Began(), Closed: call.over.Load(), Spent: o.Spent, Report: o.Report})
+	c.decide(logic.Outcome{Request: call.ID, Attempt: a.Number, Endpoint: a.Endpoint, Result: o.Result,
+		Latency: c.clock.Now() - a.AwaitingSince(), Closed: call.over.Load(), NotReplayable: o.NotReplayable, LoadReport: o.LoadReport})
 	c.forget(call)
 }
 
@@ -364,25 +364,25 @@
 	}
 	switch o.Result {
 	case logic.OK:
-		c.cfg.Observe(a.Server, a.Sent, true)
+		c.cfg.Observe(a.Endpoint, a.SentAt, true)
 	case logic.TimedOut:
-		if c.clock.Now()-a.Began() >= a.Call.Aim {
-			c.cfg.Observe(a.Server, a.Sent, false)
+		if c.clock.Now()-a.AwaitingSince() >= a.Call.LatencyObjective {
+			c.cfg.Observe(a.Endpoint, a.SentAt, false)
 		}
 	case logic.Failed, logic.ConnectFailed, logic.Reset:
-		c.cfg.Observe(a.Server, a.Sent, false)
+		c.cfg.Observe(a.Endpoint, a.SentAt, false)
 	}
 }
 
-func (c *Core) list(l List) {
-	listed, ready := c.upstream.Update(l)
-	servers := make([]logic.Server, len(l.Members))
-	for i, m := range l.Members {
-		servers[i] = m.Server
+func (c *Core) list(l EndpointList) {
+	listed, ready := c.upstream.UpdateEndpoints(l)
+	servers := make([]logic.Endpoint, len(l.Endpoints))
+	for i, m := range l.Endpoints {
+		servers[i] = m.Endpoint
 	}
-	c.decide(logic.ServerList{Full: l.Full, Servers: servers})
+	c.decide(logic.EndpointList{Full: l.Full, Endpoints: servers})
 	c.members = listed
-	c.cfg.Members(listed, c.balancer.Unavailable())
+	c.cfg.EndpointCounts(listed, c.balancer.Unavailable())
 	if is := ready > 0; c.ready.Swap(is) != is {
 		c.cfg.Log.Info("backends to send to", "any", is, "ready", ready)
 		if is {
@@ -397,16 +397,16 @@
 		switch a.Kind {
 		case logic.Send:
 			c.send(a)
-		case logic.Refuse:
-			c.finish(c.calls[a.Request], Answer{Verdict: Refused, Reason: causeReasons[a.Cause], RetryAfter: a.After})
+		case logic.Reject:
+			c.finish(c.calls[a.Request], Answer{Verdict: Rejected, Reason: causeReasons[a.Reason], RetryAfter: a.Delay})
 		case logic.Fail:
-			c.finish(c.calls[a.Request], Answer{Verdict: Failed, Reason: causeReasons[a.Cause], RetryAfter: a.After})
+			c.finish(c.calls[a.Request], Answer{Verdict: Failed, Reason: causeReasons[a.Reason], RetryAfter: a.Delay})
 		case logic.SetTimer:
-			heap.Push(&c.timers, timer{due: c.clock.Now() + a.After, token: a.Token})
+			heap.Push(&c.timers, timer{due: c.clock.Now() + a.Delay, token: a.Token})
 		case logic.Subscribe:
 			c.cfg.Subscribe()
-		case logic.Probe:
-			c.probe(a.Server)
+		case logic.HealthCheck:
+			c.probe(a.Endpoint)
 		}
 	}
 }
@@ -415,13 +415,13 @@
 func (c *Core) send(act logic.Action) {
 	call := c.calls[act.Request]
 	allowed := c.mayRepeat(call)
-	a := call.attempt(act, c.clock.Now(), c.cfg.Upload)
+	a := call.attempt(act, c.clock.Now(), c.cfg.UploadTimeout)
 	a.core = c
-	c.cfg.Events.Record(event.Event{Kind: event.AttemptDecided, Reason: causeReasons[act.Cause], Request: call.ID, Attempt: a.Number, Server: a.Server})
-	a.Target = c.upstream.Bind(act.Server)
-	if b := c.cfg.Budget; !allowed || b != nil && a.Number > 0 && !b.Retry(c.clock.Now()) {
+	c.cfg.Events.Record(event.Event{Kind: event.AttemptDecided, Reason: causeReasons[act.Reason], Request: call.ID, Attempt: a.Number, Endpoint: a.Endpoint})
+	a.Target = c.upstream.Bind(act.Endpoint)
+	if b := c.cfg.Budget; !allowed || b != nil && a.Number > 0 && !b.AllowRetry(c.clock.Now()) {
 		// Told by a goroutine, as the loop must not wait on its own queue.
-		c.attempts.Go(func() { a.Report(Outcome{Result: logic.NotSent, Report: logic.NoReport}) })
+		c.attempts.Go(func() { a.Report(Outcome{Result: logic.NotSent, LoadReport: logic.NoLoadReport}) })
 		return
 	}
 	c.attempts.Go(func() { c.try(c.ctx, a) })
@@ -431,7 +431,7 @@
 // core itself has seen of the call.
 func (c *Core) mayRepeat(call *Call) bool {
 	first := call.mayHaveRun()
-	verdict := invariant.Repeat{Now: c.clock.Now(), MayHaveRun: first > 0, FirstSent: first, Repeatable: !call.Careful, Window: call.Window}.Check()
+	verdict := invariant.Repeat{Now: c.clock.Now(), MayHaveRun: first > 0, FirstSent: first, Repeatable: !call.NonIdempotent, Window: call.IdempotencyWindow}.Check()
 	if verdict.Denied {
 		c.cfg.Monitor.Violated(verdict.Rule, call.ID, "the module decided on a further attempt")
 	}
@@ -441,13 +441,13 @@
 // probe starts a probe in a goroutine of its own.
 func (c *Core) probe(server string) {
 	target := c.upstream.Bind(server)
-	withheld := c.cfg.Budget != nil && !c.cfg.Budget.Probe()
+	withheld := c.cfg.Budget != nil && !c.cfg.Budget.AllowHealthCheck()
 	c.attempts.Go(func() {
-		if c.cfg.Prober == nil || withheld {
-			c.tell(probed{logic.Probed{Server: server, Result: logic.NotSent, Report: logic.NoReport}})
+		if c.cfg.HealthChecker == nil || withheld {
+			c.tell(probed{logic.HealthChecked{Endpoint: server, Result: logic.NotSent, LoadReport: logic.NoLoadReport}})
 			return
 		}
-		c.tell(probed{c.cfg.Prober.Probe(c.ctx, server, target)})
+		c.tell(probed{c.cfg.HealthChecker.Check(c.ctx, server, target)})
 	})
 }
 
@@ -459,7 +459,7 @@
 	}
 	call.ends(c.clock.Now())
 	if a.Verdict == Failed && call.neverRan() { // the module counts an attempt as out that waits for a connection
-		a.Verdict = Refused
+		a.Verdict = Rejected
 	}
 	c.give(call, a)
 	c.forget(call)
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -22,23 +22,23 @@
 		"turned away":  {window, logic.Rejected, deadline},
 		"not keyed":    {0, logic.Reset, deadline},
 	} {
-		r := &Call{Deadline: deadline, Window: c.window}
-		first := r.attempt(logic.Action{Server: "b"}, time.Second, time.Minute)
-		if first.WriteBy != deadline {
-			t.Errorf("%s: the first may begin until %v", name, first.WriteBy)
+		r := &Call{Deadline: deadline, IdempotencyWindow: c.window}
+		first := r.attempt(logic.Action{Endpoint: "b"}, time.Second, time.Minute)
+		if first.WriteDeadline != deadline {
+			t.Errorf("%s: the first may begin until %v", name, first.WriteDeadline)
 		}
 		r.ended(first, c.first)
-		second := r.attempt(logic.Action{Server: "b"}, 2*time.Second, time.Minute)
-		if second.WriteBy != c.want || second.Number != 1 || second.Until() != deadline || r.out != 1 {
-			t.Errorf("%s: number %d, by %v, %d out", name, second.Number, second.WriteBy, r.out)
+		second := r.attempt(logic.Action{Endpoint: "b"}, 2*time.Second, time.Minute)
+		if second.WriteDeadline != c.want || second.Number != 1 || second.Deadline() != deadline || r.out != 1 {
+			t.Errorf("%s: number %d, by %v, %d out", name, second.Number, second.WriteDeadline, r.out)
 		}
 	}
 }
 
 func TestAttemptEndsWithItsOwnTimeout(t *testing.T) {
 	r := &Call{Deadline: 9 * time.Second}
-	if a := r.attempt(logic.Action{After: time.Second}, time.Second, time.Minute); a.Until() != 2*time.Second || a.WriteBy != a.Until() {
-		t.Errorf("until %v, %v", a.Until(), a.WriteBy)
+	if a := r.attempt(logic.Action{Delay: time.Second}, time.Second, time.Minute); a.Deadline() != 2*time.Second || a.WriteDeadline != a.Deadline() {
+		t.Errorf("until %v, %v", a.Deadline(), a.WriteDeadline)
 	}
 }
 
@@ -46,7 +46,7 @@
 func TestTimersInOrder(t *testing.T) {
 	l := &Core{clock: NewClock()}
 	for _, after := range []time.Duration{5 * time.Second, time.Second, 3 * time.Second} {
-		l.do([]logic.Action{{Kind: logic.SetTimer, After: after, Token: uint64(after / time.Second)}})
+		l.do([]logic.Action{{Kind: logic.SetTimer, Delay: after, Token: uint64(after / time.Second)}})
 	}
 	for _, want := range []uint64{1, 3, 5} {
 		if got := heap.Pop(&l.timers).(timer); got.token != want {
@@ -92,11 +92,11 @@
 		"the second never ran":    {1, logic.Rejected, time.Second + window},
 		"the second may have run": {1, logic.TimedOut, time.Second + window},
 	} {
-		r := &Call{Deadline: 9 * time.Second, Window: window}
+		r := &Call{Deadline: 9 * time.Second, IdempotencyWindow: window}
 		both := []*Attempt{r.attempt(logic.Action{}, time.Second, time.Minute), r.attempt(logic.Action{}, 2*time.Second, time.Minute)}
 		r.ended(both[c.end], c.as)
-		if third := r.attempt(logic.Action{}, 2500*time.Millisecond, time.Minute); third.WriteBy != c.want {
-			t.Errorf("%s: the third may begin until %v, not %v", name, third.WriteBy, c.want)
+		if third := r.attempt(logic.Action{}, 2500*time.Millisecond, time.Minute); third.WriteDeadline != c.want {
+			t.Errorf("%s: the third may begin until %v, not %v", name, third.WriteDeadline, c.want)
 		}
 	}
 }
--- a/internal/core/messages.go
+++ b/internal/core/messages.go
@@ -26,17 +26,17 @@
 		outcome Outcome
 	}
 	// probed is the result of a probe.
-	probed struct{ logic.Probed }
+	probed struct{ logic.HealthChecked }
 	// pressed says whether the agent itself has more to do than it can.
 	pressed struct{ over bool }
 	// exchanged brings what peers tell of the fleet's level, and wants this agent's part of it.
 	exchanged struct {
-		parts []budget.Part
+		parts []budget.PeerState
 		peers int
-		own   chan<- budget.Part
+		own   chan<- budget.PeerState
 	}
 	// hearsay brings what other agents see of a server.
-	hearsay struct{ logic.Hearsay }
+	hearsay struct{ logic.PeerReport }
 	// asked wants to know what has been learnt.
 	asked struct{ knowledge chan<- logic.Knowledge }
 	// finishing says that the process is about to end.
--- a/internal/core/pause_test.go
+++ b/internal/core/pause_test.go
@@ -11,7 +11,7 @@
 // A process that was paused for some seconds finds all of its times over at once. An answer that waits for its front, and the
 // outcome of an attempt that is on its way, are still to be had then: who looks for what is overdue lets everybody run first.
 func TestLookAfterAPause(t *testing.T) {
-	balancer, err := logic.New(logic.Settings{Balancers: 1, MaxAttempts: 2, Classes: []logic.Class{{Aim: time.Second, Deadline: time.Second}}}, 1)
+	balancer, err := logic.New(logic.Settings{Balancers: 1, MaxAttempts: 2, Classes: []logic.Class{{LatencyObjective: time.Second, Timeout: time.Second}}}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -19,7 +19,7 @@
 	c.clock.epoch = c.clock.epoch.Add(-time.Minute) // as if it ran for long
 	long := c.clock.Now() - 20*time.Second          // before the pause
 	waiting := &Call{ID: "waiting", answer: make(chan Answer, 1), gone: make(chan struct{})}
-	c.give(waiting, Answer{Verdict: Refused})
+	c.give(waiting, Answer{Verdict: Rejected})
 	c.given[0].at = long
 	flying := &Call{ID: "flying", answer: make(chan Answer, 1), gone: make(chan struct{})}
 	a := flying.attempt(logic.Action{}, long, time.Second)
--- a/internal/core/reasons.go
+++ b/internal/core/reasons.go
@@ -7,17 +7,17 @@
 
 // causeReasons are the module's causes as reasons of events.
 var causeReasons = [...]event.Reason{
-	logic.NoCause:          event.None,
-	logic.FirstAttempt:     event.First,
-	logic.RetryAttempt:     event.Retry,
-	logic.HedgedAttempt:    event.Hedge,
-	logic.TrialAttempt:     event.Trial,
-	logic.Overloaded:       event.Overload,
-	logic.NoServerLeft:     event.NoServer,
-	logic.RetryBudgetSpent: event.RetryBudget,
-	logic.MustNotRepeat:    event.NoRetry,
-	logic.DeadlineOver:     event.Deadline,
-	logic.ShuttingDown:     event.ShuttingDown,
+	logic.NoReason:             event.None,
+	logic.FirstAttempt:         event.First,
+	logic.RetryAttempt:         event.Retry,
+	logic.HedgedAttempt:        event.Hedge,
+	logic.HalfOpenAttempt:      event.HalfOpen,
+	logic.Overloaded:           event.Overload,
+	logic.NoEndpointLeft:       event.NoEndpoint,
+	logic.RetryBudgetExhausted: event.RetryBudget,
+	logic.NotRetryable:         event.NotRetryable,
+	logic.DeadlineExceeded:     event.Deadline,
+	logic.ShuttingDown:         event.ShuttingDown,
 }
 
 // resultReasons are the results of attempts as reasons of events.
--- a/internal/core/seam_test.go
+++ b/internal/core/seam_test.go
@@ -56,17 +56,17 @@
 	servers map[string]*lineServer
 	running sync.WaitGroup
 	mu      sync.Mutex
-	lives   map[string]*core.Member
+	lives   map[string]*core.Endpoint
 }
 
-func (u *lines) Update(l core.List) (listed, ready int) {
+func (u *lines) UpdateEndpoints(l core.EndpointList) (listed, ready int) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if l.Full {
 		clear(u.lives)
 	}
-	for _, m := range l.Members {
-		if u.lives[m.ID] = &m; m.State == logic.Gone {
+	for _, m := range l.Endpoints {
+		if u.lives[m.ID] = &m; m.State == logic.Removed {
 			delete(u.lives, m.ID)
 		}
 	}
@@ -84,25 +84,25 @@
 	return u.lives[server]
 }
 
-func (u *lines) Try(ctx context.Context, a *core.Attempt) {
+func (u *lines) Execute(ctx context.Context, a *core.Attempt) {
 	u.mu.Lock()
-	m, _ := a.Target.(*core.Member)
+	m, _ := a.Target.(*core.Endpoint)
 	well := m != nil && u.lives[m.ID] == m && m.State == logic.Ready
 	u.mu.Unlock()
-	out := core.Outcome{Result: logic.NotSent, Report: logic.NoReport}
-	if !well || a.Call.Over() {
+	out := core.Outcome{Result: logic.NotSent, LoadReport: logic.NoLoadReport}
+	if !well || a.Call.Finished() {
 		a.Report(out)
 		return
 	}
 	near, far := net.Pipe()
 	defer near.Close()
-	u.running.Go(func() { u.servers[a.Server].serve(far) })
-	near.SetDeadline(u.clock.At(a.Until()))
+	u.running.Go(func() { u.servers[a.Endpoint].serve(far) })
+	near.SetDeadline(u.clock.At(a.Deadline()))
 	fmt.Fprintln(near, a.Call.Message)
 	text, err := bufio.NewReader(near).ReadString('\n')
 	kind, rest, _ := strings.Cut(strings.TrimSpace(text), " ")
 	switch {
-	case err != nil && u.clock.Now() >= a.Until():
+	case err != nil && u.clock.Now() >= a.Deadline():
 		out.Result = logic.TimedOut
 	case err != nil:
 		out.Result = logic.Reset
@@ -116,7 +116,7 @@
 
 type lineContent string
 
-func (lineContent) Drop() {}
+func (lineContent) Discard() {}
 
 // stage is a core between a front and an upstream of lines.
 type stage struct {
@@ -129,9 +129,9 @@
 }
 
 func settings() logic.Settings {
-	return logic.Settings{Balancers: 1, Tick: time.Millisecond, MaxAttempts: 4, MaxRetryAfter: time.Second, ColdFrom: 0.2, ColdFor: 10 * time.Second, Overload: 3,
-		Classes: []logic.Class{{Name: "read", Effect: logic.Safe, Aim: 100 * time.Millisecond, Deadline: 500 * time.Millisecond, Worth: 1},
-			{Name: "pay", Effect: logic.Unsafe, Aim: 100 * time.Millisecond, Deadline: 500 * time.Millisecond, Worth: 5}}}
+	return logic.Settings{Balancers: 1, TimerResolution: time.Millisecond, MaxAttempts: 4, MaxRetryAfter: time.Second, SlowStartInitialFraction: 0.2, SlowStartWindow: 10 * time.Second, SlowStartOverloadFactor: 3,
+		Classes: []logic.Class{{Name: "read", Idempotency: logic.Idempotent, LatencyObjective: 100 * time.Millisecond, Timeout: 500 * time.Millisecond, PriorityWeight: 1},
+			{Name: "pay", Idempotency: logic.NonIdempotent, LatencyObjective: 100 * time.Millisecond, Timeout: 500 * time.Millisecond, PriorityWeight: 5}}}
 }
 
 // play runs a core with an upstream in fake time.
@@ -142,22 +142,22 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		up := &lines{clock: core.NewClock(), servers: servers, lives: map[string]*core.Member{}}
+		up := &lines{clock: core.NewClock(), servers: servers, lives: map[string]*core.Endpoint{}}
 		var upstream core.Upstream = up
 		if wrap != nil {
 			upstream = wrap(up)
 		}
-		c := core.New(core.Config{Balancer: balancer, Clock: up.clock, Upstream: upstream, Upload: time.Minute, Log: slog.New(slog.DiscardHandler)})
+		c := core.New(core.Config{Balancer: balancer, Clock: up.clock, Upstream: upstream, UploadTimeout: time.Minute, Log: slog.New(slog.DiscardHandler)})
 		ctx, stop := context.WithCancel(context.Background())
 		ended := make(chan struct{})
 		go func() { c.Run(ctx); close(ended) }()
 		s := &stage{Core: c, t: t, up: up, clock: up.clock, classes: set.Classes}
-		var all []core.Member
+		var all []core.Endpoint
 		for id := range servers {
-			all = append(all, core.Member{Server: logic.Server{ID: id}})
+			all = append(all, core.Endpoint{Endpoint: logic.Endpoint{ID: id}})
 		}
-		c.SetList(core.List{Full: true, Members: all})
-		<-c.Listed()
+		c.UpdateEndpoints(core.EndpointList{Full: true, Endpoints: all})
+		<-c.EndpointsKnown()
 		during(s)
 		stop()
 		<-ended
@@ -169,7 +169,7 @@
 func (s *stage) call(class int) *core.Call {
 	s.ids++
 	id := fmt.Sprint("c", s.ids)
-	within := s.classes[class].Deadline
+	within := s.classes[class].Timeout
 	return &core.Call{ID: id, Class: class, Tenant: -1, Timeout: within, Deadline: s.clock.Now() + within, Message: id}
 }
 
@@ -179,7 +179,7 @@
 	switch a.Verdict {
 	case core.Served:
 		return string(a.Content.(lineContent))
-	case core.Refused:
+	case core.Rejected:
 		return "refused"
 	}
 	return "failed"
@@ -242,11 +242,11 @@
 			all.Wait()
 		}
 		burst(300)
-		s.SetList(core.List{Members: []core.Member{{Server: logic.Server{ID: "a", State: logic.Draining}}}})
+		s.UpdateEndpoints(core.EndpointList{Endpoints: []core.Endpoint{{Endpoint: logic.Endpoint{ID: "a", State: logic.Draining}}}})
 		synctest.Wait()
 		drained := servers["a"].asked()
 		// c starts anew at the same time: it is cold.
-		s.SetList(core.List{Members: []core.Member{{Server: logic.Server{ID: "c", Started: s.clock.Now()}}}})
+		s.UpdateEndpoints(core.EndpointList{Endpoints: []core.Endpoint{{Endpoint: logic.Endpoint{ID: "c", StartedAt: s.clock.Now()}}}})
 		synctest.Wait()
 		b, c := servers["b"].asked(), servers["c"].asked()
 		burst(300)
@@ -266,7 +266,7 @@
 		call := s.call(1)
 		answer := s.Submit(call)
 		time.Sleep(10 * time.Millisecond)
-		s.Leave(call)
+		s.Abandon(call)
 		synctest.Wait()
 		again := *s.call(1)
 		again.ID = call.ID
@@ -311,7 +311,7 @@
 		left := holding(0, "")
 		s.Submit(left)
 		check("at the server", [3]int64{})
-		s.Leave(left)
+		s.Abandon(left)
 		check("its client has left", [3]int64{})
 		if a := <-s.Submit(holding(1, left.ID)); a.Verdict != core.Duplicate {
 			t.Errorf("verdict %d", a.Verdict)
@@ -341,29 +341,29 @@
 	wrap := func(u *lines) core.Upstream {
 		return rude{u, func(ctx context.Context, a *core.Attempt) {
 			if tries++; tries == 1 {
-				a.Report(core.Outcome{Result: logic.ConnectFailed, Report: logic.NoReport, Spent: true})
+				a.Report(core.Outcome{Result: logic.ConnectFailed, LoadReport: logic.NoLoadReport, NotReplayable: true})
 				return
 			}
 			<-ctx.Done()
-			a.Report(core.Outcome{Result: logic.Reset, Report: logic.NoReport})
+			a.Report(core.Outcome{Result: logic.Reset, LoadReport: logic.NoLoadReport})
 		}}
 	}
 	play(t, map[string]*lineServer{"a": {say: fine}}, wrap, func(s *stage) {
 		partial := func() *core.Call {
-			return &core.Call{ID: "same", Class: 1, Tenant: -1, Timeout: time.Second, Partial: true}
+			return &core.Call{ID: "same", Class: 1, Tenant: -1, Timeout: time.Second, BodyPending: true}
 		}
 		first, second := partial(), partial()
-		if a := <-s.Submit(first); a.Verdict != core.Refused {
+		if a := <-s.Submit(first); a.Verdict != core.Rejected {
 			t.Fatalf("verdict %d", a.Verdict)
 		}
 		answer := s.Submit(second)
 		synctest.Wait()
-		s.Received(first, s.clock.Now())
+		s.BodyReceived(first, s.clock.Now())
 		time.Sleep(first.Timeout + 100*time.Millisecond) // an answer that nobody takes is given up later
 		if len(answer) != 0 {
 			t.Errorf("the second, which still comes in, ends with %+v", <-answer)
 		}
-		s.Leave(second)
+		s.Abandon(second)
 	})
 }
 
@@ -373,29 +373,29 @@
 	try func(ctx context.Context, a *core.Attempt)
 }
 
-func (u rude) Try(ctx context.Context, a *core.Attempt) { u.try(ctx, a) }
+func (u rude) Execute(ctx context.Context, a *core.Attempt) { u.try(ctx, a) }
 
 // counted is content that counts how often it is given up.
 type counted struct{ drops *atomic.Int64 }
 
-func (c counted) Drop() { c.drops.Add(1) }
+func (c counted) Discard() { c.drops.Add(1) }
 
 // What an upstream or a front does wrong is caught and counted, and the account holds: one answer each, nothing repeated.
 func TestBorder(t *testing.T) {
-	ok := core.Outcome{Result: logic.OK, Report: logic.NoReport, Content: lineContent("fine")}
+	ok := core.Outcome{Result: logic.OK, LoadReport: logic.NoLoadReport, Content: lineContent("fine")}
 	var drops atomic.Int64
 	for name, c := range map[string]struct {
 		try     func(ctx context.Context, a *core.Attempt)
 		verdict core.Verdict
-		count   func(*core.Faults) int64
+		count   func(*core.BoundaryViolations) int64
 	}{
 		"two outcomes": {func(_ context.Context, a *core.Attempt) {
 			a.Report(ok)
-			a.Report(core.Outcome{Result: logic.Reset, Report: logic.NoReport, Content: counted{&drops}})
-		}, core.Served, func(f *core.Faults) int64 { return f.Twice.Load() }},
-		"no outcome": {func(context.Context, *core.Attempt) {}, core.Failed, func(f *core.Faults) int64 { return f.Unreported.Load() }},
+			a.Report(core.Outcome{Result: logic.Reset, LoadReport: logic.NoLoadReport, Content: counted{&drops}})
+		}, core.Served, func(f *core.BoundaryViolations) int64 { return f.Twice.Load() }},
+		"no outcome": {func(context.Context, *core.Attempt) {}, core.Failed, func(f *core.BoundaryViolations) int64 { return f.Unreported.Load() }},
 		"none in time": {func(ctx context.Context, a *core.Attempt) { a.Begin(); <-ctx.Done() }, core.Failed,
-			func(f *core.Faults) int64 { return f.Overdue.Load() }},
+			func(f *core.BoundaryViolations) int64 { return f.Overdue.Load() }},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var tries atomic.Int64
@@ -408,11 +408,11 @@
 				if a := <-answer; a.Verdict != c.verdict {
 					t.Errorf("verdict %d", a.Verdict)
 				}
-				if s.Submit(call) != nil || s.Faults().Resubmitted.Load() != 1 {
+				if s.Submit(call) != nil || s.BoundaryViolations().Resubmitted.Load() != 1 {
 					t.Error("handed over twice")
 				}
 				time.Sleep(5 * time.Second)
-				if n := c.count(s.Faults()); n != 1 || tries.Load() != 1 || len(answer) != 0 {
+				if n := c.count(s.BoundaryViolations()); n != 1 || tries.Load() != 1 || len(answer) != 0 {
 					t.Errorf("counted %d, %d tries, %d more answers", n, tries.Load(), len(answer))
 				}
 				again := s.call(1)
@@ -434,16 +434,16 @@
 	var drops atomic.Int64
 	wrap := func(u *lines) core.Upstream {
 		return rude{u, func(_ context.Context, a *core.Attempt) {
-			a.Report(core.Outcome{Result: logic.OK, Report: logic.NoReport, Content: counted{&drops}})
+			a.Report(core.Outcome{Result: logic.OK, LoadReport: logic.NoLoadReport, Content: counted{&drops}})
 		}}
 	}
 	play(t, map[string]*lineServer{"a": {say: fine}}, wrap, func(s *stage) {
 		s.Submit(s.call(0))
 		partial := s.call(0)
-		partial.Partial, partial.Deadline = true, 0
+		partial.BodyPending, partial.Deadline = true, 0
 		s.Submit(partial)
 		time.Sleep(5 * time.Second)
-		if n := s.Faults().Unread.Load(); n != 2 || drops.Load() != 2 {
+		if n := s.BoundaryViolations().Unread.Load(); n != 2 || drops.Load() != 2 {
 			t.Errorf("counted %d, given up %d", n, drops.Load())
 		}
 	})
--- a/internal/discovery/clock_test.go
+++ b/internal/discovery/clock_test.go
@@ -33,13 +33,13 @@
 			before := clock.Now()
 			entry := testkit.EntryText("s-2", "127.0.0.1:2", "Ready", wall.now().UnixMilli())
 			f.Set(2, false, entry)
-			started := next(t, events).Members[0].Started
+			started := next(t, events).Endpoints[0].StartedAt
 			if after := clock.Now(); started < before-10*time.Millisecond || started > after {
 				t.Errorf("it started %v before it was listed", after-started)
 			}
 			wall.step.Store(-int64(step))
 			f.Set(3, false, entry)
-			if again := next(t, events).Members[0].Started; again != started {
+			if again := next(t, events).Endpoints[0].StartedAt; again != started {
 				t.Errorf("after another step it started %v later", again-started)
 			}
 		})
@@ -54,7 +54,7 @@
 		follow(t, d)
 		next(t, events)
 		f.Set(2, false, testkit.EntryText("s-2", "127.0.0.1:2", "Ready", time.Now().UnixMilli()))
-		if age := clock.Now() - next(t, events).Members[0].Started; age > lateListing+toldAfter/2 {
+		if age := clock.Now() - next(t, events).Endpoints[0].StartedAt; age > lateListing+toldAfter/2 {
 			t.Errorf("it is %v old", age)
 		}
 	})
@@ -65,7 +65,7 @@
 		events := make(sink, 100)
 		d := New(Config{Addr: f.Addr().String(), Agents: 1, Seed: 1, Clock: clock, Sink: events, Log: discard()})
 		follow(t, d)
-		if started, now := next(t, events).Members[0].Started, clock.Now(); started > now {
+		if started, now := next(t, events).Endpoints[0].StartedAt, clock.Now(); started > now {
 			t.Errorf("it starts in %v", started-now)
 		}
 	})
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -58,8 +58,8 @@
 
 // Sink takes what discovery says. Its methods may wait a moment.
 type Sink interface {
-	SetList(core.List)
-	ListUnavailable() // a subscription ended or could not be had
+	UpdateEndpoints(core.EndpointList)
+	DiscoveryUnavailable() // a subscription ended or could not be had
 }
 
 // Config is what a Client works with.
@@ -100,7 +100,7 @@
 	wait    time.Duration // of the next watch
 	at      string        // the address that is followed
 	version int64
-	have    map[string]core.Member
+	have    map[string]core.Endpoint
 	heard   time.Duration // when discovery last answered; 0: not yet
 	badOnce bool
 	down    bool
@@ -130,7 +130,7 @@
 		sink:      cfg.Sink,
 		log:       cfg.Log,
 		events:    cfg.Events,
-		have:      map[string]core.Member{},
+		have:      map[string]core.Endpoint{},
 		version:   -1,
 	}
 	if (cfg.Asked || cfg.Agents > usualFleet) && len(d.known.Servers) > 0 { // changes are all that is asked for
@@ -168,7 +168,7 @@
 func (d *Client) restore() {
 	l := d.known
 	l.Full = true
-	d.sink.SetList(core.List{Full: true, Members: d.members(l)})
+	d.sink.UpdateEndpoints(core.EndpointList{Full: true, Endpoints: d.members(l)})
 }
 
 // first gets the first list. The known one may name backends that have gone or drain since, and the agent is ready as
@@ -250,7 +250,7 @@
 		}
 		if d.asked { // the module says when to ask again
 			d.subscribed = false
-			d.sink.ListUnavailable()
+			d.sink.DiscoveryUnavailable()
 			continue
 		}
 		pause := min(mostPause, max(d.pace.Rush, retryPause<<min(d.fails, mostPauses)))
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -19,8 +19,8 @@
 // sink puts what it is told into a channel.
 type sink chan any
 
-func (s sink) SetList(l core.List) { s <- l }
-func (s sink) ListUnavailable()    { s <- "unavailable" }
+func (s sink) UpdateEndpoints(l core.EndpointList) { s <- l }
+func (s sink) DiscoveryUnavailable()               { s <- "unavailable" }
 
 // follower is a discovery client whose events a test reads. It has the list of an earlier life, and so many agents beside it.
 func follower(t *testing.T, url string, agents int, known string, log io.Writer) (*Client, sink) {
@@ -47,31 +47,31 @@
 	t.Cleanup(func() { stop(); <-done })
 }
 
-func next(t *testing.T, events sink) core.List {
+func next(t *testing.T, events sink) core.EndpointList {
 	t.Helper()
 	select {
 	case ev := <-events:
-		return ev.(core.List)
+		return ev.(core.EndpointList)
 	case <-time.After(testkit.Patience):
 		t.Fatal("no list came")
 	}
-	return core.List{}
+	return core.EndpointList{}
 }
 
 func TestFollowsChanges(t *testing.T) {
 	f := testkit.NewDiscovery(t, 41, testkit.EntryText("s-1", "127.0.0.1:1", "Ready", 0), testkit.EntryText("s-2", "127.0.0.1:2", "Ready", 5))
 	d, events := follower(t, f.Addr().String(), 1, "null", io.Discard)
 	follow(t, d)
-	if l := next(t, events); !l.Full || len(l.Members) != 2 || l.Members[0].Addr != "127.0.0.1:1" || l.Members[1].Started == 0 ||
-		l.Members[0].Started != 0 {
+	if l := next(t, events); !l.Full || len(l.Endpoints) != 2 || l.Endpoints[0].Addr != "127.0.0.1:1" || l.Endpoints[1].StartedAt == 0 ||
+		l.Endpoints[0].StartedAt != 0 {
 		t.Errorf("%+v", l)
 	}
 	f.Set(43, false, testkit.EntryText("s-1", "127.0.0.1:1", "Terminating", 0))
-	if l := next(t, events); l.Full || len(l.Members) != 1 || l.Members[0].State != logic.Draining {
+	if l := next(t, events); l.Full || len(l.Endpoints) != 1 || l.Endpoints[0].State != logic.Draining {
 		t.Errorf("%+v", l)
 	}
 	f.Set(44, false, testkit.EntryText("s-1", "", "Gone", 0))
-	if l := next(t, events); l.Full || len(l.Members) != 1 || l.Members[0].State != logic.Gone {
+	if l := next(t, events); l.Full || len(l.Endpoints) != 1 || l.Endpoints[0].State != logic.Removed {
 		t.Errorf("%+v", l)
 	}
 	if wholes, _ := f.Calls(); wholes != 1 {
@@ -107,7 +107,7 @@
 	}
 	f.Set(5, true, testkit.EntryText("s-2", "127.0.0.1:2", "Ready", 0))
 	f.Silence(false)
-	if l := next(t, events); !l.Full || len(l.Members) != 1 || l.Members[0].ID != "s-2" {
+	if l := next(t, events); !l.Full || len(l.Endpoints) != 1 || l.Endpoints[0].ID != "s-2" {
 		t.Errorf("%+v", l)
 	}
 	if log.Count("discovery is back") != 1 {
@@ -170,7 +170,7 @@
 		f.Silence(len(ids) > 1)
 		follow(t, d)
 		for _, want := range ids {
-			if l := next(t, events); len(l.Members) != 1 || l.Members[0].ID != want {
+			if l := next(t, events); len(l.Endpoints) != 1 || l.Endpoints[0].ID != want {
 				t.Errorf("%s: %+v, want %s", name, l, want)
 			}
 			f.Silence(false)
@@ -197,7 +197,7 @@
 	}
 	<-events
 	var ids []string
-	for _, m := range next(t, events).Members {
+	for _, m := range next(t, events).Endpoints {
 		ids = append(ids, m.ID)
 	}
 	if got := strings.Join(ids, " "); got != "s-1 s-4" {
@@ -240,11 +240,11 @@
 	d, events := fleet(t, f.Addr().String(), 12, testkit.ListText(41, true, testkit.EntryText("s-1", "127.0.0.1:1", "Ready", 0)))
 	d.pace.Spread = 0
 	follow(t, d)
-	if l := next(t, events); !l.Full || l.Members[0].ID != "s-1" {
+	if l := next(t, events); !l.Full || l.Endpoints[0].ID != "s-1" {
 		t.Errorf("known: %+v", l)
 	}
 	for i := range 3 {
-		if l := next(t, events); l.Full || l.Members[0].ID != "s-2" {
+		if l := next(t, events); l.Full || l.Endpoints[0].ID != "s-2" {
 			t.Errorf("change %d: %+v", i, l)
 		}
 		f.Set(43+i, false, testkit.EntryText("s-2", "127.0.0.1:2", "Ready", int64(i)))
@@ -291,7 +291,7 @@
 	if err := d.take(List{Version: 41}, false); err != nil || d.down || d.fails != 0 {
 		t.Error(err, d.down, d.fails)
 	}
-	if l := next(t, events); l.Full || len(l.Members) != 0 {
+	if l := next(t, events); l.Full || len(l.Endpoints) != 0 {
 		t.Errorf("%+v", l)
 	}
 	d.take(List{Version: 41}, false)
@@ -308,7 +308,7 @@
 	d.asked = true
 	follow(t, d)
 	d.Move(f.Addr().String())
-	if l := next(t, events); len(l.Members) != 1 {
+	if l := next(t, events); len(l.Endpoints) != 1 {
 		t.Errorf("%+v", l)
 	}
 }
@@ -324,8 +324,8 @@
 	f.Set(2, true, entry, testkit.EntryText(strings.Repeat("s", longestList), "127.0.0.1:3", "Ready", 0))
 	testkit.Eventually(t, "the log says why", func() bool { return log.Count("is over") > 0 })
 	f.Set(3, true, entry)
-	if l := next(t, events); len(l.Members) != 1 || l.Members[0].ID != "s-2" {
-		t.Errorf("%d members", len(l.Members))
+	if l := next(t, events); len(l.Endpoints) != 1 || l.Endpoints[0].ID != "s-2" {
+		t.Errorf("%d members", len(l.Endpoints))
 	}
 }
 
@@ -352,7 +352,7 @@
 	follow(t, d)
 	next(t, events)
 	anew.Store(true)
-	if l := next(t, events); !l.Full || len(l.Members) != 1 || l.Members[0].ID != "s-2" {
+	if l := next(t, events); !l.Full || len(l.Endpoints) != 1 || l.Endpoints[0].ID != "s-2" {
 		t.Errorf("%+v", l)
 	}
 }
--- a/internal/discovery/fleet_test.go
+++ b/internal/discovery/fleet_test.go
@@ -16,8 +16,8 @@
 	"time"
 
 	"ryeweir/internal/core"
-	"ryeweir/internal/world/discovery"
-	"ryeweir/internal/world/link"
+	"ryeweir/internal/emulator/discovery"
+	"ryeweir/internal/emulator/link"
 	"ryeweir/logic"
 )
 
@@ -27,11 +27,11 @@
 	at map[string]time.Time
 }
 
-func (s *told) ListUnavailable() {}
-func (s *told) SetList(l core.List) {
+func (s *told) DiscoveryUnavailable() {}
+func (s *told) UpdateEndpoints(l core.EndpointList) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, m := range l.Members {
+	for _, m := range l.Endpoints {
 		key := fmt.Sprint(m.ID, m.State)
 		if _, ok := s.at[key]; !ok {
 			s.at[key] = time.Now()
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -35,7 +35,7 @@
 	StartedMS int64   `json:"started_ms"`
 }
 
-var states = map[string]logic.State{"Ready": logic.Ready, "Terminating": logic.Draining, "Gone": logic.Gone}
+var states = map[string]logic.EndpointState{"Ready": logic.Ready, "Terminating": logic.Draining, "Gone": logic.Removed}
 
 // ParseList reads a list.
 func ParseList(data []byte) (l List, err error) {
@@ -58,7 +58,7 @@
 		d.down = false
 		d.log.Info("discovery is back", "version", l.Version)
 		if l.Version == d.version && !l.Full {
-			d.sink.SetList(core.List{}) // the list stands, and the module must know that it is followed again
+			d.sink.UpdateEndpoints(core.EndpointList{}) // the list stands, and the module must know that it is followed again
 		}
 	}
 	if l.Version < d.version || l.Version == d.version && !l.Full {
@@ -67,18 +67,18 @@
 	}
 	members := d.members(l)
 	d.version, d.heard = l.Version, d.clock.Now()
-	applied := event.Event{Kind: event.ListApplied}
+	applied := event.Event{Kind: event.EndpointsUpdated}
 	if d.events.Verbose() {
 		applied.Detail = fmt.Sprintf("version %d, full %v: %s", l.Version, l.Full, summary(members))
 	}
 	d.events.Record(applied)
 	d.log.Info("list of backends", "version", l.Version, "full", l.Full, "entries", len(l.Servers))
-	d.sink.SetList(core.List{Full: l.Full, Members: members})
+	d.sink.UpdateEndpoints(core.EndpointList{Full: l.Full, Endpoints: members})
 	return nil
 }
 
 // summary names the servers of a list that are not ready, and counts the others.
-func summary(members []core.Member) string {
+func summary(members []core.Endpoint) string {
 	ready := 0
 	var b strings.Builder
 	for _, m := range members {
@@ -87,7 +87,7 @@
 			ready++
 		case logic.Draining:
 			b.WriteString(" draining " + m.ID)
-		case logic.Gone:
+		case logic.Removed:
 			b.WriteString(" gone " + m.ID)
 		}
 	}
@@ -96,8 +96,8 @@
 
 // members decodes the entries. A malformed one is passed over, which must not look as if its backend had been
 // taken from the list: what was held of it stands.
-func (d *Client) members(l List) []core.Member {
-	out := make([]core.Member, 0, len(l.Servers))
+func (d *Client) members(l List) []core.Endpoint {
+	out := make([]core.Endpoint, 0, len(l.Servers))
 	for _, raw := range l.Servers {
 		m, id, err := d.member(raw)
 		if err != nil {
@@ -117,7 +117,7 @@
 	}
 	for _, m := range out {
 		d.have[m.ID] = m
-		if m.State == logic.Gone {
+		if m.State == logic.Removed {
 			delete(d.have, m.ID)
 		}
 	}
@@ -125,7 +125,7 @@
 }
 
 // member decodes an entry. It returns the entry's id also with an error, as far as that could be read.
-func (d *Client) member(raw json.RawMessage) (m core.Member, id string, err error) {
+func (d *Client) member(raw json.RawMessage) (m core.Endpoint, id string, err error) {
 	var e entry
 	if err := json.Unmarshal(raw, &e); err != nil {
 		return m, e.ID, err
@@ -134,11 +134,11 @@
 	if e.ID == "" || !ok {
 		return m, e.ID, fmt.Errorf("id %q with state %q", e.ID, e.State)
 	}
-	if _, _, err := net.SplitHostPort(e.Addr); err != nil && state != logic.Gone {
+	if _, _, err := net.SplitHostPort(e.Addr); err != nil && state != logic.Removed {
 		return m, e.ID, err
 	}
-	server := logic.Server{ID: e.ID, State: state, Zone: slices.Index(d.zones, e.Zone), Cell: e.Cell, Weight: e.Weight, Started: d.started(e)}
-	return core.Member{Addr: e.Addr, Server: server, StartedMS: e.StartedMS}, e.ID, nil
+	server := logic.Endpoint{ID: e.ID, State: state, Zone: slices.Index(d.zones, e.Zone), Cell: e.Cell, Weight: e.Weight, StartedAt: d.started(e)}
+	return core.Endpoint{Addr: e.Addr, Endpoint: server, StartedMS: e.StartedMS}, e.ID, nil
 }
 
 // lateListing is how long before discovery was last heard without it a server may have started that is new in the list. Where a
@@ -150,7 +150,7 @@
 // time of day has been stepped in between.
 func (d *Client) started(e entry) time.Duration {
 	if old, known := d.have[e.ID]; known && old.StartedMS == e.StartedMS {
-		return old.Started
+		return old.StartedAt
 	}
 	if e.StartedMS == 0 {
 		return 0
--- a/internal/world/backend/backend.go
+++ b/internal/emulator/backend/backend.go
@@ -16,7 +16,7 @@
 	"sync"
 	"time"
 
-	"ryeweir/internal/world/node"
+	"ryeweir/internal/emulator/node"
 )
 
 // Watcher sees what happens at a node. Its methods are called without a lock of the backend's.
--- a/internal/world/callers/client.go
+++ b/internal/emulator/callers/client.go
@@ -14,8 +14,8 @@
 	"sync"
 	"time"
 
-	"ryeweir/internal/world/backend"
-	"ryeweir/internal/world/referee"
+	"ryeweir/internal/emulator/backend"
+	"ryeweir/internal/emulator/referee"
 )
 
 // Client sends requests to one address over connections of its own. It sends nothing again by itself, but for one case
--- a/internal/world/callers/habits.go
+++ b/internal/emulator/callers/habits.go
@@ -4,7 +4,7 @@
 	"math/rand/v2"
 	"time"
 
-	"ryeweir/internal/world/referee"
+	"ryeweir/internal/emulator/referee"
 )
 
 // Habits are how clients go about their tries.
--- a/internal/world/callers/run.go
+++ b/internal/emulator/callers/run.go
@@ -8,7 +8,7 @@
 	"sync/atomic"
 	"time"
 
-	"ryeweir/internal/world/referee"
+	"ryeweir/internal/emulator/referee"
 )
 
 // Route says where a try goes. done is told how it ended.
--- a/internal/world/day.go
+++ b/internal/emulator/day.go
@@ -1,6 +1,6 @@
-// Package world is the emulator: order nodes, discovery, a network with faults, callers and a referee, put together for a
+// Package emulator is the emulator: order nodes, discovery, a network with faults, callers and a referee, put together for a
 // day. It imports nothing of the agent.
-package world
+package emulator
 
 import (
 	"errors"
@@ -10,9 +10,9 @@
 	"time"
 
 	"ryeweir/internal/config"
-	"ryeweir/internal/world/callers"
-	"ryeweir/internal/world/link"
-	"ryeweir/internal/world/node"
+	"ryeweir/internal/emulator/callers"
+	"ryeweir/internal/emulator/link"
+	"ryeweir/internal/emulator/node"
 )
 
 // DaySpec says in a file what a day is like. What is not stated is as DefaultDay has it.
--- a/internal/world/days.go
+++ b/internal/emulator/days.go
@@ -1,4 +1,4 @@
-package world
+package emulator
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 	"time"
 
 	"ryeweir/internal/config"
-	"ryeweir/internal/world/node"
+	"ryeweir/internal/emulator/node"
 )
 
 // FleetDay is a day of a whole fleet, drawn anew for each seed.
@@ -34,23 +34,23 @@
 }
 
 // Check puts in the defaults and says what is wrong.
-func (d *FleetDay) Check(prefix string) error {
-	if d.Agents == 0 {
-		d.Agents = 300
+func (f *FleetDay) Check(prefix string) error {
+	if f.Agents == 0 {
+		f.Agents = 300
 	}
-	if d.Nodes == 0 {
-		d.Nodes = 200
+	if f.Nodes == 0 {
+		f.Nodes = 200
 	}
-	if d.Name == "" {
-		d.Name = d.Kind
+	if f.Name == "" {
+		f.Name = f.Kind
 	}
-	if !slices.Contains(fleetKinds(), d.Kind) {
-		return config.Wrong(prefix+"kind", "%q is none of %v", d.Kind, fleetKinds())
+	if !slices.Contains(fleetKinds(), f.Kind) {
+		return config.Wrong(prefix+"kind", "%q is none of %v", f.Kind, fleetKinds())
 	}
-	if d.Nodes < 10 || d.Nodes > 256 {
-		return config.Wrong(prefix+"nodes", "must be from 10 to 256, not %d", d.Nodes)
+	if f.Nodes < 10 || f.Nodes > 256 {
+		return config.Wrong(prefix+"nodes", "must be from 10 to 256, not %d", f.Nodes)
 	}
-	spec := d.Spec(1)
+	spec := f.Spec(1)
 	return spec.Check(prefix)
 }
 
--- a/internal/world/discovery/discovery_test.go
+++ b/internal/emulator/discovery/discovery_test.go
@@ -10,7 +10,7 @@
 	"testing/synctest"
 	"time"
 
-	"ryeweir/internal/world/link"
+	"ryeweir/internal/emulator/link"
 )
 
 // service is a discovery on a network in memory, and a way to call it.
--- a/internal/world/fleet.go
+++ b/internal/emulator/fleet.go
@@ -1,4 +1,4 @@
-package world
+package emulator
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 	"time"
 
 	"ryeweir/internal/config"
-	"ryeweir/internal/world/callers"
+	"ryeweir/internal/emulator/callers"
 )
 
 // The kinds of troubles that befall agents.
--- a/internal/world/net.go
+++ b/internal/emulator/net.go
@@ -1,4 +1,4 @@
-package world
+package emulator
 
 import (
 	"context"
@@ -6,7 +6,7 @@
 	"net"
 	"sync"
 
-	"ryeweir/internal/world/link"
+	"ryeweir/internal/emulator/link"
 )
 
 // Memory is a Net in memory, which works inside testing/synctest. Hosts are the names of agents and nodes.
--- a/internal/world/paths.go
+++ b/internal/emulator/paths.go
@@ -1,4 +1,4 @@
-package world
+package emulator
 
 import (
 	"fmt"
@@ -7,9 +7,9 @@
 	"time"
 
 	"ryeweir/internal/config"
-	"ryeweir/internal/world/discovery"
-	"ryeweir/internal/world/link"
-	"ryeweir/internal/world/node"
+	"ryeweir/internal/emulator/discovery"
+	"ryeweir/internal/emulator/link"
+	"ryeweir/internal/emulator/node"
 )
 
 // PathSpec makes the ways between chosen hosts poor, or cuts them, for a while. Hosts are agents, nodes and "discovery", by name
@@ -91,15 +91,15 @@
 }
 
 // Befallen are the agents, by number, that a trouble of their own or a worse way to a node or to discovery befalls.
-func (d *Day) Befallen() map[int]bool {
+func (day *Day) Befallen() map[int]bool {
 	out := map[int]bool{}
-	for _, t := range d.AgentTroubles {
+	for _, t := range day.AgentTroubles {
 		out[t.Agent] = true
 	}
-	for i, agent := range d.Agents {
-		for _, p := range d.Spec.Fleet.Paths {
+	for i, agent := range day.Agents {
+		for _, p := range day.Spec.Fleet.Paths {
 			hit := p.befalls(agent, Discovery) || p.befalls(Discovery, agent)
-			for _, n := range d.Nodes {
+			for _, n := range day.Nodes {
 				hit = hit || p.befalls(agent, n.ID) || p.befalls(n.ID, agent)
 			}
 			out[i] = out[i] || hit
--- a/internal/world/settings.go
+++ b/internal/emulator/settings.go
@@ -1,11 +1,11 @@
-package world
+package emulator
 
 import (
 	"encoding/json"
 	"fmt"
 	"slices"
 
-	"ryeweir/internal/world/discovery"
+	"ryeweir/internal/emulator/discovery"
 )
 
 // Limits are what an agent is given of its machine.
--- a/internal/world/world.go
+++ b/internal/emulator/world.go
@@ -1,4 +1,4 @@
-package world
+package emulator
 
 import (
 	"context"
@@ -8,12 +8,12 @@
 	"sync"
 	"time"
 
-	"ryeweir/internal/world/backend"
-	"ryeweir/internal/world/callers"
-	"ryeweir/internal/world/discovery"
-	"ryeweir/internal/world/link"
-	"ryeweir/internal/world/node"
-	"ryeweir/internal/world/referee"
+	"ryeweir/internal/emulator/backend"
+	"ryeweir/internal/emulator/callers"
+	"ryeweir/internal/emulator/discovery"
+	"ryeweir/internal/emulator/link"
+	"ryeweir/internal/emulator/node"
+	"ryeweir/internal/emulator/referee"
 )
 
 // What all days have alike.
--- a/internal/world/world_test.go
+++ b/internal/emulator/world_test.go
@@ -1,4 +1,4 @@
-package world_test
+package emulator_test
 
 import (
 	"context"
@@ -15,16 +15,16 @@
 	"time"
 
 	"ryeweir/internal/config"
-	"ryeweir/internal/world"
-	"ryeweir/internal/world/callers"
-	"ryeweir/internal/world/link"
-	"ryeweir/internal/world/node"
-	"ryeweir/internal/world/referee"
+	"ryeweir/internal/emulator"
+	"ryeweir/internal/emulator/callers"
+	"ryeweir/internal/emulator/link"
+	"ryeweir/internal/emulator/node"
+	"ryeweir/internal/emulator/referee"
 )
 
 // badAgent is an agent of a few lines that breaks a rule on purpose, or none.
 type badAgent struct {
-	w      *world.World
+	w      *emulator.World
 	turn   atomic.Int64
 	vice   string
 	client http.Client
@@ -79,9 +79,9 @@
 }
 
 // play plays a day of 6 s with a bad agent.
-func play(t *testing.T, vice string, change func(*world.DaySpec)) (a referee.Account, breaches []referee.Breach) {
+func play(t *testing.T, vice string, change func(*emulator.DaySpec)) (a referee.Account, breaches []referee.Breach) {
 	synctest.Test(t, func(t *testing.T) {
-		spec := world.DefaultDay()
+		spec := emulator.DefaultDay()
 		spec.Length, spec.Agents, spec.Load = config.Duration(6*time.Second), 1, 0.3
 		if change != nil {
 			change(&spec)
@@ -91,7 +91,7 @@
 			t.Fatal(err)
 		}
 		network := link.NewNetwork(3)
-		w, err := world.Start(t.Context(), day, world.Memory{Network: network}, true)
+		w, err := emulator.Start(t.Context(), day, emulator.Memory{Network: network}, true)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -144,11 +144,11 @@
 
 // The referee finds nothing in an agent that breaks no rule, and each kind of breach in one that does, with evidence.
 func TestRefereeCatches(t *testing.T) {
-	drain := func(d *world.DaySpec) {
+	drain := func(d *emulator.DaySpec) {
 		d.List.Notice = 0
-		d.Troubles = []world.TroubleSpec{{Kind: string(node.Drain), Names: []string{"node-01"}, From: config.Duration(time.Second), To: config.Duration(4 * time.Second)}}
+		d.Troubles = []emulator.TroubleSpec{{Kind: string(node.Drain), Names: []string{"node-01"}, From: config.Duration(time.Second), To: config.Duration(4 * time.Second)}}
 	}
-	cold := func(d *world.DaySpec) {
+	cold := func(d *emulator.DaySpec) {
 		d.Load = 0.5
 		for i := range d.Kinds {
 			d.Kinds[i].Cold = true
@@ -156,7 +156,7 @@
 	}
 	for _, c := range []struct {
 		vice   string
-		day    func(*world.DaySpec)
+		day    func(*emulator.DaySpec)
 		rule   referee.Rule
 		counts func(referee.Account) int
 		says   string
@@ -199,11 +199,11 @@
 // Callers don't wait for answers: a slow service is asked as much as a quick one, and its wait counts from when each
 // request was to be sent.
 func TestOpenLoop(t *testing.T) {
-	slow := func(d *world.DaySpec) {
+	slow := func(d *emulator.DaySpec) {
 		d.Clients.Retries, d.Clients.Impatient = 0, 0
-		d.Troubles = []world.TroubleSpec{{Kind: string(node.Late), Nodes: 10, To: config.Duration(time.Minute), Size: 0.5}}
+		d.Troubles = []emulator.TroubleSpec{{Kind: string(node.Late), Nodes: 10, To: config.Duration(time.Minute), Size: 0.5}}
 	}
-	quick, _ := play(t, "none", func(d *world.DaySpec) { d.Clients.Retries, d.Clients.Impatient = 0, 0 })
+	quick, _ := play(t, "none", func(d *emulator.DaySpec) { d.Clients.Retries, d.Clients.Impatient = 0, 0 })
 	late, _ := play(t, "none", slow)
 	if quick.Requests != late.Requests || late.Completed == 0 {
 		t.Errorf("%d asked of a quick service, %d of a slow one", quick.Requests, late.Requests)
@@ -212,8 +212,8 @@
 
 // Equal specs and seeds draw equal days; others don't.
 func TestDraw(t *testing.T) {
-	spec := world.DefaultDay()
-	spec.Troubles = []world.TroubleSpec{{Kind: "slow", Nodes: 3, To: config.Duration(time.Second), Size: 3}}
+	spec := emulator.DefaultDay()
+	spec.Troubles = []emulator.TroubleSpec{{Kind: "slow", Nodes: 3, To: config.Duration(time.Second), Size: 3}}
 	a, err := spec.Draw(5)
 	if err != nil {
 		t.Fatal(err)
@@ -233,23 +233,25 @@
 }
 
 func TestDayChecks(t *testing.T) {
-	for want, change := range map[string]func(*world.DaySpec){
-		"length":     func(d *world.DaySpec) { d.Length = -1 },
-		"agents":     func(d *world.DaySpec) { d.Agents = 100000 },
-		"kind[1]":    func(d *world.DaySpec) { d.Kinds[1].Speed = 0 },
-		"class[0]":   func(d *world.DaySpec) { d.Classes[0].Deadline = 1 },
-		"tenant[2]":  func(d *world.DaySpec) { d.Tenants[2].Share = 0 },
-		"net.loss":   func(d *world.DaySpec) { d.Net.Loss = 2 },
-		"clients":    func(d *world.DaySpec) { d.Clients.Heed = 2 },
-		"trouble[0]": func(d *world.DaySpec) { d.Troubles = []world.TroubleSpec{{Kind: "plague", Nodes: 1, To: 1}} },
-		"is no node": func(d *world.DaySpec) { d.Troubles = []world.TroubleSpec{{Kind: "drain", Names: []string{"x"}, To: 1}} },
-		"ends its life": func(d *world.DaySpec) {
-			d.Troubles = []world.TroubleSpec{{Kind: "drain", Names: []string{"node-01"}, To: 1}, {Kind: "restart", Names: []string{"node-01"}, To: 1}}
+	for want, change := range map[string]func(*emulator.DaySpec){
+		"length":     func(d *emulator.DaySpec) { d.Length = -1 },
+		"agents":     func(d *emulator.DaySpec) { d.Agents = 100000 },
+		"kind[1]":    func(d *emulator.DaySpec) { d.Kinds[1].Speed = 0 },
+		"class[0]":   func(d *emulator.DaySpec) { d.Classes[0].Deadline = 1 },
+		"tenant[2]":  func(d *emulator.DaySpec) { d.Tenants[2].Share = 0 },
+		"net.loss":   func(d *emulator.DaySpec) { d.Net.Loss = 2 },
+		"clients":    func(d *emulator.DaySpec) { d.Clients.Heed = 2 },
+		"trouble[0]": func(d *emulator.DaySpec) { d.Troubles = []emulator.TroubleSpec{{Kind: "plague", Nodes: 1, To: 1}} },
+		"is no node": func(d *emulator.DaySpec) {
+			d.Troubles = []emulator.TroubleSpec{{Kind: "drain", Names: []string{"x"}, To: 1}}
 		},
-		"unknown shape": func(d *world.DaySpec) { d.Shape = "zigzag" },
-		"outage[0]":     func(d *world.DaySpec) { d.Outages = []world.OutageSpec{{From: 2, To: 1}} },
+		"ends its life": func(d *emulator.DaySpec) {
+			d.Troubles = []emulator.TroubleSpec{{Kind: "drain", Names: []string{"node-01"}, To: 1}, {Kind: "restart", Names: []string{"node-01"}, To: 1}}
+		},
+		"unknown shape": func(d *emulator.DaySpec) { d.Shape = "zigzag" },
+		"outage[0]":     func(d *emulator.DaySpec) { d.Outages = []emulator.OutageSpec{{From: 2, To: 1}} },
 	} {
-		d := world.DefaultDay()
+		d := emulator.DefaultDay()
 		change(&d)
 		if err := d.Check("day."); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: %v", want, err)
@@ -259,7 +261,7 @@
 
 // Callers and load never go beyond the machine.
 func TestLoopbackOnly(t *testing.T) {
-	dial := (&world.Loopback{}).Dialer("")
+	dial := (&emulator.Loopback{}).Dialer("")
 	for _, addr := range []string{"192.0.2.1:80", "example.org:80", "[2001:db8::1]:80", "nonsense"} {
 		if c, err := dial(t.Context(), "tcp", addr); err == nil {
 			c.Close()
--- a/internal/event/event.go
+++ b/internal/event/event.go
@@ -26,7 +26,7 @@
 	AttemptEnded                   // the reason is its result
 	UpstreamOpened                 // a connection to a server came up
 	UpstreamClosed                 // a connection to a server was closed; the reason says why
-	ListApplied                    // the list of servers, or a change of it, took effect
+	EndpointsUpdated               // the list of servers, or a change of it, took effect
 	WatchEnded                     // a call to discovery ended without news; the reason says why
 	PhaseChanged                   // serving, draining, ending
 	ListenerFailed                 // accepting a connection failed
@@ -50,9 +50,9 @@
 	// Of answers.
 	Served
 	Overload      // rejected: the servers are overloaded
-	NoServer      // no server may get it
+	NoEndpoint    // no server may get it
 	RetryBudget   // no further attempt is within the retry budget
-	NoRetry       // what may have run must not be sent again
+	NotRetryable  // what may have run must not be sent again
 	Deadline      // its time was over
 	ShuttingDown  // the process ends
 	TooManyOpen   // as many requests are open as may be
@@ -64,20 +64,20 @@
 	ClientStalled // the client did not read its answer
 
 	// Of closes and abandoned requests.
-	ClientClosed  // the client closed the connection
-	IdleTimeout   // no request came in time
-	ReadTimeout   // a request did not come whole in time
-	Draining      // the agent sends its clients elsewhere
-	RoomNeeded    // another connection needed the place
-	AfterAnswer   // the answer said that the connection closes
-	ProcessEnd    // the process has ended
-	ConnectionBad // reading failed otherwise
+	ClientClosed   // the client closed the connection
+	IdleTimeout    // no request came in time
+	ReadTimeout    // a request did not come whole in time
+	Draining       // the agent sends its clients elsewhere
+	CapacityNeeded // another connection needed the place
+	AfterAnswer    // the answer said that the connection closes
+	ProcessEnd     // the process has ended
+	ConnectionBad  // reading failed otherwise
 
 	// Of attempts.
 	First
 	Retry
 	Hedge
-	Trial // a request that tests an ejected server
+	HalfOpen // a request that tests an ejected server
 
 	// Of results.
 	OK
@@ -125,7 +125,7 @@
 	Request    string // id of the request
 	Connection uint64 // number of the client's connection
 	Attempt    int    // number of the attempt, from 0, where Server is set
-	Server     string // id of the server
+	Endpoint   string // id of the server
 	Detail     string // free text: an address, an error, a version
 }
 
@@ -171,8 +171,8 @@
 	if e.Connection != 0 {
 		attrs = append(attrs, slog.Uint64("connection", e.Connection))
 	}
-	if e.Server != "" {
-		attrs = append(attrs, slog.String("server", e.Server), slog.Int("attempt", e.Attempt))
+	if e.Endpoint != "" {
+		attrs = append(attrs, slog.String("server", e.Endpoint), slog.Int("attempt", e.Attempt))
 	}
 	if e.Detail != "" {
 		attrs = append(attrs, slog.String("detail", e.Detail))
--- a/internal/event/event_test.go
+++ b/internal/event/event_test.go
@@ -12,7 +12,7 @@
 	for _, level := range []slog.Level{slog.LevelInfo, slog.LevelDebug} {
 		var out strings.Builder
 		r := NewRecorder(slog.New(slog.NewTextHandler(&out, &slog.HandlerOptions{Level: level})))
-		r.Record(Event{Kind: AttemptDecided, Reason: Retry, Request: "4f2a", Attempt: 1, Server: "s-1"})
+		r.Record(Event{Kind: AttemptDecided, Reason: Retry, Request: "4f2a", Attempt: 1, Endpoint: "s-1"})
 		r.Record(Event{Kind: AttemptDecided, Reason: Retry, Request: "4f2b"})
 		r.Record(Event{Kind: ConnectionClosed, Reason: IdleTimeout, Connection: r.NextConnection()})
 		if n := r.Count(AttemptDecided, Retry); n != 2 {
--- a/internal/lab/choose.go
+++ b/internal/experiment/choose.go
@@ -1,6 +1,6 @@
-// Package lab plays days with one or more arms and says how they differ: agents against callers that choose nodes by
+// Package experiment plays days with one or more arms and says how they differ: agents against callers that choose nodes by
 // themselves, on sockets or in simulated time.
-package lab
+package experiment
 
 import (
 	"math"
@@ -8,7 +8,7 @@
 	"slices"
 	"time"
 
-	"ryeweir/internal/world/callers"
+	"ryeweir/internal/emulator/callers"
 )
 
 // View is a node as a caller that chooses by itself sees it.
--- a/internal/lab/compare.go
+++ b/internal/experiment/compare.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"bufio"
@@ -23,11 +23,11 @@
 	"time"
 
 	"ryeweir/internal/config"
-	"ryeweir/internal/procnet"
-	"ryeweir/internal/world"
-	"ryeweir/internal/world/callers"
-	"ryeweir/internal/world/discovery"
-	"ryeweir/internal/world/referee"
+	"ryeweir/internal/emulator"
+	"ryeweir/internal/emulator/callers"
+	"ryeweir/internal/emulator/discovery"
+	"ryeweir/internal/emulator/referee"
+	"ryeweir/internal/processrig"
 )
 
 // Cost is what it takes to pass a request through.
@@ -137,7 +137,7 @@
 	}
 	disco.Serve(dl, "agent-0")
 
-	spec := world.DefaultDay()
+	spec := emulator.DefaultDay()
 	spec.Agents = 1
 	spec.Length = config.Duration(time.Second)
 	day, err := spec.Draw(1)
@@ -146,7 +146,7 @@
 	}
 	var both [2]*subject
 	for i, through := range []string{"agent", "proxy"} {
-		listen, operators, err := procnet.TwoPorts("127.0.0.1", i)
+		listen, operators, err := processrig.TwoPorts("127.0.0.1", i)
 		if err != nil {
 			return nil, nil, err
 		}
@@ -154,7 +154,7 @@
 		cmd := exec.Command(self, "proxy", "--listen", listen, "--target", strings.Join(nodes, ","))
 		if through == "agent" {
 			control = operators
-			text, err := day.AgentConfig(0, listen, control, dl.Addr().String(), world.DefaultLimits(), nil)
+			text, err := day.AgentConfig(0, listen, control, dl.Addr().String(), emulator.DefaultLimits(), nil)
 			if err != nil {
 				return nil, nil, err
 			}
@@ -222,14 +222,14 @@
 
 // startSubject starts a process and waits until it serves.
 func startSubject(ctx context.Context, through string, cmd *exec.Cmd, addr string) (*subject, error) {
-	s := &subject{through: through, cmd: cmd, ended: make(chan error, 1), client: &callers.Client{Addr: addr, Dial: (&world.Loopback{}).Dialer("")}}
+	s := &subject{through: through, cmd: cmd, ended: make(chan error, 1), client: &callers.Client{Addr: addr, Dial: (&emulator.Loopback{}).Dialer("")}}
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
 	cmd.Stderr = &s.log
 	if err := cmd.Start(); err != nil {
 		return nil, err
 	}
 	go func() { s.ended <- cmd.Wait() }()
-	for end := time.Now().Add(procnet.ReadyIn); s.send(ctx).End != referee.Served; {
+	for end := time.Now().Add(processrig.ReadyIn); s.send(ctx).End != referee.Served; {
 		if time.Now().After(end) || ctx.Err() != nil {
 			s.stop()
 			return nil, fmt.Errorf("%s serves nothing\n%s", through, s.log.String())
@@ -244,7 +244,7 @@
 	s.cmd.Process.Signal(syscall.SIGTERM)
 	select {
 	case <-s.ended:
-	case <-time.After(procnet.StopIn):
+	case <-time.After(processrig.StopIn):
 		s.cmd.Process.Kill()
 		<-s.ended
 	}
--- a/internal/lab/demo.go
+++ b/internal/experiment/demo.go
@@ -1,19 +1,19 @@
-package lab
+package experiment
 
 import (
 	"time"
 
 	"ryeweir/internal/config"
-	"ryeweir/internal/world"
-	"ryeweir/internal/world/node"
+	"ryeweir/internal/emulator"
+	"ryeweir/internal/emulator/node"
 )
 
 // DemoDay is a day on which a node turns slow, another fails fast and a third drains.
-func DemoDay(length time.Duration) world.DaySpec {
-	d := world.DefaultDay()
+func DemoDay(length time.Duration) emulator.DaySpec {
+	d := emulator.DefaultDay()
 	d.Name, d.Length = "demo", config.Duration(length)
 	at := func(share float64) config.Duration { return config.Duration(share * float64(length)) }
-	d.Troubles = []world.TroubleSpec{
+	d.Troubles = []emulator.TroubleSpec{
 		{Kind: string(node.Slow), Names: []string{"node-06"}, From: at(0.15), To: at(0.55), Size: 5},
 		{Kind: string(node.FastFail), Names: []string{"node-09"}, From: at(0.35), To: at(0.7), Size: 0.9},
 		{Kind: string(node.Drain), Names: []string{"node-02"}, From: at(0.5), To: at(0.85)},
--- a/internal/lab/drill.go
+++ b/internal/experiment/drill.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"context"
@@ -9,20 +9,20 @@
 
 	"ryeweir/internal/config"
 	"ryeweir/internal/config/operator"
-	"ryeweir/internal/world"
+	"ryeweir/internal/emulator"
 )
 
 // DrillSpec is the file of a drill: a day that a fleet of agent processes lives through, with faults of and between them, and
 // what is expected of it.
 type DrillSpec struct {
-	Name     string        `toml:"name"`
-	Question string        `toml:"question"`
-	Seed     uint64        `toml:"seed"`
-	Operator string        `toml:"operator"` // the agents' operators' file, from the drill's folder; empty for the defaults
-	Cores    float64       `toml:"cores"`    // that the platform tells the agents they may use; 0 for what it usually does
-	Long     LongSpec      `toml:"long"`
-	Expect   Expect        `toml:"expect"`
-	Day      world.DaySpec `toml:"day"`
+	Name     string           `toml:"name"`
+	Question string           `toml:"question"`
+	Seed     uint64           `toml:"seed"`
+	Operator string           `toml:"operator"` // the agents' operators' file, from the drill's folder; empty for the defaults
+	Cores    float64          `toml:"cores"`    // that the platform tells the agents they may use; 0 for what it usually does
+	Long     LongSpec         `toml:"long"`
+	Expect   Expect           `toml:"expect"`
+	Day      emulator.DaySpec `toml:"day"`
 }
 
 // LongSpec is what a drill's long form has in place of its short one's.
@@ -68,7 +68,7 @@
 	}
 	wrong(s.Name == "", "name", "is missing")
 	wrong(s.Cores < 0 || s.Cores > 64, "cores", "must be from 0 to 64")
-	wrong(s.Long.Agents < 0 || s.Long.Agents > world.MostProcesses, "long.agents", "must be from 0 to %d", world.MostProcesses)
+	wrong(s.Long.Agents < 0 || s.Long.Agents > emulator.MostProcesses, "long.agents", "must be from 0 to %d", emulator.MostProcesses)
 	wrong(s.Long.Times < 0 || s.Long.Times > 20, "long.times", "must be from 0 to 20")
 	for key, classes := range map[string]map[string]float64{"expect.served_least": s.Expect.Served, "expect.served_most": s.Expect.Shed} {
 		for name := range classes {
@@ -116,7 +116,7 @@
 	if err := config.TOML(file, data, &s); err != nil {
 		return nil, Drilled{}, err
 	}
-	arm := Arm{Name: s.Name, Command: []string{self, "agent"}, Limits: world.DefaultLimits()}
+	arm := Arm{Name: s.Name, Command: []string{self, "agent"}, Limits: emulator.DefaultLimits()}
 	if s.Cores > 0 {
 		arm.Limits.Cores = s.Cores
 	}
--- a/internal/lab/experiment.go
+++ b/internal/experiment/experiment.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"context"
--- a/internal/lab/fleet_days_test.go
+++ b/internal/experiment/fleet_days_test.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"time"
 
 	"ryeweir/internal/config"
-	"ryeweir/internal/world"
+	"ryeweir/internal/emulator"
 )
 
 // Fleets of quiet agents through what breaks at all of them at once, with the real decisions in simulated time: the rules hold, and the
@@ -14,27 +14,27 @@
 func TestFleetDays(t *testing.T) {
 	d := func(seconds int) config.Duration { return config.Duration(time.Duration(seconds) * time.Second) }
 	for name, c := range map[string]struct {
-		change func(*world.DaySpec)
+		change func(*emulator.DaySpec)
 		least  float64
 	}{
-		"all start at once on a full fleet": {func(s *world.DaySpec) { s.Agents, s.Load = 100, 0.85 }, 0.9},
-		"discovery away for 60 s while nodes are replaced": {func(s *world.DaySpec) {
+		"all start at once on a full fleet": {func(s *emulator.DaySpec) { s.Agents, s.Load = 100, 0.85 }, 0.9},
+		"discovery away for 60 s while nodes are replaced": {func(s *emulator.DaySpec) {
 			s.Agents, s.Length = 20, d(75)
-			s.Outages = []world.OutageSpec{{From: d(5), To: d(65)}}
-			s.Troubles = []world.TroubleSpec{{Kind: "replace", Nodes: 3, From: d(10), To: d(13)}}
+			s.Outages = []emulator.OutageSpec{{From: d(5), To: d(65)}}
+			s.Troubles = []emulator.TroubleSpec{{Kind: "replace", Nodes: 3, From: d(10), To: d(13)}}
 		}, 0.85},
-		"the others' traffic comes and goes": {func(s *world.DaySpec) {
+		"the others' traffic comes and goes": {func(s *emulator.DaySpec) {
 			s.Agents, s.AgentSkew, s.Load, s.Shape, s.Swing, s.Period = 20, 20, 0.6, "wave", 0.6, d(6)
 		}, 0.9},
-		"a quiet fleet beside a dead node": {func(s *world.DaySpec) {
+		"a quiet fleet beside a dead node": {func(s *emulator.DaySpec) {
 			s.Agents, s.Load = 200, 0.4
-			s.Troubles = []world.TroubleSpec{{Kind: "vanish", Nodes: 2, From: d(4), To: d(18)}}
+			s.Troubles = []emulator.TroubleSpec{{Kind: "vanish", Nodes: 2, From: d(4), To: d(18)}}
 		}, 0.9},
-		"an overload that would choke all": {func(s *world.DaySpec) { s.Agents, s.Load = 4, 1.3 }, 0.8},
+		"an overload that would choke all": {func(s *emulator.DaySpec) { s.Agents, s.Load = 4, 1.3 }, 0.8},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			spec := world.DefaultDay()
+			spec := emulator.DefaultDay()
 			spec.Length = d(20)
 			c.change(&spec)
 			if err := spec.Check("day."); err != nil {
--- a/internal/lab/hunt.go
+++ b/internal/experiment/hunt.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"context"
@@ -14,7 +14,7 @@
 	"sync"
 	"sync/atomic"
 
-	"ryeweir/internal/world"
+	"ryeweir/internal/emulator"
 )
 
 // Hunted is what a hunt found.
@@ -36,9 +36,9 @@
 const mostFound = 50
 
 // prey is the day of a seed: any mixture of what befalls a fleet, in a fleet of any size that plays within seconds.
-func prey(seed uint64) world.FleetDay {
+func prey(seed uint64) emulator.FleetDay {
 	rng := rand.New(rand.NewPCG(seed, 0x70726579))
-	return world.FleetDay{Name: fmt.Sprintf("mixed-%d", seed), Kind: world.MixedDay, Agents: 20 + rng.IntN(180), Nodes: 12 + rng.IntN(88)}
+	return emulator.FleetDay{Name: fmt.Sprintf("mixed-%d", seed), Kind: emulator.MixedDay, Agents: 20 + rng.IntN(180), Nodes: 12 + rng.IntN(88)}
 }
 
 // Hunt plays random days of whole fleets with the agent's decisions, from a seed on, until the context ends, most days are played (0: no
--- a/internal/lab/lab_test.go
+++ b/internal/experiment/lab_test.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"context"
@@ -13,12 +13,12 @@
 	"time"
 
 	"ryeweir/internal/config"
-	"ryeweir/internal/world"
+	"ryeweir/internal/emulator"
 )
 
-func day(t *testing.T, change func(*world.DaySpec)) *world.Day {
+func day(t *testing.T, change func(*emulator.DaySpec)) *emulator.Day {
 	t.Helper()
-	spec := world.DefaultDay()
+	spec := emulator.DefaultDay()
 	spec.Length = config.Duration(15 * time.Second)
 	if change != nil {
 		change(&spec)
@@ -32,7 +32,7 @@
 
 var module = Arm{Name: "agent", Command: []string{"-", "agent"}}
 
-func simulate(t *testing.T, d *world.Day, a Arm) Outcome {
+func simulate(t *testing.T, d *emulator.Day, a Arm) Outcome {
 	t.Helper()
 	o, err := Simulate(d, a)
 	if err != nil {
@@ -43,14 +43,14 @@
 
 // Equal days and arms give equal outcomes, to the last call.
 func TestSimulationRepeats(t *testing.T) {
-	trouble := func(d *world.DaySpec) {
-		d.Troubles = []world.TroubleSpec{
+	trouble := func(d *emulator.DaySpec) {
+		d.Troubles = []emulator.TroubleSpec{
 			{Kind: "slow", Nodes: 2, From: config.Duration(2 * time.Second), To: config.Duration(9 * time.Second), Size: 5},
 			{Kind: "vanish", Nodes: 1, From: config.Duration(3 * time.Second), To: config.Duration(8 * time.Second)},
 			{Kind: "replace", Nodes: 1, From: config.Duration(4 * time.Second), To: config.Duration(6 * time.Second)},
 			{Kind: "drain", Nodes: 1, From: config.Duration(5 * time.Second), To: config.Duration(10 * time.Second)},
 		}
-		d.Outages = []world.OutageSpec{{From: config.Duration(7 * time.Second), To: config.Duration(9 * time.Second)}}
+		d.Outages = []emulator.OutageSpec{{From: config.Duration(7 * time.Second), To: config.Duration(9 * time.Second)}}
 	}
 	for _, arm := range []Arm{module, {Name: "r", Chooser: Random}, {Name: "o", Chooser: Oracle}} {
 		a, b := simulate(t, day(t, trouble), arm), simulate(t, day(t, trouble), arm)
@@ -65,9 +65,9 @@
 
 // The arms stand in the order that their knowledge gives them, where that matters.
 func TestArmsAreOrdered(t *testing.T) {
-	trouble := func(d *world.DaySpec) {
+	trouble := func(d *emulator.DaySpec) {
 		d.Load = 0.7
-		d.Troubles = []world.TroubleSpec{{Kind: "slow", Nodes: 3, From: config.Duration(2 * time.Second), To: config.Duration(14 * time.Second), Size: 6}}
+		d.Troubles = []emulator.TroubleSpec{{Kind: "slow", Nodes: 3, From: config.Duration(2 * time.Second), To: config.Duration(14 * time.Second), Size: 6}}
 	}
 	service := func(a Arm) float64 { return simulate(t, day(t, trouble), a).Whole }
 	random, two, agent, top := service(Arm{Chooser: Random}), service(Arm{Chooser: TwoChoices}), service(module), service(Arm{Chooser: Oracle})
--- a/internal/lab/levels.go
+++ b/internal/experiment/levels.go
@@ -1,10 +1,10 @@
-package lab
+package experiment
 
 import (
 	"slices"
 	"time"
 
-	"ryeweir/internal/world"
+	"ryeweir/internal/emulator"
 )
 
 // Levels is what the fleet's budgets did in a day of processes that have them, as the agents told.
@@ -26,7 +26,7 @@
 }
 
 // levels sums up what agents told of their budgets; nil where none told anything.
-func levels(day *world.Day, sights [][]glance) *Levels {
+func levels(day *emulator.Day, sights [][]glance) *Levels {
 	end := day.Length
 	if i := surgeOf(day); i >= 0 {
 		end = day.Spec.Fleet.Shifts[i].To.D()
--- a/internal/lab/liar.go
+++ b/internal/experiment/liar.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"context"
@@ -10,19 +10,19 @@
 
 	"ryeweir/internal/budget"
 	"ryeweir/internal/config/operator"
+	"ryeweir/internal/emulator"
+	"ryeweir/internal/emulator/callers"
+	"ryeweir/internal/emulator/discovery"
 	"ryeweir/internal/fleetstate"
-	"ryeweir/internal/fleetstate/member"
-	"ryeweir/internal/world"
-	"ryeweir/internal/world/callers"
-	"ryeweir/internal/world/discovery"
+	"ryeweir/internal/fleetstate/membership"
 )
 
 // liar is a stand-in for a peer that is wrong about all that it tells: a member of the agents' fleet without an agent.
 type liar struct {
-	spec   world.LiarSpec
+	spec   emulator.LiarSpec
 	name   string
-	w      *world.World
-	member *member.Member
+	w      *emulator.World
+	member *membership.Member
 	clock  fleetstate.Clock
 	top    float64 // worth of the worthiest class
 }
@@ -33,21 +33,21 @@
 const lieEvery = 100 * time.Millisecond
 
 // newLiar lets a liar in among the peers; at are its arguments as an agent would get them.
-func newLiar(w *world.World, spec world.LiarSpec, name string, at member.Config, set operator.Peers) (*liar, error) {
+func newLiar(w *emulator.World, spec emulator.LiarSpec, name string, at membership.Config, set operator.Peers) (*liar, error) {
 	l := &liar{spec: spec, name: name, w: w}
 	for _, c := range w.Day.Classes {
 		l.top = max(l.top, c.Worth)
 	}
-	at.Name, at.Label, at.Timing, at.Handler, at.Log = name, set.Label, member.DefaultTiming(), l, slog.New(slog.DiscardHandler)
+	at.Name, at.Label, at.Timing, at.Handler, at.Log = name, set.Label, membership.DefaultTiming(), l, slog.New(slog.DiscardHandler)
 	var err error
-	l.member, err = member.Start(at)
+	l.member, err = membership.Start(at)
 	return l, err
 }
 
 // Heard, Whole and Part: it listens to nobody.
 func (l *liar) Heard([]fleetstate.Fact) []fleetstate.Fact { return nil }
 func (l *liar) Whole() []fleetstate.Fact                  { return nil }
-func (l *liar) Part(string, uint64, budget.Part)          {}
+func (l *liar) Part(string, uint64, budget.PeerState)     {}
 
 // run is among the peers and lies, each at its time, until the context ends.
 func (l *liar) run(ctx context.Context) {
@@ -61,7 +61,7 @@
 	for l.w.Now() < l.spec.To.D() && callers.Sleep(ctx, lieEvery) {
 		l.member.Tell(l.facts(time.Now()))
 		if p := l.part(); p.Rate > 0 || len(p.Demand) > 0 {
-			l.member.SendPart(p, world.MostProcesses)
+			l.member.SendPart(p, emulator.MostProcesses)
 		}
 	}
 	<-ctx.Done()
@@ -75,7 +75,7 @@
 	servers = slices.DeleteFunc(servers, func(e discovery.Entry) bool { return e.State != discovery.Ready })
 	for i, e := range servers {
 		key := fleetstate.Key{Server: e.ID, Life: e.StartedMS}
-		if l.says(world.LieSuspect) {
+		if l.says(emulator.LieSuspect) {
 			for _, who := range append([]string{l.name}, l.w.Day.Agents...) {
 				k := key
 				k.Kind, k.Origin = fleetstate.Suspicion, who
@@ -83,7 +83,7 @@
 				out = append(out, fleetstate.Fact{Key: k, Value: math.MaxInt32, At: l.clock.Next(now.Add(fleetstate.MostAhead * 9 / 10)), By: who})
 			}
 		}
-		if l.says(world.LieGone) && i < len(servers)/2 {
+		if l.says(emulator.LieGone) && i < len(servers)/2 {
 			k := key
 			k.Kind, k.Origin = fleetstate.Notice, l.name
 			out = append(out, fleetstate.Fact{Key: k, Value: fleetstate.Gone, At: l.clock.Next(now), By: l.name})
@@ -93,12 +93,12 @@
 }
 
 // part is what it says of the fleet's level.
-func (l *liar) part() (p budget.Part) {
+func (l *liar) part() (p budget.PeerState) {
 	const all = 1e6
-	if l.says(world.LieDemand) {
-		p.Demand = []budget.Demand{{Worth: l.top, Rate: all}}
+	if l.says(emulator.LieDemand) {
+		p.Demand = []budget.Demand{{Priority: l.top, Rate: all}}
 	}
-	if l.says(world.LieRate) {
+	if l.says(emulator.LieRate) {
 		p.Rate = all
 	}
 	return p
--- a/internal/lab/load.go
+++ b/internal/experiment/load.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"context"
@@ -9,9 +9,9 @@
 	"github.com/pelletier/go-toml/v2"
 
 	"ryeweir/internal/config"
-	"ryeweir/internal/world"
-	"ryeweir/internal/world/callers"
-	"ryeweir/internal/world/referee"
+	"ryeweir/internal/emulator"
+	"ryeweir/internal/emulator/callers"
+	"ryeweir/internal/emulator/referee"
 )
 
 // KindOf says what a TOML file is: experiment, load, world, or nothing of ours.
@@ -39,7 +39,7 @@
 	if err != nil {
 		return Outcome{}, err
 	}
-	dial := (&world.Loopback{}).Dialer("")
+	dial := (&emulator.Loopback{}).Dialer("")
 	clients := make([]*callers.Client, len(spec.Targets))
 	for i, t := range spec.Targets {
 		if _, _, err := net.SplitHostPort(t); err != nil {
--- a/internal/lab/outcome.go
+++ b/internal/experiment/outcome.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"math"
@@ -7,11 +7,11 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"ryeweir/internal/world"
-	"ryeweir/internal/world/backend"
-	"ryeweir/internal/world/callers"
-	"ryeweir/internal/world/node"
-	"ryeweir/internal/world/referee"
+	"ryeweir/internal/emulator"
+	"ryeweir/internal/emulator/backend"
+	"ryeweir/internal/emulator/callers"
+	"ryeweir/internal/emulator/node"
+	"ryeweir/internal/emulator/referee"
 )
 
 // Percentiles of a latency, in milliseconds from the intended send to the answer's last byte.
@@ -80,7 +80,7 @@
 	Spared      float64                `json:"spared"`           // service of the requests at agents that no fault of their own befell; 1 where there are none
 	Surge       *Surge                 `json:"surge,omitempty"`  // of a day on sockets whose traffic shifts upwards everywhere
 	Series      Series                 `json:"series"`
-	Marks       []world.Mark           `json:"marks"`
+	Marks       []emulator.Mark        `json:"marks"`
 }
 
 // Series are figures over time, one a second. NaN and absent values are null in JSON.
@@ -95,7 +95,7 @@
 
 // tallied is what a run hands over to be summed up.
 type tallied struct {
-	day     *world.Day
+	day     *emulator.Day
 	calls   []referee.Call
 	figures callers.Figures
 	account referee.Account
@@ -104,7 +104,7 @@
 	lists   int
 	load    [][]float64
 	goodput []float64
-	marks   []world.Mark
+	marks   []emulator.Mark
 }
 
 // settleTime at the beginning is left out of the service: nothing is known then.
--- a/internal/lab/play.go
+++ b/internal/experiment/play.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"context"
@@ -10,14 +10,14 @@
 	"time"
 
 	"ryeweir/internal/config/operator"
-	"ryeweir/internal/fleetstate/member"
-	"ryeweir/internal/procnet"
-	"ryeweir/internal/world"
-	"ryeweir/internal/world/backend"
-	"ryeweir/internal/world/callers"
-	"ryeweir/internal/world/discovery"
-	"ryeweir/internal/world/link"
-	"ryeweir/internal/world/referee"
+	"ryeweir/internal/emulator"
+	"ryeweir/internal/emulator/backend"
+	"ryeweir/internal/emulator/callers"
+	"ryeweir/internal/emulator/discovery"
+	"ryeweir/internal/emulator/link"
+	"ryeweir/internal/emulator/referee"
+	"ryeweir/internal/fleetstate/membership"
+	"ryeweir/internal/processrig"
 )
 
 // Arm is a way to get requests to nodes.
@@ -26,7 +26,7 @@
 	Command  []string // of an agent's process; empty for callers that choose by themselves
 	Chooser  string   // the reference arm's name
 	Operator string   // of an agent: its operators' file; empty for the defaults
-	Limits   world.Limits
+	Limits   emulator.Limits
 }
 
 // Live is what a run has come to, for those who watch it.
@@ -35,12 +35,12 @@
 	Account referee.Account
 	Calls   []referee.Call // that ended since the last look
 	States  []backend.State
-	Marks   []world.Mark
+	Marks   []emulator.Mark
 }
 
 // Play plays a day with an arm on loopback sockets. watch, where there is one, gets a look each second. When the context
 // ends the day ends early, and the outcome so far is returned, marked as interrupted.
-func Play(ctx context.Context, day *world.Day, arm Arm, watch func(Live)) (o Outcome, err error) {
+func Play(ctx context.Context, day *emulator.Day, arm Arm, watch func(Live)) (o Outcome, err error) {
 	dir, err := os.MkdirTemp("", "ryeweir-")
 	if err != nil {
 		return o, err
@@ -54,19 +54,19 @@
 	if err != nil {
 		return o, err
 	}
-	on := &world.Loopback{}
-	var peers *procnet.Peers
+	on := &emulator.Loopback{}
+	var peers *processrig.Peers
 	if ops.Peers.On {
 		on.Mesh = link.NewMesh(day.Seed)
 		hosts := slices.Clone(day.Agents)
 		for i := range day.Spec.Fleet.Liars {
 			hosts = append(hosts, liarName(i))
 		}
-		if peers, err = procnet.NewPeers(on.Mesh, hosts); err != nil {
+		if peers, err = processrig.NewPeers(on.Mesh, hosts); err != nil {
 			return o, errors.Join(err, on.Mesh.Close())
 		}
 	}
-	w, err := world.Start(context.WithoutCancel(ctx), day, on, true)
+	w, err := emulator.Start(context.WithoutCancel(ctx), day, on, true)
 	if err != nil {
 		return o, err
 	}
@@ -84,7 +84,7 @@
 	if err != nil {
 		return o, errors.Join(err, p.stopAgents())
 	}
-	waits := procnet.ReadWaits()
+	waits := processrig.ReadWaits()
 	w.Play()
 	watching, stop := context.WithCancel(context.Background())
 	var all sync.WaitGroup
@@ -106,7 +106,7 @@
 		}
 	}
 	calls, figures := w.Call(ctx, p.route, len(arm.Command) == 0, p.ended)
-	starved := procnet.ReadWaits().Since(waits)
+	starved := processrig.ReadWaits().Since(waits)
 	stop()
 	all.Wait()
 	for _, c := range p.clients {
@@ -129,10 +129,10 @@
 }
 
 type play struct {
-	w       *world.World
+	w       *emulator.World
 	arm     Arm
-	peers   *procnet.Peers
-	agents  []*procnet.Process
+	peers   *processrig.Peers
+	agents  []*processrig.Process
 	cpu     time.Duration
 	load    [][]float64
 	goodput []float64
@@ -149,11 +149,11 @@
 
 func (p *play) startAgents(ctx context.Context, dir string) error {
 	limits := p.arm.Limits
-	if limits == (world.Limits{}) {
-		limits = world.DefaultLimits()
+	if limits == (emulator.Limits{}) {
+		limits = emulator.DefaultLimits()
 	}
 	for i := range p.w.Day.Agents {
-		a, err := procnet.Start(p.w, i, p.arm.Command, dir, limits, p.peers)
+		a, err := processrig.Start(p.w, i, p.arm.Command, dir, limits, p.peers)
 		if err != nil {
 			return err
 		}
@@ -174,7 +174,7 @@
 		return nil, nil
 	}
 	for i, spec := range p.w.Day.Spec.Fleet.Liars {
-		var at member.Config
+		var at membership.Config
 		at.Bind, at.Advertise, at.Seeds = p.peers.Place(len(p.w.Day.Agents) + i)
 		l, err := newLiar(p.w, spec, liarName(i), at, set)
 		if err != nil {
@@ -188,7 +188,7 @@
 // befall does to an agent's process what the day has for it, at its time: it kills it, ends it in order, pauses it or slows it, and
 // after the time away starts the next or lets it go on. A killed agent's requests are nobody's fault; a paused or slow one still
 // owes each of its requests an answer.
-func (p *play) befall(ctx context.Context, t world.AgentTrouble) {
+func (p *play) befall(ctx context.Context, t emulator.AgentTrouble) {
 	if !callers.Sleep(ctx, t.At-p.w.Now()) {
 		return
 	}
@@ -209,11 +209,11 @@
 	p.w.Note(now, now+t.Away, name, t.Kind)
 	var err error
 	switch t.Kind {
-	case world.AgentPause:
+	case emulator.AgentPause:
 		err = a.Pause()
-	case world.AgentSlow:
+	case emulator.AgentSlow:
 		err = a.Slow(ctx, t.Part, t.Away)
-	case world.AgentKill:
+	case emulator.AgentKill:
 		p.w.Referee.Killed(name, now, now+t.Away)
 		a.Kill()
 	default:
--- a/internal/lab/simagent.go
+++ b/internal/experiment/simagent.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"encoding/json"
@@ -9,10 +9,10 @@
 
 	"ryeweir/internal/budget"
 	"ryeweir/internal/discovery"
+	"ryeweir/internal/emulator"
+	"ryeweir/internal/emulator/callers"
+	"ryeweir/internal/emulator/referee"
 	"ryeweir/internal/wire"
-	"ryeweir/internal/world"
-	"ryeweir/internal/world/callers"
-	"ryeweir/internal/world/referee"
 	"ryeweir/logic"
 )
 
@@ -23,7 +23,7 @@
 	zone     string
 	balancer *logic.Balancer
 	budget   *budget.Budget // the fleet's, where the operators' file switches it on
-	order    *budget.Order
+	order    *budget.PriorityOrder
 	parts    map[int]heard // that other agents told, by their number
 	chooser  Chooser
 	conns    map[int]int // to each node
@@ -33,7 +33,7 @@
 	version  int         // of the list that it was told
 	asked    bool        // for the list, once
 	watching bool        // a call of its own waits for news
-	known    []logic.Server
+	known    []logic.Endpoint
 	rng      *rand.Rand
 }
 
@@ -44,8 +44,8 @@
 
 // toldOf reports whether the agent has been told of a node's present life. Choosers go by the list itself.
 func (a *simAgent) toldOf(n *simNode) bool {
-	return a.balancer == nil || n.Started < 0 || slices.ContainsFunc(a.known, func(e logic.Server) bool {
-		return e.ID == n.ID && e.Started == n.Started+moduleStart
+	return a.balancer == nil || n.Started < 0 || slices.ContainsFunc(a.known, func(e logic.Endpoint) bool {
+		return e.ID == n.ID && e.StartedAt == n.Started+moduleStart
 	})
 }
 
@@ -61,7 +61,7 @@
 	}
 	site.Logic.MaxRetryAfter = site.MaxRetryAfter
 	s.ops.Probes.Apply(&site.Logic)
-	site.Logic.AdmitAll = s.ops.Overload.Fleet
+	site.Logic.ExternalAdmission = s.ops.Overload.Fleet
 	seed := (s.day.Seed*64 + uint64(a.number) + 1) ^ uint64(a.life)<<48
 	if a.balancer, err = logic.New(site.Logic, seed); err != nil {
 		return err
@@ -75,22 +75,22 @@
 
 // befallAgent ends an agent's process, planned or not, and begins the next, which knows the list that the one before it had and
 // nothing else.
-func (s *sim) befallAgent(t world.AgentTrouble) {
+func (s *sim) befallAgent(t emulator.AgentTrouble) {
 	old := s.agents[t.Agent]
 	if old.balancer == nil || old.away {
 		return // choosers have no processes; one that is away is not befallen again
 	}
 	old.away = true
 	name := s.day.Agents[t.Agent]
-	text := world.AgentRestart
-	if t.Kind == world.AgentKill {
-		text = world.AgentKill
+	text := emulator.AgentRestart
+	if t.Kind == emulator.AgentKill {
+		text = emulator.AgentKill
 		s.referee.Killed(name, s.now, s.now+t.Away)
 		s.endAgent(old)
 	} else {
 		s.at(s.now+longestEnd, func() { s.endAgent(old) })
 	}
-	s.marks = append(s.marks, world.Mark{At: s.now, To: s.now + t.Away, Node: name, Text: text})
+	s.marks = append(s.marks, emulator.Mark{At: s.now, To: s.now + t.Away, Node: name, Text: text})
 	s.at(s.now+t.Away, func() {
 		a := s.process(t.Agent)
 		a.life, a.version = old.life+1, old.version
@@ -154,8 +154,8 @@
 
 // registry is discovery: the list, what has changed in it, and the calls that wait their turn.
 type registry struct {
-	entries []logic.Server // in the order of the nodes
-	changes []logic.Server // the list's version is their number
+	entries []logic.Endpoint // in the order of the nodes
+	changes []logic.Endpoint // the list's version is their number
 	down    bool
 	free    time.Duration // when the call that is handled last will be through
 	calls   int
@@ -165,15 +165,15 @@
 const discoveryPatience = time.Second
 
 // change changes the list, so much later, and tells those who watch.
-func (s *sim) change(late time.Duration, e logic.Server) {
+func (s *sim) change(late time.Duration, e logic.Endpoint) {
 	s.at(s.now+late+s.day.ListDelay(s.now), func() {
 		l := &s.list
 		l.changes = append(l.changes, e)
-		i := slices.IndexFunc(l.entries, func(o logic.Server) bool { return o.ID == e.ID })
+		i := slices.IndexFunc(l.entries, func(o logic.Endpoint) bool { return o.ID == e.ID })
 		switch {
-		case e.State == logic.Gone && i >= 0:
+		case e.State == logic.Removed && i >= 0:
 			l.entries = slices.Delete(l.entries, i, i+1)
-		case e.State == logic.Gone:
+		case e.State == logic.Removed:
 		case i >= 0:
 			l.entries[i] = e
 		default:
@@ -225,7 +225,7 @@
 		case a.gone:
 		case !ok:
 			rush := time.Duration(a.rng.Float64() * float64(pace.Rush))
-			s.at(s.now+rush, func() { s.tell(a, logic.ListUnavailable{}) })
+			s.at(s.now+rush, func() { s.tell(a, logic.DiscoveryUnavailable{}) })
 		default:
 			a.watching = true
 			s.news(a)
@@ -250,38 +250,38 @@
 		if a.gone {
 			return
 		}
-		var entries []logic.Server
+		var entries []logic.Endpoint
 		for _, e := range s.list.changes[a.version:] {
-			entries = slices.DeleteFunc(entries, func(o logic.Server) bool { return o.ID == e.ID })
+			entries = slices.DeleteFunc(entries, func(o logic.Endpoint) bool { return o.ID == e.ID })
 			entries = append(entries, e)
 		}
 		a.version = len(s.list.changes)
 		for _, e := range entries {
-			a.known = slices.DeleteFunc(a.known, func(o logic.Server) bool { return o.ID == e.ID })
-			if e.State != logic.Gone {
+			a.known = slices.DeleteFunc(a.known, func(o logic.Endpoint) bool { return o.ID == e.ID })
+			if e.State != logic.Removed {
 				a.known = append(a.known, e)
 			}
 			s.referee.Told(s.day.Agents[a.number], e.ID, e.State == logic.Ready, s.now)
 		}
-		s.tell(a, logic.ServerList{Servers: entries})
+		s.tell(a, logic.EndpointList{Endpoints: entries})
 		s.watch(a, discovery.PaceOf(len(s.day.Agents)))
 	})
 }
 
 // tellList gives an agent a whole list, as one that it has from before.
-func (s *sim) tellList(a *simAgent, entries []logic.Server) {
+func (s *sim) tellList(a *simAgent, entries []logic.Endpoint) {
 	a.known = slices.Clone(entries)
 	for _, e := range entries {
 		s.referee.Told(s.day.Agents[a.number], e.ID, e.State == logic.Ready, s.now)
 	}
-	s.tell(a, logic.ServerList{Full: true, Servers: slices.Clone(entries)})
+	s.tell(a, logic.EndpointList{Full: true, Endpoints: slices.Clone(entries)})
 }
 
 // lost breaks an agent's watch.
 func (s *sim) lost(a *simAgent) {
 	if a.watching {
 		a.watching = false
-		s.at(s.now+watchDelay, func() { s.tell(a, logic.ListUnavailable{}) })
+		s.at(s.now+watchDelay, func() { s.tell(a, logic.DiscoveryUnavailable{}) })
 	}
 }
 
--- a/internal/lab/simtalk.go
+++ b/internal/experiment/simtalk.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"time"
@@ -9,7 +9,7 @@
 // heard is a part of the fleet's level, and when it was told.
 type heard struct {
 	at   time.Duration
-	part budget.Part
+	part budget.PeerState
 }
 
 // talk lets an agent tell some others its part of the fleet's level again and again, where the operators' file has agents talk.
@@ -24,21 +24,21 @@
 		if a.gone {
 			return
 		}
-		var parts []budget.Part
+		var parts []budget.PeerState
 		for i := range s.agents { // in order, so that equal days have equal outcomes
 			h, ok := a.parts[i]
 			switch {
 			case !ok:
-			case s.now-h.at > budget.StaleAfter:
+			case s.now-h.at > budget.PeerStateTTL:
 				delete(a.parts, i)
 			default:
 				parts = append(parts, h.part)
 			}
 		}
-		a.budget.Peers(s.clock(), parts, len(s.agents)-1)
-		part := a.budget.Part(s.clock())
+		a.budget.UpdatePeers(s.clock(), parts, len(s.agents)-1)
+		part := a.budget.PeerState(s.clock())
 		others := a.rng.Perm(len(s.agents) - 1)
-		for _, i := range others[:min(budget.TellTo, len(others))] {
+		for _, i := range others[:min(budget.GossipFanout, len(others))] {
 			if i >= a.number {
 				i++
 			}
@@ -48,7 +48,7 @@
 				}
 			})
 		}
-		s.at(s.now+budget.TellEvery, exchange)
+		s.at(s.now+budget.GossipInterval, exchange)
 	}
-	s.at(s.now+time.Duration(a.rng.Float64()*float64(budget.TellEvery)), exchange)
+	s.at(s.now+time.Duration(a.rng.Float64()*float64(budget.GossipInterval)), exchange)
 }
--- a/internal/lab/simulate.go
+++ b/internal/experiment/simulate.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"container/heap"
@@ -10,16 +10,16 @@
 
 	"ryeweir/internal/budget"
 	"ryeweir/internal/config/operator"
-	"ryeweir/internal/world"
-	"ryeweir/internal/world/callers"
-	"ryeweir/internal/world/node"
-	"ryeweir/internal/world/referee"
+	"ryeweir/internal/emulator"
+	"ryeweir/internal/emulator/callers"
+	"ryeweir/internal/emulator/node"
+	"ryeweir/internal/emulator/referee"
 	"ryeweir/logic"
 )
 
 // Simulate plays a day in simulated time: the decision module, or a chooser, on the node models, with delays but without
 // sockets. Equal days and arms give equal outcomes.
-func Simulate(day *world.Day, arm Arm) (Outcome, error) {
+func Simulate(day *emulator.Day, arm Arm) (Outcome, error) {
 	s := &sim{day: day, referee: referee.New(referee.DefaultRules()), rng: rand.New(rand.NewPCG(day.Seed, 0x73696d)),
 		waiting: map[ticket]*simAttempt{}, open: map[string]*simTry{}, byID: map[string]*simNode{}}
 	for i, spec := range day.Nodes {
@@ -80,7 +80,7 @@
 const watchDelay = 10 * time.Millisecond
 
 type sim struct {
-	day     *world.Day
+	day     *emulator.Day
 	referee *referee.Referee
 	rng     *rand.Rand
 	now     time.Duration
@@ -104,7 +104,7 @@
 	useful  time.Duration
 	busy    []float64 // work done of what the nodes that are up could do at present, a second each
 	used    []float64 // share of the listed nodes that something came to, a second each
-	marks   []world.Mark
+	marks   []emulator.Mark
 	left    int // calls that have not ended
 	truth   Truths
 	ops     operator.File
@@ -131,7 +131,7 @@
 
 // idleCore reports whether some node that the list has as ready would begin a request at once.
 func (s *sim) idleCore() bool {
-	return slices.ContainsFunc(s.list.entries, func(e logic.Server) bool {
+	return slices.ContainsFunc(s.list.entries, func(e logic.Endpoint) bool {
 		n := s.byID[e.ID]
 		return e.State == logic.Ready && n != nil && n.idle()
 	})
@@ -145,7 +145,7 @@
 	}
 	s.truth.RefusedRoom++
 	near, cold := false, true
-	for _, id := range a.balancer.Spread() {
+	for _, id := range a.balancer.SubsetIDs() {
 		if n := s.byID[id]; n != nil && n.idle() && !s.day.CutOff(a.zone, n.Zone, s.now) {
 			near, cold = true, cold && n.Warm() < 1
 		}
@@ -262,7 +262,7 @@
 	for _, o := range s.day.Spec.Outages {
 		s.at(o.From.D(), func() {
 			s.list.down = true
-			s.marks = append(s.marks, world.Mark{At: o.From.D(), To: o.To.D(), Node: "discovery", Text: "outage"})
+			s.marks = append(s.marks, emulator.Mark{At: o.From.D(), To: o.To.D(), Node: "discovery", Text: "outage"})
 			for _, a := range s.agents {
 				s.lost(a)
 			}
@@ -271,7 +271,7 @@
 	}
 	for _, c := range s.day.Spec.Fleet.Cuts {
 		s.at(c.From.D(), func() {
-			s.marks = append(s.marks, world.Mark{At: c.From.D(), To: c.To.D(), Node: c.Zone, Text: "cut off"})
+			s.marks = append(s.marks, emulator.Mark{At: c.From.D(), To: c.To.D(), Node: c.Zone, Text: "cut off"})
 		})
 	}
 	s.left = len(s.day.Plan)
@@ -329,23 +329,23 @@
 
 // Discovery.
 
-func (s *sim) entry(i int, state logic.State) logic.Server {
+func (s *sim) entry(i int, state logic.EndpointState) logic.Endpoint {
 	spec := s.nodes[i].Spec
-	e := logic.Server{ID: spec.ID, State: state, Zone: slices.Index(s.day.Spec.Zones, spec.Zone), Cell: i / 8, Weight: 1}
+	e := logic.Endpoint{ID: spec.ID, State: state, Zone: slices.Index(s.day.Spec.Zones, spec.Zone), Cell: i / 8, Weight: 1}
 	if spec.Started >= 0 {
-		e.Started = spec.Started + moduleStart
+		e.StartedAt = spec.Started + moduleStart
 	}
 	return e
 }
 
 // Troubles.
 
-func (s *sim) befall(p world.Placed) {
+func (s *sim) befall(p emulator.Placed) {
 	list := s.day.Spec.List
 	n := s.nodes[p.Node]
 	name := n.ID
 	s.at(p.From, func() {
-		s.marks = append(s.marks, world.Mark{At: p.From, To: p.To, Node: name, Text: string(p.Kind)})
+		s.marks = append(s.marks, emulator.Mark{At: p.From, To: p.To, Node: name, Text: string(p.Kind)})
 		switch p.Kind {
 		case node.Drain:
 			n.Trouble(p.Trouble)
@@ -353,7 +353,7 @@
 		case node.Restart, node.Replace:
 			s.kill(n)
 			if p.Kind == node.Replace || list.Notice.D() < p.To-p.From+list.Add.D() {
-				s.change(list.Notice.D(), s.entry(p.Node, logic.Gone))
+				s.change(list.Notice.D(), s.entry(p.Node, logic.Removed))
 			}
 		default:
 			n.Trouble(p.Trouble)
@@ -364,7 +364,7 @@
 		switch p.Kind {
 		case node.Drain:
 			s.kill(n)
-			s.change(list.Notice.D(), s.entry(p.Node, logic.Gone))
+			s.change(list.Notice.D(), s.entry(p.Node, logic.Removed))
 		case node.Restart, node.Replace:
 			spec := n.Spec
 			s.lives++
@@ -494,10 +494,10 @@
 	}
 	t.deadline -= min(answerMargin, wait/4)
 	if a.budget != nil {
-		a.budget.Jam(s.clock(), a.balancer.Jam())
-		if v := a.budget.Arrive(s.clock(), a.order.Worth(s.clock(), j.Planned.Class, j.Tenant)); !v.Admit {
+		a.budget.SetLatencyOverload(s.clock(), a.balancer.OverloadLevel())
+		if v := a.budget.Admit(s.clock(), a.order.Priority(s.clock(), j.Planned.Class, j.Tenant)); !v.Admit {
 			s.judgeRefusal(a)
-			s.answer(t, referee.Refused, 0, v.After)
+			s.answer(t, referee.Refused, 0, v.RetryAfter)
 			return
 		}
 	}
@@ -516,7 +516,7 @@
 	}
 	s.answer(t, referee.Nothing, 0, 0)
 	if t.agent.balancer != nil {
-		s.tell(t.agent, logic.ClientGone{Request: t.id})
+		s.tell(t.agent, logic.ClientDisconnected{Request: t.id})
 	} else {
 		for _, at := range s.attempts(t) {
 			s.giveUp(at)
@@ -600,37 +600,37 @@
 			if t == nil {
 				continue
 			}
-			to := s.byID[act.Server]
-			if a.budget != nil && t.sends > 0 && !a.budget.Retry(s.clock()) {
+			to := s.byID[act.Endpoint]
+			if a.budget != nil && t.sends > 0 && !a.budget.AllowRetry(s.clock()) {
 				n := t.sends
 				t.sends++
 				t.out++
-				s.at(s.now, func() { s.outcome(&simAttempt{try: t, number: n, id: act.Server, sent: s.now}, logic.NotSent) })
+				s.at(s.now, func() { s.outcome(&simAttempt{try: t, number: n, id: act.Endpoint, sent: s.now}, logic.NotSent) })
 				continue
 			}
 			if to == nil { // a life that is over
 				n := t.sends
 				t.sends++
 				t.out++
-				s.at(s.now+watchDelay, func() { s.outcome(&simAttempt{try: t, number: n, id: act.Server, sent: s.now}, logic.ConnectFailed) })
+				s.at(s.now+watchDelay, func() { s.outcome(&simAttempt{try: t, number: n, id: act.Endpoint, sent: s.now}, logic.ConnectFailed) })
 				continue
 			}
-			s.send(t, to, act.After)
-		case logic.Refuse:
+			s.send(t, to, act.Delay)
+		case logic.Reject:
 			if t != nil {
 				if t.sends == 0 {
 					s.judgeRefusal(a)
 				}
-				s.answer(t, referee.Refused, 0, act.After)
+				s.answer(t, referee.Refused, 0, act.Delay)
 			}
 		case logic.Fail:
 			if t != nil {
 				s.answer(t, referee.Failed, 0, 0)
 			}
 		case logic.SetTimer:
-			s.at(s.now+act.After, func() { s.tell(a, logic.TimerFired{Token: act.Token}) })
-		case logic.Probe:
-			s.probe(a, act.Server)
+			s.at(s.now+act.Delay, func() { s.tell(a, logic.TimerFired{Token: act.Token}) })
+		case logic.HealthCheck:
+			s.probe(a, act.Endpoint)
 		case logic.Subscribe:
 			s.subscribe(a)
 		}
@@ -640,16 +640,16 @@
 // probe asks a node for its load, over a connection that is there or a new one.
 func (s *sim) probe(a *simAgent, id string) {
 	began := s.now
-	told := func(r logic.Result, report logic.Report) {
-		s.tell(a, logic.Probed{Server: id, Result: r, Took: s.now - began, Report: report})
+	told := func(r logic.Result, report logic.LoadReport) {
+		s.tell(a, logic.HealthChecked{Endpoint: id, Result: r, Latency: s.now - began, LoadReport: report})
 	}
-	if a.budget != nil && !a.budget.Probe() {
-		s.at(s.now, func() { told(logic.NotSent, logic.NoReport) })
+	if a.budget != nil && !a.budget.AllowHealthCheck() {
+		s.at(s.now, func() { told(logic.NotSent, logic.NoLoadReport) })
 		return
 	}
 	n := s.byID[id]
 	if n == nil || !n.up {
-		s.at(s.now+watchDelay, func() { told(logic.ConnectFailed, logic.NoReport) })
+		s.at(s.now+watchDelay, func() { told(logic.ConnectFailed, logic.NoLoadReport) })
 		return
 	}
 	life := n.Node
@@ -657,15 +657,15 @@
 	s.at(s.now+way, func() {
 		switch {
 		case n.Node != life || !n.up || n.Silent() || s.day.CutOff(a.zone, n.Zone, s.now):
-			s.at(began+world.ProbeTimeout, func() { told(logic.TimedOut, logic.NoReport) })
+			s.at(began+emulator.ProbeTimeout, func() { told(logic.TimedOut, logic.NoLoadReport) })
 			return
 		case !n.Probe(s.now):
-			s.at(s.now+way, func() { told(logic.Rejected, logic.NoReport) })
+			s.at(s.now+way, func() { told(logic.Rejected, logic.NoLoadReport) })
 			return
 		}
-		report := logic.NoReport
+		report := logic.NoLoadReport
 		if l, ok := n.Load(); ok {
-			report.Rate, report.Util = l.Rate, l.Util
+			report.RequestRate, report.Utilization = l.Rate, l.Util
 		}
 		s.at(s.now+way, func() { told(logic.OK, report) })
 	})
@@ -690,7 +690,7 @@
 		s.at(s.now+2*way, func() { s.outcome(at, logic.ConnectFailed) })
 		return
 	case fresh && (n.Silent() || s.day.CutOff(a.zone, n.Zone, s.now)):
-		s.at(s.now+world.ConnectTimeout, func() { s.outcome(at, logic.ConnectFailed) })
+		s.at(s.now+emulator.ConnectTimeout, func() { s.outcome(at, logic.ConnectFailed) })
 		return
 	}
 	arrive := s.now + way
@@ -791,8 +791,8 @@
 		s.answer(t, referee.Served, at.ticket.number, 0)
 	}
 	if b := t.agent.budget; b != nil && r != logic.NotSent {
-		b.Ended(s.clock(), budget.Outcome{Overload: r == logic.Rejected || r == logic.TimedOut, Sent: at.sent + moduleStart})
+		b.AttemptEnded(s.clock(), budget.Outcome{Overload: r == logic.Rejected || r == logic.TimedOut, SentAt: at.sent + moduleStart})
 	}
-	s.tell(t.agent, logic.Outcome{Request: t.id, Attempt: at.number, Server: at.id, Result: r, Took: s.now - at.sent, Closed: t.ended, Report: logic.NoReport})
+	s.tell(t.agent, logic.Outcome{Request: t.id, Attempt: at.number, Endpoint: at.id, Result: r, Latency: s.now - at.sent, Closed: t.ended, LoadReport: logic.NoLoadReport})
 	s.forget(t)
 }
