--- a/cmd/ryeweir/soak.go
+++ b/cmd/ryeweir/soak.go
@@ -58,9 +58,9 @@
 	if err != nil {
 		return err
 	}
-	var only soak.Only
+	var only soak.FaultKinds
 	for _, kind := range f.kinds {
-		only = append(only, soak.TroubleKind(kind))
+		only = append(only, soak.FaultKind(kind))
 	}
 	began, broken := time.Now(), 0
 	for n := range f.plays {
@@ -103,12 +103,12 @@
 			return false, err
 		}
 	}
-	r, err := soak.Run(ctx, plan, soak.Options{Program: program, Dir: dir, Plant: f.plant, Out: out})
+	r, err := soak.Run(ctx, plan, soak.Options{Program: program, Dir: dir, PlantedFaults: f.plant, Out: out})
 	if err != nil {
 		return false, err
 	}
 	fmt.Fprintf(out, "seed %d: %d processes, %d requests, %d answered, %d served, %d attempts, %d troubles, latest by %v, %d MB at most, %d violations\n", plan.Seed,
-		r.Processes, r.Requests, r.Answered, r.Served, r.Attempts, len(plan.Troubles), r.Lag.Round(time.Millisecond), r.MostRSS>>20, len(r.Violations))
+		r.Processes, r.Requests, r.Answered, r.Served, r.Attempts, len(plan.Faults), r.Lag.Round(time.Millisecond), r.MostRSS>>20, len(r.Violations))
 	if len(r.Violations) == 0 {
 		if f.dir == "" {
 			err = os.RemoveAll(dir)
--- a/cmd/ryeweir/soak_test.go
+++ b/cmd/ryeweir/soak_test.go
@@ -25,7 +25,7 @@
 		} {
 			t.Run(strings.Fields(fault)[0], func(t *testing.T) {
 				t.Parallel()
-				plan := soak.Draw(5, 7*time.Second, soak.Only{soak.ServerDrain, soak.DiskFails})
+				plan := soak.Draw(5, 7*time.Second, soak.FaultKinds{soak.ServerDrain, soak.DiskFails})
 				r := playSoak(t, plan, fault)
 				seen := map[string]bool{}
 				for _, v := range r.Violations {
@@ -49,7 +49,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r, err := soak.Run(t.Context(), plan, soak.Options{Program: self, Dir: t.TempDir(), Plant: plant})
+	r, err := soak.Run(t.Context(), plan, soak.Options{Program: self, Dir: t.TempDir(), PlantedFaults: plant})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -55,8 +55,8 @@
 func Run(ctx context.Context, cfg platform.Config, ops operator.File, reloads Reloads, sockets Sockets, log *slog.Logger) error {
 	defer sockets.Clients.Close()
 	settings := cfg.Site.Logic
-	ops.Probes.Apply(&settings)
-	settings.ExternalAdmission = ops.Overload.Fleet
+	ops.HealthChecks.Apply(&settings)
+	settings.ExternalAdmission = ops.Overload.Enabled
 	balancer, err := logic.New(settings, cfg.Seed)
 	if err != nil {
 		return fmt.Errorf("settings: %w", err)
@@ -103,7 +103,7 @@
 		Noted: func(err error) {
 			badReport.Do(func() { log.Warn("passing over a malformed report; further ones are not logged", "error", err) })
 		}}
-	prober := healthcheck.New(healthcheck.Config{Settings: ops.Probes.Settings(), Reports: len(cfg.Site.ReportFields) > 0, Clock: clock, Asker: upstream, Log: log})
+	prober := healthcheck.New(healthcheck.Config{Settings: ops.HealthChecks.Settings(), Reports: len(cfg.Site.ReportFields) > 0, Clock: clock, Asker: upstream, Log: log})
 	figures.Add("probes", func() any { return prober.Counts() })
 	fleet, order, err := ops.Overload.Budget(cfg.Site.Logic, cfg.Site.MaxRetryAfter, cfg.Seed)
 	if err != nil {
@@ -112,7 +112,7 @@
 	var disco *discovery.Client
 	var talk *peers
 	var observe func(string, time.Duration, bool)
-	if ops.Peers.On {
+	if ops.Peers.Enabled {
 		if talk, err = newPeers(cfg.Name, ops.Peers, clock, log); err != nil {
 			return err
 		}
@@ -124,7 +124,7 @@
 		Events: events, Monitor: monitor})
 	if fleet != nil {
 		figures.Add("overload", func() any { return c.BudgetStats() })
-		own := budget.SelfLimits{Wait: ops.Overload.Own.Wait.D(), CPU: ops.Overload.Own.CPU, Memory: ops.Overload.Own.Memory}
+		own := budget.SelfLimits{QueueDelay: ops.Overload.SelfLimits.QueueDelay.D(), CPU: ops.Overload.SelfLimits.CPU, Memory: ops.Overload.SelfLimits.Memory}
 		parts.Go(func() { watchOwn(inner, c, own, cfg.Cores, int64(cfg.MemoryMB)<<20, log) })
 	}
 	var sink discovery.Sink = c
@@ -137,7 +137,7 @@
 		Zones: cfg.Site.Zones, Known: cfg.Known, Seed: cfg.Seed, Clock: clock, Dial: sockets.Dial, Sink: sink, Log: log, Events: events})
 	figures.Add("border", func() any { return c.BoundaryViolations() })
 	front := fronthttp.New(fronthttp.Config{Site: cfg.Site, Core: c, Clock: clock, Metrics: figures, Budget: bodies,
-		Most: share.fromClients, AcceptFor: cfg.AcceptFor, DrainFor: ops.Drain.Longest.D(), SocketBuffer: ops.Connections.SocketBufferBytes, Log: log,
+		Most: share.fromClients, AcceptFor: cfg.AcceptFor, DrainFor: ops.Drain.MaxDuration.D(), SocketBuffer: ops.Connections.SocketBufferBytes, Log: log,
 		Events: events, Monitor: monitor})
 	if sockets.Control != nil {
 		parts.Go(func() {
@@ -153,11 +153,11 @@
 	})
 	parts.Go(func() { disco.Run(inner) })
 	if keep {
-		parts.Go(func() { snapshot.Keep(ctx, kept, ops.Snapshot.Every.D(), timeOfDay, c.Knowledge, log) })
+		parts.Go(func() { snapshot.Keep(ctx, kept, ops.Snapshot.Interval.D(), timeOfDay, c.Knowledge, log) })
 	}
 	parts.Go(func() {
 		reloads.follow(inner, cfg, ops, disco, func(fresh operator.File) error {
-			prober.Configure(fresh.Probes.Settings())
+			prober.Configure(fresh.HealthChecks.Settings())
 			return conns.Configure(fresh.Connections.Settings(connections(cfg, share.toBackends)))
 		}, log)
 	})
--- a/internal/agent/closes_test.go
+++ b/internal/agent/closes_test.go
@@ -41,7 +41,7 @@
 	if os.Getenv("RYEWEIR_LONG") != "" {
 		length = 1895
 		arms["trusting"] = func(f *operator.File) {
-			f.Connections.SurePart, f.Connections.SuspectAfter, f.Connections.IdleLeast = 1, 0, sec(10)
+			f.Connections.NonIdempotentIdleFraction, f.Connections.StaleAfterFailures, f.Connections.MinIdleLimit = 1, 0, sec(10)
 		}
 	}
 	for name, ops := range arms {
--- a/internal/agent/learnt.go
+++ b/internal/agent/learnt.go
@@ -24,12 +24,12 @@
 	for _, c := range cfg.Site.Logic.Classes {
 		classes = append(classes, c.Name)
 	}
-	return snapshot.In(dir, cfg.Name, classes), set.Every > 0 && dir != "" && cfg.Name != ""
+	return snapshot.In(dir, cfg.Name, classes), set.Interval > 0 && dir != "" && cfg.Name != ""
 }
 
 // recall starts from what the process before this one had learnt, if that is of use.
 func recall(b *logic.Balancer, f snapshot.File, set operator.Snapshot, clock core.Clock, now time.Time, log *slog.Logger) {
-	k, ago, err := f.Load(now, set.Oldest.D())
+	k, ago, err := f.Load(now, set.MaxAge.D())
 	switch {
 	case errors.Is(err, snapshot.ErrNone):
 	case err != nil:
--- a/internal/agent/own.go
+++ b/internal/agent/own.go
@@ -23,13 +23,13 @@
 	used, at, was := processorTime(), time.Now(), ""
 	every(ctx, ownEvery, func() {
 		now, total := time.Now(), processorTime()
-		load := budget.SelfLoad{Wait: c.QueueDelay(), CPU: (total - used).Seconds() / (now.Sub(at).Seconds() * cores),
+		load := budget.SelfLoad{QueueDelay: c.QueueDelay(), CPU: (total - used).Seconds() / (now.Sub(at).Seconds() * cores),
 			Memory: float64(heldMemory()) / float64(memory)}
 		used, at = total, now
 		over := limits.Exceeded(load)
 		c.SetSelfOverloaded(over != "")
 		if over != was {
-			log.Info("the agent's own load", "over", over, "wait", load.Wait, "cpu", load.CPU, "memory", load.Memory)
+			log.Info("the agent's own load", "over", over, "wait", load.QueueDelay, "cpu", load.CPU, "memory", load.Memory)
 			was = over
 		}
 	})
--- a/internal/agent/peers.go
+++ b/internal/agent/peers.go
@@ -41,9 +41,9 @@
 	order sync.Mutex // of what the core is told of the list; taken before mu
 
 	mu      sync.Mutex // guards what follows
-	state   *fleetstate.State
-	doubts  *fleetstate.Doubts
-	overlay *fleetstate.Overlay
+	state   *fleetstate.Replica
+	doubts  *fleetstate.FailureReporter
+	overlay *fleetstate.DrainOverlay
 	listed  map[string]listed
 	parts   map[string]heardPart
 
@@ -73,8 +73,8 @@
 }
 
 // life is the life of a server that is listed, as all agents name it: each has a clock of its own.
-func (p *peers) life(m core.Endpoint) fleetstate.Life {
-	return fleetstate.Life{Server: m.ID, Started: m.StartedMS}
+func (p *peers) life(m core.Endpoint) fleetstate.Incarnation {
+	return fleetstate.Incarnation{Server: m.ID, Started: m.StartedMS}
 }
 
 type heardPart struct {
@@ -85,14 +85,14 @@
 
 // newPeers begins to listen for peers; run does the rest.
 func newPeers(name string, set operator.Peers, clock core.Clock, log *slog.Logger) (*peers, error) {
-	p := &peers{name: name, set: set, clock: clock, log: log, wake: make(chan struct{}, 1), state: fleetstate.New(fleetstate.DefaultLimits()),
-		doubts: fleetstate.NewDoubts(mostDoubts), overlay: fleetstate.NewOverlay(confirmIn), listed: map[string]listed{},
+	p := &peers{name: name, set: set, clock: clock, log: log, wake: make(chan struct{}, 1), state: fleetstate.NewReplica(fleetstate.DefaultLimits()),
+		doubts: fleetstate.NewFailureReporter(mostDoubts), overlay: fleetstate.NewDrainOverlay(confirmIn), listed: map[string]listed{},
 		parts: map[string]heardPart{}, suspects: map[string]bool{}}
 	cfg := membership.Config{Name: name, Bind: set.Bind, Advertise: set.Advertise, Seeds: set.Seeds, Label: set.Label, Timing: membership.DefaultTiming(),
-		Handler: p, Log: log}
+		Handler: p, Logger: log}
 	if set.KeyFile != "" {
 		var err error
-		if cfg.Key, err = os.ReadFile(set.KeyFile); err != nil {
+		if cfg.EncryptionKey, err = os.ReadFile(set.KeyFile); err != nil {
 			return nil, fmt.Errorf("peers: the key: %w", err)
 		}
 	}
@@ -112,9 +112,9 @@
 	p.mu.Lock()
 	named := map[string]bool{}
 	var tell []fleetstate.Fact
-	end := func(life fleetstate.Life, state int64) {
-		if p.set.Facts {
-			key := fleetstate.Key{Kind: fleetstate.Notice, Server: life.Server, Life: life.Started, Origin: p.name}
+	end := func(life fleetstate.Incarnation, state int64) {
+		if p.set.ShareFacts {
+			key := fleetstate.Key{Kind: fleetstate.Notice, Server: life.Server, Started: life.Started, Origin: p.name}
 			if f, fresh := p.state.Put(time.Now(), key, state, p.name); fresh {
 				tell = append(tell, f)
 			}
@@ -128,12 +128,12 @@
 		case known && p.life(old.Endpoint) == p.life(m):
 			next.since = old.since
 		case known && m.StartedAt > old.StartedAt: // who is not told takes the new process, which is cold, for the one before
-			end(p.life(old.Endpoint), fleetstate.Gone)
+			end(p.life(old.Endpoint), fleetstate.Removed)
 		}
 		switch m.State {
 		case logic.Removed:
 			if known {
-				end(p.life(old.Endpoint), fleetstate.Gone)
+				end(p.life(old.Endpoint), fleetstate.Removed)
 			}
 			delete(p.listed, m.ID)
 			continue
@@ -145,7 +145,7 @@
 	if l.Full {
 		for id, old := range p.listed {
 			if !named[id] {
-				end(p.life(old.Endpoint), fleetstate.Gone)
+				end(p.life(old.Endpoint), fleetstate.Removed)
 				delete(p.listed, id)
 			}
 		}
@@ -157,7 +157,7 @@
 		delete(changed, m.ID)
 	}
 	p.mu.Unlock()
-	p.member.Tell(tell)
+	p.member.Broadcast(tell)
 	p.core.UpdateEndpoints(out)
 	p.setChanged(changed)
 }
@@ -167,7 +167,7 @@
 
 // shown is a server of the own list as the core is to know it. The lock is held.
 func (p *peers) shown(m core.Endpoint) core.Endpoint {
-	if m.State == logic.Ready && p.overlay.Held(p.life(m)) {
+	if m.State == logic.Ready && p.overlay.Drained(p.life(m)) {
 		m.State = logic.Draining
 	}
 	return m
@@ -175,21 +175,21 @@
 
 // hold asks anew what peers' word holds back, and returns the servers of which that has changed. The lock is held.
 func (p *peers) hold() map[string]core.Endpoint {
-	ready, before := map[fleetstate.Life]bool{}, map[string]bool{}
+	ready, before := map[fleetstate.Incarnation]bool{}, map[string]bool{}
 	for id, l := range p.listed {
 		if l.State == logic.Ready {
 			ready[p.life(l.Endpoint)] = true
-			before[id] = p.overlay.Held(p.life(l.Endpoint))
+			before[id] = p.overlay.Drained(p.life(l.Endpoint))
 		}
 	}
 	now := time.Now()
-	_, differs := p.overlay.Hold(now, ready, p.state.Notices(now))
+	_, differs := p.overlay.Update(now, ready, p.state.ConfirmedNotices(now))
 	if !differs {
 		return nil
 	}
 	changed := map[string]core.Endpoint{}
 	for id, was := range before {
-		if is := p.overlay.Held(p.life(p.listed[id].Endpoint)); is != was {
+		if is := p.overlay.Drained(p.life(p.listed[id].Endpoint)); is != was {
 			changed[id] = p.listed[id].Endpoint
 			if is {
 				p.saved.Add(1)
@@ -218,37 +218,37 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if l, ok := p.listed[server]; ok && sent >= l.since { // else it went to the life before
-		p.doubts.Ended(p.life(l.Endpoint), well)
+		p.doubts.AttemptEnded(p.life(l.Endpoint), well)
 	}
 }
 
-// Heard takes in facts that a peer told.
-func (p *peers) Heard(facts []fleetstate.Fact) []fleetstate.Fact {
-	if !p.set.Facts {
+// MergeFacts takes in facts that a peer told.
+func (p *peers) MergeFacts(facts []fleetstate.Fact) []fleetstate.Fact {
+	if !p.set.ShareFacts {
 		return nil
 	}
 	p.mu.Lock()
 	now := time.Now()
 	var fresh, ours []fleetstate.Fact
 	for i, f := range facts {
-		life := fleetstate.Life{Server: f.Server, Started: f.Life}
-		said := p.state.Ends(life)
+		life := fleetstate.Incarnation{Server: f.Server, Started: f.Started}
+		said := p.state.NoticeState(life)
 		if got := p.state.Merge(now, facts[i:i+1]); len(got) > 0 {
 			fresh = append(fresh, got...)
-			if p.state.Ends(life) > said { // now it is believed
-				p.lag.add(now.Sub(p.state.FirstTold(life)))
+			if p.state.NoticeState(life) > said { // now it is believed
+				p.lag.add(now.Sub(p.state.FirstNoticed(life)))
 			}
 			// Nobody but us says what we suspect: what another says in our name, or what we said in an earlier life, we take back.
 			if f.Kind == fleetstate.Suspicion && f.Origin == p.name {
 				p.forged.Add(1)
-				if own, fresh := p.state.Put(now, f.Key, p.doubts.Told(life), p.name); fresh {
+				if own, fresh := p.state.Put(now, f.Key, p.doubts.LastReported(life), p.name); fresh {
 					ours = append(ours, own)
 				}
 			}
 		}
 	}
 	p.mu.Unlock()
-	p.member.Tell(ours)
+	p.member.Broadcast(ours)
 	if len(fresh) > 0 {
 		select {
 		case p.wake <- struct{}{}:
@@ -258,16 +258,16 @@
 	return fresh
 }
 
-// Whole is the replica.
-func (p *peers) Whole() []fleetstate.Fact {
+// Facts is the replica.
+func (p *peers) Facts() []fleetstate.Fact {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.state.Expire(time.Now())
 	return p.state.Facts()
 }
 
-// Part takes in a peer's part of the fleet's level.
-func (p *peers) Part(from string, number uint64, part budget.PeerState) {
+// UpdatePeerState takes in a peer's part of the fleet's level.
+func (p *peers) UpdatePeerState(from string, number uint64, part budget.PeerState) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	old, known := p.parts[from]
@@ -311,26 +311,26 @@
 }
 
 func (p *peers) tellDoubts() {
-	if !p.set.Facts {
+	if !p.set.ShareFacts {
 		return
 	}
 	now := time.Now()
 	var tell []fleetstate.Fact
 	p.mu.Lock()
 	p.state.Expire(now)
-	for _, t := range p.doubts.Tell(now, len(p.listed), fleetstate.DefaultLimits().SuspectFor) {
-		key := fleetstate.Key{Kind: fleetstate.Suspicion, Server: t.Server, Life: t.Started, Origin: p.name}
-		if f, fresh := p.state.Put(now, key, t.Wrong, p.name); fresh {
+	for _, t := range p.doubts.Reports(now, len(p.listed), fleetstate.DefaultLimits().SuspicionTTL) {
+		key := fleetstate.Key{Kind: fleetstate.Suspicion, Server: t.Server, Started: t.Started, Origin: p.name}
+		if f, fresh := p.state.Put(now, key, t.Failures, p.name); fresh {
 			tell = append(tell, f)
 		}
 	}
 	p.mu.Unlock()
-	p.member.Tell(tell)
+	p.member.Broadcast(tell)
 }
 
 // exchange hands the peers' parts of the level to the budget and sends ours.
 func (p *peers) exchange() {
-	if !p.set.Level {
+	if !p.set.ShareBudget {
 		return
 	}
 	there := p.member.Peers()
@@ -348,7 +348,7 @@
 	}
 	p.mu.Unlock()
 	if own, ok := p.core.ExchangePeerState(parts, len(there)); ok {
-		p.member.SendPart(own, budget.GossipFanout)
+		p.member.SendPeerState(own, budget.GossipFanout)
 	}
 }
 
@@ -360,7 +360,7 @@
 	}
 	p.mu.Lock()
 	is := map[string]bool{}
-	for life := range p.state.Suspects(time.Now(), there, len(p.listed)) {
+	for life := range p.state.Suspected(time.Now(), there, len(p.listed)) {
 		if l, ok := p.listed[life.Server]; ok && p.life(l.Endpoint) == life {
 			is[l.ID] = true
 		}
@@ -379,19 +379,19 @@
 
 // peerFigures are what operators read of it.
 type peerFigures struct {
-	membership.Counts
-	Facts     fleetstate.Figures `json:"facts"`
-	Digest    string             `json:"digest"`          // of the notices held: equal at agents whose copies agree
-	HeldBack  int64              `json:"held_back"`       // times that a server got nothing new on peers' word, before the own list's
-	Withheld  int64              `json:"doubts_withheld"` // looks at which this agent doubted most servers, and so itself
-	Forged    int64              `json:"forged"`          // suspicions that came in this agent's name and were taken back
-	Parts     int                `json:"parts"`           // peers whose part of the level is known
-	PeerNames []string           `json:"names"`
-	Notices   lag                `json:"notices"` // of drains and ends, as they came from peers
+	membership.Stats
+	Facts     fleetstate.Stats `json:"facts"`
+	Digest    string           `json:"digest"`          // of the notices held: equal at agents whose copies agree
+	HeldBack  int64            `json:"held_back"`       // times that a server got nothing new on peers' word, before the own list's
+	Withheld  int64            `json:"doubts_withheld"` // looks at which this agent doubted most servers, and so itself
+	Forged    int64            `json:"forged"`          // suspicions that came in this agent's name and were taken back
+	Parts     int              `json:"parts"`           // peers whose part of the level is known
+	PeerNames []string         `json:"names"`
+	Notices   lag              `json:"notices"` // of drains and ends, as they came from peers
 }
 
 func (p *peers) figures() any {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return peerFigures{p.member.Counts(), p.state.Figures(), strconv.FormatUint(p.state.Digest(time.Now()), 16), p.saved.Load(), p.doubts.Withheld, p.forged.Load(), len(p.parts), p.member.Peers(), p.lag}
+	return peerFigures{p.member.Stats(), p.state.Stats(), strconv.FormatUint(p.state.Digest(time.Now()), 16), p.saved.Load(), p.doubts.WithheldScans, p.forged.Load(), len(p.parts), p.member.Peers(), p.lag}
 }
--- a/internal/agent/peers_test.go
+++ b/internal/agent/peers_test.go
@@ -69,9 +69,9 @@
 	d := testkit.NewDiscovery(t, 1, testkit.EntryText("s-1", b.Addr().String(), "Ready", 0))
 	type figures struct{ Pressed int64 }
 	ops := operator.Default()
-	ops.Overload.Fleet = true
+	ops.Overload.Enabled = true
 	idle := startAs(t, d, ops)
-	ops.Overload.Own.Memory = 0.0001
+	ops.Overload.SelfLimits.Memory = 0.0001
 	over := startAs(t, d, ops)
 	testkit.Eventually(t, "the level is pressed", func() bool { return figure[figures](t, over, "overload").Pressed > 0 })
 	if n := figure[figures](t, idle, "overload").Pressed; n > 0 {
@@ -93,7 +93,7 @@
 func talking(t *testing.T) (*peers, chan core.EndpointList) {
 	t.Helper()
 	clock := core.NewClock()
-	p, err := newPeers("me", operator.Peers{On: true, Bind: "127.0.0.1:0", Facts: true}, clock, slog.New(slog.DiscardHandler))
+	p, err := newPeers("me", operator.Peers{Enabled: true, Bind: "127.0.0.1:0", ShareFacts: true}, clock, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -133,12 +133,12 @@
 		t.Fatalf("%v", s)
 	}
 	notice := func(by, server string, life int64) fleetstate.Fact {
-		other := fleetstate.New(fleetstate.DefaultLimits())
-		f, _ := other.Put(time.Now(), fleetstate.Key{Kind: fleetstate.Notice, Server: server, Life: life, Origin: by}, fleetstate.Draining, by)
+		other := fleetstate.NewReplica(fleetstate.DefaultLimits())
+		f, _ := other.Put(time.Now(), fleetstate.Key{Kind: fleetstate.Notice, Server: server, Started: life, Origin: by}, fleetstate.Draining, by)
 		return f
 	}
-	p.Heard([]fleetstate.Fact{notice("x", "b", 8)}) // of one agent alone: what the core is told next says nothing of b
-	if fresh := p.Heard([]fleetstate.Fact{notice("x", "a", 6), notice("y", "a", 6), notice("x", "a", 7), notice("y", "a", 7)}); len(fresh) != 4 {
+	p.MergeFacts([]fleetstate.Fact{notice("x", "b", 8)}) // of one agent alone: what the core is told next says nothing of b
+	if fresh := p.MergeFacts([]fleetstate.Fact{notice("x", "a", 6), notice("y", "a", 6), notice("x", "a", 7), notice("y", "a", 7)}); len(fresh) != 4 {
 		t.Fatalf("told on: %v", fresh)
 	}
 	if s := states(<-told); len(s) != 1 || s["a"] != logic.Draining {
@@ -150,7 +150,7 @@
 		t.Errorf("told of %v", s)
 	}
 	// With b there would be two of three out: nobody is believed any more.
-	p.Heard([]fleetstate.Fact{notice("y", "b", 8)})
+	p.MergeFacts([]fleetstate.Fact{notice("y", "b", 8)})
 	if s := states(<-told); s["a"] != logic.Ready {
 		t.Errorf("told of %v", s)
 	}
@@ -158,28 +158,28 @@
 	p.UpdateEndpoints(core.EndpointList{Endpoints: []core.Endpoint{p.ready("c", 90)}})
 	<-told
 	says := func(server string, life int64) (value int64) {
-		for _, f := range p.Whole() {
-			if f.Server == server && f.Life == life && f.By == "me" {
+		for _, f := range p.Facts() {
+			if f.Server == server && f.Started == life && f.Reporter == "me" {
 				value = f.Value
 			}
 		}
 		return value
 	}
-	if says("c", 9) != fleetstate.Gone || says("c", 90) != 0 {
-		t.Errorf("of a restart is told %v", p.Whole())
+	if says("c", 9) != fleetstate.Removed || says("c", 90) != 0 {
+		t.Errorf("of a restart is told %v", p.Facts())
 	}
 	draining := p.ready("c", 90)
 	draining.State = logic.Draining
 	p.UpdateEndpoints(core.EndpointList{Endpoints: []core.Endpoint{draining}})
 	<-told
 	if says("c", 90) != fleetstate.Draining {
-		t.Errorf("what the own list says is not told: %v", p.Whole())
+		t.Errorf("what the own list says is not told: %v", p.Facts())
 	}
 	// What comes in this agent's name and is not so is taken back.
-	forged := fleetstate.New(fleetstate.DefaultLimits())
-	lie, _ := forged.Put(time.Now().Add(fleetstate.MostAhead/2), fleetstate.Key{Kind: fleetstate.Suspicion, Server: "b", Life: 8, Origin: "me"}, 9, "me")
-	p.Heard([]fleetstate.Fact{lie, {Key: fleetstate.Key{Kind: 77, Server: "a"}}})
-	if f := p.figures().(peerFigures); f.Facts.Refused != 1 || f.HeldBack == 0 || f.Forged != 1 || says("b", 8) != 0 {
+	forged := fleetstate.NewReplica(fleetstate.DefaultLimits())
+	lie, _ := forged.Put(time.Now().Add(fleetstate.MaxClockSkew/2), fleetstate.Key{Kind: fleetstate.Suspicion, Server: "b", Started: 8, Origin: "me"}, 9, "me")
+	p.MergeFacts([]fleetstate.Fact{lie, {Key: fleetstate.Key{Kind: 77, Server: "a"}}})
+	if f := p.figures().(peerFigures); f.Facts.Rejected != 1 || f.HeldBack == 0 || f.Forged != 1 || says("b", 8) != 0 {
 		t.Errorf("%+v", f)
 	}
 }
--- a/internal/agent/reload.go
+++ b/internal/agent/reload.go
@@ -55,11 +55,11 @@
 		return old
 	}
 	log.Info("operators' file reloaded")
-	if keys := old.Fixed(fresh); len(keys) > 0 {
+	if keys := old.RestartRequired(fresh); len(keys) > 0 {
 		log.Warn("keys have changed that take effect at the next start only", "keys", keys)
-		fresh.Connections.Places, fresh.Connections.SocketBufferBytes = old.Connections.Places, old.Connections.SocketBufferBytes
+		fresh.Connections.MaxConnections, fresh.Connections.SocketBufferBytes = old.Connections.MaxConnections, old.Connections.SocketBufferBytes
 		fresh.Overload, fresh.Peers = old.Overload, old.Peers
-		fresh.Drain, fresh.Snapshot, fresh.Probes.Share, fresh.Probes.PerServer = old.Drain, old.Snapshot, old.Probes.Share, old.Probes.PerServer
+		fresh.Drain, fresh.Snapshot, fresh.HealthChecks.PerRequest, fresh.HealthChecks.PerEndpointRate = old.Drain, old.Snapshot, old.HealthChecks.PerRequest, old.HealthChecks.PerEndpointRate
 	}
 	return fresh
 }
--- a/internal/agent/reload_test.go
+++ b/internal/agent/reload_test.go
@@ -157,7 +157,7 @@
 		defer close(done)
 		r.follow(ctx, cfg, ops, d, func(f operator.File) error {
 			applied = append(applied, f)
-			if f.Connections.PerServer == 9 {
+			if f.Connections.MaxPerEndpoint == 9 {
 				return errors.New("too many")
 			}
 			return nil
@@ -175,7 +175,7 @@
 	}
 	stop()
 	<-done
-	if len(applied) != 3 || applied[0].Connections.PerServer != 4 || applied[1].Connections.Places != 50 {
+	if len(applied) != 3 || applied[0].Connections.MaxPerEndpoint != 4 || applied[1].Connections.MaxConnections != 50 {
 		t.Errorf("applied %+v", applied)
 	}
 }
--- a/internal/agent/scripted_test.go
+++ b/internal/agent/scripted_test.go
@@ -87,7 +87,7 @@
 // ask runs an agent that knows one backend, at node:80, and sends it one request.
 func ask(t *testing.T, network *link.Network, method, path string) (status int, body string) {
 	ops := operator.Default()
-	ops.Probes.Share = 0 // the script is for requests
+	ops.HealthChecks.PerRequest = 0 // the script is for requests
 	return askWith(t, network, ops, slog.New(slog.DiscardHandler), method, path)
 }
 
@@ -133,7 +133,7 @@
 func TestLearntGoesOn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ops := operator.Default()
-		ops.Probes.Share, ops.Snapshot.Dir = 0, t.TempDir()
+		ops.HealthChecks.PerRequest, ops.Snapshot.Dir = 0, t.TempDir()
 		var logged bytes.Buffer
 		log := slog.New(slog.NewTextHandler(&logged, nil))
 		for run, want := range []string{"", "starting with what was learnt before", "the snapshot is spoilt"} {
--- a/internal/agent/stages_test.go
+++ b/internal/agent/stages_test.go
@@ -61,7 +61,7 @@
 	cfg := knows(t, "127.0.0.1:90", ids...)
 	change(&cfg)
 	ops := operator.Default()
-	ops.Probes.Share = 0 // the scripts are for requests
+	ops.HealthChecks.PerRequest = 0 // the scripts are for requests
 	hangups := make(chan os.Signal, 1)
 	reloads := agent.Reloads{Signals: hangups, Load: func() (platform.Config, error) { return cfg, nil }}
 	sockets := agent.Sockets{Clients: listen("agent:80"), Control: listen("agent:90"), Dial: d.network.Dialer("agent")}
--- a/internal/budget/budget.go
+++ b/internal/budget/budget.go
@@ -17,28 +17,28 @@
 
 // Settings say how the level moves and what retries and probes may cost. Zero values are not valid: see Defaults.
 type Settings struct {
-	Target   float64       // share of attempts that may meet overload (turned away, timed out) where all demand is taken: above 0, below 1
-	Lean     float64       // a level that takes a share s bears Target times 1 + Lean ln(1/s): from 0 to 10
-	Step     float64       // an attempt that meets overload cuts the rate by this, as an exponent of e: above 0 up to 2
-	Gain     float64       // and all attempts of a second by at most this times their rate of overload, likewise: above 0 up to 100
-	Keep     float64       // but not below this part of what nodes served of late: from 0 to below 1
-	Headroom float64       // the rate is at most this many times the highest rate sent of late: from 1 to 100
-	Spare    float64       // and so many requests a second more: 0 or more
-	Start    float64       // the rate of an agent that has just started, requests a second: above 0
-	Least    float64       // the rate never falls below this, requests a second, so that news of recovery still comes: above 0
-	Burst    time.Duration // a burst may bring what is asked for in such a time at once, and leastBurst requests more: up to a minute
-	Memory   time.Duration // over which demand and what was sent are counted: from 100 ms to an hour
-	Retries  float64       // retries at most this share of first tries: 0 to 1
-	Floor    float64       // and this many a second more, for all agents of the fleet together: 0 or more
-	Agents   int           // of the fleet: 1 or more
-	Probes   float64       // probes at most this share of first tries: 0 to 1
-	Longest  time.Duration // the longest come-back time that a shed request is given; 0 for none
+	TargetOverloadRatio float64       // share of attempts that may meet overload (turned away, timed out) where all demand is taken: above 0, below 1
+	FairnessGain        float64       // a level that takes a share s bears Target times 1 + Lean ln(1/s): from 0 to 10
+	MaxStep             float64       // an attempt that meets overload cuts the rate by this, as an exponent of e: above 0 up to 2
+	StepsPerSecond      float64       // and all attempts of a second by at most this times their rate of overload, likewise: above 0 up to 100
+	MinServedFraction   float64       // but not below this part of what nodes served of late: from 0 to below 1
+	HeadroomFactor      float64       // the rate is at most this many times the highest rate sent of late: from 1 to 100
+	HeadroomRate        float64       // and so many requests a second more: 0 or more
+	InitialRate         float64       // the rate of an agent that has just started, requests a second: above 0
+	MinRate             float64       // the rate never falls below this, requests a second, so that news of recovery still comes: above 0
+	BurstWindow         time.Duration // a burst may bring what is asked for in such a time at once, and leastBurst requests more: up to a minute
+	AveragingWindow     time.Duration // over which demand and what was sent are counted: from 100 ms to an hour
+	RetryRatio          float64       // retries at most this share of first tries: 0 to 1
+	FleetRetryRate      float64       // and this many a second more, for all agents of the fleet together: 0 or more
+	Agents              int           // of the fleet: 1 or more
+	HealthCheckRatio    float64       // probes at most this share of first tries: 0 to 1
+	MaxRetryAfter       time.Duration // the longest come-back time that a shed request is given; 0 for none
 }
 
 // Defaults are the settings that the figures in docs/overload.md were measured with.
 func Defaults() Settings {
-	return Settings{Target: 0.025, Lean: 1, Step: 0.05, Gain: 3, Keep: 0.7, Headroom: 2, Spare: 5, Start: 20, Least: 0.5, Burst: 250 * time.Millisecond,
-		Memory: time.Second, Retries: 0.1, Floor: 10, Agents: 1, Probes: 0.01}
+	return Settings{TargetOverloadRatio: 0.025, FairnessGain: 1, MaxStep: 0.05, StepsPerSecond: 3, MinServedFraction: 0.7, HeadroomFactor: 2, HeadroomRate: 5, InitialRate: 20, MinRate: 0.5, BurstWindow: 250 * time.Millisecond,
+		AveragingWindow: time.Second, RetryRatio: 0.1, FleetRetryRate: 10, Agents: 1, HealthCheckRatio: 0.01}
 }
 
 // Check says what is wrong with settings.
@@ -49,44 +49,44 @@
 			all = append(all, errors.New(what))
 		}
 	}
-	wrong(!(s.Target > 0 && s.Target < 1), "target must be above 0 and below 1")
-	wrong(!(s.Lean >= 0 && s.Lean <= 10), "lean must be from 0 to 10")
-	wrong(!(s.Step > 0 && s.Step <= 2), "step must be above 0, up to 2")
-	wrong(!(s.Gain > 0 && s.Gain <= 100), "gain must be above 0 up to 100")
-	wrong(!(s.Keep >= 0 && s.Keep < 1), "keep must be from 0 to below 1")
-	wrong(!(s.Headroom >= 1 && s.Headroom <= 100), "headroom must be from 1 to 100")
-	wrong(!(s.Spare >= 0 && s.Spare <= 1e6), "spare must be from 0 to 1000000")
-	wrong(!(s.Start > 0 && s.Start <= 1e6) || !(s.Least > 0 && s.Least <= s.Start), "start must be above 0 up to 1000000, and least above 0 up to start")
-	wrong(s.Burst < 0 || s.Burst > time.Minute, "burst must be from 0s to 1m")
-	wrong(s.Memory < 100*time.Millisecond || s.Memory > time.Hour, "memory must be from 100ms to 1h")
-	wrong(!(s.Retries >= 0 && s.Retries <= 1) || !(s.Probes >= 0 && s.Probes <= 1), "retries and probes must be from 0 to 1")
-	wrong(!(s.Floor >= 0 && s.Floor <= 1e6), "floor must be from 0 to 1000000")
+	wrong(!(s.TargetOverloadRatio > 0 && s.TargetOverloadRatio < 1), "target must be above 0 and below 1")
+	wrong(!(s.FairnessGain >= 0 && s.FairnessGain <= 10), "lean must be from 0 to 10")
+	wrong(!(s.MaxStep > 0 && s.MaxStep <= 2), "step must be above 0, up to 2")
+	wrong(!(s.StepsPerSecond > 0 && s.StepsPerSecond <= 100), "gain must be above 0 up to 100")
+	wrong(!(s.MinServedFraction >= 0 && s.MinServedFraction < 1), "keep must be from 0 to below 1")
+	wrong(!(s.HeadroomFactor >= 1 && s.HeadroomFactor <= 100), "headroom must be from 1 to 100")
+	wrong(!(s.HeadroomRate >= 0 && s.HeadroomRate <= 1e6), "spare must be from 0 to 1000000")
+	wrong(!(s.InitialRate > 0 && s.InitialRate <= 1e6) || !(s.MinRate > 0 && s.MinRate <= s.InitialRate), "start must be above 0 up to 1000000, and least above 0 up to start")
+	wrong(s.BurstWindow < 0 || s.BurstWindow > time.Minute, "burst must be from 0s to 1m")
+	wrong(s.AveragingWindow < 100*time.Millisecond || s.AveragingWindow > time.Hour, "memory must be from 100ms to 1h")
+	wrong(!(s.RetryRatio >= 0 && s.RetryRatio <= 1) || !(s.HealthCheckRatio >= 0 && s.HealthCheckRatio <= 1), "retries and probes must be from 0 to 1")
+	wrong(!(s.FleetRetryRate >= 0 && s.FleetRetryRate <= 1e6), "floor must be from 0 to 1000000")
 	wrong(s.Agents < 1, "agents must be 1 or more")
-	wrong(s.Longest < 0, "longest must not be below 0")
+	wrong(s.MaxRetryAfter < 0, "longest must not be below 0")
 	return errors.Join(all...)
 }
 
 // Stats are what the budget has done, for operators. Counts only grow.
 type Stats struct {
-	Admitted     float64         `json:"Admitted"`     // the share of demand that the level takes at present
-	Rate         float64         `json:"Rate"`         // requests a second that it lets through
-	Demand       float64         `json:"Demand"`       // requests a second that are asked for
-	Fleet        float64         `json:"Fleet"`        // the rate of all agents together, where peers tell theirs; else 0
-	Shed         int64           `json:"Shed"`         // requests refused by the level
-	ShedInOrder  int64           `json:"ShedInOrder"`  // of them, those shed as worthier demand fills the level
-	Withheld     int64           `json:"Withheld"`     // retries not sent, as the budget had none
-	ProbesDenied int64           `json:"ProbesDenied"` // probes not sent
-	Overloads    int64           `json:"Overloads"`    // attempts that met overload
-	Pressed      int64           `json:"Pressed"`      // times that the agent itself was over
-	Level        float64         `json:"Level"`        // requests a second that its own level would let through
-	Worths       []PriorityStats `json:"Worths"`
+	AdmittedFraction   float64         `json:"Admitted"`     // the share of demand that the level takes at present
+	AllowedRate        float64         `json:"Rate"`         // requests a second that it lets through
+	DemandRate         float64         `json:"Demand"`       // requests a second that are asked for
+	FleetRate          float64         `json:"Fleet"`        // the rate of all agents together, where peers tell theirs; else 0
+	Shed               int64           `json:"Shed"`         // requests refused by the level
+	ShedInOrder        int64           `json:"ShedInOrder"`  // of them, those shed as worthier demand fills the level
+	RetriesDenied      int64           `json:"Withheld"`     // retries not sent, as the budget had none
+	HealthChecksDenied int64           `json:"ProbesDenied"` // probes not sent
+	Overloads          int64           `json:"Overloads"`    // attempts that met overload
+	SelfOverloads      int64           `json:"Pressed"`      // times that the agent itself was over
+	OwnRate            float64         `json:"Level"`        // requests a second that its own level would let through
+	Priorities         []PriorityStats `json:"Worths"`
 }
 
 // PriorityStats are those of one worth, the highest first.
 type PriorityStats struct {
-	Worth  float64 `json:"Worth"`
-	Demand float64 `json:"Demand"` // requests a second that are asked for
-	Shed   int64   `json:"Shed"`   // requests refused by the level
+	Priority   float64 `json:"Worth"`
+	DemandRate float64 `json:"Demand"` // requests a second that are asked for
+	Shed       int64   `json:"Shed"`   // requests refused by the level
 }
 
 // Budget is one agent's part of the fleet's budgets. Its zero value is not usable: see New.
@@ -127,8 +127,8 @@
 	return &Budget{set: set, level: newLevel(set), own: 1, jam: 1, room: leastBurst, retries: leastTokens}, nil
 }
 
-// Verdict is what the budget says of a request that arrives.
-type Verdict struct {
+// Decision is what the budget says of a request that arrives.
+type Decision struct {
 	Admit      bool
 	RetryAfter time.Duration // a come-back time for one that is shed; 0 for none
 }
@@ -137,7 +137,7 @@
 // what it covers is taken while there is room; the class at its edge while there is more room than the worthier may need at
 // once, which is the more the more of the rate is theirs; and what is below is shed, unless the room lies unused. So
 // place-order, the worthiest, is shed last.
-func (b *Budget) Admit(now time.Duration, worth float64) Verdict {
+func (b *Budget) Admit(now time.Duration, worth float64) Decision {
 	b.advance(now)
 	b.count(worth)
 	b.latest.add(now, latestMemory, 1)
@@ -152,9 +152,9 @@
 	if b.room >= needs {
 		b.room--
 		b.level.pass(now)
-		b.retries = min(b.retries+b.set.Retries, b.mostRetries())
-		b.probes = min(b.probes+b.set.Probes, leastTokens)
-		return Verdict{Admit: true}
+		b.retries = min(b.retries+b.set.RetryRatio, b.mostRetries())
+		b.probes = min(b.probes+b.set.HealthCheckRatio, leastTokens)
+		return Decision{Admit: true}
 	}
 	b.figs.Shed++
 	if i, found := b.search(worth); found { // else it is counted with the lowest that is kept
@@ -165,17 +165,17 @@
 	if inOrder {
 		b.figs.ShedInOrder++
 	}
-	return Verdict{RetryAfter: b.comeBack(now)}
+	return Decision{RetryAfter: b.comeBack(now)}
 }
 
 // comeBack is about how long the rate takes to rise to the demand, if the nodes turn nothing away meanwhile.
 func (b *Budget) comeBack(now time.Duration) time.Duration {
-	if b.set.Longest <= 0 {
+	if b.set.MaxRetryAfter <= 0 {
 		return 0
 	}
 	share := b.share(now)
-	perSecond := b.set.Step * b.level.bears(share) * max(1, b.rate()) // exponent of e by which the rate rises
-	return min(b.set.Longest, time.Duration(max(math.Log(1/share)/perSecond, leastComeBack)*float64(time.Second)))
+	perSecond := b.set.MaxStep * b.level.bears(share) * max(1, b.rate()) // exponent of e by which the rate rises
+	return min(b.set.MaxRetryAfter, time.Duration(max(math.Log(1/share)/perSecond, leastComeBack)*float64(time.Second)))
 }
 
 // leastComeBack is the come-back time, in seconds, of a request that found a burst before it.
@@ -192,7 +192,7 @@
 			b.demand = slices.Insert(b.demand, i, worthRate{worth: worth, rate: rate{begun: b.level.sent.begun, last: b.now}})
 		}
 	}
-	b.demand[i].add(b.now, b.set.Memory, 1)
+	b.demand[i].add(b.now, b.set.AveragingWindow, 1)
 }
 
 // onset is by how many times more comes in the latest moment than the count of demand has: at the onset of a surge, before it has
@@ -213,21 +213,21 @@
 // asked is all that is asked for, requests a second.
 func (b *Budget) asked(now time.Duration) (sum float64) {
 	for i := range b.demand {
-		sum += b.demand[i].perSecond(now, b.set.Memory)
+		sum += b.demand[i].perSecond(now, b.set.AveragingWindow)
 	}
 	return sum
 }
 
 // Outcome is what became of an attempt, as the budget needs it.
 type Outcome struct {
-	Overload bool          // turned away unseen or timed out: the node had no room
-	SentAt   time.Duration // when the attempt was sent
+	Overloaded bool          // turned away unseen or timed out: the node had no room
+	SentAt     time.Duration // when the attempt was sent
 }
 
 // AttemptEnded counts the outcome of an attempt.
 func (b *Budget) AttemptEnded(now time.Duration, o Outcome) {
 	b.advance(now)
-	if o.Overload {
+	if o.Overloaded {
 		b.figs.Overloads++
 	}
 	b.level.outcome(now, o, b.asked(now))
@@ -246,14 +246,14 @@
 // depth is how much room may be saved up, requests: for what chance brings of what is asked for. Savings of a rate that nobody
 // asks for would all go out in the first moment of a surge, at all agents in the same.
 func (b *Budget) depth() float64 {
-	return leastBurst + min(b.rate(), b.asked(b.now))*b.set.Burst.Seconds()
+	return leastBurst + min(b.rate(), b.asked(b.now))*b.set.BurstWindow.Seconds()
 }
 
 // leastTokens may always be saved, so that what is earned in parts is not cut off at a whole one.
 const leastTokens = 2
 
 // floor is this agent's part of the fleet's floor of retries, a second.
-func (b *Budget) floor() float64 { return b.set.Floor / float64(b.set.Agents) }
+func (b *Budget) floor() float64 { return b.set.FleetRetryRate / float64(b.set.Agents) }
 
 // mostRetries bounds what may be saved: the floor's part for one second.
 func (b *Budget) mostRetries() float64 { return max(leastTokens, b.floor()) }
@@ -266,7 +266,7 @@
 		b.retries--
 		return true
 	}
-	b.figs.Withheld++
+	b.figs.RetriesDenied++
 	return false
 }
 
@@ -276,7 +276,7 @@
 		b.probes--
 		return true
 	}
-	b.figs.ProbesDenied++
+	b.figs.HealthChecksDenied++
 	return false
 }
 
@@ -299,14 +299,14 @@
 // Stats returns what it has done.
 func (b *Budget) Stats() Stats {
 	f := b.figs
-	f.Admitted, f.Rate, f.Demand = b.AdmittedFraction(), b.allowed(b.now), b.asked(b.now)
-	f.Level = b.rate()
+	f.AdmittedFraction, f.AllowedRate, f.DemandRate = b.AdmittedFraction(), b.allowed(b.now), b.asked(b.now)
+	f.OwnRate = b.rate()
 	for i := range b.demand {
 		d := &b.demand[i]
-		f.Worths = append(f.Worths, PriorityStats{d.worth, d.perSecond(b.now, b.set.Memory), d.shed})
+		f.Priorities = append(f.Priorities, PriorityStats{d.worth, d.perSecond(b.now, b.set.AveragingWindow), d.shed})
 	}
 	if b.together(b.now) {
-		f.Fleet = b.fleetRate + b.rate()
+		f.FleetRate = b.fleetRate + b.rate()
 	}
 	return f
 }
--- a/internal/budget/budget_test.go
+++ b/internal/budget/budget_test.go
@@ -95,7 +95,7 @@
 				f.served++
 				f.backlog++
 			}
-			f.agents[i].AttemptEnded(f.now, Outcome{Overload: over, SentAt: f.now})
+			f.agents[i].AttemptEnded(f.now, Outcome{Overloaded: over, SentAt: f.now})
 		}
 	}
 }
@@ -153,11 +153,11 @@
 	}
 	// What peers told is gone by for a while only.
 	b := f.agents[0]
-	if b.Stats().Fleet == 0 {
+	if b.Stats().FleetRate == 0 {
 		t.Error("peers do not count")
 	}
 	b.Admit(f.now+PeerStateTTL+time.Second, 1)
-	if b.Stats().Fleet != 0 {
+	if b.Stats().FleetRate != 0 {
 		t.Error("peers that fell silent still count")
 	}
 }
@@ -202,7 +202,7 @@
 	if part := low[1] / low[0]; part < 0.3 || part > 0.6 {
 		t.Errorf("of the least worth %.3f taken", part)
 	}
-	if fig := f.agents[0].Stats(); fig.Shed == 0 || fig.Overloads == 0 || fig.Admitted >= 1 {
+	if fig := f.agents[0].Stats(); fig.Shed == 0 || fig.Overloads == 0 || fig.AdmittedFraction >= 1 {
 		t.Errorf("%+v", fig)
 	}
 }
@@ -212,15 +212,15 @@
 	f := newFleet(t, 400, 600)
 	f.run(10 * time.Second)
 	b := f.agents[0]
-	rate := b.Stats().Rate
+	rate := b.Stats().AllowedRate
 	for share, want := range map[float64]float64{0: 1, 0.1: 0.7, 5: 0.3} {
 		b.SetLatencyOverload(f.now, share)
-		if got := b.Stats().Rate / rate; math.Abs(got-want) > 0.01 {
+		if got := b.Stats().AllowedRate / rate; math.Abs(got-want) > 0.01 {
 			t.Errorf("with %.1f to refuse %.2f of the rate is let through, not %.2f", share, got, want)
 		}
 	}
 	b.SetLatencyOverload(f.now+2*time.Second, 5)
-	if got := b.Stats().Rate / rate; got < 0.9 {
+	if got := b.Stats().AllowedRate / rate; got < 0.9 {
 		t.Errorf("late answers of 2 s ago leave %.2f of the rate", got)
 	}
 }
@@ -234,13 +234,13 @@
 		b.Admit(now, 1)
 		b.AttemptEnded(now, Outcome{SentAt: now - 100*ms})
 	}
-	before := b.Stats().Level
+	before := b.Stats().OwnRate
 	for range 140 {
 		now += ms
 		b.Admit(now, 1)
-		b.AttemptEnded(now, Outcome{SentAt: now, Overload: true})
+		b.AttemptEnded(now, Outcome{SentAt: now, Overloaded: true})
 	}
-	if after := b.Stats().Level; after < 0.85*before || after >= before {
+	if after := b.Stats().OwnRate; after < 0.85*before || after >= before {
 		t.Errorf("the level fell from %.1f to %.1f in 140 ms", before, after)
 	}
 }
@@ -282,7 +282,7 @@
 	f.run(10 * time.Second)
 	sum := func() (s float64) {
 		for _, b := range f.agents {
-			s += b.Stats().Level
+			s += b.Stats().OwnRate
 		}
 		return s
 	}
@@ -330,8 +330,8 @@
 			}
 		}
 		before := b.Stats()
-		b.AttemptEnded(now, Outcome{Overload: true, SentAt: now - ms})
-		if left := b.Stats().Rate / min(before.Rate, before.Demand); left < c.least || left > c.most {
+		b.AttemptEnded(now, Outcome{Overloaded: true, SentAt: now - ms})
+		if left := b.Stats().AllowedRate / min(before.AllowedRate, before.DemandRate); left < c.least || left > c.most {
 			t.Errorf("one each %v: %.2f of the rate is left after the first overload", c.each, left)
 		}
 	}
@@ -345,13 +345,13 @@
 			asked++
 			if b.Admit(now, 1).Admit {
 				taken++
-				b.AttemptEnded(now, Outcome{Overload: taken > full*length.Seconds(), SentAt: now - 20*ms})
+				b.AttemptEnded(now, Outcome{Overloaded: taken > full*length.Seconds(), SentAt: now - 20*ms})
 			}
 		}
 		return asked, taken
 	}
 	play(3*time.Second, 2*ms, 20)
-	if rate := b.Stats().Rate; rate > 40 {
+	if rate := b.Stats().AllowedRate; rate > 40 {
 		t.Fatalf("in the surge at a rate of %.0f", rate)
 	}
 	play(500*ms, 20*ms, 1000)
@@ -365,12 +365,12 @@
 	f := newFleet(t, 800, 400)
 	b := f.agents[0]
 	f.run(5 * time.Second)
-	before := b.Stats().Rate
+	before := b.Stats().AllowedRate
 	for range 12 {
 		f.run(250 * ms)
 		b.SetSelfOverloaded(f.now, true)
 	}
-	if fig := b.Stats(); fig.Rate > before/2 || fig.Pressed != 12 || fig.Shed == 0 {
+	if fig := b.Stats(); fig.AllowedRate > before/2 || fig.SelfOverloads != 12 || fig.Shed == 0 {
 		t.Errorf("rate %.0f before, %+v", before, fig)
 	}
 	f.demand[0] = 0
@@ -417,7 +417,7 @@
 // Retries are a share of first tries, and the floor adds this agent's part of the fleet's over time; nothing is saved beyond
 // a second of the floor.
 func TestRetriesAreAShare(t *testing.T) {
-	b := fresh(t, func(s *Settings) { s.Floor, s.Agents = 300, 300 })
+	b := fresh(t, func(s *Settings) { s.FleetRetryRate, s.Agents = 300, 300 })
 	now := time.Second
 	retries := 0
 	for range 1000 {
@@ -432,7 +432,7 @@
 	if retries < 195 || retries > 204 {
 		t.Errorf("%d retries", retries)
 	}
-	if f := b.Stats(); f.Withheld < 1000 {
+	if f := b.Stats(); f.RetriesDenied < 1000 {
 		t.Errorf("%+v", f)
 	}
 	if b.AllowRetry(now + time.Hour); b.retries > b.mostRetries() {
@@ -460,11 +460,11 @@
 // A shed request is told to come back, at most after the longest allowed; without a longest, never.
 func TestComeBack(t *testing.T) {
 	for _, longest := range []time.Duration{0, 2 * time.Second} {
-		b := fresh(t, func(s *Settings) { s.Longest = longest })
-		v, now := Verdict{Admit: true}, time.Second
+		b := fresh(t, func(s *Settings) { s.MaxRetryAfter = longest })
+		v, now := Decision{Admit: true}, time.Second
 		for range 1000 {
 			if v = b.Admit(now, 1); v.Admit {
-				b.AttemptEnded(now, Outcome{Overload: true})
+				b.AttemptEnded(now, Outcome{Overloaded: true})
 			}
 			now += ms
 		}
@@ -476,7 +476,7 @@
 
 func TestSettingsCheck(t *testing.T) {
 	bad := Defaults()
-	bad.Keep, bad.Agents = 1, 0
+	bad.MinServedFraction, bad.Agents = 1, 0
 	_, err := New(bad)
 	if err == nil || !strings.Contains(err.Error(), "keep") || !strings.Contains(err.Error(), "agents") {
 		t.Errorf("%v", err)
--- a/internal/budget/level.go
+++ b/internal/budget/level.go
@@ -82,7 +82,7 @@
 // do: so a busy one's steps are smaller, and all of its attempts in a second move it no further than gain times their rate of
 // overload.
 func (l *level) step(now time.Duration) float64 {
-	return min(l.set.Step, l.set.Gain/max(1, l.ended.perSecond(now, l.set.Memory)))
+	return min(l.set.MaxStep, l.set.StepsPerSecond/max(1, l.ended.perSecond(now, l.set.AveragingWindow)))
 }
 
 // peakMemory is how long the highest rate sent is remembered: a lull between two bursts does not close the level.
@@ -100,16 +100,16 @@
 // settled is how old the count of demand must be for the slow start to end at it.
 const settled = 500 * time.Millisecond
 
-func newLevel(set Settings) level { return level{set: set, rate: set.Start, start: true} }
+func newLevel(set Settings) level { return level{set: set, rate: set.InitialRate, start: true} }
 
 // bears is the rate of overload at which a level that takes a share of its demand holds still. Together with peers the shares
 // are even by themselves, and the lean towards it need not go far.
 func (l *level) bears(share float64) float64 {
-	lean := l.set.Lean * math.Log(1/max(share, leastShare))
+	lean := l.set.FairnessGain * math.Log(1/max(share, leastShare))
 	if l.together {
-		return l.set.Target * (1 + min(lean, leanTogether))
+		return l.set.TargetOverloadRatio * (1 + min(lean, leanTogether))
 	}
-	return l.set.Target * (1 + lean/(1+lean/mostLean))
+	return l.set.TargetOverloadRatio * (1 + lean/(1+lean/mostLean))
 }
 
 const (
@@ -121,18 +121,18 @@
 const leastShare = 0.01
 
 // pass counts a first try that is let through.
-func (l *level) pass(now time.Duration) { l.sent.add(now, l.set.Memory, 1) }
+func (l *level) pass(now time.Duration) { l.sent.add(now, l.set.AveragingWindow, 1) }
 
 // outcome moves the level by the outcome of an attempt. demand is what is asked for, requests a second.
 func (l *level) outcome(now time.Duration, o Outcome, demand float64) {
 	l.advance(now, demand)
-	l.ended.add(now, l.set.Memory, 1)
-	if o.Overload {
+	l.ended.add(now, l.set.AveragingWindow, 1)
+	if o.Overloaded {
 		l.clean = 0
 		if l.start {
 			l.start = false
 			// The doubling has overshot, and steps would take seconds to come back from that.
-			l.rate = max(l.set.Least, overshot*min(l.rate, demand), min(l.rate, l.served.perSecond(now, l.set.Memory)))
+			l.rate = max(l.set.MinRate, overshot*min(l.rate, demand), min(l.rate, l.served.perSecond(now, l.set.AveragingWindow)))
 			l.cut = now
 			return
 		}
@@ -144,11 +144,11 @@
 		l.cut = now
 		// Never far below what the nodes do serve: at the onset of a surge nearly all is turned away at once, and a cut for
 		// each would close the level while the nodes go on to stand idle.
-		floor := min(l.rate, l.set.Keep*l.served.perSecond(now, l.set.Memory))
-		l.rate = max(l.set.Least, floor, l.rate*math.Exp(-l.step(now)))
+		floor := min(l.rate, l.set.MinServedFraction*l.served.perSecond(now, l.set.AveragingWindow))
+		l.rate = max(l.set.MinRate, floor, l.rate*math.Exp(-l.step(now)))
 		return
 	}
-	l.served.add(now, l.set.Memory, 1)
+	l.served.add(now, l.set.AveragingWindow, 1)
 	if took := now - o.SentAt; l.took == 0 {
 		l.took = took
 	} else {
@@ -165,27 +165,27 @@
 // most is the highest rate that what was sent lately gives ground for.
 func (l *level) most(now time.Duration) float64 {
 	l.settle(now)
-	return l.set.Headroom*l.peak + l.set.Spare
+	return l.set.HeadroomFactor*l.peak + l.set.HeadroomRate
 }
 
 func (l *level) settle(now time.Duration) {
 	if now > l.at {
 		l.peak *= math.Exp(-float64(now-l.at) / float64(peakMemory))
 	}
-	l.peak = max(l.peak, l.sent.perSecond(now, l.set.Memory))
+	l.peak = max(l.peak, l.sent.perSecond(now, l.set.AveragingWindow))
 }
 
 // advance brings the level to a time.
 func (l *level) advance(now time.Duration, demand float64) {
 	if l.start && l.at > 0 && now > l.at {
-		l.rate = min(max(l.rate, l.set.Headroom*demand+l.set.Spare), l.rate*math.Exp2(float64(now-l.at)/float64(slowStart)))
-		if now-l.sent.begun > settled && l.rate > l.set.Headroom*demand {
+		l.rate = min(max(l.rate, l.set.HeadroomFactor*demand+l.set.HeadroomRate), l.rate*math.Exp2(float64(now-l.at)/float64(slowStart)))
+		if now-l.sent.begun > settled && l.rate > l.set.HeadroomFactor*demand {
 			l.start = false
 		}
 	}
 	if !l.start {
 		// Without demand the rate sinks towards its least: what a surge may begin with is what was sent before it.
-		l.rate = max(l.set.Least, min(l.rate, l.most(now)))
+		l.rate = max(l.set.MinRate, min(l.rate, l.most(now)))
 	} else {
 		l.settle(now)
 	}
@@ -210,7 +210,7 @@
 func (l *level) recover(demand, latest float64) {
 	switch {
 	case l.surged && latest <= surgeTo*l.calm:
-		l.surged, l.rate = false, max(l.rate, l.calm+l.set.Spare)
+		l.surged, l.rate = false, max(l.rate, l.calm+l.set.HeadroomRate)
 	case l.calmFor < settled && demand > l.rate && latest < demand/surgeFrom && !likely(demand, latest):
 		l.start = true
 	}
--- a/internal/budget/own.go
+++ b/internal/budget/own.go
@@ -4,22 +4,22 @@
 
 // SelfLimits is from when on the agent itself counts as over. A limit of 0 is none.
 type SelfLimits struct {
-	Wait   time.Duration // of a request for the loop that decides
-	CPU    float64       // share of the cores that it may use
-	Memory float64       // share of the memory that it may use
+	QueueDelay time.Duration // of a request for the loop that decides
+	CPU        float64       // share of the cores that it may use
+	Memory     float64       // share of the memory that it may use
 }
 
 // SelfLoad is how an agent did over a while.
 type SelfLoad struct {
-	Wait   time.Duration // the least of a request for the loop, 0 where none came
-	CPU    float64       // processor time used, as a share of what its cores could give
-	Memory float64       // held at present, as a share of its limit
+	QueueDelay time.Duration // the least of a request for the loop, 0 where none came
+	CPU        float64       // processor time used, as a share of what its cores could give
+	Memory     float64       // held at present, as a share of its limit
 }
 
 // Exceeded says what an agent is over in, or nothing.
 func (o SelfLimits) Exceeded(l SelfLoad) string {
 	switch {
-	case o.Wait > 0 && l.Wait > o.Wait:
+	case o.QueueDelay > 0 && l.QueueDelay > o.QueueDelay:
 		return "wait"
 	case o.CPU > 0 && l.CPU > o.CPU:
 		return "cpu"
@@ -42,7 +42,7 @@
 		b.own = min(1, b.own/pressed)
 		return
 	}
-	b.figs.Pressed++
+	b.figs.SelfOverloads++
 	b.own = max(leastOwn, b.own*pressed)
 }
 
--- a/internal/budget/peers.go
+++ b/internal/budget/peers.go
@@ -26,7 +26,7 @@
 	b.advance(now)
 	p, onset := PeerState{Rate: b.rate()}, b.onset(now)
 	for i := range b.demand {
-		if r := onset * b.demand[i].perSecond(now, b.set.Memory); r > 0 {
+		if r := onset * b.demand[i].perSecond(now, b.set.AveragingWindow); r > 0 {
 			p.Demand = append(p.Demand, Demand{b.demand[i].worth, r})
 		}
 	}
@@ -80,7 +80,7 @@
 		}
 		out, rates, demands = append(out, q), append(rates, q.Rate), append(demands, q.demand())
 	}
-	mostRate, mostDemand := believedTimes*max(b.set.Start, median(rates)), believedTimes*max(b.set.Start, median(demands))
+	mostRate, mostDemand := believedTimes*max(b.set.InitialRate, median(rates)), believedTimes*max(b.set.InitialRate, median(demands))
 	asked, rate := min(own.demand(), mostDemand), min(own.Rate, mostRate)
 	for i := range out {
 		out[i].Rate = min(out[i].Rate, mostRate)
@@ -88,7 +88,7 @@
 		asked, rate = asked+out[i].demand(), rate+out[i].Rate
 	}
 	for i := range out {
-		out[i].scale(max(b.set.Spare, likelyTimes*out[i].Rate*asked/max(rate, b.set.Least)))
+		out[i].scale(max(b.set.HeadroomRate, likelyTimes*out[i].Rate*asked/max(rate, b.set.MinRate)))
 	}
 	return out
 }
@@ -151,14 +151,14 @@
 		// as it was, and all of them together far too much. The own level knows better what was borne.
 		rate = min(max(b.part(now), rate/beyondOwn), beyondOwn*rate)
 	}
-	return max(b.jam*rate, b.set.Least)
+	return max(b.jam*rate, b.set.MinRate)
 }
 
 // part is this agent's part of the fleet's rate, by its part of the demand that this covers.
 func (b *Budget) part(now time.Duration) (sum float64) {
 	own, rate, onset := 0.0, b.rate()+b.fleetRate, b.onset(now)
 	for i := range b.demand {
-		if r := onset * b.demand[i].perSecond(now, b.set.Memory); r > 0 {
+		if r := onset * b.demand[i].perSecond(now, b.set.AveragingWindow); r > 0 {
 			above, of, _ := b.fill(now, b.demand[i].worth)
 			sum += r * min(1, max(0, rate-above)/of)
 			own += r
@@ -179,7 +179,7 @@
 	all = b.rate()
 	onset := b.onset(now)
 	for i := range b.demand {
-		switch r := onset * b.demand[i].perSecond(now, b.set.Memory); {
+		switch r := onset * b.demand[i].perSecond(now, b.set.AveragingWindow); {
 		case b.demand[i].worth > worth:
 			above += r
 		case b.demand[i].worth == worth:
--- a/internal/config/operator/operator_test.go
+++ b/internal/config/operator/operator_test.go
@@ -57,7 +57,7 @@
 		t.Errorf("%+v", s)
 	}
 	old := Default()
-	if keys := old.Fixed(f); len(keys) != 1 || keys[0] != "connections.places" {
+	if keys := old.RestartRequired(f); len(keys) != 1 || keys[0] != "connections.places" {
 		t.Errorf("%v take effect at the next start only", keys)
 	}
 }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -175,7 +175,7 @@
 	if f := c.budget.Load(); f != nil {
 		return *f
 	}
-	return budget.Stats{Admitted: 1}
+	return budget.Stats{AdmittedFraction: 1}
 }
 
 // Shutdown gives every open call its answer now, and those that come later at once: the process is about to end.
@@ -348,7 +348,7 @@
 		c.finish(call, Answer{Verdict: Served, Reason: event.Served, Content: o.Content})
 	}
 	if b := c.cfg.Budget; b != nil && o.Result != logic.NotSent {
-		b.AttemptEnded(c.clock.Now(), budget.Outcome{Overload: o.Result == logic.Rejected || o.Result == logic.TimedOut, SentAt: a.AwaitingSince()})
+		b.AttemptEnded(c.clock.Now(), budget.Outcome{Overloaded: o.Result == logic.Rejected || o.Result == logic.TimedOut, SentAt: a.AwaitingSince()})
 	}
 	c.observe(a, o)
 	c.decide(logic.Outcome{Request: call.ID, Attempt: a.Number, Endpoint: a.Endpoint, Result: o.Result,
--- a/internal/experiment/liar.go
+++ b/internal/experiment/liar.go
@@ -23,7 +23,7 @@
 	name   string
 	w      *emulator.World
 	member *membership.Member
-	clock  fleetstate.Clock
+	clock  fleetstate.HybridClock
 	top    float64 // worth of the worthiest class
 }
 
@@ -38,16 +38,16 @@
 	for _, c := range w.Day.Classes {
 		l.top = max(l.top, c.Worth)
 	}
-	at.Name, at.Label, at.Timing, at.Handler, at.Log = name, set.Label, membership.DefaultTiming(), l, slog.New(slog.DiscardHandler)
+	at.Name, at.Label, at.Timing, at.Handler, at.Logger = name, set.Label, membership.DefaultTiming(), l, slog.New(slog.DiscardHandler)
 	var err error
 	l.member, err = membership.Start(at)
 	return l, err
 }
 
-// Heard, Whole and Part: it listens to nobody.
-func (l *liar) Heard([]fleetstate.Fact) []fleetstate.Fact { return nil }
-func (l *liar) Whole() []fleetstate.Fact                  { return nil }
-func (l *liar) Part(string, uint64, budget.PeerState)     {}
+// MergeFacts, Whole and Part: it listens to nobody.
+func (l *liar) MergeFacts([]fleetstate.Fact) []fleetstate.Fact   { return nil }
+func (l *liar) Facts() []fleetstate.Fact                         { return nil }
+func (l *liar) UpdatePeerState(string, uint64, budget.PeerState) {}
 
 // run is among the peers and lies, each at its time, until the context ends.
 func (l *liar) run(ctx context.Context) {
@@ -59,9 +59,9 @@
 	}
 	l.w.Note(l.spec.From.D(), l.spec.To.D(), l.name, fmt.Sprint("lies: ", l.spec.Says))
 	for l.w.Now() < l.spec.To.D() && callers.Sleep(ctx, lieEvery) {
-		l.member.Tell(l.facts(time.Now()))
+		l.member.Broadcast(l.lies(time.Now()))
 		if p := l.part(); p.Rate > 0 || len(p.Demand) > 0 {
-			l.member.SendPart(p, emulator.MostProcesses)
+			l.member.SendPeerState(p, emulator.MostProcesses)
 		}
 	}
 	<-ctx.Done()
@@ -69,24 +69,24 @@
 
 func (l *liar) says(lie string) bool { return slices.Contains(l.spec.Says, lie) }
 
-// facts are what it says of the servers.
-func (l *liar) facts(now time.Time) (out []fleetstate.Fact) {
+// lies are what it says of the servers.
+func (l *liar) lies(now time.Time) (out []fleetstate.Fact) {
 	servers := l.w.Known(0).Servers
 	servers = slices.DeleteFunc(servers, func(e discovery.Entry) bool { return e.State != discovery.Ready })
 	for i, e := range servers {
-		key := fleetstate.Key{Server: e.ID, Life: e.StartedMS}
+		key := fleetstate.Key{Server: e.ID, Started: e.StartedMS}
 		if l.says(emulator.LieSuspect) {
 			for _, who := range append([]string{l.name}, l.w.Day.Agents...) {
 				k := key
 				k.Kind, k.Origin = fleetstate.Suspicion, who
 				// As far ahead as is believed, so that what the agents say themselves sorts before it.
-				out = append(out, fleetstate.Fact{Key: k, Value: math.MaxInt32, At: l.clock.Next(now.Add(fleetstate.MostAhead * 9 / 10)), By: who})
+				out = append(out, fleetstate.Fact{Key: k, Value: math.MaxInt32, Timestamp: l.clock.Next(now.Add(fleetstate.MaxClockSkew * 9 / 10)), Reporter: who})
 			}
 		}
 		if l.says(emulator.LieGone) && i < len(servers)/2 {
 			k := key
 			k.Kind, k.Origin = fleetstate.Notice, l.name
-			out = append(out, fleetstate.Fact{Key: k, Value: fleetstate.Gone, At: l.clock.Next(now), By: l.name})
+			out = append(out, fleetstate.Fact{Key: k, Value: fleetstate.Removed, Timestamp: l.clock.Next(now), Reporter: l.name})
 		}
 	}
 	return out
--- a/internal/experiment/play.go
+++ b/internal/experiment/play.go
@@ -56,7 +56,7 @@
 	}
 	on := &emulator.Loopback{}
 	var peers *processrig.Peers
-	if ops.Peers.On {
+	if ops.Peers.Enabled {
 		on.Mesh = link.NewMesh(day.Seed)
 		hosts := slices.Clone(day.Agents)
 		for i := range day.Spec.Fleet.Liars {
@@ -92,7 +92,7 @@
 		all.Go(func() { l.run(watching) })
 	}
 	all.Go(func() { p.watch(watching, watch) })
-	if peers != nil || ops.Overload.Fleet {
+	if peers != nil || ops.Overload.Enabled {
 		all.Go(func() { p.look(watching) })
 	}
 	if len(arm.Command) > 0 {
--- a/internal/experiment/simagent.go
+++ b/internal/experiment/simagent.go
@@ -60,8 +60,8 @@
 		return fmt.Errorf("settings: %w", err)
 	}
 	site.Logic.MaxRetryAfter = site.MaxRetryAfter
-	s.ops.Probes.Apply(&site.Logic)
-	site.Logic.ExternalAdmission = s.ops.Overload.Fleet
+	s.ops.HealthChecks.Apply(&site.Logic)
+	site.Logic.ExternalAdmission = s.ops.Overload.Enabled
 	seed := (s.day.Seed*64 + uint64(a.number) + 1) ^ uint64(a.life)<<48
 	if a.balancer, err = logic.New(site.Logic, seed); err != nil {
 		return err
--- a/internal/experiment/simtalk.go
+++ b/internal/experiment/simtalk.go
@@ -15,7 +15,7 @@
 // talk lets an agent tell some others its part of the fleet's level again and again, where the operators' file has agents talk.
 // Facts of servers are not told in simulated time.
 func (s *sim) talk(a *simAgent) {
-	if a.budget == nil || !s.ops.Peers.On || !s.ops.Peers.Level {
+	if a.budget == nil || !s.ops.Peers.Enabled || !s.ops.Peers.ShareBudget {
 		return
 	}
 	a.parts = map[int]heard{}
--- a/internal/experiment/simulate.go
+++ b/internal/experiment/simulate.go
@@ -791,7 +791,7 @@
 		s.answer(t, referee.Served, at.ticket.number, 0)
 	}
 	if b := t.agent.budget; b != nil && r != logic.NotSent {
-		b.AttemptEnded(s.clock(), budget.Outcome{Overload: r == logic.Rejected || r == logic.TimedOut, SentAt: at.sent + moduleStart})
+		b.AttemptEnded(s.clock(), budget.Outcome{Overloaded: r == logic.Rejected || r == logic.TimedOut, SentAt: at.sent + moduleStart})
 	}
 	s.tell(t.agent, logic.Outcome{Request: t.id, Attempt: at.number, Endpoint: at.id, Result: r, Latency: s.now - at.sent, Closed: t.ended, LoadReport: logic.NoLoadReport})
 	s.forget(t)
--- a/internal/fleetstate/doubt.go
+++ b/internal/fleetstate/doubt.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// Doubts counts what went wrong with an agent's own attempts, for it to tell as its suspicions. It is not safe for concurrent
+// FailureReporter counts what went wrong with an agent's own attempts, for it to tell as its suspicions. It is not safe for concurrent
 // use.
-type Doubts struct {
-	Withheld int64 // looks at which most servers were doubted, and none was told of
+type FailureReporter struct {
+	WithheldScans int64 // looks at which most servers were doubted, and none was told of
 
 	most  int
-	lives map[Life]*doubt
+	lives map[Incarnation]*doubt
 }
 
 type doubt struct {
@@ -19,11 +19,13 @@
 	toldAt time.Time
 }
 
-// NewDoubts returns an empty count, of so many lives at most: further ones are passed over until there is room.
-func NewDoubts(most int) *Doubts { return &Doubts{most: most, lives: map[Life]*doubt{}} }
+// NewFailureReporter returns an empty count, of so many lives at most: further ones are passed over until there is room.
+func NewFailureReporter(most int) *FailureReporter {
+	return &FailureReporter{most: most, lives: map[Incarnation]*doubt{}}
+}
 
-// Ended counts an attempt that went well or wrong.
-func (d *Doubts) Ended(l Life, well bool) {
+// AttemptEnded counts an attempt that went well or wrong.
+func (d *FailureReporter) AttemptEnded(l Incarnation, well bool) {
 	x := d.lives[l]
 	switch {
 	case x == nil && (well || len(d.lives) >= d.most):
@@ -36,17 +38,17 @@
 	}
 }
 
-// Telling is a suspicion as it is to be told: 0 withdraws it.
-type Telling struct {
-	Life
-	Wrong int64
+// FailureReport is a suspicion as it is to be told: 0 withdraws it.
+type FailureReport struct {
+	Incarnation
+	Failures int64
 }
 
-// Tell is what is to be told now: counts that have changed, as far as they count, and those that have expired while attempts go on
+// Reports is what is to be told now: counts that have changed, as far as they count, and those that have expired while attempts go on
 // to fail. What was withdrawn is forgotten, and so is a doubt that is not renewed for as long as a suspicion lives. Who doubts
 // most of so many servers doubts itself: its own ways are likelier to be cut than most of the servers to fail, so it tells of none
 // and withdraws what it has told.
-func (d *Doubts) Tell(now time.Time, servers int, lifetime time.Duration) (out []Telling) {
+func (d *FailureReporter) Reports(now time.Time, servers int, lifetime time.Duration) (out []FailureReport) {
 	doubted := 0
 	for l, x := range d.lives {
 		if x.wrong != x.seen {
@@ -63,7 +65,7 @@
 	}
 	lost := float64(doubted) > mostDoubted*float64(servers)
 	if lost {
-		d.Withheld++
+		d.WithheldScans++
 	}
 	for l, x := range d.lives {
 		counts := min(x.wrong, countedEach)
@@ -71,7 +73,7 @@
 			counts = 0
 		}
 		if counts != x.told {
-			out = append(out, Telling{l, counts})
+			out = append(out, FailureReport{l, counts})
 			x.told, x.toldAt = counts, now
 		}
 		if x.wrong == 0 {
@@ -84,8 +86,8 @@
 // mostDoubted is the share of its servers that an agent may doubt before it doubts itself.
 const mostDoubted = 0.5
 
-// Told is what was told last of a life: 0 where nothing is.
-func (d *Doubts) Told(l Life) int64 {
+// LastReported is what was told last of a life: 0 where nothing is.
+func (d *FailureReporter) LastReported(l Incarnation) int64 {
 	if x := d.lives[l]; x != nil {
 		return x.told
 	}
--- a/internal/fleetstate/membership/member.go
+++ b/internal/fleetstate/membership/member.go
@@ -30,41 +30,41 @@
 // Handler is who hears what peers tell. Its methods must not block, and are called by several goroutines.
 type Handler interface {
 	// Heard takes facts in and returns those that were new, to be told on.
-	Heard(facts []fleetstate.Fact) (fresh []fleetstate.Fact)
+	MergeFacts(facts []fleetstate.Fact) (fresh []fleetstate.Fact)
 	// Whole is the whole replica.
-	Whole() []fleetstate.Fact
+	Facts() []fleetstate.Fact
 	// Part is a peer's part of the fleet's level, and the peer's own count of the parts that it has sent.
-	Part(from string, number uint64, p budget.PeerState)
+	UpdatePeerState(from string, number uint64, p budget.PeerState)
 }
 
 // Config is what a Member works with.
 type Config struct {
-	Name      string   // the agent's, unique in the fleet
-	Bind      string   // IP address and port, for packets and streams
-	Advertise string   // where the others reach it; empty: at Bind
-	Seeds     []string // addresses of some others, to begin with and to come back by
-	Label     string   // of the fleet: what is labelled otherwise is passed over
-	Key       []byte   // 16, 24 or 32 bytes encrypt all that is told; nil for none
-	Timing    Timing
-	Handler   Handler
-	Log       *slog.Logger
+	Name          string   // the agent's, unique in the fleet
+	Bind          string   // IP address and port, for packets and streams
+	Advertise     string   // where the others reach it; empty: at Bind
+	Seeds         []string // addresses of some others, to begin with and to come back by
+	Label         string   // of the fleet: what is labelled otherwise is passed over
+	EncryptionKey []byte   // 16, 24 or 32 bytes encrypt all that is told; nil for none
+	Timing        Timing
+	Handler       Handler
+	Logger        *slog.Logger
 }
 
 // Timing is how often things are done. See DefaultTiming.
 type Timing struct {
-	Probe    time.Duration // a random peer is asked whether it is there
-	Answer   time.Duration // and has so long to answer before others ask it
-	Gossip   time.Duration // fresh facts go to Fanout peers
-	Fanout   int
-	Exchange time.Duration // the whole replica is exchanged with one peer
-	Rejoin   time.Duration // one that was lost, or a seed, is tried again
-	Forget   time.Duration // one that was lost is tried no more
+	ProbeInterval    time.Duration // a random peer is asked whether it is there
+	ProbeTimeout     time.Duration // and has so long to answer before others ask it
+	GossipInterval   time.Duration // fresh facts go to Fanout peers
+	GossipFanout     int
+	PushPullInterval time.Duration // the whole replica is exchanged with one peer
+	RejoinInterval   time.Duration // one that was lost, or a seed, is tried again
+	FailedPeerTTL    time.Duration // one that was lost is tried no more
 }
 
 // DefaultTiming notices a peer that fails within about 3 s in a fleet of 50.
 func DefaultTiming() Timing {
-	return Timing{Probe: 500 * time.Millisecond, Answer: 200 * time.Millisecond, Gossip: 50 * time.Millisecond, Fanout: 3,
-		Exchange: 3 * time.Second, Rejoin: time.Second, Forget: 10 * time.Minute}
+	return Timing{ProbeInterval: 500 * time.Millisecond, ProbeTimeout: 200 * time.Millisecond, GossipInterval: 50 * time.Millisecond, GossipFanout: 3,
+		PushPullInterval: 3 * time.Second, RejoinInterval: time.Second, FailedPeerTTL: 10 * time.Minute}
 }
 
 const (
@@ -116,12 +116,12 @@
 		return nil, fmt.Errorf("peers: bind: %w", err)
 	}
 	m := &Member{cfg: cfg, there: map[string]string{}, lost: map[string]lost{}, rng: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))}
-	logger := log.New(logWriter{cfg.Log}, "", 0)
+	logger := log.New(logWriter{cfg.Logger}, "", 0)
 	if m.net, err = listen(host, port, logger); err != nil {
 		return nil, fmt.Errorf("peers: listening: %w", err)
 	}
 	set := memberlist.DefaultLANConfig()
-	set.Name, set.Label, set.SecretKey = cfg.Name, cfg.Label, cfg.Key
+	set.Name, set.Label, set.SecretKey = cfg.Name, cfg.Label, cfg.EncryptionKey
 	set.Transport, set.BindAddr, set.BindPort, set.AdvertisePort = m.net, host, m.net.port(), m.net.port()
 	set.AdvertiseAddr = host
 	if cfg.Advertise != "" {
@@ -131,8 +131,8 @@
 	}
 	m.own = net.JoinHostPort(set.AdvertiseAddr, strconv.Itoa(set.AdvertisePort))
 	t := cfg.Timing
-	set.ProbeInterval, set.ProbeTimeout, set.GossipInterval, set.GossipNodes = t.Probe, t.Answer, t.Gossip, t.Fanout
-	set.PushPullInterval, set.TCPTimeout, set.SuspicionMult, set.RetransmitMult = t.Exchange, streamTimeout, suspicionMult, retransmitMult
+	set.ProbeInterval, set.ProbeTimeout, set.GossipInterval, set.GossipNodes = t.ProbeInterval, t.ProbeTimeout, t.GossipInterval, t.GossipFanout
+	set.PushPullInterval, set.TCPTimeout, set.SuspicionMult, set.RetransmitMult = t.PushPullInterval, streamTimeout, suspicionMult, retransmitMult
 	set.UDPBufferSize, set.Logger, set.Delegate, set.Events = packetBytes, logger, delegate{m}, events{m}
 	set.EnableCompression = false // a fact is shorter than what compression adds
 	m.queue.RetransmitMult = retransmitMult
@@ -165,16 +165,16 @@
 func (m *Member) Run(ctx context.Context) {
 	defer context.AfterFunc(ctx, m.net.endStreams)() // an exchange with one that does not answer must not keep the agent from ending
 	m.join(m.cfg.Seeds)
-	tick := time.NewTicker(m.cfg.Timing.Rejoin)
+	tick := time.NewTicker(m.cfg.Timing.RejoinInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			if err := m.list.Leave(leaveIn); err != nil {
-				m.cfg.Log.Debug("peers were not told of the leaving", "error", err)
+				m.cfg.Logger.Debug("peers were not told of the leaving", "error", err)
 			}
 			if err := m.list.Shutdown(); err != nil {
-				m.cfg.Log.Warn("peers: ending", "error", err)
+				m.cfg.Logger.Warn("peers: ending", "error", err)
 			}
 			return
 		case <-tick.C:
@@ -190,7 +190,7 @@
 		return
 	}
 	if n, err := m.list.Join(addrs); err != nil {
-		m.cfg.Log.Debug("peers not reached", "reached", n, "error", err)
+		m.cfg.Logger.Debug("peers not reached", "reached", n, "error", err)
 	} else {
 		m.rejoined.Add(1)
 	}
@@ -206,7 +206,7 @@
 	}
 	var addrs []string
 	for name, l := range m.lost {
-		if time.Since(l.at) > m.cfg.Timing.Forget {
+		if time.Since(l.at) > m.cfg.Timing.FailedPeerTTL {
 			delete(m.lost, name)
 		} else if !there[l.addr] {
 			addrs = append(addrs, l.addr)
@@ -223,8 +223,8 @@
 	return addrs[m.rng.IntN(len(addrs))]
 }
 
-// Tell tells facts on to all peers, by gossip.
-func (m *Member) Tell(facts []fleetstate.Fact) {
+// Broadcast tells facts on to all peers, by gossip.
+func (m *Member) Broadcast(facts []fleetstate.Fact) {
 	for _, f := range facts {
 		m.queue.QueueBroadcast(telling{f, encode(message{Facts: []fleetstate.Fact{f}})})
 	}
@@ -234,9 +234,9 @@
 	}
 }
 
-// SendPart sends this agent's part of the fleet's level to so many peers, drawn anew each time: what that costs does not grow
+// SendPeerState sends this agent's part of the fleet's level to so many peers, drawn anew each time: what that costs does not grow
 // with the fleet.
-func (m *Member) SendPart(p budget.PeerState, to int) {
+func (m *Member) SendPeerState(p budget.PeerState, to int) {
 	text := encode(message{From: m.cfg.Name, Number: m.parts.Add(1), Part: &p})
 	m.mu.Lock()
 	peers := make([]memberlist.Address, 0, len(m.there))
@@ -247,7 +247,7 @@
 	m.mu.Unlock()
 	for _, a := range peers[:min(to, len(peers))] {
 		if err := m.list.SendToAddress(a, text); err != nil {
-			m.cfg.Log.Debug("a peer was not reached", "peer", a.Name, "error", err)
+			m.cfg.Logger.Debug("a peer was not reached", "peer", a.Name, "error", err)
 		}
 	}
 }
@@ -262,23 +262,23 @@
 // Addr is where it listens.
 func (m *Member) Addr() string { return m.net.addr() }
 
-// Counts are what a Member has done, for operators.
-type Counts struct {
-	Peers      int   `json:"peers"`    // there at present
-	Joined     int64 `json:"joined"`   // peers that came, or came back
-	Lost       int64 `json:"lost"`     // that failed or left
-	Rejoined   int64 `json:"rejoined"` // times that seeds or lost ones were reached
-	Malformed  int64 `json:"malformed"`
-	Dropped    int64 `json:"dropped"` // facts not told on, as too many waited
-	BytesSent  int64 `json:"bytes_sent"`
-	PacketsOut int64 `json:"packets_sent"`
-	Awareness  int   `json:"awareness"` // how slow it takes itself to be; 0: not at all
+// Stats are what a Member has done, for operators.
+type Stats struct {
+	Peers       int   `json:"peers"`    // there at present
+	Joined      int64 `json:"joined"`   // peers that came, or came back
+	Departed    int64 `json:"lost"`     // that failed or left
+	Rejoined    int64 `json:"rejoined"` // times that seeds or lost ones were reached
+	Malformed   int64 `json:"malformed"`
+	Dropped     int64 `json:"dropped"` // facts not told on, as too many waited
+	BytesSent   int64 `json:"bytes_sent"`
+	PacketsSent int64 `json:"packets_sent"`
+	HealthScore int   `json:"awareness"` // how slow it takes itself to be; 0: not at all
 }
 
-// Counts returns them.
-func (m *Member) Counts() Counts {
-	return Counts{Peers: len(m.Peers()), Joined: m.joins.Load(), Lost: m.failures.Load(), Rejoined: m.rejoined.Load(), Malformed: m.malformed.Load(),
-		Dropped: m.dropped.Load(), BytesSent: m.net.bytes.Load(), PacketsOut: m.net.packets.Load(), Awareness: m.list.GetHealthScore()}
+// Stats returns them.
+func (m *Member) Stats() Stats {
+	return Stats{Peers: len(m.Peers()), Joined: m.joins.Load(), Departed: m.failures.Load(), Rejoined: m.rejoined.Load(), Malformed: m.malformed.Load(),
+		Dropped: m.dropped.Load(), BytesSent: m.net.bytes.Load(), PacketsSent: m.net.packets.Load(), HealthScore: m.list.GetHealthScore()}
 }
 
 func handle() *codec.MsgpackHandle {
@@ -302,10 +302,10 @@
 		return
 	}
 	if len(msg.Facts) > 0 {
-		m.Tell(m.cfg.Handler.Heard(msg.Facts))
+		m.Broadcast(m.cfg.Handler.MergeFacts(msg.Facts))
 	}
 	if msg.Part != nil && msg.From != "" && msg.From != m.cfg.Name {
-		m.cfg.Handler.Part(msg.From, msg.Number, *msg.Part)
+		m.cfg.Handler.UpdatePeerState(msg.From, msg.Number, *msg.Part)
 	}
 }
 
@@ -327,7 +327,7 @@
 
 func (delegate) NodeMeta(int) []byte      { return nil }
 func (d delegate) NotifyMsg(text []byte)  { d.m.hear(text) } // decoded at once: the buffer is memberlist's
-func (d delegate) LocalState(bool) []byte { return encode(message{Facts: d.m.cfg.Handler.Whole()}) }
+func (d delegate) LocalState(bool) []byte { return encode(message{Facts: d.m.cfg.Handler.Facts()}) }
 func (d delegate) GetBroadcasts(overhead, limit int) [][]byte {
 	return d.m.queue.GetBroadcasts(overhead, limit)
 }
@@ -348,7 +348,7 @@
 		return // from within Create
 	}
 	e.NotifyUpdate(n)
-	e.m.cfg.Log.Info("a peer is there", "peer", n.Name)
+	e.m.cfg.Logger.Info("a peer is there", "peer", n.Name)
 }
 
 func (e events) NotifyUpdate(n *memberlist.Node) {
@@ -362,7 +362,7 @@
 
 func (e events) NotifyLeave(n *memberlist.Node) {
 	e.m.failures.Add(1)
-	e.m.cfg.Log.Info("a peer has gone", "peer", n.Name, "left", n.State == memberlist.StateLeft)
+	e.m.cfg.Logger.Info("a peer has gone", "peer", n.Name, "left", n.State == memberlist.StateLeft)
 	e.m.mu.Lock()
 	defer e.m.mu.Unlock()
 	delete(e.m.there, n.Name)
--- a/internal/fleetstate/membership/member_test.go
+++ b/internal/fleetstate/membership/member_test.go
@@ -17,23 +17,23 @@
 // replica is a Handler over a state.
 type replica struct {
 	mu    sync.Mutex
-	state *fleetstate.State
+	state *fleetstate.Replica
 	parts map[string]budget.PeerState
 }
 
-func (r *replica) Heard(facts []fleetstate.Fact) []fleetstate.Fact {
+func (r *replica) MergeFacts(facts []fleetstate.Fact) []fleetstate.Fact {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.state.Merge(time.Now(), facts)
 }
 
-func (r *replica) Whole() []fleetstate.Fact {
+func (r *replica) Facts() []fleetstate.Fact {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.state.Facts()
 }
 
-func (r *replica) Part(from string, _ uint64, p budget.PeerState) {
+func (r *replica) UpdatePeerState(from string, _ uint64, p budget.PeerState) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.parts[from] = p
@@ -67,7 +67,7 @@
 	mesh := link.NewMesh(1)
 	defer mesh.Close()
 	timing := DefaultTiming()
-	timing.Probe, timing.Answer, timing.Rejoin = 100*time.Millisecond, 50*time.Millisecond, 200*time.Millisecond
+	timing.ProbeInterval, timing.ProbeTimeout, timing.RejoinInterval = 100*time.Millisecond, 50*time.Millisecond, 200*time.Millisecond
 	ctx, stop := context.WithCancel(t.Context())
 	var all sync.WaitGroup
 	defer all.Wait()
@@ -76,7 +76,7 @@
 	var seed string
 	for i := range 4 {
 		name, ip := fmt.Sprint("p", i), fmt.Sprint("127.0.92.", i+1)
-		r := &replica{state: fleetstate.New(fleetstate.DefaultLimits()), parts: map[string]budget.PeerState{}}
+		r := &replica{state: fleetstate.NewReplica(fleetstate.DefaultLimits()), parts: map[string]budget.PeerState{}}
 		free, err := listen(ip, 0, slog.NewLogLogger(slog.DiscardHandler, slog.LevelDebug))
 		if err != nil {
 			t.Fatal(err)
@@ -87,7 +87,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		cfg := Config{Name: name, Bind: bind, Advertise: front, Label: "test", Key: []byte("0123456789abcdef"), Timing: timing, Handler: r, Log: slog.New(slog.DiscardHandler)}
+		cfg := Config{Name: name, Bind: bind, Advertise: front, Label: "test", EncryptionKey: []byte("0123456789abcdef"), Timing: timing, Handler: r, Logger: slog.New(slog.DiscardHandler)}
 		if seed != "" {
 			cfg.Seeds = []string{seed}
 		} else {
@@ -113,7 +113,7 @@
 	hold := func(n int) func() bool {
 		return func() bool {
 			for _, p := range peers {
-				if len(p.Whole()) != n {
+				if len(p.Facts()) != n {
 					return false
 				}
 			}
@@ -121,9 +121,9 @@
 		}
 	}
 	eventually(t, "all see all", see(3))
-	peers[1].Tell(peers[1].put("a", "p1"))
+	peers[1].Broadcast(peers[1].put("a", "p1"))
 	eventually(t, "a fact goes round", hold(1))
-	peers[2].SendPart(budget.PeerState{Rate: 7}, 3)
+	peers[2].SendPeerState(budget.PeerState{Rate: 7}, 3)
 	eventually(t, "a part comes", func() bool {
 		peers[0].replica.mu.Lock()
 		defer peers[0].replica.mu.Unlock()
@@ -139,12 +139,12 @@
 	}
 	cut(true)
 	eventually(t, "each side gives the other up", see(1))
-	peers[0].Tell(peers[0].put("b", "p0"))
-	peers[3].Tell(peers[3].put("c", "p3"))
-	eventually(t, "each side goes on", func() bool { return len(peers[1].Whole()) == 2 && len(peers[2].Whole()) == 2 })
+	peers[0].Broadcast(peers[0].put("b", "p0"))
+	peers[3].Broadcast(peers[3].put("c", "p3"))
+	eventually(t, "each side goes on", func() bool { return len(peers[1].Facts()) == 2 && len(peers[2].Facts()) == 2 })
 	reached := func() (sum int64) {
 		for _, p := range peers {
-			sum += p.Counts().Rejoined
+			sum += p.Stats().Rejoined
 		}
 		return sum
 	}
@@ -152,12 +152,12 @@
 	cut(false)
 	eventually(t, "all see all again", see(3))
 	eventually(t, "all hold all", hold(3))
-	if c := peers[0].Counts(); c.BytesSent == 0 || c.Malformed != 0 || c.Lost < 2 {
+	if c := peers[0].Stats(); c.BytesSent == 0 || c.Malformed != 0 || c.Departed < 2 {
 		t.Errorf("%+v", c)
 	}
 	eventually(t, "who reached the others again counts that", func() bool { return reached() > before }) // any of them may
 	peers[0].hear([]byte{0xc1, 0xff})
-	if peers[0].Counts().Malformed != 1 {
+	if peers[0].Stats().Malformed != 1 {
 		t.Error("what can't be read is not counted")
 	}
 }
@@ -170,7 +170,7 @@
 	}
 	defer silent.Close()
 	m, err := Start(Config{Name: "p", Bind: "127.0.0.1:0", Seeds: []string{silent.Addr().String()}, Timing: DefaultTiming(),
-		Handler: &replica{state: fleetstate.New(fleetstate.DefaultLimits())}, Log: slog.New(slog.DiscardHandler)})
+		Handler: &replica{state: fleetstate.NewReplica(fleetstate.DefaultLimits())}, Logger: slog.New(slog.DiscardHandler)})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/fleetstate/state.go
+++ b/internal/fleetstate/state.go
@@ -26,23 +26,23 @@
 // The values of a Notice.
 const (
 	Draining int64 = 1
-	Gone     int64 = 2
+	Removed  int64 = 2
 )
 
 // Key is what a fact is of. Of each key a replica holds one fact.
 type Key struct {
-	Kind   Kind   `codec:"k"`
-	Server string `codec:"s"`
-	Life   int64  `codec:"l"` // when the server's process started, milliseconds of the time of day; 0 where that is not known
-	Origin string `codec:"o"` // the agent that says so
+	Kind    Kind   `codec:"k"`
+	Server  string `codec:"s"`
+	Started int64  `codec:"l"` // when the server's process started, milliseconds of the time of day; 0 where that is not known
+	Origin  string `codec:"o"` // the agent that says so
 }
 
 // Fact is a fact as one agent told it. It lives for its kind's lifetime from its stamp on.
 type Fact struct {
-	Key   `codec:"f"`
-	Value int64  `codec:"v"`
-	At    Stamp  `codec:"t"`
-	By    string `codec:"b"` // who told it: the Origin
+	Key       `codec:"f"`
+	Value     int64     `codec:"v"`
+	Timestamp Timestamp `codec:"t"`
+	Reporter  string    `codec:"b"` // who told it: the Origin
 }
 
 // later orders the copies of a fact, and the greatest is the one that holds: for a Suspicion by the stamp, as its origin alone
@@ -52,9 +52,9 @@
 // what was dropped for two greater ones is never missed, and to keep the greatest two is a join, too.
 func later(a, b Fact) int {
 	if a.Kind == Notice {
-		return cmp.Or(cmp.Compare(a.Value, b.Value), cmp.Compare(b.At, a.At), cmp.Compare(b.By, a.By))
+		return cmp.Or(cmp.Compare(a.Value, b.Value), cmp.Compare(b.Timestamp, a.Timestamp), cmp.Compare(b.Reporter, a.Reporter))
 	}
-	return cmp.Or(cmp.Compare(a.At, b.At), cmp.Compare(a.Value, b.Value))
+	return cmp.Or(cmp.Compare(a.Timestamp, b.Timestamp), cmp.Compare(a.Value, b.Value))
 }
 
 // witnesses is how many agents must say that a life ends for it to be believed.
@@ -62,61 +62,61 @@
 
 // Limits bound a replica. Zero values are not valid: see DefaultLimits.
 type Limits struct {
-	Suspicions int           // facts of this kind held at most
-	Notices    int           // likewise; two of a life
-	PerOrigin  int           // of one agent's suspicions
-	SuspectFor time.Duration // how long a suspicion lives after its stamp
-	NoticeFor  time.Duration // likewise
-	Name       int           // bytes of a server's or an agent's name at most
+	MaxSuspicions          int           // facts of this kind held at most
+	MaxNotices             int           // likewise; two of a life
+	MaxSuspicionsPerOrigin int           // of one agent's suspicions
+	SuspicionTTL           time.Duration // how long a suspicion lives after its stamp
+	NoticeTTL              time.Duration // likewise
+	MaxNameBytes           int           // bytes of a server's or an agent's name at most
 }
 
 // DefaultLimits are for fleets of hundreds of agents and servers.
 func DefaultLimits() Limits {
-	return Limits{Suspicions: 4096, Notices: 2048, PerOrigin: 256, SuspectFor: 5 * time.Second, NoticeFor: 30 * time.Second, Name: 255}
+	return Limits{MaxSuspicions: 4096, MaxNotices: 2048, MaxSuspicionsPerOrigin: 256, SuspicionTTL: 5 * time.Second, NoticeTTL: 30 * time.Second, MaxNameBytes: 255}
 }
 
-// Figures count what a replica has done. They only grow, but for Held.
-type Figures struct {
-	Held    int   `json:"held"`    // facts at present
-	Fresh   int64 `json:"fresh"`   // taken in: they said something new
-	Stale   int64 `json:"stale"`   // passed over: nothing new
-	Expired int64 `json:"expired"` // dropped or refused as their lifetime was over
-	Refused int64 `json:"refused"` // malformed, of an unknown kind, stamped too far ahead, or one too many of an agent
-	Evicted int64 `json:"evicted"` // dropped for newer ones as the replica was full
+// Stats count what a replica has done. They only grow, but for Held.
+type Stats struct {
+	Facts    int   `json:"held"`    // facts at present
+	Accepted int64 `json:"fresh"`   // taken in: they said something new
+	Stale    int64 `json:"stale"`   // passed over: nothing new
+	Expired  int64 `json:"expired"` // dropped or refused as their lifetime was over
+	Rejected int64 `json:"refused"` // malformed, of an unknown kind, stamped too far ahead, or one too many of an agent
+	Evicted  int64 `json:"evicted"` // dropped for newer ones as the replica was full
 }
 
-// State is one agent's replica of the facts. It is not safe for concurrent use.
-type State struct {
+// Replica is one agent's replica of the facts. It is not safe for concurrent use.
+type Replica struct {
 	limits  Limits
-	clock   Clock
+	clock   HybridClock
 	facts   map[Key]Fact
 	kinds   [Notice + 1]int
-	origins map[string]int  // suspicions held of each agent
-	ends    map[Life][]Fact // the notices held of each life, the greatest first
-	figures Figures
+	origins map[string]int         // suspicions held of each agent
+	ends    map[Incarnation][]Fact // the notices held of each life, the greatest first
+	figures Stats
 }
 
-// New returns an empty replica.
-func New(limits Limits) *State {
-	return &State{limits: limits, facts: map[Key]Fact{}, origins: map[string]int{}, ends: map[Life][]Fact{}}
+// NewReplica returns an empty replica.
+func NewReplica(limits Limits) *Replica {
+	return &Replica{limits: limits, facts: map[Key]Fact{}, origins: map[string]int{}, ends: map[Incarnation][]Fact{}}
 }
 
 // Put writes a fact of our own, stamped now, and returns it as it is to be told; false where the replica holds one that says
 // as much already.
-func (s *State) Put(now time.Time, key Key, value int64, by string) (Fact, bool) {
-	f := Fact{Key: key, Value: value, By: by}
-	if key.Kind == Notice && (s.facts[key].Value >= value || s.Ends(key.life()) >= value) {
+func (s *Replica) Put(now time.Time, key Key, value int64, by string) (Fact, bool) {
+	f := Fact{Key: key, Value: value, Reporter: by}
+	if key.Kind == Notice && (s.facts[key].Value >= value || s.NoticeState(key.life()) >= value) {
 		return f, false
 	}
-	f.At = s.clock.Next(now)
+	f.Timestamp = s.clock.Next(now)
 	return f, s.take(now, f)
 }
 
 // Merge takes in facts that others told, and returns those that said something new, to be told on.
-func (s *State) Merge(now time.Time, facts []Fact) (fresh []Fact) {
+func (s *Replica) Merge(now time.Time, facts []Fact) (fresh []Fact) {
 	for _, f := range facts {
-		if s.malformed(f) || !s.clock.See(now, f.At) {
-			s.figures.Refused++
+		if s.malformed(f) || !s.clock.Observe(now, f.Timestamp) {
+			s.figures.Rejected++
 			continue
 		}
 		if s.take(now, f) {
@@ -126,44 +126,44 @@
 	return fresh
 }
 
-// Ends is how far towards its end a life is, by the word of enough agents: 0 where they say nothing.
-func (s *State) Ends(l Life) int64 {
+// NoticeState is how far towards its end a life is, by the word of enough agents: 0 where they say nothing.
+func (s *Replica) NoticeState(l Incarnation) int64 {
 	if said := s.ends[l]; len(said) >= witnesses {
 		return said[witnesses-1].Value
 	}
 	return 0
 }
 
-func (s *State) malformed(f Fact) bool {
+func (s *Replica) malformed(f Fact) bool {
 	switch f.Kind {
 	case Suspicion:
 	case Notice:
-		if f.Value != Draining && f.Value != Gone {
+		if f.Value != Draining && f.Value != Removed {
 			return true
 		}
 	default:
 		return true
 	}
-	return f.Origin == "" || f.Origin != f.By || f.Server == "" || f.Value < 0 || len(f.Server) > s.limits.Name || len(f.By) > s.limits.Name
+	return f.Origin == "" || f.Origin != f.Reporter || f.Server == "" || f.Value < 0 || len(f.Server) > s.limits.MaxNameBytes || len(f.Reporter) > s.limits.MaxNameBytes
 }
 
 // lifetime is how long facts of a kind live.
-func (s *State) lifetime(k Kind) time.Duration {
+func (s *Replica) lifetime(k Kind) time.Duration {
 	if k == Notice {
-		return s.limits.NoticeFor
+		return s.limits.NoticeTTL
 	}
-	return s.limits.SuspectFor
+	return s.limits.SuspicionTTL
 }
 
-func (s *State) expired(now time.Time, f Fact) bool {
-	return !now.Before(f.At.Time().Add(s.lifetime(f.Kind)))
+func (s *Replica) expired(now time.Time, f Fact) bool {
+	return !now.Before(f.Timestamp.Time().Add(s.lifetime(f.Kind)))
 }
 
 // take holds a fact where it says more than the copy that is there, and says whether that is news. A withdrawn suspicion stays
 // until its lifetime is over, so that an older copy which comes later does not bring it back.
-func (s *State) take(now time.Time, f Fact) (news bool) {
+func (s *Replica) take(now time.Time, f Fact) (news bool) {
 	old, held := s.facts[f.Key]
-	said, believed := s.ends[f.life()], s.Ends(f.life())
+	said, believed := s.ends[f.life()], s.NoticeState(f.life())
 	switch {
 	case s.expired(now, f):
 		s.figures.Expired++
@@ -173,8 +173,8 @@
 		return false
 	case held:
 		s.drop(old)
-	case f.Kind == Suspicion && s.origins[f.Origin] >= s.limits.PerOrigin:
-		s.figures.Refused++
+	case f.Kind == Suspicion && s.origins[f.Origin] >= s.limits.MaxSuspicionsPerOrigin:
+		s.figures.Rejected++
 		return false
 	case f.Kind == Notice && len(said) == witnesses:
 		s.drop(said[witnesses-1])
@@ -183,11 +183,11 @@
 	}
 	// One that only says who else was told, or told earlier, of what is believed already is no news.
 	s.hold(f)
-	s.figures.Fresh++
+	s.figures.Accepted++
 	return f.Kind == Suspicion || believed < f.Value
 }
 
-func (s *State) hold(f Fact) {
+func (s *Replica) hold(f Fact) {
 	s.facts[f.Key] = f
 	s.kinds[f.Kind]++
 	switch f.Kind {
@@ -200,17 +200,17 @@
 }
 
 // makeRoom drops the oldest fact of a kind that is full.
-func (s *State) makeRoom(k Kind) {
-	most := s.limits.Suspicions
+func (s *Replica) makeRoom(k Kind) {
+	most := s.limits.MaxSuspicions
 	if k == Notice {
-		most = s.limits.Notices
+		most = s.limits.MaxNotices
 	}
 	if s.kinds[k] < most {
 		return
 	}
 	var oldest *Fact
 	for _, f := range s.facts {
-		if f.Kind == k && (oldest == nil || f.At < oldest.At || f.At == oldest.At && later(f, *oldest) < 0) {
+		if f.Kind == k && (oldest == nil || f.Timestamp < oldest.Timestamp || f.Timestamp == oldest.Timestamp && later(f, *oldest) < 0) {
 			oldest = &f
 		}
 	}
@@ -218,7 +218,7 @@
 	s.figures.Evicted++
 }
 
-func (s *State) drop(f Fact) {
+func (s *Replica) drop(f Fact) {
 	delete(s.facts, f.Key)
 	s.kinds[f.Kind]--
 	switch f.Kind {
@@ -235,7 +235,7 @@
 }
 
 // Expire drops what has outlived its time.
-func (s *State) Expire(now time.Time) {
+func (s *Replica) Expire(now time.Time) {
 	for _, f := range s.facts {
 		if s.expired(now, f) {
 			s.drop(f)
@@ -245,42 +245,44 @@
 }
 
 // Facts are all that are held, in a fixed order.
-func (s *State) Facts() []Fact {
+func (s *Replica) Facts() []Fact {
 	out := make([]Fact, 0, len(s.facts))
 	for _, f := range s.facts {
 		out = append(out, f)
 	}
 	slices.SortFunc(out, func(a, b Fact) int {
-		return cmp.Or(cmp.Compare(a.Kind, b.Kind), cmp.Compare(a.Server, b.Server), cmp.Compare(a.Life, b.Life), cmp.Compare(a.Origin, b.Origin))
+		return cmp.Or(cmp.Compare(a.Kind, b.Kind), cmp.Compare(a.Server, b.Server), cmp.Compare(a.Started, b.Started), cmp.Compare(a.Origin, b.Origin))
 	})
 	return out
 }
 
 // Digest is a hash of what is believed of servers' ends: equal where two replicas believe the same. Which two of several witnesses a
 // replica holds differs for longer, as it changes nothing, and suspicions live too short for all to hold the same at a moment.
-func (s *State) Digest(now time.Time) uint64 {
+func (s *Replica) Digest(now time.Time) uint64 {
 	h := fnv.New64a()
-	said := s.Notices(now)
-	for _, l := range slices.SortedFunc(maps.Keys(said), func(a, b Life) int { return cmp.Or(cmp.Compare(a.Server, b.Server), cmp.Compare(a.Started, b.Started)) }) {
+	said := s.ConfirmedNotices(now)
+	for _, l := range slices.SortedFunc(maps.Keys(said), func(a, b Incarnation) int {
+		return cmp.Or(cmp.Compare(a.Server, b.Server), cmp.Compare(a.Started, b.Started))
+	}) {
 		fmt.Fprintf(h, "%q %d %d\n", l.Server, l.Started, said[l])
 	}
 	return h.Sum64()
 }
 
-// Figures returns what it has done.
-func (s *State) Figures() Figures {
+// Stats returns what it has done.
+func (s *Replica) Stats() Stats {
 	f := s.figures
-	f.Held = len(s.facts)
+	f.Facts = len(s.facts)
 	return f
 }
 
-// Life is a life of a server.
-type Life struct {
+// Incarnation is a life of a server.
+type Incarnation struct {
 	Server  string
 	Started int64 // as in Key
 }
 
-func (k Key) life() Life { return Life{k.Server, k.Life} }
+func (k Key) life() Incarnation { return Incarnation{k.Server, k.Started} }
 
 // countedEach bounds what one agent's suspicion counts for, and enough is the sum at which a server is suspected: so it takes
 // two agents at the least, however much one of them says.
@@ -289,16 +291,16 @@
 	enough      = 3
 )
 
-// Suspects are the lives that the agents of a fleet suspect together, by what those that are there have seen themselves. One that
+// Suspected are the lives that the agents of a fleet suspect together, by what those that are there have seen themselves. One that
 // nobody knows has no say, nor has one that suspects most of so many servers: it is cut off itself, or lies.
-func (s *State) Suspects(now time.Time, there map[string]bool, servers int) map[Life]bool {
+func (s *Replica) Suspected(now time.Time, there map[string]bool, servers int) map[Incarnation]bool {
 	by := map[string][]Fact{}
 	for _, f := range s.facts {
 		if f.Kind == Suspicion && f.Value > 0 && there[f.Origin] && !s.expired(now, f) {
 			by[f.Origin] = append(by[f.Origin], f)
 		}
 	}
-	sums := map[Life]int64{}
+	sums := map[Incarnation]int64{}
 	for _, facts := range by {
 		if float64(len(facts)) > mostDoubted*float64(servers) {
 			continue
@@ -307,7 +309,7 @@
 			sums[f.life()] += min(f.Value, countedEach)
 		}
 	}
-	out := map[Life]bool{}
+	out := map[Incarnation]bool{}
 	for l, n := range sums {
 		if n >= enough {
 			out[l] = true
@@ -316,22 +318,22 @@
 	return out
 }
 
-// Notices are the lives that enough agents were told are draining or gone.
-func (s *State) Notices(now time.Time) map[Life]int64 {
-	out := map[Life]int64{}
+// ConfirmedNotices are the lives that enough agents were told are draining or gone.
+func (s *Replica) ConfirmedNotices(now time.Time) map[Incarnation]int64 {
+	out := map[Incarnation]int64{}
 	for l, said := range s.ends {
-		if v := s.Ends(l); v > 0 && !s.expired(now, said[witnesses-1]) {
+		if v := s.NoticeState(l); v > 0 && !s.expired(now, said[witnesses-1]) {
 			out[l] = v
 		}
 	}
 	return out
 }
 
-// FirstTold is when the first of those who are believed was told that a life ends.
-func (s *State) FirstTold(l Life) time.Time {
-	first := Stamp(math.MaxUint64)
+// FirstNoticed is when the first of those who are believed was told that a life ends.
+func (s *Replica) FirstNoticed(l Incarnation) time.Time {
+	first := Timestamp(math.MaxUint64)
 	for _, f := range s.ends[l] {
-		first = min(first, f.At)
+		first = min(first, f.Timestamp)
 	}
 	return first.Time()
 }
--- a/internal/soak/backend.go
+++ b/internal/soak/backend.go
@@ -19,17 +19,17 @@
 
 // Attempt is one request as a backend saw it. Times are of the machine's monotonic clock.
 type Attempt struct {
-	Request   string        `json:"request"`
-	Backend   string        `json:"backend"`
-	Instance  int           `json:"instance"` // which process of the backend
-	Peer      string        `json:"peer"`     // the far end of the connection
-	Class     string        `json:"class"`
-	First     time.Duration `json:"first"`  // its first byte came
-	Whole     time.Duration `json:"whole"`  // its last byte came; 0: never
-	Stated    time.Duration `json:"stated"` // X-Timeout; below 0 where it was not readable
-	Processed bool          `json:"processed"`
-	Answer    string        `json:"answer"` // the body that it would be served with
-	Did       Mode          `json:"did"`    // how it was answered
+	Request       string        `json:"request"`
+	Backend       string        `json:"backend"`
+	Instance      int           `json:"instance"` // which process of the backend
+	Peer          string        `json:"peer"`     // the far end of the connection
+	Class         string        `json:"class"`
+	FirstByteAt   time.Duration `json:"first"`  // its first byte came
+	CompleteAt    time.Duration `json:"whole"`  // its last byte came; 0: never
+	StatedTimeout time.Duration `json:"stated"` // X-Timeout; below 0 where it was not readable
+	Processed     bool          `json:"processed"`
+	Answer        string        `json:"answer"` // the body that it would be served with
+	Mode          Mode          `json:"did"`    // how it was answered
 }
 
 // Mode is a way of a backend to misbehave. The empty one is to behave.
@@ -38,7 +38,7 @@
 // The modes.
 const (
 	Hang         Mode = "hang"         // no answer for some seconds
-	TurnAway     Mode = "turnaway"     // 503 that says it was not processed
+	Reject       Mode = "turnaway"     // 503 that says it was not processed
 	ServerError  Mode = "error"        // 500
 	ResetBefore  Mode = "reset"        // the connection is reset once the request is there
 	ResetWithin  Mode = "resetwithin"  // the connection is reset within the answer
@@ -53,15 +53,15 @@
 	Interim      Mode = "interim"      // interim answers come before
 	SplitAnswer  Mode = "split"        // the answer comes in small pieces
 	EarlyAnswer  Mode = "early"        // an error comes before the request is whole
-	RefusesLong  Mode = "refuselong"   // 503 that says it was not processed, a while later
+	RejectLate   Mode = "refuselong"   // 503 that says it was not processed, a while later
 	Unannounced  Mode = "crossingidle" // idle connections close after some milliseconds
 	HeadOfLong   Mode = "headoflong"   // the head of a long answer, and a reset before any of its body
 	HeadOfChunks Mode = "headofchunks" // the head of an answer in chunks, and a reset some time later
 )
 
 // backendModes are those that a plan draws from.
-var backendModes = []Mode{Hang, TurnAway, ServerError, ResetBefore, ResetWithin, Noise, NeverEnds, SecondAnswer, NoLength, Chunked,
-	LongAnswer, ClosesAfter, Sleepy, Interim, SplitAnswer, EarlyAnswer, RefusesLong, Unannounced, HeadOfLong, HeadOfChunks}
+var backendModes = []Mode{Hang, Reject, ServerError, ResetBefore, ResetWithin, Noise, NeverEnds, SecondAnswer, NoLength, Chunked,
+	LongAnswer, ClosesAfter, Sleepy, Interim, SplitAnswer, EarlyAnswer, RejectLate, Unannounced, HeadOfLong, HeadOfChunks}
 
 // longAnswer is the size of a LongAnswer, in bytes.
 const longAnswer = 300 << 10
@@ -167,7 +167,7 @@
 			return
 		}
 		c.SetReadDeadline(time.Time{})
-		a := Attempt{Backend: b.id, Instance: b.instance, Peer: c.RemoteAddr().String(), First: monotonic()}
+		a := Attempt{Backend: b.id, Instance: b.instance, Peer: c.RemoteAddr().String(), FirstByteAt: monotonic()}
 		if !b.exchange(c, in, a) {
 			return
 		}
@@ -182,10 +182,10 @@
 		return false
 	}
 	a.Request, a.Class = r.Header.Get("X-Request-Id"), strings.Trim(r.URL.Path, "/")
-	a.Stated = statedTimeout(r.Header.Get(httpmsg.TimeoutHeader))
+	a.StatedTimeout = statedTimeout(r.Header.Get(httpmsg.TimeoutHeader))
 	mode := b.draw()
 	if mode == EarlyAnswer && r.ContentLength > httpmsg.HeldBody {
-		a.Did = mode
+		a.Mode = mode
 		b.report(a)
 		io.WriteString(c, "HTTP/1.1 500 Early\r\nContent-Length: 0\r\nConnection: close\r\n\r\n")
 		c.CloseWrite()
@@ -197,12 +197,12 @@
 		b.report(a)
 		return false
 	}
-	a.Whole, a.Did = monotonic(), mode
+	a.CompleteAt, a.Mode = monotonic(), mode
 	b.mu.Lock()
 	b.serial++
 	a.Answer = fmt.Sprintf("%s by %s.%d no %d", a.Request, b.id, b.instance, b.serial)
 	b.mu.Unlock()
-	a.Processed = mode != TurnAway && mode != RefusesLong
+	a.Processed = mode != Reject && mode != RejectLate
 	b.report(a) // before the answer: a client must not have one that nobody knows of
 	return b.answer(c, a, mode)
 }
@@ -219,7 +219,7 @@
 
 // answer answers a request in its way; false says that the connection is to close.
 func (b *backend) answer(c *net.TCPConn, a Attempt, mode Mode) bool {
-	if mode != TurnAway {
+	if mode != Reject {
 		time.Sleep(b.between(2*time.Millisecond, 25*time.Millisecond))
 	}
 	plain := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(a.Answer), a.Answer)
@@ -239,9 +239,9 @@
 	case Hang:
 		time.Sleep(b.between(time.Second, 8*time.Second))
 		return say(plain)
-	case TurnAway:
+	case Reject:
 		return say(turnedAway)
-	case RefusesLong:
+	case RejectLate:
 		time.Sleep(b.between(50*time.Millisecond, 400*time.Millisecond))
 		return say(turnedAway)
 	case ServerError:
@@ -281,7 +281,7 @@
 		say(plain)
 		return false
 	case Sleepy:
-		time.Sleep(min(b.between(a.Stated/2, a.Stated), 2*time.Second))
+		time.Sleep(min(b.between(a.StatedTimeout/2, a.StatedTimeout), 2*time.Second))
 		return say(plain)
 	case HeadOfLong:
 		say(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", longAnswer))
--- a/internal/soak/caller.go
+++ b/internal/soak/caller.go
@@ -55,27 +55,27 @@
 
 // Request is one request as its client saw it.
 type Request struct {
-	ID      string
-	Agent   int
-	Life    int // process of the agent when it was sent
-	Class   string
-	Habit   habit
-	Timeout time.Duration
+	ID          string
+	Agent       int
+	Incarnation int // process of the agent when it was sent
+	Class       string
+	Behavior    habit
+	Timeout     time.Duration
 
-	Local      string        // the client's end of the connection
-	Used       int           // requests on the connection before this one
-	Sent       time.Duration // its last byte was written; 0: never
-	Left       time.Duration // the client closed; 0: it stayed
-	Began      time.Duration // the head of its answer had come; 0: never
-	Ended      time.Duration // its answer had come whole, or the connection ended
-	Status     int           // 0: no answer
-	Body       string        // of an answer, its first line
-	Whole      bool          // the answer came whole
-	Bytes      int           // of an answer that came
-	Err        string
-	Resent     bool          // it was sent once more after the connection closed unread
-	Stopped    time.Duration // when a client that stops in the middle stopped
-	ConnectErr bool          // no connection could be had
+	LocalAddr       string        // the client's end of the connection
+	ConnectionUses  int           // requests on the connection before this one
+	SentAt          time.Duration // its last byte was written; 0: never
+	ClosedAt        time.Duration // the client closed; 0: it stayed
+	AnswerStartedAt time.Duration // the head of its answer had come; 0: never
+	EndedAt         time.Duration // its answer had come whole, or the connection ended
+	Status          int           // 0: no answer
+	Body            string        // of an answer, its first line
+	Complete        bool          // the answer came whole
+	BodyBytes       int           // of an answer that came
+	Err             string
+	Resent          bool          // it was sent once more after the connection closed unread
+	StoppedAt       time.Duration // when a client that stops in the middle stopped
+	ConnectErr      bool          // no connection could be had
 }
 
 // callers send requests to one agent.
@@ -132,21 +132,21 @@
 	c.serial++
 	cl := c.classes[c.rng.IntN(len(c.classes))]
 	r := &Request{ID: fmt.Sprintf("%08x%02x%06x", uint32(c.plan.Seed), c.agent.number, c.serial), Agent: c.agent.number, Class: cl.name,
-		Timeout: cl.deadline, Habit: patient}
+		Timeout: cl.deadline, Behavior: patient}
 	x := c.rng.Float64()
 	for _, h := range c.plan.habits {
 		if x -= h.share; x < 0 {
-			r.Habit = h.habit
+			r.Behavior = h.habit
 			break
 		}
 	}
 	if c.burst != "" && c.rng.Float64() < 0.6 {
-		r.Habit = c.burst
+		r.Behavior = c.burst
 	}
-	if cl.effect == repeatable && (r.Habit == slowWriter || r.Habit == edgeWriter || r.Habit == stopsMid || r.Habit == longBody || r.Habit == longLeaves) {
-		r.Habit = patient // it has no body
+	if cl.effect == repeatable && (r.Behavior == slowWriter || r.Behavior == edgeWriter || r.Behavior == stopsMid || r.Behavior == longBody || r.Behavior == longLeaves) {
+		r.Behavior = patient // it has no body
 	}
-	if r.Habit == hurried {
+	if r.Behavior == hurried {
 		r.Timeout = time.Duration(1+c.rng.IntN(120)) * time.Millisecond
 	}
 	c.requests = append(c.requests, r)
@@ -185,22 +185,22 @@
 // call sends one request and waits for its answer. One whose connection closes unread is sent once more, on a new connection.
 func (c *callers) call() {
 	r, cl := c.draw()
-	anew := r.Habit == fresh || r.Habit == malformed || r.Habit == leavesBehind
+	anew := r.Behavior == fresh || r.Behavior == malformed || r.Behavior == leavesBehind
 	for {
 		conn, err := c.connection(anew)
 		if err != nil {
-			r.ConnectErr, r.Err, r.Ended = true, err.Error(), monotonic()
+			r.ConnectErr, r.Err, r.EndedAt = true, err.Error(), monotonic()
 			return
 		}
-		if r.Habit == edgeIdle && conn.used > 0 {
+		if r.Behavior == edgeIdle && conn.used > 0 {
 			time.Sleep(time.Until(conn.last.Add(clientRest + c.between(-5*time.Millisecond, 5*time.Millisecond))))
 		}
-		r.Life, r.Used, r.Local = conn.life, conn.used, conn.LocalAddr().String()
+		r.Incarnation, r.ConnectionUses, r.LocalAddr = conn.life, conn.used, conn.LocalAddr().String()
 		c.exchange(conn, r, cl)
-		if unread := r.Status == 0 && r.Bytes == 0 && r.Left == 0 && r.Used > 0 && r.Stopped == 0; !unread || r.Resent || r.Err == lateAnswer {
+		if unread := r.Status == 0 && r.BodyBytes == 0 && r.ClosedAt == 0 && r.ConnectionUses > 0 && r.StoppedAt == 0; !unread || r.Resent || r.Err == lateAnswer {
 			return
 		}
-		*r = Request{ID: r.ID, Agent: r.Agent, Class: r.Class, Habit: r.Habit, Timeout: r.Timeout, Resent: true}
+		*r = Request{ID: r.ID, Agent: r.Agent, Class: r.Class, Behavior: r.Behavior, Timeout: r.Timeout, Resent: true}
 		anew = true
 	}
 }
@@ -218,14 +218,14 @@
 		method = "GET"
 	}
 	size := 40
-	if r.Habit == longBody || r.Habit == longLeaves {
+	if r.Behavior == longBody || r.Behavior == longLeaves {
 		size = 70<<10 + int(c.between(0, 150<<10))
 	}
 	head = fmt.Sprintf("%s /%s HTTP/1.1\r\nHost: soak\r\nX-Request-ID: %s\r\nX-Timeout: %dm\r\n", method, cl.name, r.ID, r.Timeout.Milliseconds())
 	if cl.effect == byKey {
 		head += "Idempotency-Key: key-" + r.ID + "\r\n"
 	}
-	if r.Habit == malformed {
+	if r.Behavior == malformed {
 		head += "X-Timeout: soon\r\n"
 	}
 	if method == "POST" {
@@ -240,8 +240,8 @@
 	head, body := c.text(r, cl)
 	keep := false
 	defer func() {
-		if r.Ended == 0 {
-			r.Ended = monotonic()
+		if r.EndedAt == 0 {
+			r.EndedAt = monotonic()
 		}
 		if !keep {
 			conn.Close()
@@ -256,7 +256,7 @@
 		return
 	}
 	stop := c.leave(conn, r)
-	if r.Sent > 0 {
+	if r.SentAt > 0 {
 		conn.SetReadDeadline(time.Now().Add(r.Timeout + overtime))
 	} else {
 		conn.SetReadDeadline(time.Now().Add(6 * time.Second))
@@ -267,25 +267,25 @@
 		r.fail(err)
 		return
 	}
-	r.Began = monotonic()
+	r.AnswerStartedAt = monotonic()
 	text, err := io.ReadAll(resp.Body)
 	stop()
-	r.Bytes = 1 + len(text)
-	r.Status, r.Ended = resp.StatusCode, monotonic()
+	r.BodyBytes = 1 + len(text)
+	r.Status, r.EndedAt = resp.StatusCode, monotonic()
 	r.Body, _, _ = strings.Cut(string(text), ".....")
 	if err != nil {
 		r.fail(err)
 		return
 	}
-	r.Whole = true
+	r.Complete = true
 	conn.used++
 	conn.last = time.Now()
-	keep = !resp.Close && r.Left == 0 && r.Stopped == 0 && r.Habit != leavesBehind
+	keep = !resp.Close && r.ClosedAt == 0 && r.StoppedAt == 0 && r.Behavior != leavesBehind
 	conn.SetDeadline(time.Time{})
 }
 
 func (r *Request) fail(err error) {
-	r.Err, r.Ended = err.Error(), monotonic()
+	r.Err, r.EndedAt = err.Error(), monotonic()
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		r.Err = lateAnswer
 	}
@@ -296,7 +296,7 @@
 	write := func(parts ...string) bool {
 		for _, part := range parts {
 			if _, err := io.WriteString(conn, part); err != nil {
-				if r.Habit == longBody || r.Habit == longLeaves || r.Habit == slowWriter || r.Habit == edgeWriter {
+				if r.Behavior == longBody || r.Behavior == longLeaves || r.Behavior == slowWriter || r.Behavior == edgeWriter {
 					return true // it may have been answered before its end
 				}
 				r.Err = err.Error()
@@ -305,7 +305,7 @@
 		}
 		return true
 	}
-	switch r.Habit {
+	switch r.Behavior {
 	case slowWriter:
 		for _, part := range []string{head[:10], head[10:], body[:7], body[7:]} {
 			if !write(part) {
@@ -326,13 +326,13 @@
 		if !write(whole[:len(whole)-1-int(c.between(0, 60))]) {
 			return false
 		}
-		r.Stopped = monotonic()
+		r.StoppedAt = monotonic()
 		return true
 	case longLeaves:
 		write(head, body[:len(body)/2])
 		time.Sleep(c.between(0, 60*time.Millisecond))
 		conn.Close()
-		r.Left = monotonic()
+		r.ClosedAt = monotonic()
 		return false
 	case leavesBehind:
 		if !write(head+body, "GET /", c.classes[0].name) {
@@ -343,7 +343,7 @@
 			return false
 		}
 	}
-	r.Sent = monotonic()
+	r.SentAt = monotonic()
 	return true
 }
 
@@ -351,7 +351,7 @@
 func (c *callers) leave(conn *clientConn, r *Request) (stop func()) {
 	var end func()
 	raw := conn.Conn.(*net.TCPConn)
-	switch r.Habit {
+	switch r.Behavior {
 	case leaves, leavesBehind:
 		end = func() { raw.Close() }
 	case resets:
@@ -368,7 +368,7 @@
 		defer mu.Unlock()
 		if !over {
 			end()
-			r.Left = monotonic()
+			r.ClosedAt = monotonic()
 		}
 	})
 	return func() {
--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -71,15 +71,15 @@
 		s.mu.Unlock()
 	}
 	for _, of := range a.attempts {
-		sort.Slice(of, func(i, j int) bool { return of[i].First < of[j].First })
+		sort.Slice(of, func(i, j int) bool { return of[i].FirstByteAt < of[j].FirstByteAt })
 	}
 	for _, c := range p.callers {
 		for _, q := range c.requests {
 			r.Requests++
-			if q.Whole {
+			if q.Complete {
 				r.Answered++
 			}
-			if q.Whole && q.Status == 200 {
+			if q.Complete && q.Status == 200 {
 				r.Served++
 			}
 			a.checkRequest(q, c)
@@ -107,7 +107,9 @@
 }
 
 // lifeOf is the agent's process that a request was sent to.
-func (a *account) lifeOf(q *Request) *agentLife { return a.agents[q.Agent].lives[max(q.Life, 1)-1] }
+func (a *account) lifeOf(q *Request) *agentLife {
+	return a.agents[q.Agent].lives[max(q.Incarnation, 1)-1]
+}
 
 // stopped is for how long the agent was paused between two times.
 func stopped(life *agentLife, from, to time.Duration) (sum time.Duration) {
@@ -154,11 +156,11 @@
 	switch {
 	case q.ConnectErr:
 		a.checkRefused(q)
-	case q.Habit == malformed || q.Stopped > 0:
+	case q.Behavior == malformed || q.StoppedAt > 0:
 		a.checkBadClient(q, of)
-	case q.Left > 0:
+	case q.ClosedAt > 0:
 		a.checkLeft(q, of)
-	case q.Sent > 0:
+	case q.SentAt > 0:
 		a.checkAnswer(q, of)
 		a.checkStated(q, of)
 	}
@@ -167,37 +169,37 @@
 // checkAnswer: a request that was sent whole gets its one final answer in its time, and nothing but what a server made for it.
 func (a *account) checkAnswer(q *Request, of []Attempt) {
 	life := a.lifeOf(q)
-	if life.killed > 0 && life.killed <= q.Ended+a.slack {
+	if life.killed > 0 && life.killed <= q.EndedAt+a.slack {
 		return
 	}
 	for _, f := range life.faults { // for the agent the client's connection broke
-		if q.Status == 0 && f.overlaps(q.Sent-time.Second, q.Ended, 0) {
+		if q.Status == 0 && f.overlaps(q.SentAt-time.Second, q.EndedAt, 0) {
 			return
 		}
 	}
-	end := q.Ended
-	if flows := q.Bytes > httpmsg.HeldBody || !q.Whole; flows && q.Began > 0 {
-		end = q.Began // what has begun in time may go on for as long as its server gives it, and fail with it
+	end := q.EndedAt
+	if flows := q.BodyBytes > httpmsg.HeldBody || !q.Complete; flows && q.AnswerStartedAt > 0 {
+		end = q.AnswerStartedAt // what has begun in time may go on for as long as its server gives it, and fail with it
 	}
-	late := end - stopped(life, q.Sent, end) - q.Sent - q.Timeout
+	late := end - stopped(life, q.SentAt, end) - q.SentAt - q.Timeout
 	switch {
 	case q.Err == lateAnswer && late <= answerGrace+a.slack: // its client gave up while the agent was paused
 	case late > answerGrace+a.slack: // a client that got none gives up long after that
-		a.violated("late", q.Ended, q, "%s: %v after its time of %v (%s)", q.Habit, late.Round(time.Millisecond), q.Timeout, q.outcome())
-	case q.Status == 200 && q.Whole:
+		a.violated("late", q.EndedAt, q, "%s: %v after its time of %v (%s)", q.Behavior, late.Round(time.Millisecond), q.Timeout, q.outcome())
+	case q.Status == 200 && q.Complete:
 		if !slices.ContainsFunc(of, func(at Attempt) bool { return at.Answer == q.Body }) {
-			a.violated("wrong answer", q.Ended, q, "served %q, which no server made for it", q.Body)
+			a.violated("wrong answer", q.EndedAt, q, "served %q, which no server made for it", q.Body)
 		}
-	case q.Whole:
+	case q.Complete:
 	case q.Status > 0:
 		if !slices.ContainsFunc(of, a.brokenByServer) {
-			a.violated("broken answer", q.Ended, q, "%s: answer %d broke off after %d bytes: %s", q.Habit, q.Status, q.Bytes, q.Err)
+			a.violated("broken answer", q.EndedAt, q, "%s: answer %d broke off after %d bytes: %s", q.Behavior, q.Status, q.BodyBytes, q.Err)
 		}
-	case life.term > 0 && q.Used == 0 && q.Sent > life.term+acceptsFor:
-	case q.Used > 0 && !q.Resent: // the close crossed it; it was sent again
+	case life.term > 0 && q.ConnectionUses == 0 && q.SentAt > life.term+acceptsFor:
+	case q.ConnectionUses > 0 && !q.Resent: // the close crossed it; it was sent again
 	case a.wasCrowded(q) && len(of) == 0:
 	default:
-		a.violated("lost", q.Ended, q, "%s in class %s, %d requests before it on %s: no answer (%s), %d attempts", q.Habit, q.Class, q.Used, q.Local, q.Err, len(of))
+		a.violated("lost", q.EndedAt, q, "%s in class %s, %d requests before it on %s: no answer (%s), %d attempts", q.Behavior, q.Class, q.ConnectionUses, q.LocalAddr, q.Err, len(of))
 	}
 }
 
@@ -210,7 +212,7 @@
 
 // brokenByServer reports whether a server or its path, and not the agent, may have broken an answer off.
 func (a *account) brokenByServer(at Attempt) bool {
-	switch at.Did {
+	switch at.Mode {
 	case ResetWithin, NeverEnds, NoLength, LongAnswer, Chunked:
 		return true
 	}
@@ -219,33 +221,33 @@
 }
 
 func (a *account) wasCrowded(q *Request) bool {
-	return slices.ContainsFunc(a.crowded[q.Agent], func(s span) bool { return s.overlaps(q.Sent-time.Second, q.Ended, time.Second) })
+	return slices.ContainsFunc(a.crowded[q.Agent], func(s span) bool { return s.overlaps(q.SentAt-time.Second, q.EndedAt, time.Second) })
 }
 
 // checkRefused: an agent that serves takes connections.
 func (a *account) checkRefused(q *Request) {
 	for _, life := range a.agents[q.Agent].lives {
-		serving := life.ready > 0 && life.ready < q.Ended-2*time.Second
+		serving := life.ready > 0 && life.ready < q.EndedAt-2*time.Second
 		over := life.term > 0 || life.killed > 0 || life.ended > 0
-		if serving && !over && stopped(life, q.Ended-4*time.Second, q.Ended) == 0 && !a.wasCrowded(q) {
-			a.violated("no connection", q.Ended, q, "%s", q.Err)
+		if serving && !over && stopped(life, q.EndedAt-4*time.Second, q.EndedAt) == 0 && !a.wasCrowded(q) {
+			a.violated("no connection", q.EndedAt, q, "%s", q.Err)
 		}
 	}
 }
 
 // checkBadClient: it gets an error or a close in time, and nothing of it runs.
 func (a *account) checkBadClient(q *Request, of []Attempt) {
-	from := max(q.Sent, q.Stopped)
-	took := q.Ended - from - stopped(a.lifeOf(q), from, q.Ended)
+	from := max(q.SentAt, q.StoppedAt)
+	took := q.EndedAt - from - stopped(a.lifeOf(q), from, q.EndedAt)
 	if from > 0 && took > badClientIn+a.slack {
-		a.violated("bad client", q.Ended, q, "%s waited %v (%s)", q.Habit, took.Round(time.Millisecond), q.outcome())
+		a.violated("bad client", q.EndedAt, q, "%s waited %v (%s)", q.Behavior, took.Round(time.Millisecond), q.outcome())
 	}
 	if q.Status == 200 {
-		a.violated("bad client", q.Ended, q, "%s was served", q.Habit)
+		a.violated("bad client", q.EndedAt, q, "%s was served", q.Behavior)
 	}
 	for _, at := range of {
-		if at.Whole > 0 {
-			a.violated("bad client", at.Whole, q, "%s was sent on to %s", q.Habit, at.Backend)
+		if at.CompleteAt > 0 {
+			a.violated("bad client", at.CompleteAt, q, "%s was sent on to %s", q.Behavior, at.Backend)
 		}
 	}
 }
@@ -254,30 +256,30 @@
 func (a *account) checkLeft(q *Request, of []Attempt) {
 	life := a.lifeOf(q)
 	for n, at := range of {
-		if after := at.First - q.Left; after > leaveGrace+a.slack && !a.disturbed(life, a.server[at.Backend], q.Left, at.First) {
-			a.violated("sent after leave", at.First, q, "%s: attempt %d at %s began %v after its client left", q.Habit, n, at.Backend, after.Round(time.Millisecond))
+		if after := at.FirstByteAt - q.ClosedAt; after > leaveGrace+a.slack && !a.disturbed(life, a.server[at.Backend], q.ClosedAt, at.FirstByteAt) {
+			a.violated("sent after leave", at.FirstByteAt, q, "%s: attempt %d at %s began %v after its client left", q.Behavior, n, at.Backend, after.Round(time.Millisecond))
 		}
 	}
 }
 
 // checkRepeats: what may have run goes out again only where its class allows.
 func (a *account) checkRepeats(q *Request, cl class, of []Attempt) {
-	if q.Resent && slices.ContainsFunc(a.lifeOf(q).faults, func(f span) bool { return f.overlaps(q.Sent-2*time.Second, q.Ended, 0) }) {
+	if q.Resent && slices.ContainsFunc(a.lifeOf(q).faults, func(f span) bool { return f.overlaps(q.SentAt-2*time.Second, q.EndedAt, 0) }) {
 		return // a read that was made to fail ended the connection of the first: for the agent that client had left
 	}
 	var first *Attempt
 	for n := range of {
 		at := &of[n]
-		if at.Whole == 0 {
+		if at.CompleteAt == 0 {
 			continue
 		}
 		if first != nil {
-			after := at.First - first.First
+			after := at.FirstByteAt - first.FirstByteAt
 			switch {
 			case cl.effect == once:
-				a.violated("duplicate", at.First, q, "%s: a second copy at %s %v after that at %s (%s)", q.Habit, at.Backend, after.Round(time.Millisecond), first.Backend, first.Did)
-			case cl.effect == byKey && after > cl.window+socketGrace+a.slack && !a.disturbed(a.lifeOf(q), a.server[at.Backend], first.First, at.First):
-				a.violated("duplicate", at.First, q, "%s: a second copy at %s %v after the first, outside the window of %v", q.Habit, at.Backend, after.Round(time.Millisecond), cl.window)
+				a.violated("duplicate", at.FirstByteAt, q, "%s: a second copy at %s %v after that at %s (%s)", q.Behavior, at.Backend, after.Round(time.Millisecond), first.Backend, first.Mode)
+			case cl.effect == byKey && after > cl.window+socketGrace+a.slack && !a.disturbed(a.lifeOf(q), a.server[at.Backend], first.FirstByteAt, at.FirstByteAt):
+				a.violated("duplicate", at.FirstByteAt, q, "%s: a second copy at %s %v after the first, outside the window of %v", q.Behavior, at.Backend, after.Round(time.Millisecond), cl.window)
 			}
 		}
 		if at.Processed && first == nil {
@@ -290,9 +292,9 @@
 func (a *account) checkStated(q *Request, of []Attempt) {
 	life := a.lifeOf(q)
 	for _, at := range of {
-		left := q.Sent + q.Timeout - at.First
-		if over := at.Stated - left; at.Stated > 0 && over > deadlineSlack+a.slack && !a.disturbed(life, a.server[at.Backend], q.Sent, at.First) {
-			a.violated("deadline", at.First, q, "%s: %s was told of %v with %v left", q.Habit, at.Backend, at.Stated, left.Round(time.Millisecond))
+		left := q.SentAt + q.Timeout - at.FirstByteAt
+		if over := at.StatedTimeout - left; at.StatedTimeout > 0 && over > deadlineSlack+a.slack && !a.disturbed(life, a.server[at.Backend], q.SentAt, at.FirstByteAt) {
+			a.violated("deadline", at.FirstByteAt, q, "%s: %s was told of %v with %v left", q.Behavior, at.Backend, at.StatedTimeout, left.Round(time.Millisecond))
 		}
 	}
 }
@@ -339,7 +341,7 @@
 	life := a.lifeOf(q)
 	told, by := time.Duration(0), ""
 	for _, n := range a.registry.notices { // the latest word that came before the attempt
-		if n.agent == q.Agent && n.server == at.Backend && n.at <= at.First {
+		if n.agent == q.Agent && n.server == at.Backend && n.at <= at.FirstByteAt {
 			told, by = 0, ""
 			if !n.takesNew {
 				told, by = n.at, "it was told"
@@ -349,18 +351,18 @@
 	if told == 0 {
 		told, by = a.countsAsTold(q, at, life)
 	}
-	after := at.First - told
-	if told == 0 || after <= drainGrace+socketGrace+a.slack || a.disturbed(life, a.server[at.Backend], told, at.First) {
+	after := at.FirstByteAt - told
+	if told == 0 || after <= drainGrace+socketGrace+a.slack || a.disturbed(life, a.server[at.Backend], told, at.FirstByteAt) {
 		return
 	}
-	a.violated("drain", at.First, q, "sent to %s %v after %s", at.Backend, after.Round(time.Millisecond), by)
+	a.violated("drain", at.FirstByteAt, q, "sent to %s %v after %s", at.Backend, after.Round(time.Millisecond), by)
 }
 
 // countsAsTold is when a change counts as told whether or not it was heard: so long after it could be had.
 func (a *account) countsAsTold(q *Request, at Attempt, life *agentLife) (time.Duration, string) {
 	var change time.Duration
 	for _, n := range a.registry.changes {
-		if n.server == at.Backend && n.at <= at.First {
+		if n.server == at.Backend && n.at <= at.FirstByteAt {
 			change = n.at
 			if n.takesNew {
 				change = 0
@@ -378,11 +380,11 @@
 		}
 	}
 	for _, p := range life.paused {
-		if p.from < at.First && p.to > from {
+		if p.from < at.FirstByteAt && p.to > from {
 			from = p.to
 		}
 	}
-	if from+notifiedIn > at.First {
+	if from+notifiedIn > at.FirstByteAt {
 		return 0, ""
 	}
 	return from + notifiedIn, fmt.Sprintf("it counts as told of what changed at %.2fs", (change - a.began).Seconds())
@@ -439,8 +441,8 @@
 			}
 			var came []time.Duration
 			for _, at := range s.attempts {
-				if at.Instance == n+1 && at.First-started < a.plan.ColdFor {
-					came = append(came, at.First)
+				if at.Instance == n+1 && at.FirstByteAt-started < a.plan.SlowStartWindow {
+					came = append(came, at.FirstByteAt)
 				}
 			}
 			a.checkStart(s.id, started, came, capacity)
@@ -456,9 +458,9 @@
 		for at-came[from] > fallWindow {
 			from++
 		}
-		age := float64(at-started) / float64(a.plan.ColdFor)
-		share := a.plan.ColdFrom + (1-a.plan.ColdFrom)*min(1, age)
-		n := a.plan.Overload * capacity * share * fallWindow.Seconds()
+		age := float64(at-started) / float64(a.plan.SlowStartWindow)
+		share := a.plan.SlowStartInitialFraction + (1-a.plan.SlowStartInitialFraction)*min(1, age)
+		n := a.plan.OverloadFactor * capacity * share * fallWindow.Seconds()
 		budget := n + 2*math.Sqrt(n) + 2
 		if n < 30 {
 			budget = n + 3*math.Sqrt(n) + 3
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -19,63 +19,63 @@
 	"time"
 )
 
-// TroubleKind is what befalls somebody.
-type TroubleKind string
+// FaultKind is what befalls somebody.
+type FaultKind string
 
 // The kinds of trouble, with what they befall.
 const (
-	AgentTerm        TroubleKind = "agent-term"         // SIGTERM, and the next process once it has ended
-	AgentKill        TroubleKind = "agent-kill"         // SIGKILL
-	AgentPause       TroubleKind = "agent-pause"        // SIGSTOP for a while
-	AgentReload      TroubleKind = "agent-reload"       // SIGHUP with nothing changed
-	AgentMove        TroubleKind = "agent-move"         // SIGHUP with another discovery
-	AgentThereBack   TroubleKind = "agent-there-back"   // two SIGHUPs in quick succession: to another discovery and back
-	AgentDrain       TroubleKind = "agent-drain"        // operators send its clients away for a while
-	AgentHold        TroubleKind = "agent-hold"         // writes to servers are held up for 150 ms
-	ClockStep        TroubleKind = "clock-step"         // the time of day of all machines is stepped
-	AcceptFails      TroubleKind = "accept-fails"       //
-	ConnectFails     TroubleKind = "connect-fails"      //
-	ServerReadFails  TroubleKind = "server-read-fails"  //
-	ServerWriteFails TroubleKind = "server-write-fails" //
-	ClientReadFails  TroubleKind = "client-read-fails"  //
-	ShortReads       TroubleKind = "short-reads"        // each read brings a few bytes
-	DiskFails        TroubleKind = "disk-fails"         //
-	LogStalls        TroubleKind = "log-stalls"         // nobody reads the agent's log
-	ServerDrain      TroubleKind = "server-drain"       // drains, goes, and starts anew
-	ServerCrash      TroubleKind = "server-crash"       // dies, and starts anew before discovery knows
-	ServerPause      TroubleKind = "server-pause"       // SIGSTOP
-	ServerMode       TroubleKind = "server-mode"        // misbehaves in one of its ways
-	ServerResets     TroubleKind = "server-resets"      // resets all its connections
-	PathCut          TroubleKind = "path-cut"           // nothing passes on the way to a server
-	PathSlow         TroubleKind = "path-slow"          //
-	PathReset        TroubleKind = "path-reset"         // the way's connections break
-	DiscoveryDown    TroubleKind = "discovery-down"     //
-	DiscoverySilent  TroubleKind = "discovery-silent"   // open watches hear nothing any more
-	DiscoveryReset   TroubleKind = "discovery-reset"    // open watches break
-	DiscoverySlow    TroubleKind = "discovery-slow"     //
-	DiscoveryPieces  TroubleKind = "discovery-pieces"   // lists come in pieces
-	ClientBurst      TroubleKind = "client-burst"       // most clients have one bad habit
-	ClientCrowd      TroubleKind = "client-crowd"       // connections that say nothing
+	AgentTerm        FaultKind = "agent-term"         // SIGTERM, and the next process once it has ended
+	AgentKill        FaultKind = "agent-kill"         // SIGKILL
+	AgentPause       FaultKind = "agent-pause"        // SIGSTOP for a while
+	AgentReload      FaultKind = "agent-reload"       // SIGHUP with nothing changed
+	AgentMove        FaultKind = "agent-move"         // SIGHUP with another discovery
+	AgentThereBack   FaultKind = "agent-there-back"   // two SIGHUPs in quick succession: to another discovery and back
+	AgentDrain       FaultKind = "agent-drain"        // operators send its clients away for a while
+	AgentHold        FaultKind = "agent-hold"         // writes to servers are held up for 150 ms
+	ClockStep        FaultKind = "clock-step"         // the time of day of all machines is stepped
+	AcceptFails      FaultKind = "accept-fails"       //
+	ConnectFails     FaultKind = "connect-fails"      //
+	ServerReadFails  FaultKind = "server-read-fails"  //
+	ServerWriteFails FaultKind = "server-write-fails" //
+	ClientReadFails  FaultKind = "client-read-fails"  //
+	ShortReads       FaultKind = "short-reads"        // each read brings a few bytes
+	DiskFails        FaultKind = "disk-fails"         //
+	LogStalls        FaultKind = "log-stalls"         // nobody reads the agent's log
+	ServerDrain      FaultKind = "server-drain"       // drains, goes, and starts anew
+	ServerCrash      FaultKind = "server-crash"       // dies, and starts anew before discovery knows
+	ServerPause      FaultKind = "server-pause"       // SIGSTOP
+	ServerMode       FaultKind = "server-mode"        // misbehaves in one of its ways
+	ServerResets     FaultKind = "server-resets"      // resets all its connections
+	PathCut          FaultKind = "path-cut"           // nothing passes on the way to a server
+	PathSlow         FaultKind = "path-slow"          //
+	PathReset        FaultKind = "path-reset"         // the way's connections break
+	DiscoveryDown    FaultKind = "discovery-down"     //
+	DiscoverySilent  FaultKind = "discovery-silent"   // open watches hear nothing any more
+	DiscoveryReset   FaultKind = "discovery-reset"    // open watches break
+	DiscoverySlow    FaultKind = "discovery-slow"     //
+	DiscoveryPieces  FaultKind = "discovery-pieces"   // lists come in pieces
+	ClientBurst      FaultKind = "client-burst"       // most clients have one bad habit
+	ClientCrowd      FaultKind = "client-crowd"       // connections that say nothing
 )
 
-var troubleKinds = []TroubleKind{AgentTerm, AgentTerm, AgentKill, AgentPause, AgentReload, AgentMove, AgentThereBack, AgentDrain, AgentHold, ClockStep,
+var troubleKinds = []FaultKind{AgentTerm, AgentTerm, AgentKill, AgentPause, AgentReload, AgentMove, AgentThereBack, AgentDrain, AgentHold, ClockStep,
 	AcceptFails, ConnectFails, ServerReadFails, ServerWriteFails, ClientReadFails, ShortReads, DiskFails, LogStalls, ServerDrain, ServerDrain,
 	ServerCrash, ServerCrash, ServerPause, ServerMode, ServerMode, ServerMode, ServerResets, PathCut, PathSlow, PathReset, DiscoveryDown,
 	DiscoverySilent, DiscoveryReset, DiscoverySlow, DiscoveryPieces, ClientBurst, ClientBurst, ClientCrowd}
 
-// Trouble is one thing that befalls somebody during a play.
-type Trouble struct {
-	Kind   TroubleKind
-	From   time.Duration // since the play began
-	For    time.Duration
-	Target int    // number of an agent or of a server
-	Detail string // an errno, a mode, a habit, a step
-	Count  int
+// Fault is one thing that befalls somebody during a play.
+type Fault struct {
+	Kind     FaultKind
+	Start    time.Duration // since the play began
+	Duration time.Duration
+	Target   int    // number of an agent or of a server
+	Detail   string // an errno, a mode, a habit, a step
+	Count    int
 }
 
 // String tells it in a line.
-func (t Trouble) String() string {
-	return strings.TrimSpace(fmt.Sprintf("%6.2fs for %5.2fs  %-18s %d %s", t.From.Seconds(), t.For.Seconds(), t.Kind, t.Target, t.Detail))
+func (t Fault) String() string {
+	return strings.TrimSpace(fmt.Sprintf("%6.2fs for %5.2fs  %-18s %d %s", t.Start.Seconds(), t.Duration.Seconds(), t.Kind, t.Target, t.Detail))
 }
 
 type habitShare struct {
@@ -85,20 +85,20 @@
 
 // Plan is all that is drawn for a play.
 type Plan struct {
-	Seed     uint64
-	Length   time.Duration
-	Agents   int
-	Servers  int
-	Rate     float64 // requests a second of each agent, in the mean
-	Asked    bool    // agents subscribe to discovery
-	Zones    []string
-	Classes  []class
-	ColdFrom float64
-	ColdFor  time.Duration
-	Overload float64
-	Troubles []Trouble
-	habits   []habitShare
-	seeds    *rand.Rand
+	Seed                     uint64
+	Length                   time.Duration
+	Agents                   int
+	Servers                  int
+	Rate                     float64 // requests a second of each agent, in the mean
+	Subscribed               bool    // agents subscribe to discovery
+	Zones                    []string
+	Classes                  []class
+	SlowStartInitialFraction float64
+	SlowStartWindow          time.Duration
+	OverloadFactor           float64
+	Faults                   []Fault
+	habits                   []habitShare
+	seeds                    *rand.Rand
 }
 
 // Bounds of a play.
@@ -108,14 +108,14 @@
 	longest    = 2500 * time.Millisecond // of one trouble
 )
 
-// Only limits the kinds that Draw draws from; empty for all.
-type Only []TroubleKind
+// FaultKinds limits the kinds that Draw draws from; empty for all.
+type FaultKinds []FaultKind
 
 // Draw makes the plan of a seed.
-func Draw(seed uint64, length time.Duration, only Only) *Plan {
+func Draw(seed uint64, length time.Duration, only FaultKinds) *Plan {
 	rng := rand.New(rand.NewPCG(seed, 31))
-	p := &Plan{Seed: seed, Length: length, Agents: 3 + rng.IntN(3), Servers: 6 + rng.IntN(5), Rate: 25 + rng.Float64()*30, Asked: rng.Float64() < 0.7,
-		ColdFrom: 0.12 + 0.2*rng.Float64(), ColdFor: time.Duration(5+rng.IntN(6)) * time.Second, Overload: 2 + rng.Float64(), seeds: rng}
+	p := &Plan{Seed: seed, Length: length, Agents: 3 + rng.IntN(3), Servers: 6 + rng.IntN(5), Rate: 25 + rng.Float64()*30, Subscribed: rng.Float64() < 0.7,
+		SlowStartInitialFraction: 0.12 + 0.2*rng.Float64(), SlowStartWindow: time.Duration(5+rng.IntN(6)) * time.Second, OverloadFactor: 2 + rng.Float64(), seeds: rng}
 	deadline := time.Duration(600+rng.IntN(1400)) * time.Millisecond
 	p.Classes = []class{
 		{name: "read", effect: repeatable, aim: deadline / 4, deadline: deadline},
@@ -127,10 +127,10 @@
 	}
 	for t := quietStart; t < length-quietEnd; t += time.Second + time.Duration(rng.Float64()*2.5*float64(time.Second)) {
 		for range 2 + rng.IntN(2) {
-			p.Troubles = append(p.Troubles, drawTrouble(rng, p, t, only))
+			p.Faults = append(p.Faults, drawTrouble(rng, p, t, only))
 		}
 	}
-	slices.SortStableFunc(p.Troubles, func(a, b Trouble) int { return int(a.From - b.From) })
+	slices.SortStableFunc(p.Faults, func(a, b Fault) int { return int(a.Start - b.Start) })
 	return p
 }
 
@@ -145,13 +145,13 @@
 
 func pick[T any](rng *rand.Rand, from []T) T { return from[rng.IntN(len(from))] }
 
-func drawTrouble(rng *rand.Rand, p *Plan, from time.Duration, only Only) Trouble {
+func drawTrouble(rng *rand.Rand, p *Plan, from time.Duration, only FaultKinds) Fault {
 	kinds := troubleKinds
 	if len(only) > 0 {
 		kinds = only
 	}
-	t := Trouble{Kind: pick(rng, kinds), From: from + time.Duration(rng.Float64()*0.7*float64(time.Second)),
-		For: 100*time.Millisecond + time.Duration(rng.Float64()*float64(longest-100*time.Millisecond)), Count: 1 + rng.IntN(4)}
+	t := Fault{Kind: pick(rng, kinds), Start: from + time.Duration(rng.Float64()*0.7*float64(time.Second)),
+		Duration: 100*time.Millisecond + time.Duration(rng.Float64()*float64(longest-100*time.Millisecond)), Count: 1 + rng.IntN(4)}
 	t.Target = rng.IntN(p.Agents)
 	switch t.Kind {
 	case ServerDrain, ServerCrash, ServerPause, ServerMode, ServerResets, PathCut, PathSlow, PathReset:
@@ -182,8 +182,8 @@
 func (p *Plan) Describe() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "seed %d: %d agents with %.0f requests a second each, %d servers, asked %v, deadline %v, window %v, slow start from %.2f over %v, overload %.2f, %v long\n",
-		p.Seed, p.Agents, p.Rate, p.Servers, p.Asked, p.Classes[0].deadline, p.Classes[1].window, p.ColdFrom, p.ColdFor, p.Overload, p.Length)
-	for _, t := range p.Troubles {
+		p.Seed, p.Agents, p.Rate, p.Servers, p.Subscribed, p.Classes[0].deadline, p.Classes[1].window, p.SlowStartInitialFraction, p.SlowStartWindow, p.OverloadFactor, p.Length)
+	for _, t := range p.Faults {
 		fmt.Fprintln(&b, " ", t)
 	}
 	return b.String()
@@ -197,13 +197,13 @@
 			"WindowNs": c.window, "Worth": 1})
 	}
 	mode := "automatic"
-	if p.Asked {
+	if p.Subscribed {
 		mode = "subscribe"
 	}
 	return map[string]any{"Balancers": p.Agents, "Me": me, "TickNs": 5 * time.Millisecond, "WeightKind": "silent", "Discovery": mode, "Zones": []string{"z"},
 		"Ceilings": map[string]any{"ConnIdleNs": idleLimit, "ConnectTimeoutNs": 500 * time.Millisecond, "MaxRetryAfterNs": time.Second,
 			"MostHeld": 1000, "MostTries": 4, "ParallelTries": true, "RetryAfter": true},
 		"Classes": classes, "Report": map[string]any{"Fields": []string{"util"}, "Via": "piggyback"},
-		"Rules": map[string]any{"ColdFrom": p.ColdFrom, "ColdNs": p.ColdFor, "OverloadFactor": p.Overload, "FallNs": fallWindow,
+		"Rules": map[string]any{"ColdFrom": p.SlowStartInitialFraction, "ColdNs": p.SlowStartWindow, "OverloadFactor": p.OverloadFactor, "FallNs": fallWindow,
 			"DrainGraceNs": drainGrace, "GraceToAnswerNs": 20 * time.Millisecond, "MustAskInNs": 10 * time.Second}}
 }
--- a/internal/soak/plan_test.go
+++ b/internal/soak/plan_test.go
@@ -16,12 +16,12 @@
 		}
 		plans[text] = true
 		overlap := 0
-		for i, a := range p.Troubles {
-			if a.From < quietStart || a.From > p.Length {
+		for i, a := range p.Faults {
+			if a.Start < quietStart || a.Start > p.Length {
 				t.Errorf("seed %d: %v is outside of the play", seed, a)
 			}
-			for _, b := range p.Troubles[i+1:] {
-				if b.From < a.From+a.For {
+			for _, b := range p.Faults[i+1:] {
+				if b.Start < a.Start+a.Duration {
 					overlap++
 				}
 			}
@@ -37,12 +37,12 @@
 
 // Every kind of trouble is drawn by some seed, and kinds can be left out.
 func TestAllKindsAreDrawn(t *testing.T) {
-	seen := map[TroubleKind]bool{}
+	seen := map[FaultKind]bool{}
 	for seed := range uint64(60) {
-		for _, trouble := range Draw(seed, time.Minute, nil).Troubles {
+		for _, trouble := range Draw(seed, time.Minute, nil).Faults {
 			seen[trouble.Kind] = true
 		}
-		for _, trouble := range Draw(seed, time.Minute, Only{AgentTerm, PathCut}).Troubles {
+		for _, trouble := range Draw(seed, time.Minute, FaultKinds{AgentTerm, PathCut}).Faults {
 			if trouble.Kind != AgentTerm && trouble.Kind != PathCut {
 				t.Errorf("seed %d drew %v", seed, trouble)
 			}
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -31,10 +31,10 @@
 
 // Options say how a play is played.
 type Options struct {
-	Program string   // the path of this program
-	Dir     string   // for logs and configurations
-	Plant   []string // faults planted in the agents: a name and a probability each, as faultshim has them
-	Out     io.Writer
+	Program       string   // the path of this program
+	Dir           string   // for logs and configurations
+	PlantedFaults []string // faults planted in the agents: a name and a probability each, as faultshim has them
+	Out           io.Writer
 }
 
 // play is a play under way.
@@ -184,7 +184,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	args := []string{"--clock", p.wallStep.String()}
-	for _, plant := range p.opts.Plant {
+	for _, plant := range p.opts.PlantedFaults {
 		args = append(args, "--plant", plant)
 	}
 	return args
@@ -323,8 +323,8 @@
 
 // befall lets the troubles of the plan happen at their times, and waits until the last has begun.
 func (p *play) befall(ctx context.Context) {
-	for _, t := range p.plan.Troubles {
-		sleep(ctx, t.From-(monotonic()-p.began))
+	for _, t := range p.plan.Faults {
+		sleep(ctx, t.Start-(monotonic()-p.began))
 		if ctx.Err() != nil {
 			return
 		}
--- a/internal/soak/trouble.go
+++ b/internal/soak/trouble.go
@@ -9,7 +9,7 @@
 )
 
 // happen lets one trouble befall its target, and returns when it is over.
-func (p *play) happen(ctx context.Context, t Trouble) {
+func (p *play) happen(ctx context.Context, t Fault) {
 	switch t.Kind {
 	case AgentTerm, AgentKill, AgentPause, AgentReload, AgentMove, AgentThereBack, AgentDrain:
 		p.befallAgent(ctx, p.agents[t.Target], t)
@@ -28,7 +28,7 @@
 	}
 }
 
-func (p *play) befallAgent(ctx context.Context, a *agent, t Trouble) {
+func (p *play) befallAgent(ctx context.Context, a *agent, t Fault) {
 	a.mu.Lock()
 	c, life, busy := a.child, a.life(), a.expectEnd
 	if ending := t.Kind == AgentTerm || t.Kind == AgentKill; ending && !busy {
@@ -56,12 +56,12 @@
 		life.killed = monotonic()
 		a.mu.Unlock()
 		c.kill()
-		sleep(ctx, t.For/5)
+		sleep(ctx, t.Duration/5)
 		p.restart(ctx, a)
 	case AgentPause:
 		c.signal(syscall.SIGSTOP)
 		from := monotonic()
-		sleep(ctx, t.For)
+		sleep(ctx, t.Duration)
 		c.signal(syscall.SIGCONT)
 		a.mu.Lock()
 		life.paused = append(life.paused, span{from, monotonic()})
@@ -74,7 +74,7 @@
 		p.thereAndBack(ctx, a, c, t)
 	case AgentDrain:
 		a.steer("drain")
-		sleep(ctx, t.For)
+		sleep(ctx, t.Duration)
 		a.steer("activate")
 	}
 }
@@ -124,19 +124,19 @@
 }
 
 // thereAndBack points an agent to another discovery and, before it can have got far, back.
-func (p *play) thereAndBack(ctx context.Context, a *agent, c *child, t Trouble) {
+func (p *play) thereAndBack(ctx context.Context, a *agent, c *child, t Fault) {
 	a.mu.Lock()
 	home := a.disco
 	a.mu.Unlock()
 	p.writeConfig(a, discoveryHost+":1")
 	c.signal(syscall.SIGHUP)
-	sleep(ctx, t.For/1000)
+	sleep(ctx, t.Duration/1000)
 	p.writeConfig(a, home.at)
 	c.signal(syscall.SIGHUP)
 }
 
 // befallMachine lets calls of an agent's machine fail.
-func (p *play) befallMachine(ctx context.Context, a *agent, t Trouble) {
+func (p *play) befallMachine(ctx context.Context, a *agent, t Fault) {
 	a.mu.Lock()
 	c, life := a.child, a.life()
 	a.mu.Unlock()
@@ -148,7 +148,7 @@
 	}
 	switch t.Kind {
 	case AgentHold:
-		note(&life.holds, t.For)
+		note(&life.holds, t.Duration)
 		c.command("hold 150ms %d", 2+t.Count)
 	case AcceptFails:
 		c.command("accept %s %d", t.Detail, t.Count)
@@ -162,20 +162,20 @@
 		note(&life.faults, 3*time.Second)
 		c.command("clientread %s %d", t.Detail, t.Count)
 	case ShortReads: // a long body takes so many reads that the agent is held up
-		note(&life.holds, t.For)
-		c.command("shortread %s", t.For)
+		note(&life.holds, t.Duration)
+		c.command("shortread %s", t.Duration)
 	case DiskFails:
 		c.command("disk %s", t.Detail)
-		sleep(ctx, t.For)
+		sleep(ctx, t.Duration)
 		c.command("disk ok")
 	case LogStalls:
 		a.stallLog.Store(true)
-		sleep(ctx, t.For)
+		sleep(ctx, t.Duration)
 		a.stallLog.Store(false)
 	}
 }
 
-func (p *play) stepClocks(t Trouble) {
+func (p *play) stepClocks(t Fault) {
 	step, err := time.ParseDuration(t.Detail)
 	if err != nil {
 		p.problem("soak", "%v", err)
@@ -193,7 +193,7 @@
 	}
 }
 
-func (p *play) befallServer(ctx context.Context, number int, t Trouble) {
+func (p *play) befallServer(ctx context.Context, number int, t Fault) {
 	s := p.servers[number]
 	s.mu.Lock()
 	c := s.child
@@ -204,14 +204,14 @@
 	switch t.Kind {
 	case ServerMode:
 		c.command("mode %s 0.5", t.Detail)
-		sleep(ctx, t.For)
+		sleep(ctx, t.Duration)
 		c.command("mode %s 0", t.Detail)
 	case ServerResets:
 		c.command("resetall")
 	case ServerPause:
 		c.signal(syscall.SIGSTOP)
 		from := monotonic()
-		sleep(ctx, t.For)
+		sleep(ctx, t.Duration)
 		c.signal(syscall.SIGCONT)
 		s.mu.Lock()
 		s.paused = append(s.paused, span{from, monotonic()})
@@ -220,20 +220,20 @@
 		p.drain(ctx, number, c, t)
 	case ServerCrash:
 		c.kill()
-		sleep(ctx, t.For/3)
+		sleep(ctx, t.Duration/3)
 		p.comeBack(ctx, number)
 	}
 }
 
 // drain lets a server drain, go and start anew.
-func (p *play) drain(ctx context.Context, number int, c *child, t Trouble) {
+func (p *play) drain(ctx context.Context, number int, c *child, t Fault) {
 	e := p.registry.get(p.servers[number].id)
 	if e.State != ready {
 		return
 	}
 	e.State = terminating
 	p.registry.set(e)
-	stays := t.For + time.Second
+	stays := t.Duration + time.Second
 	if t.Count > 2 {
 		stays += notifiedIn + time.Second // so long that all agents must have heard
 	}
@@ -243,7 +243,7 @@
 	}
 	e.State = gone
 	p.registry.set(e)
-	sleep(ctx, t.For/4)
+	sleep(ctx, t.Duration/4)
 	c.kill()
 	p.comeBack(ctx, number)
 }
@@ -266,13 +266,13 @@
 	}
 }
 
-func (p *play) befallPath(ctx context.Context, t Trouble) {
+func (p *play) befallPath(ctx context.Context, t Fault) {
 	number := t.Target | 1 // these have a path of their own
 	if number >= len(p.paths) {
 		return
 	}
 	way := p.paths[number]
-	conditions := map[TroubleKind]link.Conditions{PathCut: {Cut: true}, PathSlow: {Delay: 40 * time.Millisecond, Jitter: 60 * time.Millisecond}}[t.Kind]
+	conditions := map[FaultKind]link.Conditions{PathCut: {Cut: true}, PathSlow: {Delay: 40 * time.Millisecond, Jitter: 60 * time.Millisecond}}[t.Kind]
 	set := func(c link.Conditions) {
 		way.mu.Lock()
 		defer way.mu.Unlock()
@@ -286,7 +286,7 @@
 		way.mu.Unlock()
 	} else {
 		set(conditions)
-		sleep(ctx, t.For)
+		sleep(ctx, t.Duration)
 		set(link.Conditions{})
 	}
 	way.mu.Lock()
@@ -294,7 +294,7 @@
 	way.mu.Unlock()
 }
 
-func (p *play) befallDiscovery(ctx context.Context, a *agent, t Trouble) {
+func (p *play) befallDiscovery(ctx context.Context, a *agent, t Fault) {
 	a.mu.Lock()
 	d := a.disco
 	a.mu.Unlock()
@@ -302,7 +302,7 @@
 	case DiscoveryDown:
 		d.change(func() { d.down = true })
 		d.reset()
-		sleep(ctx, t.For*2)
+		sleep(ctx, t.Duration*2)
 		d.change(func() { d.down = false })
 	case DiscoverySilent:
 		d.fallSilent()
@@ -311,20 +311,20 @@
 		d.reset()
 	case DiscoverySlow:
 		d.change(func() { d.slow = 300 * time.Millisecond })
-		sleep(ctx, t.For)
+		sleep(ctx, t.Duration)
 		d.change(func() { d.slow = 0 })
 	case DiscoveryPieces:
 		d.change(func() { d.pieces = true })
-		sleep(ctx, t.For*2)
+		sleep(ctx, t.Duration*2)
 		d.change(func() { d.pieces = false })
 	}
 }
 
-func (p *play) befallClients(ctx context.Context, t Trouble) {
+func (p *play) befallClients(ctx context.Context, t Fault) {
 	c := p.callers[t.Target]
 	if t.Kind == ClientCrowd {
 		from := monotonic()
-		c.crowd(ctx, agentFiles, t.For)
+		c.crowd(ctx, agentFiles, t.Duration)
 		p.mu.Lock()
 		p.crowded[t.Target] = append(p.crowded[t.Target], span{from, monotonic()})
 		p.mu.Unlock()
@@ -333,7 +333,7 @@
 	c.mu.Lock()
 	c.burst = habit(t.Detail)
 	c.mu.Unlock()
-	sleep(ctx, t.For)
+	sleep(ctx, t.Duration)
 	c.mu.Lock()
 	c.burst = ""
 	c.mu.Unlock()
