--- /dev/null
+++ b/internal/budget/settings_test.go
@@ -0,0 +1,16 @@
+package budget
+
+import (
+	"strings"
+	"testing"
+)
+
+// Each setting that is out of bounds is named.
+func TestCheckNamesEachBadSetting(t *testing.T) {
+	bad := Defaults()
+	bad.MinServedFraction, bad.Agents = 1, 0
+	_, err := New(bad)
+	if err == nil || !strings.Contains(err.Error(), "keep") || !strings.Contains(err.Error(), "agents") {
+		t.Errorf("%v", err)
+	}
+}
--- a/internal/config/operator/operator.go
+++ b/internal/config/operator/operator.go
@@ -51,7 +51,7 @@
 	TargetOverloadRatio float64         `toml:"target"`
 	FairnessGain        float64         `toml:"lean"`
 	MaxStep             float64         `toml:"step"`
-	StepsPerSecond      float64         `toml:"gain"`
+	MaxStepPerSecond      float64         `toml:"gain"`
 	MinServedFraction   float64         `toml:"keep"`
 	HeadroomFactor      float64         `toml:"headroom"`
 	HeadroomRate        float64         `toml:"spare"`
@@ -74,7 +74,7 @@
 
 // BudgetSettings are the budget's, for a fleet of so many agents, with the longest come-back time that clients heed.
 func (o *Overload) BudgetSettings(agents int, longest time.Duration) budget.Settings {
-	return budget.Settings{TargetOverloadRatio: o.TargetOverloadRatio, FairnessGain: o.FairnessGain, MaxStep: o.MaxStep, StepsPerSecond: o.StepsPerSecond, MinServedFraction: o.MinServedFraction, HeadroomFactor: o.HeadroomFactor, HeadroomRate: o.HeadroomRate, InitialRate: o.InitialRate,
+	return budget.Settings{TargetOverloadRatio: o.TargetOverloadRatio, FairnessGain: o.FairnessGain, MaxStep: o.MaxStep, MaxStepPerSecond: o.MaxStepPerSecond, MinServedFraction: o.MinServedFraction, HeadroomFactor: o.HeadroomFactor, HeadroomRate: o.HeadroomRate, InitialRate: o.InitialRate,
 		MinRate: o.MinRate, BurstWindow: o.BurstWindow.D(), AveragingWindow: o.AveragingWindow.D(), RetryRatio: o.RetryRatio, FleetRetryRate: o.FleetRetryRate, Agents: agents, HealthCheckRatio: o.HealthCheckRatio, MaxRetryAfter: longest}
 }
 
@@ -97,7 +97,7 @@
 
 func overloadDefaults() Overload {
 	b := budget.Defaults()
-	return Overload{TargetOverloadRatio: b.TargetOverloadRatio, FairnessGain: b.FairnessGain, MaxStep: b.MaxStep, StepsPerSecond: b.StepsPerSecond, MinServedFraction: b.MinServedFraction, HeadroomFactor: b.HeadroomFactor, HeadroomRate: b.HeadroomRate, InitialRate: b.InitialRate,
+	return Overload{TargetOverloadRatio: b.TargetOverloadRatio, FairnessGain: b.FairnessGain, MaxStep: b.MaxStep, MaxStepPerSecond: b.MaxStepPerSecond, MinServedFraction: b.MinServedFraction, HeadroomFactor: b.HeadroomFactor, HeadroomRate: b.HeadroomRate, InitialRate: b.InitialRate,
 		MinRate: b.MinRate, BurstWindow: config.Duration(b.BurstWindow), AveragingWindow: config.Duration(b.AveragingWindow), RetryRatio: b.RetryRatio, FleetRetryRate: b.FleetRetryRate, HealthCheckRatio: b.HealthCheckRatio,
 		SelfLimits: SelfLimits{QueueDelay: config.Duration(50 * time.Millisecond), CPU: 0.9, Memory: 0.9}}
 }
