--- a/internal/fleetstate/overlay.go
+++ b/internal/fleetstate/overlay.go
@@ -5,51 +5,58 @@
 	"time"
 )
 
-// DrainOverlay says which of the servers that an agent's own list has as ready get nothing new because another agent was told that
-// they drain or are gone. What peers say goes before the own list for a while only: a list that still has a server as ready
-// long after that was right and the peers were not, and they are not believed again of that life. It is not safe for
-// concurrent use.
+// maxDrainedFraction is the part of the ready endpoints that peers may drain at a time.
+const maxDrainedFraction = 0.5
+
+// DrainOverlay decides which endpoints that the agent's own list has as ready get no new requests, as peers were notified that
+// they are draining or removed.
+//
+// Peers go before the own list for a limited time. A list that has an endpoint as ready long after that was right and the peers were
+// wrong, and their notices of that incarnation no longer count while it stays listed as ready.
+//
+// It guards against peers that are wrong together: they never drain more than maxDrainedFraction of the ready endpoints. More than
+// that at once is no release, and all requests would go to what is left.
 type DrainOverlay struct {
-	confirm time.Duration
-	first   map[Incarnation]time.Time // when a life that peers have as ending was first heard of as such; false ones stay as long as they are listed
-	held    map[Incarnation]bool
+	trustFor    time.Duration
+	firstNotice map[Incarnation]time.Time // when peers first had a ready incarnation as ending
+	drained     map[Incarnation]bool      // as of the last Update
 }
 
-// Part of the ready servers that peers may keep from new work at a time. More than that at once is no release: it is a peer
-// that is wrong, and all would go to what is left.
-const mostHeld = 0.5
-
-// NewDrainOverlay returns one that believes peers for so long against the own list.
-func NewDrainOverlay(confirm time.Duration) *DrainOverlay {
-	return &DrainOverlay{confirm: confirm, first: map[Incarnation]time.Time{}, held: map[Incarnation]bool{}}
+// NewDrainOverlay returns an overlay that trusts peers against the own list for a duration.
+func NewDrainOverlay(trustFor time.Duration) *DrainOverlay {
+	return &DrainOverlay{trustFor: trustFor, firstNotice: map[Incarnation]time.Time{}, drained: map[Incarnation]bool{}}
 }
 
-// Update says which lives are to be held back, of those that the own list has as ready, and whether that has changed.
-func (o *DrainOverlay) Update(now time.Time, ready map[Incarnation]bool, notices map[Incarnation]int64) (held map[Incarnation]bool, changed bool) {
-	for l := range o.first {
-		if !ready[l] {
-			delete(o.first, l)
+// Update takes the incarnations that the own list has as ready and the confirmed notices. It returns which of the former are to be
+// drained, and whether that has changed since the last call.
+func (o *DrainOverlay) Update(now time.Time, ready map[Incarnation]bool, notices map[Incarnation]int64) (drained map[Incarnation]bool, changed bool) {
+	for incarnation := range o.firstNotice {
+		if !ready[incarnation] {
+			delete(o.firstNotice, incarnation)
 		}
 	}
-	held = map[Incarnation]bool{}
-	for l := range ready {
-		if notices[l] == 0 {
-			continue
-		}
-		if _, known := o.first[l]; !known {
-			o.first[l] = now
-		}
-		if now.Sub(o.first[l]) < o.confirm {
-			held[l] = true
+	drained = map[Incarnation]bool{}
+	for incarnation := range ready {
+		if notices[incarnation] != 0 && o.trusted(now, incarnation) {
+			drained[incarnation] = true
 		}
 	}
-	if float64(len(held)) > mostHeld*float64(len(ready)) {
-		held = map[Incarnation]bool{}
+	if float64(len(drained)) > maxDrainedFraction*float64(len(ready)) {
+		drained = map[Incarnation]bool{}
+	}
+	changed = !maps.Equal(drained, o.drained)
+	o.drained = drained
+	return drained, changed
+}
+
+// trusted reports whether peers' notice of a ready incarnation is recent enough to go before the own list, and notes when it first
+// came.
+func (o *DrainOverlay) trusted(now time.Time, incarnation Incarnation) bool {
+	if _, known := o.firstNotice[incarnation]; !known {
+		o.firstNotice[incarnation] = now
 	}
-	changed = !maps.Equal(held, o.held)
-	o.held = held
-	return held, changed
+	return now.Sub(o.firstNotice[incarnation]) < o.trustFor
 }
 
-// Drained says whether a life was held back when Hold was last asked.
-func (o *DrainOverlay) Drained(l Incarnation) bool { return o.held[l] }
+// Drained reports whether an incarnation was to be drained at the last Update.
+func (o *DrainOverlay) Drained(incarnation Incarnation) bool { return o.drained[incarnation] }
--- /dev/null
+++ b/internal/fleetstate/reporter_test.go
@@ -0,0 +1,72 @@
+package fleetstate
+
+import (
+	"testing"
+	"time"
+)
+
+// Failures are reported when their number changes, withdrawn after a success, and reported again when they go on after the lifetime of
+// the report.
+func TestFailuresAreReportedOnChangeAndAfterExpiry(t *testing.T) {
+	reporter, incarnation, lifetime := NewFailureReporter(2), Incarnation{"a", 1}, 5*time.Second
+	reports := func(at time.Duration) []FailureReport { return reporter.Reports(epoch.Add(at), 10, lifetime) }
+	reporter.AttemptEnded(incarnation, false)
+	if x := reports(0); len(x) != 1 || x[0] != (FailureReport{incarnation, 1}) {
+		t.Errorf("%v", x)
+	}
+	for range 5 {
+		reporter.AttemptEnded(incarnation, false)
+	}
+	if x := reports(time.Second); len(x) != 1 || x[0].Failures != maxSuspicionWeight {
+		t.Errorf("%v", x)
+	}
+	if x := reports(2 * time.Second); len(x) != 0 {
+		t.Errorf("reported again: %v", x)
+	}
+	reporter.AttemptEnded(incarnation, true)
+	if x := reports(3 * time.Second); len(x) != 1 || x[0].Failures != 0 {
+		t.Errorf("not withdrawn: %v", x)
+	}
+	for _, server := range []string{"a", "b", "c"} {
+		reporter.AttemptEnded(Incarnation{server, 1}, false)
+	}
+	if x := reports(4 * time.Second); len(x) != 2 {
+		t.Errorf("bound of two incarnations: %v", x)
+	}
+	if reports(20 * time.Second); len(reporter.incarnations) != 0 {
+		t.Errorf("old failures stay: %v", reporter.incarnations)
+	}
+}
+
+// An agent whose attempts fail at most of its endpoints is cut off itself. It withdraws what it has reported, stays silent while attempts
+// fail everywhere, and reports again when few fail.
+func TestAgentThatSuspectsMostReportsNone(t *testing.T) {
+	reporter, lifetime := NewFailureReporter(100), 5*time.Second
+	scan := func(at time.Duration, failing ...string) (reported map[string]int64) {
+		reported = map[string]int64{}
+		for _, server := range failing {
+			reporter.AttemptEnded(Incarnation{server, 1}, false)
+			reporter.AttemptEnded(Incarnation{server, 1}, false)
+		}
+		for _, x := range reporter.Reports(epoch.Add(at), 4, lifetime) {
+			reported[x.Server] = x.Failures
+		}
+		return reported
+	}
+	if x := scan(0, "a", "b"); x["a"] != maxSuspicionWeight || x["b"] != maxSuspicionWeight {
+		t.Errorf("of two of four it reports %v", x)
+	}
+	if x := scan(time.Second, "c"); len(x) != 2 || x["a"] != 0 || x["b"] != 0 || reporter.LastReported(Incarnation{"a", 1}) != 0 {
+		t.Errorf("of three of four it reports %v", x)
+	}
+	for at := 2 * time.Second; at < 20*time.Second; at += time.Second {
+		if x := scan(at, "a", "b", "c"); len(x) != 0 {
+			t.Fatalf("cut off for %v it reports %v", at, x)
+		}
+	}
+	reporter.AttemptEnded(Incarnation{"a", 1}, true)
+	reporter.AttemptEnded(Incarnation{"b", 1}, true)
+	if x := scan(20 * time.Second); len(x) != 1 || x["c"] != maxSuspicionWeight {
+		t.Errorf("when two have recovered it reports %v", x)
+	}
+}
