--- a/internal/fleetstate/fact.go
+++ b/internal/fleetstate/fact.go
@@ -69,8 +69,8 @@
 	)
 }
 
-// wellFormed reports whether a fact that came from a peer can be what an agent writes.
-func (f Fact) wellFormed(maxNameBytes int) bool {
+// valid reports whether a fact that came from a peer can be what an agent writes.
+func (f Fact) valid(maxNameBytes int) bool {
 	switch f.Kind {
 	case Suspicion:
 		if f.Value < 0 {
--- /dev/null
+++ b/internal/fleetstate/membership/stats.go
@@ -0,0 +1,35 @@
+package membership
+
+import "sync/atomic"
+
+// Stats are counts of what a Member has done, for metrics. All but Peers and HealthScore only grow.
+type Stats struct {
+	Peers       int   `json:"peers"`    // live at present
+	Joined      int64 `json:"joined"`   // peers that came, or came back, and the agent itself
+	Departed    int64 `json:"lost"`     // peers that failed or left
+	Rejoined    int64 `json:"rejoined"` // successful joins of seeds or failed peers
+	Malformed   int64 `json:"malformed"`
+	Dropped     int64 `json:"dropped"` // facts not gossiped, as too many waited
+	BytesSent   int64 `json:"bytes_sent"`
+	PacketsSent int64 `json:"packets_sent"`
+	HealthScore int   `json:"awareness"` // memberlist's: how slow the agent takes itself to be; 0 for not at all
+}
+
+type counters struct {
+	joined, departed, rejoined, malformed, dropped atomic.Int64
+}
+
+// Stats returns the counts so far.
+func (m *Member) Stats() Stats {
+	return Stats{
+		Peers:       len(m.Peers()),
+		Joined:      m.counters.joined.Load(),
+		Departed:    m.counters.departed.Load(),
+		Rejoined:    m.counters.rejoined.Load(),
+		Malformed:   m.counters.malformed.Load(),
+		Dropped:     m.counters.dropped.Load(),
+		BytesSent:   m.transport.bytesSent.Load(),
+		PacketsSent: m.transport.packetsSent.Load(),
+		HealthScore: m.list.GetHealthScore(),
+	}
+}
--- a/internal/fleetstate/membership/transport.go
+++ b/internal/fleetstate/membership/transport.go
@@ -11,24 +11,25 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// transport is memberlist's on sockets, with two things added: it counts what goes out, and streams leave from the address
-// that packets leave from, so that all that an agent says comes from one.
+// transport is memberlist's transport on sockets with two additions: it counts what is sent, and its streams leave from the address that
+// packets leave from, so that peers and relays see one address of an agent.
 type transport struct {
 	*memberlist.NetTransport
-	ip             net.IP
-	bytes, packets atomic.Int64
-	streams        context.Context // those that we opened end with it: memberlist's own calls heed no context
-	endStreams     context.CancelFunc
+	ip           net.IP
+	bytesSent    atomic.Int64
+	packetsSent  atomic.Int64
+	streams      context.Context // its end closes the streams that this agent opened
+	closeStreams context.CancelFunc
 }
 
-// listen binds packets and streams to one port; 0 is any free one.
+// listen binds packets and streams to one port; 0 for any free one.
 func listen(host string, port int, logger *log.Logger) (*transport, error) {
-	t, err := memberlist.NewNetTransport(&memberlist.NetTransportConfig{BindAddrs: []string{host}, BindPort: port, Logger: logger})
+	sockets, err := memberlist.NewNetTransport(&memberlist.NetTransportConfig{BindAddrs: []string{host}, BindPort: port, Logger: logger})
 	if err != nil {
 		return nil, err
 	}
-	streams, end := context.WithCancel(context.Background())
-	return &transport{NetTransport: t, ip: net.ParseIP(host), streams: streams, endStreams: end}, nil
+	streams, closeStreams := context.WithCancel(context.Background())
+	return &transport{NetTransport: sockets, ip: net.ParseIP(host), streams: streams, closeStreams: closeStreams}, nil
 }
 
 func (t *transport) port() int { return t.GetAutoBindPort() }
@@ -36,15 +37,15 @@
 func (t *transport) addr() string { return net.JoinHostPort(t.ip.String(), strconv.Itoa(t.port())) }
 
 // WriteTo sends a packet.
-func (t *transport) WriteTo(b []byte, addr string) (time.Time, error) {
-	return t.WriteToAddress(b, memberlist.Address{Addr: addr})
+func (t *transport) WriteTo(packet []byte, addr string) (time.Time, error) {
+	return t.WriteToAddress(packet, memberlist.Address{Addr: addr})
 }
 
 // WriteToAddress sends a packet.
-func (t *transport) WriteToAddress(b []byte, addr memberlist.Address) (time.Time, error) {
-	t.bytes.Add(int64(len(b)))
-	t.packets.Add(1)
-	return t.NetTransport.WriteToAddress(b, addr)
+func (t *transport) WriteToAddress(packet []byte, addr memberlist.Address) (time.Time, error) {
+	t.bytesSent.Add(int64(len(packet)))
+	t.packetsSent.Add(1)
+	return t.NetTransport.WriteToAddress(packet, addr)
 }
 
 // DialTimeout opens a stream.
@@ -52,38 +53,42 @@
 	return t.DialAddressTimeout(memberlist.Address{Addr: addr}, timeout)
 }
 
-// DialAddressTimeout opens a stream.
+// DialAddressTimeout opens a stream, which is closed when the transport's streams are.
 func (t *transport) DialAddressTimeout(addr memberlist.Address, timeout time.Duration) (net.Conn, error) {
-	d := net.Dialer{Timeout: timeout}
+	dialer := net.Dialer{Timeout: timeout}
 	if !t.ip.IsUnspecified() {
-		d.LocalAddr = &net.TCPAddr{IP: t.ip}
+		dialer.LocalAddr = &net.TCPAddr{IP: t.ip}
 	}
-	c, err := d.DialContext(t.streams, "tcp", addr.Addr)
+	conn, err := dialer.DialContext(t.streams, "tcp", addr.Addr)
 	if err != nil {
 		return nil, err
 	}
-	return stream{c, &t.bytes, context.AfterFunc(t.streams, func() { c.Close() })}, nil
+	unwatch := context.AfterFunc(t.streams, func() { conn.Close() })
+	return stream{conn, &t.bytesSent, unwatch}, nil
 }
 
-// Shutdown ends what listens and the streams that we opened.
+// Shutdown closes the listeners and the streams that this agent opened.
 func (t *transport) Shutdown() error {
-	t.endStreams()
+	t.closeStreams()
 	return t.NetTransport.Shutdown()
 }
 
+// stream is a connection that counts what is sent on it.
 type stream struct {
 	net.Conn
-	bytes   *atomic.Int64
-	unwatch func() bool
+	bytesSent *atomic.Int64
+	unwatch   func() bool // stops waiting for the end of the transport's streams
 }
 
-func (c stream) Close() error {
-	c.unwatch()
-	return c.Conn.Close()
+// Close closes the connection.
+func (s stream) Close() error {
+	s.unwatch()
+	return s.Conn.Close()
 }
 
-func (c stream) Write(b []byte) (int, error) {
-	n, err := c.Conn.Write(b)
-	c.bytes.Add(int64(n))
+// Write sends bytes.
+func (s stream) Write(data []byte) (int, error) {
+	n, err := s.Conn.Write(data)
+	s.bytesSent.Add(int64(n))
 	return n, err
 }
--- a/internal/fleetstate/replica.go
+++ b/internal/fleetstate/replica.go
@@ -75,7 +75,7 @@
 // of a fact once all have it.
 func (r *Replica) Merge(now time.Time, facts []Fact) (accepted []Fact) {
 	for _, fact := range facts {
-		if !fact.wellFormed(r.limits.MaxNameBytes) || !r.clock.Observe(now, fact.Timestamp) {
+		if !fact.valid(r.limits.MaxNameBytes) || !r.clock.Observe(now, fact.Timestamp) {
 			r.stats.Rejected++
 			continue
 		}
@@ -86,9 +86,9 @@
 	return accepted
 }
 
-// accept stores a fact if it is greater than the copy that is there, and reports whether that is news for peers. A notice that only says who else
+// accept stores a fact if it is greater than the copy that is there, and reports whether that is new to peers. A notice that only says who else
 // was notified of a confirmed state, or earlier, changes nothing and isn't.
-func (r *Replica) accept(now time.Time, fact Fact) (news bool) {
+func (r *Replica) accept(now time.Time, fact Fact) (changed bool) {
 	confirmed := r.NoticeState(fact.incarnation())
 	if r.expired(now, fact) {
 		r.stats.Expired++
