--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -98,12 +98,12 @@
 	figures.Add("invariants", func() any { return monitor })
 	figures.Add("connections", func() any { return conns.Counts() })
 	var badReport sync.Once
-	upstream := &uphttp.Upstream{Pool: conns, Clock: clock, Budget: bodies, Fields: cfg.Site.ReportFields, Sent: figures.Sent,
+	upstream := &uphttp.Upstream{Pool: conns, Clock: clock, Budget: bodies, Fields: cfg.Site.LoadReportFields, Sent: figures.Sent,
 		Events: events, Monitor: monitor,
 		Noted: func(err error) {
 			badReport.Do(func() { log.Warn("passing over a malformed report; further ones are not logged", "error", err) })
 		}}
-	prober := healthcheck.New(healthcheck.Config{Settings: ops.Probes.Settings(), Reports: len(cfg.Site.ReportFields) > 0, Clock: clock, Asker: upstream, Log: log})
+	prober := healthcheck.New(healthcheck.Config{Settings: ops.Probes.Settings(), Reports: len(cfg.Site.LoadReportFields) > 0, Clock: clock, Asker: upstream, Log: log})
 	figures.Add("probes", func() any { return prober.Counts() })
 	fleet, order, err := ops.Overload.Budget(cfg.Site.Logic, cfg.Site.MaxRetryAfter, cfg.Seed)
 	if err != nil {
@@ -167,7 +167,7 @@
 // connections are the settings of the pool: what the platform says of servers and fleet, and the defaults for the rest.
 func connections(cfg platform.Config, most int) pool.Settings {
 	set := pool.DefaultSettings(most)
-	set.Idle, set.Wait = cfg.Site.ConnIdle, cfg.Site.ConnectTimeout
+	set.Idle, set.Wait = cfg.Site.IdleTimeout, cfg.Site.ConnectTimeout
 	set.Agents, set.ColdFrom, set.ColdFor = cfg.Site.Logic.Balancers, cfg.Site.Logic.SlowStartInitialFraction, cfg.Site.Logic.SlowStartWindow
 	return set
 }
--- a/internal/config/operator/operator.go
+++ b/internal/config/operator/operator.go
@@ -165,7 +165,7 @@
 	return File{Connections: Connections{Reuse: "newest", AgeJitter: 0.2, IdlePart: set.IdlePart, IdleLeast: config.Duration(set.IdleLeast),
 		IdleHeal: config.Duration(set.IdleHeal), SurePart: set.SurePart, SuspectAfter: set.SuspectFailures,
 		SuspectWithin: config.Duration(set.SuspectWithin), Suspect: "close", AheadMost: set.AheadMost},
-		Probes:   Probes{Share: wire.ProbeShare, PerServer: wire.ServerProbes, Concurrent: healthcheck.DefaultMost, Timeout: config.Duration(healthcheck.DefaultTimeout)},
+		Probes:   Probes{Share: wire.HealthChecksPerRequest, PerServer: wire.EndpointHealthCheckRate, Concurrent: healthcheck.DefaultMost, Timeout: config.Duration(healthcheck.DefaultTimeout)},
 		Snapshot: Snapshot{Every: config.Duration(2 * time.Second), Oldest: config.Duration(30 * time.Second)}, Overload: overloadDefaults(),
 		Peers: Peers{Bind: "127.0.0.1:0", Seeds: []string{}, Facts: true, Level: true}}
 }
--- a/internal/config/platform/platform.go
+++ b/internal/config/platform/platform.go
@@ -144,7 +144,7 @@
 	if err != nil {
 		return site, err
 	}
-	if site.ConnectTimeout <= 0 || site.ConnIdle <= 0 {
+	if site.ConnectTimeout <= 0 || site.IdleTimeout <= 0 {
 		return site, errors.New("the connect time-out and the idle limit must be above 0")
 	}
 	// On sockets any refusal may carry Retry-After, also where the simulator's clients are given none.
--- a/internal/config/platform/platform_test.go
+++ b/internal/config/platform/platform_test.go
@@ -17,8 +17,8 @@
 		cfg.Cores != 1 || cfg.MemoryMB != 192 || cfg.Sockets != 1024 || cfg.Known.Version != 41 || len(cfg.Known.Servers) != 1 {
 		t.Errorf("%+v", cfg)
 	}
-	if s := cfg.Site; s.ConnIdle != 15*time.Second || s.ConnectTimeout != 5*time.Second || s.MostHeld != 1000 ||
-		s.Logic.MaxRetryAfter != time.Second || strings.Join(s.ReportFields, " ") != "util qps eps" ||
+	if s := cfg.Site; s.IdleTimeout != 15*time.Second || s.ConnectTimeout != 5*time.Second || s.MaxOpenRequests != 1000 ||
+		s.Logic.MaxRetryAfter != time.Second || strings.Join(s.LoadReportFields, " ") != "util qps eps" ||
 		strings.Join(s.Tenants, " ") != "glasgow-airport lerwick-port" || len(s.Logic.Classes) != 3 {
 		t.Errorf("%+v", s)
 	}
--- a/internal/front/http/server.go
+++ b/internal/front/http/server.go
@@ -66,8 +66,8 @@
 // New returns a server that serves nobody yet.
 func New(cfg Config) *Server {
 	s := &Server{Config: cfg, phase: newPhase(), mostHeld: int64(HeldPart * float64(cfg.Most)), crowded: func() bool { return false }}
-	if cfg.Site.MostHeld > 0 {
-		s.mostHeld = min(s.mostHeld, int64(cfg.Site.MostHeld))
+	if cfg.Site.MaxOpenRequests > 0 {
+		s.mostHeld = min(s.mostHeld, int64(cfg.Site.MaxOpenRequests))
 	}
 	return s
 }
--- a/internal/wire/decode.go
+++ b/internal/wire/decode.go
@@ -343,6 +343,6 @@
 	if err != nil {
 		d.fault("BootInfo: %v", err)
 	}
-	d.instances[instance] = site.ReportFields
+	d.instances[instance] = site.LoadReportFields
 	return site.Logic
 }
