--- a/internal/wire/encode.go
+++ b/internal/wire/encode.go
@@ -8,28 +8,28 @@
 )
 
 // AppendAction appends the line of an instance's action.
-func AppendAction(out []byte, instance string, a logic.Action) []byte {
-	switch a.Kind {
+func AppendAction(out []byte, instance string, action logic.Action) []byte {
+	switch action.Kind {
 	case logic.Send:
-		out = request(out, "Send", instance, a)
-		out = str(out, `,"Backend":`, a.Endpoint)
-		if a.Delay > 0 {
-			out = num(out, `,"TryForNs":`, uint64(a.Delay))
+		out = appendRequest(out, "Send", instance, action.Request)
+		out = appendString(out, `,"Backend":`, action.Endpoint)
+		if action.Delay > 0 {
+			out = appendUint(out, `,"TryForNs":`, uint64(action.Delay))
 		}
 	case logic.Reject:
-		out = request(out, "Shed", instance, a)
-		if a.Delay > 0 {
-			out = num(out, `,"ComeBackNs":`, uint64(a.Delay))
+		out = appendRequest(out, "Shed", instance, action.Request)
+		if action.Delay > 0 {
+			out = appendUint(out, `,"ComeBackNs":`, uint64(action.Delay))
 		}
 	case logic.Fail:
-		out = request(out, "FinishError", instance, a)
+		out = appendRequest(out, "FinishError", instance, action.Request)
 	case logic.SetTimer:
-		out = num(begin(out, "Schedule", instance), `,"Handle":`, a.Token)
-		out = num(out, `,"FromNowNs":`, uint64(max(a.Delay, 0)))
+		out = appendUint(appendHead(out, "Schedule", instance), `,"Handle":`, action.Token)
+		out = appendUint(out, `,"FromNowNs":`, uint64(max(action.Delay, 0)))
 	case logic.HealthCheck:
-		out = str(begin(out, "Poll", instance), `,"Backend":`, a.Endpoint)
+		out = appendString(appendHead(out, "Poll", instance), `,"Backend":`, action.Endpoint)
 	case logic.Subscribe:
-		out = append(begin(out, "Listen", instance), `,"On":true`...)
+		out = append(appendHead(out, "Listen", instance), `,"On":true`...)
 	}
 	return append(out, "}\n"...)
 }
@@ -37,30 +37,32 @@
 // AppendYield appends the line that ends a reply.
 func AppendYield(out []byte) []byte { return append(out, `{"type":"Yield"}`+"\n"...) }
 
-func begin(out []byte, kind, instance string) []byte {
+// appendHead appends what each line begins with.
+func appendHead(out []byte, kind, instance string) []byte {
 	out = append(out, `{"type":"`...)
 	out = append(out, kind...)
-	return str(out, `","I":`, instance)
+	return appendString(out, `","I":`, instance)
 }
 
-func request(out []byte, kind, instance string, a logic.Action) []byte {
-	return str(begin(out, kind, instance), `,"Tid":`, a.Request)
+// appendRequest appends what each line begins with that concerns a request.
+func appendRequest(out []byte, kind, instance, request string) []byte {
+	return appendString(appendHead(out, kind, instance), `,"Tid":`, request)
 }
 
-func num(out []byte, key string, n uint64) []byte {
+func appendUint(out []byte, key string, n uint64) []byte {
 	return strconv.AppendUint(append(out, key...), n, 10)
 }
 
-// str appends a string. Ids are plain text; anything else goes the long way round.
-func str(out []byte, key, s string) []byte {
+// appendString appends a string. Ids are printable ASCII and are copied; anything else is quoted by encoding/json.
+func appendString(out []byte, key, text string) []byte {
 	out = append(out, key...)
-	for i := 0; i < len(s); i++ {
-		if c := s[i]; c < ' ' || c > '~' || c == '"' || c == '\\' {
-			quoted, _ := json.Marshal(s) // a string always marshals
+	for i := range len(text) {
+		if c := text[i]; c < ' ' || c > '~' || c == '"' || c == '\\' {
+			quoted, _ := json.Marshal(text) // a string always marshals
 			return append(out, quoted...)
 		}
 	}
 	out = append(out, '"')
-	out = append(out, s...)
+	out = append(out, text...)
 	return append(out, '"')
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -39,7 +39,7 @@
 	}
 }
 
-func TestEvents(t *testing.T) {
+func TestLinesDecodeToEvents(t *testing.T) {
 	got, err := read(t, launch,
 		`{"type":"Inbound","I":"agent_1","Tid":"bb39","Category":1,"Resource":"k:1","ExpiresNs":77,"Repeat":true,"X":{}}`,
 		`{"type":"Answer","I":"agent_1","Tid":"bb39","RoundNo":2,"Backend":"10.0.0.1:1","Result":30,"LagNs":8,`+
@@ -54,7 +54,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if m := got[0]; m.Kind != Launch || m.Seed != 1<<63-1 || !m.Settings.KeyAffinity || m.Settings.Zone != 2 ||
+	if m := got[0]; m.Kind != InstanceStarted || m.Seed != 1<<63-1 || !m.Settings.KeyAffinity || m.Settings.Zone != 2 ||
 		m.Settings.Classes[1].DedupScope != logic.DedupCell || m.Settings.MaxRetryAfter != 9 || !m.Settings.SubscriptionRequired ||
 		m.Settings.TimerResolution != 4*time.Millisecond || !m.Settings.UseListedWeights {
 		t.Errorf("launch: %+v", m)
@@ -89,7 +89,7 @@
 }
 
 // A list number may be given to a new list later in the batch: each reference holds what it named then.
-func TestRecycledList(t *testing.T) {
+func TestListNumberThatIsReusedKeepsEarlierRows(t *testing.T) {
 	got, err := read(t, launch,
 		`{"type":"Census","Buffer":15,"RowsIn":[{"Backend":"a:1","Mode":"ready","Units":1.5,"CameUpNs":6,"Pack":2}]}`,
 		`{"type":"Members","I":"agent_1","Form":"restored","Revision":1,"Buffer":15}`,
@@ -109,14 +109,14 @@
 	}
 }
 
-func TestKilledThenLaunched(t *testing.T) {
+func TestInstanceLaunchesAgainAfterItWasKilled(t *testing.T) {
 	got, err := read(t, launch, `{"type":"Killed","I":"agent_1"}`, launch, `{"type":"Dropped","I":"agent_1","Tid":"x"}`)
-	if err != nil || len(got) != 4 || got[1].Kind != Killed || got[2].Kind != Launch {
+	if err != nil || len(got) != 4 || got[1].Kind != InstanceKilled || got[2].Kind != InstanceStarted {
 		t.Errorf("%+v, %v", got, err)
 	}
 }
 
-func TestFaultsNameTheLine(t *testing.T) {
+func TestErrorsNameTheLine(t *testing.T) {
 	for name, c := range map[string]struct{ text, want string }{
 		"broken":   {`{"type":`, "line 3: broken JSON"},
 		"array":    {`[1]`, "line 3: not an object"},
@@ -152,7 +152,7 @@
 	}
 }
 
-func TestLongLine(t *testing.T) {
+func TestLineOfMegabytesIsRead(t *testing.T) {
 	pad := strings.Repeat("x", 3<<20)
 	got, err := read(t, launch, `{"type":"Dropped","I":"agent_1","Tid":"`+pad+`"}`)
 	if err != nil || got[1].Event.(logic.ClientDisconnected).Request != pad {
@@ -160,7 +160,7 @@
 	}
 }
 
-func TestActions(t *testing.T) {
+func TestActionsEncodeToLines(t *testing.T) {
 	for want, a := range map[string]logic.Action{
 		`{"type":"Send","I":"i","Tid":"r","Backend":"s","TryForNs":5}`: {Kind: logic.Send, Request: "r", Endpoint: "s", Delay: 5},
 		`{"type":"Send","I":"i","Tid":"r","Backend":"s"}`:              {Kind: logic.Send, Request: "r", Endpoint: "s"},
@@ -195,7 +195,7 @@
 			if err != nil {
 				return // an error or the end, never a panic
 			}
-			if m.Kind == Event && m.Event == nil {
+			if m.Kind == InstanceEvent && m.Event == nil {
 				t.Fatal("an event without content and without an error")
 			}
 		}
@@ -205,7 +205,7 @@
 // BenchmarkDecode and BenchmarkDecodeStandard compare this decoder with encoding/json on the commonest line.
 func BenchmarkDecode(b *testing.B) {
 	d := NewDecoder(strings.NewReader(""))
-	d.inTurn, d.instances["agent_1"] = true, []string{"util", "qps"}
+	d.inBatch, d.reportFields["agent_1"] = true, []string{"util", "qps"}
 	for b.Loop() {
 		if _, _, err := d.decode([]byte(answer)); err != nil {
 			b.Fatal(err)
