--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -43,9 +43,9 @@
 // Sockets are the listening ones of an agent, and what else it is handed of its machine.
 type Sockets struct {
 	Clients   net.Listener
-	Inherited bool         // another process may accept what this one does not
-	Control   net.Listener // for operators; nil without an address for them
-	Dial      pool.Dial    // to servers and discovery; nil for the machine's network
+	Inherited bool          // another process may accept what this one does not
+	Control   net.Listener  // for operators; nil without an address for them
+	Dial      pool.DialFunc // to servers and discovery; nil for the machine's network
 	// What else an agent has of its machine. Nil for the real one.
 	TimeOfDay func() time.Time
 	Disk      snapshot.Disk
@@ -79,8 +79,8 @@
 	if keep {
 		recall(balancer, kept, ops.Snapshot, clock, timeOfDay(), log)
 	}
-	conns, err := pool.New(pool.Config{Settings: ops.Connections.Settings(connections(cfg, share.toBackends)), Buffers: ops.Connections.SocketBufferBytes, ConnectIn: cfg.Site.ConnectTimeout, Seed: cfg.Seed, Clock: clock,
-		Dial: sockets.Dial, Wrap: uphttp.Wrap, Events: events})
+	conns, err := pool.New(pool.Config{Settings: ops.Connections.Settings(connections(cfg, share.toBackends)), SocketBufferBytes: ops.Connections.SocketBufferBytes, ConnectTimeout: cfg.Site.ConnectTimeout, Seed: cfg.Seed, Clock: clock,
+		Dial: sockets.Dial, NewState: uphttp.NewConnState, Events: events})
 	if err != nil {
 		return err
 	}
@@ -96,15 +96,15 @@
 	bodies := bodybuffer.NewBudget(int64(memory))
 	figures.Add("events", func() any { return events })
 	figures.Add("invariants", func() any { return monitor })
-	figures.Add("connections", func() any { return conns.Counts() })
+	figures.Add("connections", func() any { return conns.Stats() })
 	var badReport sync.Once
-	upstream := &uphttp.Upstream{Pool: conns, Clock: clock, Budget: bodies, Fields: cfg.Site.ReportFields, Sent: figures.Sent,
+	upstream := &uphttp.Upstream{Pool: conns, Clock: clock, Budget: bodies, LoadReportFields: cfg.Site.ReportFields, OnRequestWritten: figures.Sent,
 		Events: events, Monitor: monitor,
-		Noted: func(err error) {
+		OnMalformedReport: func(err error) {
 			badReport.Do(func() { log.Warn("passing over a malformed report; further ones are not logged", "error", err) })
 		}}
-	prober := healthcheck.New(healthcheck.Config{Settings: ops.Probes.Settings(), Reports: len(cfg.Site.ReportFields) > 0, Clock: clock, Asker: upstream, Log: log})
-	figures.Add("probes", func() any { return prober.Counts() })
+	prober := healthcheck.New(healthcheck.Config{Settings: ops.Probes.Settings(), LoadReports: len(cfg.Site.ReportFields) > 0, Clock: clock, Transport: upstream, Log: log})
+	figures.Add("probes", func() any { return prober.Stats() })
 	fleet, order, err := ops.Overload.Budget(cfg.Site.Logic, cfg.Site.MaxRetryAfter, cfg.Seed)
 	if err != nil {
 		return err
@@ -120,7 +120,7 @@
 		figures.Add("peers", talk.figures)
 	}
 	c := core.New(core.Config{Observe: observe, Balancer: balancer, Clock: clock, Upstream: upstream, HealthChecker: prober, UploadTimeout: httpmsg.LongestUpload,
-		Subscribe: func() { disco.Ask() }, EndpointCounts: figures.SetMembers, Log: log, Budget: fleet, PriorityOrder: order,
+		Subscribe: func() { disco.Subscribe() }, EndpointCounts: figures.SetMembers, Log: log, Budget: fleet, PriorityOrder: order,
 		Events: events, Monitor: monitor})
 	if fleet != nil {
 		figures.Add("overload", func() any { return c.BudgetStats() })
@@ -133,8 +133,8 @@
 		sink = talk
 		parts.Go(func() { talk.run(inner) })
 	}
-	disco = discovery.New(discovery.Config{Addr: cfg.Discovery, Agents: cfg.Site.Logic.Balancers, Asked: cfg.Site.Logic.SubscriptionRequired,
-		Zones: cfg.Site.Zones, Known: cfg.Known, Seed: cfg.Seed, Clock: clock, Dial: sockets.Dial, Sink: sink, Log: log, Events: events})
+	disco = discovery.New(discovery.Config{Addr: cfg.Discovery, Agents: cfg.Site.Logic.Balancers, SubscriptionRequired: cfg.Site.Logic.SubscriptionRequired,
+		Zones: cfg.Site.Zones, CachedList: cfg.Known, Seed: cfg.Seed, Clock: clock, Dial: sockets.Dial, Sink: sink, Log: log, Events: events})
 	figures.Add("border", func() any { return c.BoundaryViolations() })
 	front := fronthttp.New(fronthttp.Config{Site: cfg.Site, Core: c, Clock: clock, Metrics: figures, Budget: bodies,
 		Most: share.fromClients, AcceptFor: cfg.AcceptFor, DrainFor: ops.Drain.Longest.D(), SocketBuffer: ops.Connections.SocketBufferBytes, Log: log,
@@ -148,7 +148,7 @@
 	}
 	parts.Go(func() { c.Run(inner) })
 	parts.Go(func() {
-		every(inner, sweepEvery, conns.Sweep)
+		every(inner, sweepEvery, conns.Maintain)
 		conns.Close()
 	})
 	parts.Go(func() { disco.Run(inner) })
@@ -167,8 +167,8 @@
 // connections are the settings of the pool: what the platform says of servers and fleet, and the defaults for the rest.
 func connections(cfg platform.Config, most int) pool.Settings {
 	set := pool.DefaultSettings(most)
-	set.Idle, set.Wait = cfg.Site.ConnIdle, cfg.Site.ConnectTimeout
-	set.Agents, set.ColdFrom, set.ColdFor = cfg.Site.Logic.Balancers, cfg.Site.Logic.SlowStartInitialFraction, cfg.Site.Logic.SlowStartWindow
+	set.ServerIdleTimeout, set.AcquireTimeout = cfg.Site.ConnIdle, cfg.Site.ConnectTimeout
+	set.Agents, set.SlowStartInitialFraction, set.SlowStartWindow = cfg.Site.Logic.Balancers, cfg.Site.Logic.SlowStartInitialFraction, cfg.Site.Logic.SlowStartWindow
 	return set
 }
 
--- a/internal/agent/reload.go
+++ b/internal/agent/reload.go
@@ -36,7 +36,7 @@
 		if !reflect.DeepEqual(fresh.Site, cfg.Site) {
 			log.Warn("settings have changed, which takes effect at the next start only")
 		}
-		d.Move(fresh.Discovery)
+		d.SetAddress(fresh.Discovery)
 		ops = r.operator(ops, apply, log)
 	}
 }
--- a/internal/config/operator/operator.go
+++ b/internal/config/operator/operator.go
@@ -119,7 +119,7 @@
 
 // Settings are the limits of those who carry probes out.
 func (p *Probes) Settings() healthcheck.Settings {
-	return healthcheck.Settings{Most: p.Concurrent, Timeout: p.Timeout.D()}
+	return healthcheck.Settings{MaxConcurrent: p.Concurrent, Timeout: p.Timeout.D()}
 }
 
 // Apply puts what the file says into the settings of the module.
@@ -162,10 +162,10 @@
 // Default is the file of which nothing is said.
 func Default() File {
 	set := pool.DefaultSettings(1)
-	return File{Connections: Connections{Reuse: "newest", AgeJitter: 0.2, IdlePart: set.IdlePart, IdleLeast: config.Duration(set.IdleLeast),
-		IdleHeal: config.Duration(set.IdleHeal), SurePart: set.SurePart, SuspectAfter: set.SuspectFailures,
-		SuspectWithin: config.Duration(set.SuspectWithin), Suspect: "close", AheadMost: set.AheadMost},
-		Probes:   Probes{Share: wire.ProbeShare, PerServer: wire.ServerProbes, Concurrent: healthcheck.DefaultMost, Timeout: config.Duration(healthcheck.DefaultTimeout)},
+	return File{Connections: Connections{Reuse: "newest", AgeJitter: 0.2, IdlePart: set.IdleFraction, IdleLeast: config.Duration(set.MinIdleLimit),
+		IdleHeal: config.Duration(set.IdleLimitDoublingTime), SurePart: set.NonIdempotentIdleFraction, SuspectAfter: set.SuspectAfterFailures,
+		SuspectWithin: config.Duration(set.SuspectWindow), Suspect: "close", AheadMost: set.PreopenMaxIdle},
+		Probes:   Probes{Share: wire.ProbeShare, PerServer: wire.ServerProbes, Concurrent: healthcheck.DefaultMaxConcurrent, Timeout: config.Duration(healthcheck.DefaultTimeout)},
 		Snapshot: Snapshot{Every: config.Duration(2 * time.Second), Oldest: config.Duration(30 * time.Second)}, Overload: overloadDefaults(),
 		Peers: Peers{Bind: "127.0.0.1:0", Seeds: []string{}, Facts: true, Level: true}}
 }
@@ -189,7 +189,7 @@
 	return f, config.TOML(name, data, &f)
 }
 
-var orders = map[string]pool.Order{"newest": pool.Newest, "oldest": pool.Oldest, "fewest": pool.Fewest}
+var orders = map[string]pool.ReuseOrder{"newest": pool.MostRecentlyUsed, "oldest": pool.LeastRecentlyUsed, "fewest": pool.FewestRequests}
 
 // Bounds of what a file may say.
 const (
@@ -267,24 +267,24 @@
 // Settings puts what the file says over what the agent has worked out.
 func (c *Connections) Settings(set pool.Settings) pool.Settings {
 	if c.Places > 0 {
-		set.Most = min(set.Most, c.Places)
-		set.PerNode, set.Opening, set.OpeningPerNode = min(set.PerNode, set.Most), min(set.Opening, set.Most), min(set.OpeningPerNode, set.Most)
+		set.MaxConnections = min(set.MaxConnections, c.Places)
+		set.MaxPerEndpoint, set.MaxHandshakes, set.MaxHandshakesPerEndpoint = min(set.MaxPerEndpoint, set.MaxConnections), min(set.MaxHandshakes, set.MaxConnections), min(set.MaxHandshakesPerEndpoint, set.MaxConnections)
 	}
 	for _, limit := range []struct {
 		to   *int
 		from int
-	}{{&set.PerNode, c.PerServer}, {&set.Opening, c.Handshakes}, {&set.OpeningPerNode, c.HandshakesServer}, {&set.Waiting, c.Waiting}} {
+	}{{&set.MaxPerEndpoint, c.PerServer}, {&set.MaxHandshakes, c.Handshakes}, {&set.MaxHandshakesPerEndpoint, c.HandshakesServer}, {&set.MaxWaiters, c.Waiting}} {
 		if limit.from > 0 {
 			*limit.to = limit.from
 		}
 	}
 	if c.Wait > 0 {
-		set.Wait = c.Wait.D()
+		set.AcquireTimeout = c.Wait.D()
 	}
-	set.Order, set.MaxAge, set.AgeJitter, set.MaxUses = orders[c.Reuse], c.MaxAge.D(), c.AgeJitter, c.MaxUses
-	set.IdlePart, set.IdleLeast, set.IdleHeal, set.SurePart = c.IdlePart, c.IdleLeast.D(), c.IdleHeal.D(), c.SurePart
-	set.SuspectFailures, set.SuspectWithin, set.SuspectClose = c.SuspectAfter, c.SuspectWithin.D(), c.Suspect == "close"
-	set.AheadRate, set.AheadMost, set.AheadKeep = c.AheadPerSecond, c.AheadMost, c.AheadKeep
+	set.ReuseOrder, set.MaxAge, set.AgeJitter, set.MaxRequests = orders[c.Reuse], c.MaxAge.D(), c.AgeJitter, c.MaxUses
+	set.IdleFraction, set.MinIdleLimit, set.IdleLimitDoublingTime, set.NonIdempotentIdleFraction = c.IdlePart, c.IdleLeast.D(), c.IdleHeal.D(), c.SurePart
+	set.SuspectAfterFailures, set.SuspectWindow, set.CloseSuspect = c.SuspectAfter, c.SuspectWithin.D(), c.Suspect == "close"
+	set.PreopenRate, set.PreopenMaxIdle, set.PreopenMinIdle = c.AheadPerSecond, c.AheadMost, c.AheadKeep
 	return set
 }
 
--- a/internal/config/operator/operator_test.go
+++ b/internal/config/operator/operator_test.go
@@ -53,7 +53,7 @@
 		t.Fatal(err)
 	}
 	s := f.Connections.Settings(pool.DefaultSettings(100))
-	if s.Most != 10 || s.PerNode != 10 || s.OpeningPerNode != 3 || s.Order != pool.Oldest || !s.SuspectClose || s.Wait.Milliseconds() != 40 || s.Check() != nil {
+	if s.MaxConnections != 10 || s.MaxPerEndpoint != 10 || s.MaxHandshakesPerEndpoint != 3 || s.ReuseOrder != pool.LeastRecentlyUsed || !s.CloseSuspect || s.AcquireTimeout.Milliseconds() != 40 || s.Validate() != nil {
 		t.Errorf("%+v", s)
 	}
 	old := Default()
--- a/internal/config/platform/platform.go
+++ b/internal/config/platform/platform.go
@@ -31,8 +31,8 @@
 	Sockets   int // file descriptors that the process may hold
 	Site      wire.Site
 
-	Known     discovery.List // the servers that an earlier life of the agent knew
-	AcceptFor time.Duration  // new clients are accepted for so long after the signal to end
+	Known     discovery.EndpointList // the servers that an earlier life of the agent knew
+	AcceptFor time.Duration          // new clients are accepted for so long after the signal to end
 }
 
 // configFile is the form of the file that PROXY_CONFIG names.
@@ -128,7 +128,7 @@
 		return cfg, fmt.Errorf("settings: %w", err)
 	}
 	if len(f.Known) > 0 {
-		if cfg.Known, err = discovery.ParseList(f.Known); err != nil {
+		if cfg.Known, err = discovery.ParseEndpointList(f.Known); err != nil {
 			return cfg, fmt.Errorf("known: %w", err)
 		}
 	}
@@ -150,7 +150,7 @@
 	// On sockets any refusal may carry Retry-After, also where the simulator's clients are given none.
 	site.Logic.MaxRetryAfter = site.MaxRetryAfter
 	// Nor is anybody there allowed four times the usual time after a call that failed.
-	site.Logic.MaxPollRetryInterval = discovery.AskAgain
+	site.Logic.MaxPollRetryInterval = discovery.MaxRetryInterval
 	return site, nil
 }
 
@@ -181,7 +181,7 @@
 	}
 	fmt.Fprintf(w, "agent %s: clients at %s, operators at %s, discovery at %s\n", cfg.Name, cfg.Listen, control, cfg.Discovery)
 	fmt.Fprintf(w, "limits: %g cores, %d MB, %d descriptors\n", cfg.Cores, cfg.MemoryMB, cfg.Sockets)
-	fmt.Fprintf(w, "fleet: agent %d of %d; %d backends known from before\n", cfg.Site.Logic.BalancerIndex, cfg.Site.Logic.Balancers, len(cfg.Known.Servers))
+	fmt.Fprintf(w, "fleet: agent %d of %d; %d backends known from before\n", cfg.Site.Logic.BalancerIndex, cfg.Site.Logic.Balancers, len(cfg.Known.Endpoints))
 	effects := map[logic.Idempotency]string{logic.Idempotent: "safe to repeat", logic.IdempotentWithKey: "carries a key", logic.NonIdempotent: "must never run twice"}
 	for _, c := range cfg.Site.Logic.Classes {
 		fmt.Fprintf(w, "class %s: %s, wanted within %v, deadline %v, worth %g\n", c.Name, effects[c.Idempotency], c.LatencyObjective, c.Timeout, c.PriorityWeight)
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -34,8 +34,8 @@
 	longestList = 1 << 20
 )
 
-// AskAgain is within which an agent whose call has failed must ask again.
-const AskAgain = mostPause
+// MaxRetryInterval is within which an agent whose call has failed must ask again.
+const MaxRetryInterval = mostPause
 
 // All agents share one discovery, which serves their calls in turn and turns them away when too many wait. Calls that come
 // together, at a start or the end of an outage, are spread a little in a large fleet. And a watch waits for longer, up to a limit by
@@ -53,8 +53,8 @@
 	lessWait    = 0.985                  // and after an answer in time
 )
 
-// Watch is how long a watch may wait for news, in a fleet whose discovery keeps up.
-const Watch = toldAfter / 2
+// WatchTimeout is how long a watch may wait for news, in a fleet whose discovery keeps up.
+const WatchTimeout = toldAfter / 2
 
 // Sink takes what discovery says. Its methods may wait a moment.
 type Sink interface {
@@ -64,17 +64,17 @@
 
 // Config is what a Client works with.
 type Config struct {
-	Addr   string   // host and port of discovery
-	Agents int      // of the fleet that shares it
-	Asked  bool     // watch only when asked to
-	Zones  []string // their names; a server's zone is an index into them
-	Known  List     // of an earlier life of the agent
-	Seed   uint64
-	Clock  core.Clock
-	Dial   pool.Dial // nil for the machine's network
-	Sink   Sink
-	Log    *slog.Logger
-	Events *event.Recorder // nil for nobody
+	Addr                 string       // host and port of discovery
+	Agents               int          // of the fleet that shares it
+	SubscriptionRequired bool         // watch only when asked to
+	Zones                []string     // their names; a server's zone is an index into them
+	CachedList           EndpointList // of an earlier life of the agent
+	Seed                 uint64
+	Clock                core.Clock
+	Dial                 pool.DialFunc // nil for the machine's network
+	Sink                 Sink
+	Log                  *slog.Logger
+	Events               *event.Recorder // nil for nobody
 }
 
 // Client follows the list of servers.
@@ -82,7 +82,7 @@
 	client    *http.Client
 	clock     core.Clock
 	zones     []string
-	known     List          // of an earlier life of the agent
+	known     EndpointList  // of an earlier life of the agent
 	asked     bool          // watch only when the module subscribes
 	subscribe chan struct{} // holds one subscription
 	sink      Sink
@@ -95,7 +95,7 @@
 
 	// Those of the goroutine that runs:
 	rng     *rand.Rand
-	pace    Pace
+	pace    FleetTiming
 	fails   int           // calls that failed in a row
 	wait    time.Duration // of the next watch
 	at      string        // the address that is followed
@@ -115,8 +115,8 @@
 		cfg.Dial = (&net.Dialer{Timeout: callTimeout}).DialContext
 	}
 	d := &Client{
-		pace:      PaceOf(cfg.Agents),
-		wait:      Watch,
+		pace:      FleetTimingFor(cfg.Agents),
+		wait:      WatchTimeout,
 		addr:      cfg.Addr,
 		drop:      func() {},
 		at:        cfg.Addr,
@@ -124,8 +124,8 @@
 		clock:     cfg.Clock,
 		rng:       rand.New(rand.NewPCG(cfg.Seed, 1)),
 		zones:     cfg.Zones,
-		known:     cfg.Known,
-		asked:     cfg.Asked,
+		known:     cfg.CachedList,
+		asked:     cfg.SubscriptionRequired,
 		subscribe: make(chan struct{}, 1),
 		sink:      cfg.Sink,
 		log:       cfg.Log,
@@ -133,30 +133,30 @@
 		have:      map[string]core.Endpoint{},
 		version:   -1,
 	}
-	if (cfg.Asked || cfg.Agents > usualFleet) && len(d.known.Servers) > 0 { // changes are all that is asked for
+	if (cfg.SubscriptionRequired || cfg.Agents > usualFleet) && len(d.known.Endpoints) > 0 { // changes are all that is asked for
 		d.version = d.known.Version
 	}
 	return d
 }
 
-// Pace is how the calls of a fleet that come together are spread.
-type Pace struct {
-	Spread time.Duration // the first call comes within this, where a list is known
-	Rush   time.Duration // calls after one that failed come within this at least: all agents' fail together
-	Most   time.Duration // that a watch waits for news when discovery is full
+// FleetTiming is how the calls of a fleet that come together are spread.
+type FleetTiming struct {
+	StartSpread     time.Duration // the first call comes within this, where a list is known
+	RetrySpread     time.Duration // calls after one that failed come within this at least: all agents' fail together
+	MaxWatchTimeout time.Duration // that a watch waits for news when discovery is full
 }
 
-// PaceOf is the pace of one agent of a fleet.
-func PaceOf(agents int) Pace {
+// FleetTimingFor is the pace of one agent of a fleet.
+func FleetTimingFor(agents int) FleetTiming {
 	if agents <= usualFleet {
-		return Pace{Most: Watch}
+		return FleetTiming{MaxWatchTimeout: WatchTimeout}
 	}
 	rush := time.Duration(agents) * rushEach
-	return Pace{Spread: min(mostSpread, rush), Rush: min(mostPause, rush), Most: max(Watch, min(mostWatch, time.Duration(agents)*watchEach))}
+	return FleetTiming{StartSpread: min(mostSpread, rush), RetrySpread: min(mostPause, rush), MaxWatchTimeout: max(WatchTimeout, min(mostWatch, time.Duration(agents)*watchEach))}
 }
 
-// Ask subscribes to the list. A subscription that waits to begin is enough.
-func (d *Client) Ask() {
+// Subscribe subscribes to the list. A subscription that waits to begin is enough.
+func (d *Client) Subscribe() {
 	select {
 	case d.subscribe <- struct{}{}:
 	default:
@@ -174,7 +174,7 @@
 // first gets the first list. The known one may name backends that have gone or drain since, and the agent is ready as
 // soon as it holds any: it is used only where discovery does not answer at once.
 func (d *Client) first(ctx context.Context) {
-	if len(d.known.Servers) == 0 {
+	if len(d.known.Endpoints) == 0 {
 		return
 	}
 	if !d.asked { // else the module says when to ask
@@ -185,7 +185,7 @@
 		}
 	}
 	d.restore()
-	d.pause(ctx, d.pace.Spread)
+	d.pause(ctx, d.pace.StartSpread)
 }
 
 // pause waits for up to so long, at random: agents that were cut off together must not come back together.
@@ -193,8 +193,8 @@
 	sleep(ctx, time.Duration(d.rng.Float64()*float64(most)))
 }
 
-// Move points to another discovery. Calls to the old one end at once, whether or not it still answers.
-func (d *Client) Move(addr string) {
+// SetAddress points to another discovery. Calls to the old one end at once, whether or not it still answers.
+func (d *Client) SetAddress(addr string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if addr == d.addr {
@@ -226,7 +226,7 @@
 		d.at, d.version, d.down, d.heard = d.addr, -1, false, 0
 		d.client.CloseIdleConnections()
 		if !d.subscribed { // the module waits to ask the old one again
-			d.Ask()
+			d.Subscribe()
 		}
 	}
 	return session, end
@@ -253,7 +253,7 @@
 			d.sink.DiscoveryUnavailable()
 			continue
 		}
-		pause := min(mostPause, max(d.pace.Rush, retryPause<<min(d.fails, mostPauses)))
+		pause := min(mostPause, max(d.pace.RetrySpread, retryPause<<min(d.fails, mostPauses)))
 		sleep(ctx, pause/4)
 		d.pause(ctx, pause*3/4)
 		d.fails++
@@ -289,9 +289,9 @@
 		err := d.call(ctx, d.watch(wait), wait+left/2)
 		took := time.Since(began)
 		if err != nil || took > wait+lateAnswer {
-			d.wait = min(d.pace.Most, time.Duration(moreWait*float64(d.wait)))
+			d.wait = min(d.pace.MaxWatchTimeout, time.Duration(moreWait*float64(d.wait)))
 		} else {
-			d.wait = max(Watch, time.Duration(lessWait*float64(d.wait)))
+			d.wait = max(WatchTimeout, time.Duration(lessWait*float64(d.wait)))
 		}
 		if errors.Is(err, context.DeadlineExceeded) && ctx.Err() == nil { // it has fallen silent
 			d.log.Info("a watch has fallen silent", "version", d.version)
@@ -302,7 +302,7 @@
 			return err
 		}
 		// A watch that does not wait must not be called again in a tight loop.
-		if d.version == before && took < Watch/2 {
+		if d.version == before && took < WatchTimeout/2 {
 			sleep(ctx, earlyPause)
 		}
 	}
@@ -353,7 +353,7 @@
 	if len(body) > longestList {
 		return fmt.Errorf("discovery's list is over %d bytes", longestList)
 	}
-	l, err := ParseList(body)
+	l, err := ParseEndpointList(body)
 	if err != nil {
 		return fmt.Errorf("discovery's list: %w", err)
 	}
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -30,12 +30,12 @@
 
 func newFollower(t *testing.T, cfg Config, known string) (*Client, sink) {
 	t.Helper()
-	l, err := ParseList([]byte(known))
+	l, err := ParseEndpointList([]byte(known))
 	if err != nil {
 		t.Fatal(err)
 	}
 	events := make(sink, 100)
-	cfg.Known, cfg.Zones, cfg.Seed, cfg.Clock, cfg.Sink = l, []string{"edinburgh-dc"}, 1, core.NewClock(), events
+	cfg.CachedList, cfg.Zones, cfg.Seed, cfg.Clock, cfg.Sink = l, []string{"edinburgh-dc"}, 1, core.NewClock(), events
 	return New(cfg), events
 }
 
@@ -120,7 +120,7 @@
 	d, events := follower(t, testkit.Refusing(t), 1, "null", io.Discard)
 	takes := func(text string, whole bool) error {
 		t.Helper()
-		l, err := ParseList([]byte(text))
+		l, err := ParseEndpointList([]byte(text))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -160,7 +160,7 @@
 func TestKnownListIsTheSecondChoice(t *testing.T) {
 	t.Parallel()
 	f := testkit.NewDiscovery(t, 3, testkit.EntryText("s-new", "127.0.0.1:1", "Ready", 0))
-	known, err := ParseList([]byte(testkit.ListText(41, true, testkit.EntryText("s-old", "127.0.0.1:2", "Ready", 0))))
+	known, err := ParseEndpointList([]byte(testkit.ListText(41, true, testkit.EntryText("s-old", "127.0.0.1:2", "Ready", 0))))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -187,7 +187,7 @@
 		{testkit.EntryText("s-1", "127.0.0.1:1", "Asleep", 0), testkit.EntryText("s-3", "no address", "Ready", 0), `{"id":9}`, `"x"`,
 			testkit.EntryText("s-4", "127.0.0.1:4", "Ready", 0)},
 	} {
-		l, err := ParseList([]byte(testkit.ListText(i, true, entries...)))
+		l, err := ParseEndpointList([]byte(testkit.ListText(i, true, entries...)))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -213,7 +213,7 @@
 	d, events := follower(t, testkit.Refusing(t), 1, "null", io.Discard)
 	d.asked = true
 	follow(t, d)
-	d.Ask()
+	d.Subscribe()
 	select {
 	case ev := <-events:
 		if ev != "unavailable" {
@@ -227,8 +227,8 @@
 // fleet gives a follower the settings of a fleet of so many agents, and the list of an earlier life.
 func fleet(t *testing.T, url string, agents int, known string) (*Client, sink) {
 	t.Helper()
-	d, events := newFollower(t, Config{Addr: url, Agents: agents, Asked: true, Log: slog.New(slog.DiscardHandler)}, known)
-	d.Ask()
+	d, events := newFollower(t, Config{Addr: url, Agents: agents, SubscriptionRequired: true, Log: slog.New(slog.DiscardHandler)}, known)
+	d.Subscribe()
 	return d, events
 }
 
@@ -238,7 +238,7 @@
 	f := testkit.NewDiscovery(t, 41, testkit.EntryText("s-1", "127.0.0.1:1", "Ready", 0))
 	f.Set(42, false, testkit.EntryText("s-2", "127.0.0.1:2", "Ready", 0))
 	d, events := fleet(t, f.Addr().String(), 12, testkit.ListText(41, true, testkit.EntryText("s-1", "127.0.0.1:1", "Ready", 0)))
-	d.pace.Spread = 0
+	d.pace.StartSpread = 0
 	follow(t, d)
 	if l := next(t, events); !l.Full || l.Endpoints[0].ID != "s-1" {
 		t.Errorf("known: %+v", l)
@@ -260,26 +260,26 @@
 	for _, agents := range []int{1, usualFleet, 20, 48, 300, 2000, 100000} {
 		d, _ := fleet(t, "127.0.0.1:1", agents, testkit.ListText(41, true, testkit.EntryText("s-1", "127.0.0.1:1", "Ready", 0)))
 		large := agents > usualFleet
-		if p := d.pace; (p.Spread > 0) != large || (p.Rush > 0) != large || p.Spread+callTimeout > toldAfter/2 || p.Rush > toldAfter/2 ||
-			p.Most < Watch || !large && p.Most > Watch || p.Most > mostWatch {
+		if p := d.pace; (p.StartSpread > 0) != large || (p.RetrySpread > 0) != large || p.StartSpread+callTimeout > toldAfter/2 || p.RetrySpread > toldAfter/2 ||
+			p.MaxWatchTimeout < WatchTimeout || !large && p.MaxWatchTimeout > WatchTimeout || p.MaxWatchTimeout > mostWatch {
 			t.Errorf("%d agents: %+v", agents, p)
 		}
 		if d.version != 41 || d.wait != toldAfter/2 {
 			t.Errorf("%d agents begin from version %d with a watch of %v", agents, d.version, d.wait)
 		}
 	}
-	if AskAgain > toldAfter/2 {
-		t.Errorf("a call that failed is made again after %v", AskAgain)
+	if MaxRetryInterval > toldAfter/2 {
+		t.Errorf("a call that failed is made again after %v", MaxRetryInterval)
 	}
 }
 
 // A discovery that counts anew is asked for the whole list: what has changed since a version of another count says nothing.
 func TestCountsAnew(t *testing.T) {
 	d, events := fleet(t, "127.0.0.1:1", 12, testkit.ListText(41, true, testkit.EntryText("s-1", "127.0.0.1:1", "Ready", 0)))
-	if err := d.take(List{Version: 7}, false); err == nil || d.version != -1 {
+	if err := d.take(EndpointList{Version: 7}, false); err == nil || d.version != -1 {
 		t.Errorf("%v, version %d", err, d.version)
 	}
-	if err := d.take(List{Version: 7, Full: true}, true); err != nil || !next(t, events).Full {
+	if err := d.take(EndpointList{Version: 7, Full: true}, true); err != nil || !next(t, events).Full {
 		t.Error(err)
 	}
 }
@@ -288,13 +288,13 @@
 func TestBackWithoutNews(t *testing.T) {
 	d, events := fleet(t, "127.0.0.1:1", 1, "null")
 	d.version, d.down, d.fails = 41, true, 3
-	if err := d.take(List{Version: 41}, false); err != nil || d.down || d.fails != 0 {
+	if err := d.take(EndpointList{Version: 41}, false); err != nil || d.down || d.fails != 0 {
 		t.Error(err, d.down, d.fails)
 	}
 	if l := next(t, events); l.Full || len(l.Endpoints) != 0 {
 		t.Errorf("%+v", l)
 	}
-	d.take(List{Version: 41}, false)
+	d.take(EndpointList{Version: 41}, false)
 	if len(events) > 0 {
 		t.Error("told twice")
 	}
@@ -307,7 +307,7 @@
 	d, events := follower(t, testkit.Refusing(t), 1, "null", &testkit.LockedBuffer{})
 	d.asked = true
 	follow(t, d)
-	d.Move(f.Addr().String())
+	d.SetAddress(f.Addr().String())
 	if l := next(t, events); len(l.Endpoints) != 1 {
 		t.Errorf("%+v", l)
 	}
--- a/internal/discovery/fleet_test.go
+++ b/internal/discovery/fleet_test.go
@@ -75,7 +75,7 @@
 		server.Set(entry(fmt.Sprint("s", i), discovery.Ready), 0)
 	}
 	server.Serve(l, "all")
-	known, err := ParseList([]byte(`{"version":16,"full":true,"servers":[{"id":"s0","addr":"127.0.0.1:1","zone":"a","state":"Ready","weight":1}]}`))
+	known, err := ParseEndpointList([]byte(`{"version":16,"full":true,"servers":[{"id":"s0","addr":"127.0.0.1:1","zone":"a","state":"Ready","weight":1}]}`))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -84,7 +84,7 @@
 	clients := make([]*told, agents)
 	for i := range clients {
 		clients[i] = &told{at: map[string]time.Time{}}
-		c := New(Config{Addr: "discovery:80", Agents: agents, Known: known, Zones: []string{"a"}, Seed: uint64(i) + 1, Clock: core.NewClock(),
+		c := New(Config{Addr: "discovery:80", Agents: agents, CachedList: known, Zones: []string{"a"}, Seed: uint64(i) + 1, Clock: core.NewClock(),
 			Sink: clients[i], Dial: func(ctx context.Context, n, addr string) (net.Conn, error) {
 				return network.Dialer("agent")(ctx, n, addr)
 			}, Log: slog.New(slog.NewTextHandler(io.Discard, nil))})
@@ -135,7 +135,7 @@
 	// which they count as told, most of its calls are of those.
 	part, most := time.Duration(2), 2*agents
 	if float64(agents) > 2*rate*toldAfter.Seconds() {
-		part, most = 3, agents*int(worst/(AskAgain/2))
+		part, most = 3, agents*int(worst/(MaxRetryInterval/2))
 	}
 	if worst > toldAfter+part*time.Duration(agents)*time.Second/rate {
 		t.Errorf("the last agent was told %v after the outage", worst)
@@ -168,17 +168,17 @@
 	})}
 	served := make(chan error, 1)
 	go func() { served <- srv.Serve(l) }()
-	known, err := ParseList([]byte(`{"version":16,"full":true,"servers":[{"id":"s0","addr":"127.0.0.1:1","zone":"a","state":"Ready","weight":1}]}`))
+	known, err := ParseEndpointList([]byte(`{"version":16,"full":true,"servers":[{"id":"s0","addr":"127.0.0.1:1","zone":"a","state":"Ready","weight":1}]}`))
 	if err != nil {
 		t.Fatal(err)
 	}
 	seen := &told{at: map[string]time.Time{}}
-	c := New(Config{Addr: "discovery:80", Agents: 300, Known: known, Zones: []string{"a"}, Seed: 1, Clock: core.NewClock(), Sink: seen,
-		Asked: asked, Dial: func(ctx context.Context, n, addr string) (net.Conn, error) {
+	c := New(Config{Addr: "discovery:80", Agents: 300, CachedList: known, Zones: []string{"a"}, Seed: 1, Clock: core.NewClock(), Sink: seen,
+		SubscriptionRequired: asked, Dial: func(ctx context.Context, n, addr string) (net.Conn, error) {
 			return network.Dialer("agent")(ctx, n, addr)
 		},
 		Log: slog.New(slog.DiscardHandler)})
-	c.Ask()
+	c.Subscribe()
 	ctx, stop := context.WithCancel(t.Context())
 	done := make(chan struct{})
 	go func() { c.Run(ctx); close(done) }()
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -17,11 +17,11 @@
 
 // The list of servers: its form, and what becomes of the entries.
 
-// List is a list of servers or a change of it, in discovery's form.
-type List struct {
-	Version int64             `json:"version"`
-	Full    bool              `json:"full"`
-	Servers []json.RawMessage `json:"servers"`
+// EndpointList is a list of servers or a change of it, in discovery's form.
+type EndpointList struct {
+	Version   int64             `json:"version"`
+	Full      bool              `json:"full"`
+	Endpoints []json.RawMessage `json:"servers"`
 }
 
 // entry is a backend of the list.
@@ -37,14 +37,14 @@
 
 var states = map[string]logic.EndpointState{"Ready": logic.Ready, "Terminating": logic.Draining, "Gone": logic.Removed}
 
-// ParseList reads a list.
-func ParseList(data []byte) (l List, err error) {
+// ParseEndpointList reads a list.
+func ParseEndpointList(data []byte) (l EndpointList, err error) {
 	err = json.Unmarshal(data, &l)
 	return l, err
 }
 
 // take applies a list that is not older than what is held.
-func (d *Client) take(l List, whole bool) error {
+func (d *Client) take(l EndpointList, whole bool) error {
 	if whole && !l.Full {
 		return errors.New("discovery answered a call for the whole list with changes")
 	}
@@ -72,7 +72,7 @@
 		applied.Detail = fmt.Sprintf("version %d, full %v: %s", l.Version, l.Full, summary(members))
 	}
 	d.events.Record(applied)
-	d.log.Info("list of backends", "version", l.Version, "full", l.Full, "entries", len(l.Servers))
+	d.log.Info("list of backends", "version", l.Version, "full", l.Full, "entries", len(l.Endpoints))
 	d.sink.UpdateEndpoints(core.EndpointList{Full: l.Full, Endpoints: members})
 	return nil
 }
@@ -96,9 +96,9 @@
 
 // members decodes the entries. A malformed one is passed over, which must not look as if its backend had been
 // taken from the list: what was held of it stands.
-func (d *Client) members(l List) []core.Endpoint {
-	out := make([]core.Endpoint, 0, len(l.Servers))
-	for _, raw := range l.Servers {
+func (d *Client) members(l EndpointList) []core.Endpoint {
+	out := make([]core.Endpoint, 0, len(l.Endpoints))
+	for _, raw := range l.Endpoints {
 		m, id, err := d.member(raw)
 		if err != nil {
 			if !d.badOnce {
--- a/internal/discovery/reload_test.go
+++ b/internal/discovery/reload_test.go
@@ -11,19 +11,19 @@
 // subscribed to, the subscription goes on all the same: nobody else would ask again.
 func TestReloadThatDoesNotMove(t *testing.T) {
 	for name, reload := range map[string]func(d *Client, at string){
-		"the same address": func(d *Client, at string) { d.Move(at) },
-		"there and back":   func(d *Client, at string) { d.Move("127.0.0.1:1"); d.Move(at) },
+		"the same address": func(d *Client, at string) { d.SetAddress(at) },
+		"there and back":   func(d *Client, at string) { d.SetAddress("127.0.0.1:1"); d.SetAddress(at) },
 		"many in a row": func(d *Client, at string) {
 			for range 20 {
-				d.Move(at)
+				d.SetAddress(at)
 			}
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			f := testkit.NewDiscovery(t, 1, testkit.EntryText("s-1", "127.0.0.1:1", "Ready", 0))
-			d, events := newFollower(t, Config{Addr: f.Addr().String(), Agents: 1, Asked: true, Log: discard()}, "null")
-			d.Ask()
+			d, events := newFollower(t, Config{Addr: f.Addr().String(), Agents: 1, SubscriptionRequired: true, Log: discard()}, "null")
+			d.Subscribe()
 			follow(t, d)
 			next(t, events)
 			testkit.Eventually(t, "a watch is open", func() bool { _, watches := f.Calls(); return watches > 0 })
--- a/internal/experiment/fleet.go
+++ b/internal/experiment/fleet.go
@@ -181,7 +181,7 @@
 // fleetAgent is an agent: its table, and its servers as nodes of that.
 type fleetAgent struct {
 	table   *pool.Table
-	nodes   []*pool.Node
+	nodes   []*pool.Endpoint
 	servers []*fleetServer
 	waiting map[*pool.Waiter]*fleetCall
 	conns   map[*pool.Slot]*fleetConn
@@ -216,15 +216,15 @@
 		f.servers = append(f.servers, &fleetServer{free: make([]time.Duration, spec.Cores)})
 	}
 	set := pool.DefaultSettings(450)
-	set.Idle, set.Wait, set.Agents, set.ColdFrom, set.ColdFor = spec.Idle.D(), spec.Patience.D(), spec.Agents, spec.ColdFrom, spec.ColdFor.D()
+	set.ServerIdleTimeout, set.AcquireTimeout, set.Agents, set.SlowStartInitialFraction, set.SlowStartWindow = spec.Idle.D(), spec.Patience.D(), spec.Agents, spec.ColdFrom, spec.ColdFor.D()
 	set = arm.read.Settings(set)
-	if err := set.Check(); err != nil {
+	if err := set.Validate(); err != nil {
 		return nil, fmt.Errorf("arm %s: %w", arm.Name, err)
 	}
 	for i := range spec.Agents {
 		a := &fleetAgent{table: pool.NewTable(set, seed<<20+uint64(i)), waiting: map[*pool.Waiter]*fleetCall{}, conns: map[*pool.Slot]*fleetConn{}}
 		for _, s := range f.rng.Perm(spec.Servers)[:spec.Subset] {
-			n := a.table.NewNode(f.now, fmt.Sprint(s), "", 0)
+			n := a.table.AddEndpoint(f.now, fmt.Sprint(s), "", 0)
 			a.table.SetReady(f.now, n, true)
 			a.nodes, a.servers = append(a.nodes, n), append(a.servers, f.servers[s])
 		}
@@ -306,13 +306,13 @@
 			return
 		}
 		var stale []*pool.Slot
-		for _, s := range a.table.Idle(nil) {
+		for _, s := range a.table.AppendIdle(nil) {
 			if f.now >= a.conns[s].closed {
 				stale = append(stale, s)
 			}
 		}
-		f.do(a, a.table.Sweep(f.now, stale))
-		f.run.open += float64(a.table.Counts().Open) * float64(len(f.agents))
+		f.do(a, a.table.Maintain(f.now, stale))
+		f.run.open += float64(a.table.Stats().Open) * float64(len(f.agents))
 		f.samples++
 		f.sweeps(a, end)
 	})
@@ -329,7 +329,7 @@
 		for i, at := range a.servers {
 			if at == s {
 				f.do(a, a.table.Retire(f.now, a.nodes[i]))
-				a.nodes[i] = a.table.NewNode(f.now, "0", "", f.now)
+				a.nodes[i] = a.table.AddEndpoint(f.now, "0", "", f.now)
 				f.do(a, a.table.SetReady(f.now, a.nodes[i], true))
 			}
 		}
@@ -348,7 +348,7 @@
 		c.server = f.rng.IntN(len(a.nodes))
 	}
 	for {
-		s, w, actions := a.table.Want(f.now, a.nodes[c.server], c.careful)
+		s, w, actions := a.table.Acquire(f.now, a.nodes[c.server], c.careful)
 		if w != nil {
 			a.waiting[w] = c
 		}
@@ -360,7 +360,7 @@
 			f.carry(a, s, c)
 			return
 		}
-		f.do(a, a.table.Stale(f.now, s))
+		f.do(a, a.table.DiscardStale(f.now, s))
 	}
 }
 
@@ -372,19 +372,19 @@
 			f.open(a, act.Slot)
 		case pool.Close:
 			delete(a.conns, act.Slot)
-		case pool.Hand:
+		case pool.Grant:
 			c := a.waiting[act.Waiter]
 			delete(a.waiting, act.Waiter)
 			f.carry(a, act.Slot, c)
-		case pool.Refuse:
+		case pool.Reject:
 			delete(a.waiting, act.Waiter)
-		case pool.Rest:
-			f.at(f.now+act.After, func() { f.do(a, a.table.Rested(f.now, act.Slot)) })
+		case pool.ScheduleQuarantineEnd:
+			f.at(f.now+act.Delay, func() { f.do(a, a.table.QuarantineEnded(f.now, act.Slot)) })
 		}
 	}
 }
 
-func (f *fleet) serverOf(a *fleetAgent, n *pool.Node) *fleetServer {
+func (f *fleet) serverOf(a *fleetAgent, n *pool.Endpoint) *fleetServer {
 	for i, have := range a.nodes {
 		if have == n {
 			return a.servers[i]
@@ -412,9 +412,9 @@
 
 func (f *fleet) open(a *fleetAgent, s *pool.Slot) {
 	f.run.handshakes++
-	server := f.serverOf(a, s.Node)
+	server := f.serverOf(a, s.Endpoint)
 	if server == nil || f.now >= server.cutFrom && f.now < server.cutTo {
-		f.at(f.now+100*time.Millisecond, func() { f.do(a, a.table.OpenFailed(f.now, s, false)) })
+		f.at(f.now+100*time.Millisecond, func() { f.do(a, a.table.HandshakeFailed(f.now, s, false)) })
 		return
 	}
 	if server.started > 0 && f.now-server.started < startLook {
@@ -425,7 +425,7 @@
 	f.at(done+f.spec.RTT.D()/2, func() {
 		a.conns[s] = &fleetConn{opened: f.now}
 		f.rest(a.conns[s])
-		f.do(a, a.table.Opened(f.now, s))
+		f.do(a, a.table.HandshakeSucceeded(f.now, s))
 	})
 }
 
@@ -442,15 +442,15 @@
 
 // carry sends a request on a connection and gives it back.
 func (f *fleet) carry(a *fleetAgent, s *pool.Slot, c *fleetCall) {
-	server, conn := f.serverOf(a, s.Node), a.conns[s]
+	server, conn := f.serverOf(a, s.Endpoint), a.conns[s]
 	half := f.spec.RTT.D() / 2
-	back := func(after time.Duration, how pool.How) {
+	back := func(after time.Duration, how pool.ReleaseOutcome) {
 		f.at(f.now+after, func() {
-			if how == pool.InOrder {
+			if how == pool.Reusable {
 				f.times = append(f.times, (f.now - c.at).Seconds())
 				f.rest(conn)
 			}
-			f.do(a, a.table.Done(f.now, s, how))
+			f.do(a, a.table.Release(f.now, s, how))
 		})
 	}
 	switch {
@@ -466,11 +466,11 @@
 		if c.careful {
 			f.run.crossedOne++
 		}
-		back(2*half, pool.Crossed)
+		back(2*half, pool.ClosedByServer)
 	default:
 		amount := time.Duration(f.rng.ExpFloat64() * float64(f.spec.Work.D()))
 		done := f.work(server, f.now+half, amount)
 		conn.closed = time.Duration(math.MaxInt64) // in use
-		back(done+half-f.now, pool.InOrder)
+		back(done+half-f.now, pool.Reusable)
 	}
 }
--- a/internal/experiment/simagent.go
+++ b/internal/experiment/simagent.go
@@ -207,16 +207,16 @@
 // subscribe lets an agent follow the list, as the agent's client of discovery does: in a large fleet the first call of a process that
 // has a list comes within a while, and a watch that brought nothing is made anew.
 func (s *sim) subscribe(a *simAgent) {
-	pace := discovery.PaceOf(len(s.day.Agents))
+	pace := discovery.FleetTimingFor(len(s.day.Agents))
 	spread := time.Duration(0)
 	if !a.asked {
 		a.asked = true
-		spread = time.Duration(a.rng.Float64() * float64(pace.Spread))
+		spread = time.Duration(a.rng.Float64() * float64(pace.StartSpread))
 	}
 	s.at(s.now+spread, func() { s.watch(a, pace) })
 }
 
-func (s *sim) watch(a *simAgent, pace discovery.Pace) {
+func (s *sim) watch(a *simAgent, pace discovery.FleetTiming) {
 	if a.gone {
 		return
 	}
@@ -224,13 +224,13 @@
 		switch {
 		case a.gone:
 		case !ok:
-			rush := time.Duration(a.rng.Float64() * float64(pace.Rush))
+			rush := time.Duration(a.rng.Float64() * float64(pace.RetrySpread))
 			s.at(s.now+rush, func() { s.tell(a, logic.DiscoveryUnavailable{}) })
 		default:
 			a.watching = true
 			s.news(a)
 			since := a.version
-			s.at(s.now+discovery.Watch, func() {
+			s.at(s.now+discovery.WatchTimeout, func() {
 				if a.watching && a.version == since && !a.gone {
 					a.watching = false
 					s.watch(a, pace)
@@ -264,7 +264,7 @@
 			s.referee.Told(s.day.Agents[a.number], e.ID, e.State == logic.Ready, s.now)
 		}
 		s.tell(a, logic.EndpointList{Endpoints: entries})
-		s.watch(a, discovery.PaceOf(len(s.day.Agents)))
+		s.watch(a, discovery.FleetTimingFor(len(s.day.Agents)))
 	})
 }
 
--- a/internal/healthcheck/probe.go
+++ b/internal/healthcheck/probe.go
@@ -16,53 +16,53 @@
 
 // What holds where the operators say nothing.
 const (
-	DefaultMost    = 8                      // probes under way at a time
-	DefaultTimeout = 120 * time.Millisecond // for an answer, with the connection that may have to be opened
+	DefaultMaxConcurrent = 8                      // probes under way at a time
+	DefaultTimeout       = 120 * time.Millisecond // for an answer, with the connection that may have to be opened
 )
 
-// Kind is one of the platform's two calls.
-type Kind int
+// RequestKind is one of the platform's two calls.
+type RequestKind int
 
 // The calls.
 const (
-	Load   Kind = iota // answers with the server's load report
-	Health             // says only that the server answers
+	LoadRequest   RequestKind = iota // answers with the server's load report
+	HealthRequest                    // says only that the server answers
 )
 
-// Answer is what came of a call.
-type Answer struct {
-	Result logic.Result // OK; Rejected: it answers, but says that it is not well; NotSent: the agent's own lack
-	Report logic.LoadReport
-	Absent bool // the server knows no such call
+// Response is what came of a call.
+type Response struct {
+	Result      logic.Result // OK; Rejected: it answers, but says that it is not well; NotSent: the agent's own lack
+	LoadReport  logic.LoadReport
+	Unsupported bool // the server knows no such call
 }
 
-// Asker makes a call to a server's life, as Upstream.Bind returned it, and ends by then. It never opens a connection that
+// Transport makes a call to a server's life, as Upstream.Bind returned it, and ends by then. It never opens a connection that
 // attempts wait for.
-type Asker interface {
-	Ask(ctx context.Context, target any, kind Kind, until time.Time) Answer
+type Transport interface {
+	HealthCheck(ctx context.Context, target any, kind RequestKind, until time.Time) Response
 }
 
 // Settings are the limits.
 type Settings struct {
-	Most    int           // probes under way at a time; one server has one at most
-	Timeout time.Duration // for each
+	MaxConcurrent int           // probes under way at a time; one server has one at most
+	Timeout       time.Duration // for each
 }
 
 // Config is what a Prober works with.
 type Config struct {
-	Settings Settings
-	Reports  bool // the platform's servers report their load
-	Clock    core.Clock
-	Asker    Asker
-	Log      *slog.Logger
+	Settings    Settings
+	LoadReports bool // the platform's servers report their load
+	Clock       core.Clock
+	Transport   Transport
+	Log         *slog.Logger
 }
 
 // absentMost is how many answers in a row may say that there is no such call, before no more are made: a platform that
 // allows probes but has no servers that know them would pay for each.
 const absentMost = 8
 
-// Prober makes probes. It is safe for concurrent use.
-type Prober struct {
+// Checker makes probes. It is safe for concurrent use.
+type Checker struct {
 	cfg    Config
 	counts [outcomes]atomic.Int64
 	absent atomic.Int64 // in a row
@@ -74,12 +74,12 @@
 }
 
 // New returns a Prober.
-func New(cfg Config) *Prober {
-	return &Prober{cfg: cfg, set: cfg.Settings, asking: map[string]bool{}}
+func New(cfg Config) *Checker {
+	return &Checker{cfg: cfg, set: cfg.Settings, asking: map[string]bool{}}
 }
 
 // Configure puts other limits into force.
-func (p *Prober) Configure(set Settings) {
+func (p *Checker) Configure(set Settings) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.set = set
@@ -87,7 +87,7 @@
 
 // Check asks a server and returns when there is a result, within the time-out. What is over a limit is NotSent, which says
 // nothing of the server. It implements core.Prober.
-func (p *Prober) Check(ctx context.Context, server string, target any) logic.HealthChecked {
+func (p *Checker) Check(ctx context.Context, server string, target any) logic.HealthChecked {
 	began := p.cfg.Clock.Now()
 	out := logic.HealthChecked{Endpoint: server, Result: logic.NotSent, LoadReport: logic.NoLoadReport}
 	timeout, ok := p.begin(server)
@@ -99,40 +99,40 @@
 		return out
 	}
 	defer p.end(server)
-	kind := Health
-	if p.cfg.Reports {
-		kind = Load
+	kind := HealthRequest
+	if p.cfg.LoadReports {
+		kind = LoadRequest
 	}
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	a := p.cfg.Asker.Ask(ctx, target, kind, p.cfg.Clock.At(began+timeout))
+	a := p.cfg.Transport.HealthCheck(ctx, target, kind, p.cfg.Clock.At(began+timeout))
 	p.learn(a)
-	out.Result, out.LoadReport, out.Latency = a.Result, a.Report, p.cfg.Clock.Now()-began
+	out.Result, out.LoadReport, out.Latency = a.Result, a.LoadReport, p.cfg.Clock.Now()-began
 	p.count(out.Result)
 	return out
 }
 
 // begin takes a place among the probes under way.
-func (p *Prober) begin(server string) (timeout time.Duration, ok bool) {
+func (p *Checker) begin(server string) (timeout time.Duration, ok bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if len(p.asking) >= p.set.Most || p.asking[server] || p.absent.Load() >= absentMost {
+	if len(p.asking) >= p.set.MaxConcurrent || p.asking[server] || p.absent.Load() >= absentMost {
 		return 0, false
 	}
 	p.asking[server] = true
 	return p.set.Timeout, true
 }
 
-func (p *Prober) end(server string) {
+func (p *Checker) end(server string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.asking, server)
 }
 
 // learn notices a platform without the call.
-func (p *Prober) learn(a Answer) {
+func (p *Checker) learn(a Response) {
 	switch {
-	case !a.Absent:
+	case !a.Unsupported:
 		if a.Result == logic.OK {
 			p.absent.Store(0)
 		}
--- a/internal/healthcheck/probe_test.go
+++ b/internal/healthcheck/probe_test.go
@@ -14,16 +14,16 @@
 	"ryeweir/logic"
 )
 
-// asker answers after a time, or when it is given up.
-type asker struct {
+// fakeTransport answers after a time, or when it is given up.
+type fakeTransport struct {
 	after  time.Duration
-	answer healthcheck.Answer
+	answer healthcheck.Response
 
 	mu    sync.Mutex
-	kinds []healthcheck.Kind
+	kinds []healthcheck.RequestKind
 }
 
-func (a *asker) Ask(ctx context.Context, _ any, kind healthcheck.Kind, until time.Time) healthcheck.Answer {
+func (a *fakeTransport) HealthCheck(ctx context.Context, _ any, kind healthcheck.RequestKind, until time.Time) healthcheck.Response {
 	a.mu.Lock()
 	a.kinds = append(a.kinds, kind)
 	a.mu.Unlock()
@@ -31,19 +31,19 @@
 	case <-time.After(a.after):
 		return a.answer
 	case <-ctx.Done():
-		return healthcheck.Answer{Result: logic.TimedOut, Report: logic.NoLoadReport}
+		return healthcheck.Response{Result: logic.TimedOut, LoadReport: logic.NoLoadReport}
 	}
 }
 
-func prober(a healthcheck.Asker, most int, reports bool) *healthcheck.Prober {
-	return healthcheck.New(healthcheck.Config{Settings: healthcheck.Settings{Most: most, Timeout: 120 * time.Millisecond}, Reports: reports, Clock: core.NewClock(),
-		Asker: a, Log: slog.New(slog.NewTextHandler(io.Discard, nil))})
+func prober(a healthcheck.Transport, most int, reports bool) *healthcheck.Checker {
+	return healthcheck.New(healthcheck.Config{Settings: healthcheck.Settings{MaxConcurrent: most, Timeout: 120 * time.Millisecond}, LoadReports: reports, Clock: core.NewClock(),
+		Transport: a, Log: slog.New(slog.NewTextHandler(io.Discard, nil))})
 }
 
 // However much is asked for, so many probes are under way at most, one to a server, and what is over that is no result.
 func TestLimits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		a := &asker{after: 50 * time.Millisecond, answer: healthcheck.Answer{Result: logic.OK, Report: logic.NoLoadReport}}
+		a := &fakeTransport{after: 50 * time.Millisecond, answer: healthcheck.Response{Result: logic.OK, LoadReport: logic.NoLoadReport}}
 		p := prober(a, 3, true)
 		var all sync.WaitGroup
 		var mu sync.Mutex
@@ -63,11 +63,11 @@
 		if r := p.Check(t.Context(), "gone", nil); r.Result != logic.NotSent {
 			t.Errorf("a server that is not there: %v", r.Result)
 		}
-		p.Configure(healthcheck.Settings{Most: 1, Timeout: 20 * time.Millisecond})
+		p.Configure(healthcheck.Settings{MaxConcurrent: 1, Timeout: 20 * time.Millisecond})
 		if r := p.Check(t.Context(), "a", "a"); r.Result != logic.TimedOut || r.Latency != 20*time.Millisecond {
 			t.Errorf("%v after %v with a shorter time-out", r.Result, r.Latency)
 		}
-		if c := p.Counts(); c.OK != 3 || c.Unmade != 4 || c.TimedOut != 1 {
+		if c := p.Stats(); c.OK != 3 || c.NotSent != 4 || c.TimedOut != 1 {
 			t.Errorf("%+v", c)
 		}
 	})
@@ -75,20 +75,20 @@
 
 // Servers that know no probes are asked a few times, not for ever. Any other answer is no such word.
 func TestAbsent(t *testing.T) {
-	a := &asker{answer: healthcheck.Answer{Result: logic.Failed, Report: logic.NoLoadReport, Absent: true}}
+	a := &fakeTransport{answer: healthcheck.Response{Result: logic.Failed, LoadReport: logic.NoLoadReport, Unsupported: true}}
 	p := prober(a, 8, false)
 	for range 50 {
 		p.Check(t.Context(), "a", "a")
 	}
-	if n := len(a.kinds); n > 10 || !p.Counts().Off || a.kinds[0] != healthcheck.Health {
-		t.Errorf("%d probes, %+v", n, p.Counts())
+	if n := len(a.kinds); n > 10 || !p.Stats().Disabled || a.kinds[0] != healthcheck.HealthRequest {
+		t.Errorf("%d probes, %+v", n, p.Stats())
 	}
-	a = &asker{answer: healthcheck.Answer{Result: logic.Rejected, Report: logic.NoLoadReport}}
+	a = &fakeTransport{answer: healthcheck.Response{Result: logic.Rejected, LoadReport: logic.NoLoadReport}}
 	p = prober(a, 8, true)
 	for range 50 {
 		p.Check(t.Context(), "a", "a")
 	}
-	if p.Counts().Off || p.Counts().Unwell != 50 {
-		t.Errorf("%+v", p.Counts())
+	if p.Stats().Disabled || p.Stats().Unhealthy != 50 {
+		t.Errorf("%+v", p.Stats())
 	}
 }
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -18,20 +18,20 @@
 	"ryeweir/logic"
 )
 
-// Dial opens a connection, as net.Dialer's DialContext does. A connection of a network that is not the machine's says by a
+// DialFunc opens a connection, as net.Dialer's DialContext does. A connection of a network that is not the machine's says by a
 // method Quiet whether it is open with nothing to read, since there is no socket to ask.
-type Dial func(ctx context.Context, network, addr string) (net.Conn, error)
+type DialFunc func(ctx context.Context, network, addr string) (net.Conn, error)
 
 // Config is what a Pool works with.
 type Config struct {
-	Settings  Settings
-	ConnectIn time.Duration // a connection that is not up by then has failed
-	Seed      uint64
-	Clock     core.Clock
-	Dial      Dial               // nil for the machine's network
-	Wrap      func(net.Conn) any // makes the state of a protocol on a new connection
-	Events    *event.Recorder    // nil for nobody
-	Buffers   int                // bytes of a socket's buffer, each way, as the kernel is asked for them; 0 for what it gives
+	Settings          Settings
+	ConnectTimeout    time.Duration // a connection that is not up by then has failed
+	Seed              uint64
+	Clock             core.Clock
+	Dial              DialFunc           // nil for the machine's network
+	NewState          func(net.Conn) any // makes the state of a protocol on a new connection
+	Events            *event.Recorder    // nil for nobody
+	SocketBufferBytes int                // bytes of a socket's buffer, each way, as the kernel is asked for them; 0 for what it gives
 }
 
 // Pool holds the connections to servers.
@@ -44,8 +44,8 @@
 	mu     sync.Mutex
 	closed bool
 	table  *Table
-	nodes  map[string]*Node // by id, those listed
-	lives  map[*Node]time.Duration
+	nodes  map[string]*Endpoint // by id, those listed
+	lives  map[*Endpoint]time.Duration
 	open   map[*Conn]struct{}
 	looked []*Slot // kept for its room
 }
@@ -57,34 +57,34 @@
 	slot  *Slot
 }
 
-// Fresh reports whether its request is the first on it.
-func (c *Conn) Fresh() bool { return c.slot.uses <= 1 }
+// FirstUse reports whether its request is the first on it.
+func (c *Conn) FirstUse() bool { return c.slot.uses <= 1 }
 
 // Reasons why there is no connection.
 var (
-	ErrNotReady = errors.New("the server takes no new requests")
-	ErrNoRoom   = errors.New("too many connections are open")
-	ErrLate     = errors.New("it came too late, or the pool is closing")
-	ErrConnect  = errors.New("no connection came up")
+	ErrNotReady      = errors.New("the server takes no new requests")
+	ErrExhausted     = errors.New("too many connections are open")
+	ErrCanceled      = errors.New("it came too late, or the pool is closing")
+	ErrConnectFailed = errors.New("no connection came up")
 )
 
 // New returns a pool. It must be closed.
 func New(cfg Config) (*Pool, error) {
-	if err := cfg.Settings.Check(); err != nil {
+	if err := cfg.Settings.Validate(); err != nil {
 		return nil, fmt.Errorf("connections: %w", err)
 	}
 	if cfg.Dial == nil {
 		cfg.Dial = (&net.Dialer{KeepAlive: -1}).DialContext
 	}
-	p := &Pool{cfg: cfg, table: NewTable(cfg.Settings, cfg.Seed), nodes: map[string]*Node{}, lives: map[*Node]time.Duration{},
+	p := &Pool{cfg: cfg, table: NewTable(cfg.Settings, cfg.Seed), nodes: map[string]*Endpoint{}, lives: map[*Endpoint]time.Duration{},
 		open: map[*Conn]struct{}{}}
 	p.ctx, p.stop = context.WithCancel(context.Background())
 	return p, nil
 }
 
-// Update takes a list or a change of it and returns how many servers are listed and how many of them are ready. A restart or
+// UpdateEndpoints takes a list or a change of it and returns how many servers are listed and how many of them are ready. A restart or
 // another address begins another life of a server: what is open to the one before closes as it comes free.
-func (p *Pool) Update(full bool, members []core.Endpoint) (listed, ready int) {
+func (p *Pool) UpdateEndpoints(full bool, members []core.Endpoint) (listed, ready int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.cfg.Clock.Now()
@@ -100,7 +100,7 @@
 			continue
 		}
 		if n == nil {
-			n = p.table.NewNode(now, m.ID, m.Addr, m.StartedAt)
+			n = p.table.AddEndpoint(now, m.ID, m.Addr, m.StartedAt)
 			p.nodes[m.ID], p.lives[n] = n, m.StartedAt
 		}
 		if is := m.State == logic.Ready; is != n.ready {
@@ -119,7 +119,7 @@
 
 // Configure puts other settings into force.
 func (p *Pool) Configure(set Settings) error {
-	if err := set.Check(); err != nil {
+	if err := set.Validate(); err != nil {
 		return fmt.Errorf("connections: %w", err)
 	}
 	p.mu.Lock()
@@ -130,21 +130,21 @@
 }
 
 // retire ends a server's life: nothing new goes to it.
-func (p *Pool) retire(now time.Duration, n *Node) {
+func (p *Pool) retire(now time.Duration, n *Endpoint) {
 	p.carryOut(p.table.Retire(now, n))
 	delete(p.nodes, n.ID)
 	delete(p.lives, n)
 }
 
-// Node returns the present life of a server, or nil.
-func (p *Pool) Node(id string) *Node {
+// Endpoint returns the present life of a server, or nil.
+func (p *Pool) Endpoint(id string) *Endpoint {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.nodes[id]
 }
 
-// TakesNew reports whether the server may still get something new in this life, and if not, since when.
-func (p *Pool) TakesNew(n *Node) (takes bool, since time.Duration) {
+// AcceptsRequests reports whether the server may still get something new in this life, and if not, since when.
+func (p *Pool) AcceptsRequests(n *Endpoint) (takes bool, since time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if n == nil {
@@ -156,7 +156,7 @@
 // Get returns a connection to the server that is up by then, or an error that wraps one of the reasons above. Careful is what
 // must not repeat: it goes out on a connection that the server may be closing only where no other is to be had. Who is gone
 // waits no longer. Put gives the connection back.
-func (p *Pool) Get(ctx context.Context, n *Node, careful bool, until time.Time, gone <-chan struct{}) (*Conn, error) {
+func (p *Pool) Get(ctx context.Context, n *Endpoint, careful bool, until time.Time, gone <-chan struct{}) (*Conn, error) {
 	for {
 		c, w, wait := p.want(n, careful)
 		if c != nil {
@@ -166,12 +166,12 @@
 		switch {
 		case err != nil:
 			return nil, err
-		case s == nil && why == NoServer:
+		case s == nil && why == RejectNotReady:
 			return nil, ErrNotReady
-		case s == nil && why == NoRoom:
-			return nil, ErrNoRoom
+		case s == nil && why == RejectCapacity:
+			return nil, ErrExhausted
 		case s == nil:
-			return nil, fmt.Errorf("%w to %s", ErrConnect, n.ID)
+			return nil, fmt.Errorf("%w to %s", ErrConnectFailed, n.ID)
 		case s.uses <= 1 || s.Conn.quiet():
 			return s.Conn, nil
 		}
@@ -179,54 +179,54 @@
 	}
 }
 
-// GetSpare returns a connection as Get does, for what must not stand in the way of attempts: only where none waits, and one that
+// GetLowPriority returns a connection as Get does, for what must not stand in the way of attempts: only where none waits, and one that
 // is idle or, while a part of the places is free, a new one.
-func (p *Pool) GetSpare(ctx context.Context, n *Node, until time.Time) (*Conn, error) {
+func (p *Pool) GetLowPriority(ctx context.Context, n *Endpoint, until time.Time) (*Conn, error) {
 	p.mu.Lock()
-	spare := p.table.Spare(n)
+	spare := p.table.AllowsLowPriority(n)
 	p.mu.Unlock()
 	if !spare {
-		return nil, ErrNoRoom
+		return nil, ErrExhausted
 	}
 	return p.Get(ctx, n, false, until, nil)
 }
 
 // want asks for a connection: one that is open and quiet, or a place in the queue.
-func (p *Pool) want(n *Node, careful bool) (*Conn, *Waiter, time.Duration) {
+func (p *Pool) want(n *Endpoint, careful bool) (*Conn, *Waiter, time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for {
 		now := p.cfg.Clock.Now()
-		s, w, actions := p.table.Want(now, n, careful)
+		s, w, actions := p.table.Acquire(now, n, careful)
 		p.carryOut(actions)
 		if s == nil {
-			return nil, w, p.cfg.Settings.Wait
+			return nil, w, p.cfg.Settings.AcquireTimeout
 		}
 		if s.Conn.quiet() {
 			return s.Conn, nil, 0
 		}
-		p.carryOut(p.table.Stale(now, s))
+		p.carryOut(p.table.DiscardStale(now, s))
 	}
 }
 
 func (p *Pool) stale(s *Slot) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.carryOut(p.table.Stale(p.cfg.Clock.Now(), s))
+	p.carryOut(p.table.DiscardStale(p.cfg.Clock.Now(), s))
 }
 
 // wait waits for a waiter's answer: a slot, or why there is none.
-func (p *Pool) wait(ctx context.Context, w *Waiter, wait time.Duration, until time.Time, gone <-chan struct{}) (*Slot, Why, error) {
+func (p *Pool) wait(ctx context.Context, w *Waiter, wait time.Duration, until time.Time, gone <-chan struct{}) (*Slot, CloseReason, error) {
 	select {
-	case a := <-w.Answer: // refused at once
-		return a.Slot, a.Why, nil
+	case a := <-w.Result: // refused at once
+		return a.Slot, a.CloseReason, nil
 	default:
 	}
 	patience := time.NewTimer(min(wait, time.Until(until)))
 	defer patience.Stop()
 	select {
-	case a := <-w.Answer:
-		return a.Slot, a.Why, nil
+	case a := <-w.Result:
+		return a.Slot, a.CloseReason, nil
 	case <-patience.C:
 	case <-ctx.Done():
 	case <-gone:
@@ -235,36 +235,36 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	select {
-	case a := <-w.Answer: // it came just now
-		return a.Slot, a.Why, nil
+	case a := <-w.Result: // it came just now
+		return a.Slot, a.CloseReason, nil
 	default:
 	}
 	why := p.table.Cancel(p.cfg.Clock.Now(), w)
 	if ctx.Err() != nil || !time.Now().Before(until) {
-		return nil, why, ErrLate
+		return nil, why, ErrCanceled
 	}
 	return nil, why, nil
 }
 
 // Put gives a connection back, and says how its exchange left it.
-func (p *Pool) Put(c *Conn, how How) {
+func (p *Pool) Put(c *Conn, how ReleaseOutcome) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.carryOut(p.table.Done(p.cfg.Clock.Now(), c.slot, how))
+	p.carryOut(p.table.Release(p.cfg.Clock.Now(), c.slot, how))
 }
 
-// Sweep closes idle connections that will not be used again.
-func (p *Pool) Sweep() {
+// Maintain closes idle connections that will not be used again.
+func (p *Pool) Maintain() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.looked = p.table.Idle(p.looked[:0])
+	p.looked = p.table.AppendIdle(p.looked[:0])
 	stale := p.looked[:0]
 	for _, s := range p.looked {
 		if !s.Conn.quiet() {
 			stale = append(stale, s)
 		}
 	}
-	p.carryOut(p.table.Sweep(p.cfg.Clock.Now(), stale))
+	p.carryOut(p.table.Maintain(p.cfg.Clock.Now(), stale))
 	clear(p.looked[:cap(p.looked)])
 }
 
@@ -273,7 +273,7 @@
 	p.stop()
 	p.mu.Lock()
 	p.closed = true
-	p.carryOut(p.table.End(p.cfg.Clock.Now()))
+	p.carryOut(p.table.Shutdown(p.cfg.Clock.Now()))
 	for c := range p.open {
 		c.Close()
 	}
@@ -291,42 +291,42 @@
 		case Close:
 			delete(p.open, a.Slot.Conn)
 			a.Slot.Conn.Close()
-			p.cfg.Events.Record(event.Event{Kind: event.UpstreamClosed, Reason: closeReasons[a.Why], Endpoint: a.Slot.Node.ID})
-		case Hand, Refuse:
-			a.Waiter.Answer <- a
-		case Rest:
-			time.AfterFunc(a.After, func() { p.rested(a.Slot) })
+			p.cfg.Events.Record(event.Event{Kind: event.UpstreamClosed, Reason: closeReasons[a.CloseReason], Endpoint: a.Slot.Endpoint.ID})
+		case Grant, Reject:
+			a.Waiter.Result <- a
+		case ScheduleQuarantineEnd:
+			time.AfterFunc(a.Delay, func() { p.rested(a.Slot) })
 		}
 	}
 }
 
 // closeReasons are the table's reasons of a close as reasons of events.
 var closeReasons = [...]event.Reason{
-	WhyIdle:    event.IdleTimeout,
-	WhyAge:     event.AgeLimit,
-	WhyStale:   event.StaleConnection,
-	WhySuspect: event.SuspectConnection,
-	WhyCrossed: event.CrossedClose,
-	WhyBroken:  event.BrokenExchange,
-	WhyRetired: event.ServerRetired,
-	WhyRoom:    event.CapacityNeeded,
-	WhyEnd:     event.ProcessEnd,
+	CloseIdle:      event.IdleTimeout,
+	CloseAge:       event.AgeLimit,
+	CloseStale:     event.StaleConnection,
+	CloseSuspected: event.SuspectConnection,
+	CloseCrossed:   event.CrossedClose,
+	CloseBroken:    event.BrokenExchange,
+	CloseRetired:   event.ServerRetired,
+	CloseCapacity:  event.CapacityNeeded,
+	CloseShutdown:  event.ProcessEnd,
 }
 
 // rested tells the table that a slot has rested. After the pool has closed that changes nothing.
 func (p *Pool) rested(s *Slot) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.carryOut(p.table.Rested(p.cfg.Clock.Now(), s))
+	p.carryOut(p.table.QuarantineEnded(p.cfg.Clock.Now(), s))
 }
 
 // connect does a slot's handshake.
 func (p *Pool) connect(s *Slot) {
-	ctx, cancel := context.WithTimeout(p.ctx, p.cfg.ConnectIn)
+	ctx, cancel := context.WithTimeout(p.ctx, p.cfg.ConnectTimeout)
 	defer cancel()
-	raw, err := p.cfg.Dial(ctx, "tcp", s.Node.Addr)
+	raw, err := p.cfg.Dial(ctx, "tcp", s.Endpoint.Addr)
 	if err == nil {
-		if err = bodybuffer.SizeSocket(raw, p.cfg.Buffers); err != nil {
+		if err = bodybuffer.SizeSocket(raw, p.cfg.SocketBufferBytes); err != nil {
 			raw.Close()
 		}
 	}
@@ -334,21 +334,21 @@
 	defer p.mu.Unlock()
 	if err == nil && p.closed {
 		raw.Close()
-		err = ErrLate
+		err = ErrCanceled
 	}
 	if err != nil {
-		p.cfg.Events.Record(event.Event{Kind: event.UpstreamClosed, Reason: event.ConnectFailed, Endpoint: s.Node.ID, Detail: err.Error()})
-		p.carryOut(p.table.OpenFailed(p.cfg.Clock.Now(), s, ownLack(err)))
+		p.cfg.Events.Record(event.Event{Kind: event.UpstreamClosed, Reason: event.ConnectFailed, Endpoint: s.Endpoint.ID, Detail: err.Error()})
+		p.carryOut(p.table.HandshakeFailed(p.cfg.Clock.Now(), s, ownLack(err)))
 		return
 	}
-	opened := event.Event{Kind: event.UpstreamOpened, Endpoint: s.Node.ID}
+	opened := event.Event{Kind: event.UpstreamOpened, Endpoint: s.Endpoint.ID}
 	if p.cfg.Events.Verbose() {
 		opened.Detail = raw.LocalAddr().String()
 	}
 	p.cfg.Events.Record(opened)
-	s.Conn = &Conn{Conn: raw, State: p.cfg.Wrap(raw), slot: s}
+	s.Conn = &Conn{Conn: raw, State: p.cfg.NewState(raw), slot: s}
 	p.open[s.Conn] = struct{}{}
-	p.carryOut(p.table.Opened(p.cfg.Clock.Now(), s))
+	p.carryOut(p.table.HandshakeSucceeded(p.cfg.Clock.Now(), s))
 }
 
 // ownLacks are the errors of socket(2) and connect(2) that come from this machine and not from the server or the way to it.
--- a/internal/pool/table.go
+++ b/internal/pool/table.go
@@ -15,18 +15,18 @@
 type Table struct {
 	set     Settings
 	rng     *rand.Rand
-	nodes   []*Node // listed, or with slots
-	open    int     // slots that are open
+	nodes   []*Endpoint // listed, or with slots
+	open    int         // slots that are open
 	opening int
 	idle    int
 	waiting int
 	turns   uint64
 	actions []Action
-	counts  Counts
+	counts  Stats
 }
 
-// Node is one life of a server under one address: a restart or another address makes a new one.
-type Node struct {
+// Endpoint is one life of a server under one address: a restart or another address makes a new one.
+type Endpoint struct {
 	ID, Addr string
 	started  time.Duration // 0: long ago
 	at       int           // in the table's nodes; -1 when it is not there any more
@@ -56,7 +56,7 @@
 
 // Slot is a connection.
 type Slot struct {
-	Node     *Node
+	Endpoint *Endpoint
 	Conn     *Conn // of those who carry out; the table does not look into it
 	opened   time.Duration
 	ends     time.Duration // its age limit; 0: none
@@ -73,70 +73,70 @@
 
 // Waiter is an attempt that waits.
 type Waiter struct {
-	node    *Node
+	node    *Endpoint
 	careful bool
 	since   time.Duration
 	turn    uint64
-	Answer  chan Action // holds one: a Hand or a Refuse
+	Result  chan Action // holds one: a Hand or a Refuse
 }
 
-// Kind is what an Action does.
-type Kind int
+// ActionKind is what an Action does.
+type ActionKind int
 
 // The kinds.
 const (
-	Open   Kind = iota // Slot: a handshake with its node
-	Close              // Slot, for Why
-	Hand               // Slot to Waiter
-	Refuse             // Waiter, for Why
-	Rest               // Slot, After which Rested is called
+	Open                  ActionKind = iota // Slot: a handshake with its node
+	Close                                   // Slot, for Why
+	Grant                                   // Slot to Waiter
+	Reject                                  // Waiter, for Why
+	ScheduleQuarantineEnd                   // Slot, After which Rested is called
 )
 
-// Why is the reason of a Close or a Refuse.
-type Why int
+// CloseReason is the reason of a Close or a Refuse.
+type CloseReason int
 
 // The reasons.
 const (
-	WhyIdle    Why = iota // stood idle near the server's limit
-	WhyAge                // reached its age or number of uses
-	WhyStale              // found closed, or with something to read, before use
-	WhySuspect            // older than a burst of failures
-	WhyCrossed            // closed by the server while a request went out on it
-	WhyBroken             // its exchange broke or left it out of order
-	WhyRetired            // its server drains, is gone or has started anew
-	WhyRoom               // made room for another
-	WhyEnd                // the pool has closed
-	NoRoom                // refused: no place came free in time, or too many wait
-	NoServer              // refused: the server takes nothing new
-	NoConnect             // refused: the server's handshake failed, or takes too long
-	reasons    int = iota
+	CloseIdle           CloseReason = iota // stood idle near the server's limit
+	CloseAge                               // reached its age or number of uses
+	CloseStale                             // found closed, or with something to read, before use
+	CloseSuspected                         // older than a burst of failures
+	CloseCrossed                           // closed by the server while a request went out on it
+	CloseBroken                            // its exchange broke or left it out of order
+	CloseRetired                           // its server drains, is gone or has started anew
+	CloseCapacity                          // made room for another
+	CloseShutdown                          // the pool has closed
+	RejectCapacity                         // refused: no place came free in time, or too many wait
+	RejectNotReady                         // refused: the server takes nothing new
+	RejectConnectFailed                    // refused: the server's handshake failed, or takes too long
+	reasons             int         = iota
 )
 
 // String names the reason as the figures do.
-func (w Why) String() string {
+func (w CloseReason) String() string {
 	return [...]string{"idle", "age", "stale", "suspect", "crossed", "broken", "retired", "room", "end", "no_room", "no_server", "no_connect"}[w]
 }
 
 // Action is something to be carried out.
 type Action struct {
-	Kind   Kind
-	Slot   *Slot
-	Waiter *Waiter
-	Why    Why
-	After  time.Duration
+	Kind        ActionKind
+	Slot        *Slot
+	Waiter      *Waiter
+	CloseReason CloseReason
+	Delay       time.Duration
 }
 
-// How says how an exchange left its connection.
-type How int
+// ReleaseOutcome says how an exchange left its connection.
+type ReleaseOutcome int
 
 // The ways.
 const (
-	InOrder How = iota // it can be used again
-	Unused             // nothing was written on it
-	Over               // in order, but to be closed
-	Crossed            // the server closed it before any part of an answer
-	GivenUp            // the agent stopped waiting before it could expect an answer, which says nothing of the server
-	Broken             // anything else
+	Reusable       ReleaseOutcome = iota // it can be used again
+	Unused                               // nothing was written on it
+	MustClose                            // in order, but to be closed
+	ClosedByServer                       // the server closed it before any part of an answer
+	Abandoned                            // the agent stopped waiting before it could expect an answer, which says nothing of the server
+	Broken                               // anything else
 )
 
 // NewTable returns a table. Its random numbers follow from the seed.
@@ -149,9 +149,9 @@
 
 func (t *Table) act(a Action) { t.actions = append(t.actions, a) }
 
-// NewNode begins a server's life. A start that is in the future counts as now.
-func (t *Table) NewNode(now time.Duration, id, addr string, started time.Duration) *Node {
-	n := &Node{ID: id, Addr: addr, started: min(started, now), idleLimit: t.idleFull(), learnt: now, rated: now, at: len(t.nodes)}
+// AddEndpoint begins a server's life. A start that is in the future counts as now.
+func (t *Table) AddEndpoint(now time.Duration, id, addr string, started time.Duration) *Endpoint {
+	n := &Endpoint{ID: id, Addr: addr, started: min(started, now), idleLimit: t.idleFull(), learnt: now, rated: now, at: len(t.nodes)}
 	t.nodes = append(t.nodes, n)
 	n.nextAhead = now + time.Duration(t.rng.Float64()*float64(t.aheadPause(now, n))) // all agents hear of a start at once
 	return n
@@ -162,8 +162,8 @@
 	t.begin()
 	t.set = set
 	for _, n := range t.nodes {
-		for len(n.idle) > 0 && (t.open+t.opening > set.Most || n.places > set.PerNode) {
-			t.close(n.idle[0], WhyRoom)
+		for len(n.idle) > 0 && (t.open+t.opening > set.MaxConnections || n.places > set.MaxPerEndpoint) {
+			t.close(n.idle[0], CloseCapacity)
 		}
 	}
 	t.fill(now)
@@ -172,33 +172,33 @@
 
 // SetReady says whether a server may get something new. Where it may not, what waits for it is refused and its idle
 // connections close; those in use close when they come back.
-func (t *Table) SetReady(now time.Duration, n *Node, ready bool) []Action {
+func (t *Table) SetReady(now time.Duration, n *Endpoint, ready bool) []Action {
 	t.begin()
 	if n.ready && !ready {
 		n.unready = now
 	}
 	n.ready = ready
 	if !ready {
-		t.refuseAll(n, NoServer)
-		t.closeIdle(n, WhyRetired)
+		t.refuseAll(n, RejectNotReady)
+		t.closeIdle(n, CloseRetired)
 		t.fill(now)
 	}
 	return t.actions
 }
 
 // Retire ends a server's life.
-func (t *Table) Retire(now time.Duration, n *Node) []Action {
+func (t *Table) Retire(now time.Duration, n *Endpoint) []Action {
 	t.SetReady(now, n, false)
 	n.retired = true
 	t.forget(n)
 	return t.actions
 }
 
-// Want asks for a connection. It returns a slot at once, or a waiter that has got or will get an answer.
-func (t *Table) Want(now time.Duration, n *Node, careful bool) (*Slot, *Waiter, []Action) {
+// Acquire asks for a connection. It returns a slot at once, or a waiter that has got or will get an answer.
+func (t *Table) Acquire(now time.Duration, n *Endpoint, careful bool) (*Slot, *Waiter, []Action) {
 	t.begin()
 	if n == nil || !n.ready {
-		return nil, t.refused(NoServer), t.actions
+		return nil, t.refused(RejectNotReady), t.actions
 	}
 	n.sends(now)
 	if s := t.pick(now, n, careful); s != nil {
@@ -206,11 +206,11 @@
 		t.openAhead(now, n)
 		return s, nil, t.actions
 	}
-	if t.waiting >= t.set.Waiting {
-		t.counts.Refused++
-		return nil, t.refused(NoRoom), t.actions
+	if t.waiting >= t.set.MaxWaiters {
+		t.counts.Rejected++
+		return nil, t.refused(RejectCapacity), t.actions
 	}
-	w := &Waiter{node: n, careful: careful, since: now, turn: t.turns, Answer: make(chan Action, 1)}
+	w := &Waiter{node: n, careful: careful, since: now, turn: t.turns, Result: make(chan Action, 1)}
 	t.turns++
 	n.waiters = append(n.waiters, w)
 	t.waiting++
@@ -223,26 +223,26 @@
 	return nil, w, t.actions
 }
 
-// Spare reports whether something may have a connection to the server that must not stand in the way of attempts: none waits,
+// AllowsLowPriority reports whether something may have a connection to the server that must not stand in the way of attempts: none waits,
 // and one is idle there or a tenth of all places is free.
-func (t *Table) Spare(n *Node) bool {
-	return t.waiting == 0 && (n != nil && len(n.idle) > 0 || 10*(t.open+t.opening) < 9*t.set.Most)
+func (t *Table) AllowsLowPriority(n *Endpoint) bool {
+	return t.waiting == 0 && (n != nil && len(n.idle) > 0 || 10*(t.open+t.opening) < 9*t.set.MaxConnections)
 }
 
-// Stale says that a slot which was just handed out is of no use: it was closed, or has something to read.
-func (t *Table) Stale(now time.Duration, s *Slot) []Action {
+// DiscardStale says that a slot which was just handed out is of no use: it was closed, or has something to read.
+func (t *Table) DiscardStale(now time.Duration, s *Slot) []Action {
 	t.begin()
 	s.uses--
-	t.learn(now, s.Node, s.stood)
-	t.close(s, WhyStale)
+	t.learn(now, s.Endpoint, s.stood)
+	t.close(s, CloseStale)
 	t.fill(now)
 	return t.actions
 }
 
-// Opened says that a handshake is done. Who asked for it may have got another connection meanwhile.
-func (t *Table) Opened(now time.Duration, s *Slot) []Action {
+// HandshakeSucceeded says that a handshake is done. Who asked for it may have got another connection meanwhile.
+func (t *Table) HandshakeSucceeded(now time.Duration, s *Slot) []Action {
 	t.begin()
-	n := s.Node
+	n := s.Endpoint
 	t.opening--
 	n.opening--
 	t.open++
@@ -263,16 +263,16 @@
 	return t.actions
 }
 
-// OpenFailed says that a handshake failed, or could not be begun for what the agent itself lacks, which says nothing of the server.
+// HandshakeFailed says that a handshake failed, or could not be begun for what the agent itself lacks, which says nothing of the server.
 // Who has waited for longest is told so: it was the one that asked for it.
-func (t *Table) OpenFailed(now time.Duration, s *Slot, ownLack bool) []Action {
+func (t *Table) HandshakeFailed(now time.Duration, s *Slot, ownLack bool) []Action {
 	t.begin()
-	n := s.Node
+	n := s.Endpoint
 	t.opening--
 	n.opening--
-	why := NoRoom
+	why := RejectCapacity
 	if !ownLack {
-		why = NoConnect
+		why = RejectConnectFailed
 		n.dialFails++
 	}
 	t.leave(n)
@@ -280,43 +280,43 @@
 	if !s.ahead && len(n.waiters) > 0 {
 		w := n.waiters[0]
 		t.unqueue(w)
-		t.act(Action{Kind: Refuse, Waiter: w, Why: why})
+		t.act(Action{Kind: Reject, Waiter: w, CloseReason: why})
 	}
 	t.fill(now)
 	return t.actions
 }
 
-// Done gives a slot back after use.
-func (t *Table) Done(now time.Duration, s *Slot, how How) []Action {
+// Release gives a slot back after use.
+func (t *Table) Release(now time.Duration, s *Slot, how ReleaseOutcome) []Action {
 	t.begin()
-	n := s.Node
+	n := s.Endpoint
 	switch how {
-	case InOrder:
+	case Reusable:
 		s.proven, s.answered = now, now
 		n.failures = n.failures[:0]
-		n.outlived(now, s.stood, t.set.IdleHeal)
+		n.outlived(now, s.stood, t.set.IdleLimitDoublingTime)
 		t.free(now, s)
 	case Unused:
 		s.uses--
 		t.freeSince(now, s, s.came)
-	case Over:
-		t.close(s, WhyAge)
-	case Crossed:
+	case MustClose:
+		t.close(s, CloseAge)
+	case ClosedByServer:
 		t.learn(now, n, s.stood)
-		t.close(s, WhyCrossed)
+		t.close(s, CloseCrossed)
 		t.suspectAll(now, n)
-	case GivenUp:
-		t.close(s, WhyBroken)
+	case Abandoned:
+		t.close(s, CloseBroken)
 	case Broken:
-		t.close(s, WhyBroken)
+		t.close(s, CloseBroken)
 		t.failed(now, n)
 	}
 	t.fill(now)
 	return t.actions
 }
 
-// Rested says that a slot has rested for as long as a Rest asked for.
-func (t *Table) Rested(now time.Duration, s *Slot) []Action {
+// QuarantineEnded says that a slot has rested for as long as a Rest asked for.
+func (t *Table) QuarantineEnded(now time.Duration, s *Slot) []Action {
 	t.begin()
 	if s.resting {
 		t.rises(s)
@@ -326,18 +326,18 @@
 	return t.actions
 }
 
-// Sweep closes what has grown old, and opens what will be needed. stale are idle slots that were found closed.
-func (t *Table) Sweep(now time.Duration, stale []*Slot) []Action {
+// Maintain closes what has grown old, and opens what will be needed. stale are idle slots that were found closed.
+func (t *Table) Maintain(now time.Duration, stale []*Slot) []Action {
 	t.begin()
 	for _, s := range stale {
 		if s.takeable {
-			t.learn(now, s.Node, now-s.came)
-			t.close(s, WhyStale)
+			t.learn(now, s.Endpoint, now-s.came)
+			t.close(s, CloseStale)
 		}
 	}
 	for _, n := range slices.Clone(t.nodes) {
 		for _, s := range slices.Clone(n.idle) {
-			n.outlived(now, now-s.came, t.set.IdleHeal)
+			n.outlived(now, now-s.came, t.set.IdleLimitDoublingTime)
 			if why, ends := t.expired(now, s); ends {
 				t.close(s, why)
 			}
@@ -348,27 +348,27 @@
 	return t.actions
 }
 
-// Idle are the idle slots, to look at.
-func (t *Table) Idle(to []*Slot) []*Slot {
+// AppendIdle are the idle slots, to look at.
+func (t *Table) AppendIdle(to []*Slot) []*Slot {
 	for _, n := range t.nodes {
 		to = append(to, n.idle...)
 	}
 	return to
 }
 
-// End closes all that is idle and refuses all that waits. What is in use closes when it comes back.
-func (t *Table) End(now time.Duration) []Action {
+// Shutdown closes all that is idle and refuses all that waits. What is in use closes when it comes back.
+func (t *Table) Shutdown(now time.Duration) []Action {
 	t.begin()
 	for _, n := range slices.Clone(t.nodes) {
 		n.ready = false
-		t.refuseAll(n, NoServer)
-		t.closeIdle(n, WhyEnd)
+		t.refuseAll(n, RejectNotReady)
+		t.closeIdle(n, CloseShutdown)
 	}
 	return t.actions
 }
 
 // pick is the idle slot to use, or nil: a fresh one is to be had then, or there is none.
-func (t *Table) pick(now time.Duration, n *Node, careful bool) *Slot {
+func (t *Table) pick(now time.Duration, n *Endpoint, careful bool) *Slot {
 	var best, unsure *Slot
 	for i := len(n.idle) - 1; i >= 0; i-- {
 		s := n.idle[i]
@@ -389,7 +389,7 @@
 		if best == nil || t.before(s, best, suspect, best.proven < n.suspect) {
 			best = s
 		}
-		if t.set.Order == Newest && now-n.suspect > t.idleFull() { // nothing that is suspect is left
+		if t.set.ReuseOrder == MostRecentlyUsed && now-n.suspect > t.idleFull() { // nothing that is suspect is left
 			break
 		}
 	}
@@ -404,10 +404,10 @@
 	if suspect != bestSuspect {
 		return suspect
 	}
-	switch t.set.Order {
-	case Oldest:
+	switch t.set.ReuseOrder {
+	case LeastRecentlyUsed:
 		return s.came < best.came || s.came == best.came && s.opened < best.opened
-	case Fewest:
+	case FewestRequests:
 		return s.uses < best.uses
 	}
 	return false // the walk begins at the newest
@@ -422,7 +422,7 @@
 	}
 	if s.ahead {
 		s.ahead = false
-		t.counts.AheadUsed++
+		t.counts.PreopenedUsed++
 	}
 	s.uses++
 }
@@ -435,8 +435,8 @@
 	s.takeable = false
 	t.rises(s)
 	t.idle--
-	i := slices.Index(s.Node.idle, s)
-	s.Node.idle = slices.Delete(s.Node.idle, i, i+1)
+	i := slices.Index(s.Endpoint.idle, s)
+	s.Endpoint.idle = slices.Delete(s.Endpoint.idle, i, i+1)
 }
 
 // free takes a slot that has come free: for who waits, or among the idle ones.
@@ -444,19 +444,19 @@
 
 // freeSince is free with a slot that has stood idle since then: one that was handed out and not used.
 func (t *Table) freeSince(now time.Duration, s *Slot, came time.Duration) {
-	n := s.Node
+	n := s.Endpoint
 	s.inUse = false
 	s.came = came
 	if !n.ready {
-		t.close(s, WhyRetired)
+		t.close(s, CloseRetired)
 		return
 	}
 	if why, ends := t.expired(now, s); ends {
 		t.close(s, why)
 		return
 	}
-	if t.open+t.opening > t.set.Most || n.places > t.set.PerNode || len(n.waiters) > 0 && t.starving(n) {
-		t.close(s, WhyRoom)
+	if t.open+t.opening > t.set.MaxConnections || n.places > t.set.MaxPerEndpoint || len(n.waiters) > 0 && t.starving(n) {
+		t.close(s, CloseCapacity)
 		return
 	}
 	at, _ := slices.BinarySearchFunc(n.idle, came, func(other *Slot, came time.Duration) int {
@@ -476,26 +476,26 @@
 }
 
 // close closes a slot that is open.
-func (t *Table) close(s *Slot, why Why) {
+func (t *Table) close(s *Slot, why CloseReason) {
 	t.take(s)
 	s.inUse = false
 	t.open--
 	t.counts.Closed[why]++
 	if s.ahead {
-		t.counts.AheadWasted++
+		t.counts.PreopenedWasted++
 	}
-	t.leave(s.Node)
-	t.act(Action{Kind: Close, Slot: s, Why: why})
+	t.leave(s.Endpoint)
+	t.act(Action{Kind: Close, Slot: s, CloseReason: why})
 }
 
 // leave frees a place.
-func (t *Table) leave(n *Node) {
+func (t *Table) leave(n *Endpoint) {
 	n.places--
 	t.forget(n)
 }
 
 // forget drops a node whose life is over once nothing is left of it.
-func (t *Table) forget(n *Node) {
+func (t *Table) forget(n *Endpoint) {
 	if !n.retired || n.places > 0 || n.at < 0 {
 		return
 	}
@@ -507,7 +507,7 @@
 	n.at = -1
 }
 
-func (t *Table) closeIdle(n *Node, why Why) {
+func (t *Table) closeIdle(n *Endpoint, why CloseReason) {
 	for len(n.idle) > 0 {
 		t.close(n.idle[len(n.idle)-1], why)
 	}
--- a/internal/pool/table_test.go
+++ b/internal/pool/table_test.go
@@ -15,8 +15,8 @@
 	table   *Table
 	set     Settings
 	now     time.Duration
-	nodes   []*Node
-	over    map[*Node]bool // lives that have ended
+	nodes   []*Endpoint
+	over    map[*Endpoint]bool // lives that have ended
 	opening []*Slot
 	used    []*Slot
 	rests   []*Slot // that Rested is to be called for
@@ -28,23 +28,23 @@
 	for _, a := range actions {
 		switch a.Kind {
 		case Open:
-			if !a.Slot.Node.ready {
+			if !a.Slot.Endpoint.ready {
 				h.t.Fatal("a handshake with a server that takes nothing new")
 			}
 			h.opening = append(h.opening, a.Slot)
 		case Close:
 			if !h.open[a.Slot] {
-				h.t.Fatalf("closed what is not open, for %v", a.Why)
+				h.t.Fatalf("closed what is not open, for %v", a.CloseReason)
 			}
 			delete(h.open, a.Slot)
-		case Hand:
+		case Grant:
 			h.handed(a.Slot, a.Waiter.node, a.Waiter.careful)
 			h.answered(a.Waiter)
-		case Refuse:
+		case Reject:
 			h.answered(a.Waiter)
-		case Rest:
-			if a.After <= 0 || a.After > h.set.Rest {
-				h.t.Fatalf("a rest of %v", a.After)
+		case ScheduleQuarantineEnd:
+			if a.Delay <= 0 || a.Delay > h.set.Quarantine {
+				h.t.Fatalf("a rest of %v", a.Delay)
 			}
 			h.rests = append(h.rests, a.Slot)
 		}
@@ -61,8 +61,8 @@
 	delete(h.waiting, w)
 }
 
-func (h *history) handed(s *Slot, n *Node, careful bool) {
-	if !h.open[s] || s.Node != n || !n.ready || h.over[n] {
+func (h *history) handed(s *Slot, n *Endpoint, careful bool) {
+	if !h.open[s] || s.Endpoint != n || !n.ready || h.over[n] {
 		h.t.Fatal("handed out a connection that is closed, of another life, or of a server that takes nothing new")
 	}
 	for _, u := range h.used {
@@ -70,7 +70,7 @@
 			h.t.Fatal("handed out twice")
 		}
 	}
-	if s.answered > 0 && h.now-s.answered < h.set.Rest {
+	if s.answered > 0 && h.now-s.answered < h.set.Quarantine {
 		h.t.Fatal("a connection that has brought an answer just now")
 	}
 	if careful && s.proven < n.suspect {
@@ -80,15 +80,15 @@
 }
 
 func (h *history) check() {
-	c := h.table.Counts()
+	c := h.table.Stats()
 	if c.Open != len(h.open) || c.Opening != len(h.opening) || c.Waiting != len(h.waiting) || c.Open-c.Idle != len(h.used) {
 		h.t.Fatalf("it counts %+v; there are %d open, %d opening, %d waiting, %d used", c, len(h.open), len(h.opening), len(h.waiting), len(h.used))
 	}
-	if c.Open+c.Opening > h.set.Most || c.Opening > h.set.Opening || c.Waiting > h.set.Waiting {
+	if c.Open+c.Opening > h.set.MaxConnections || c.Opening > h.set.MaxHandshakes || c.Waiting > h.set.MaxWaiters {
 		h.t.Fatalf("over a cap: %+v", c)
 	}
 	for _, n := range h.table.nodes {
-		if n.places > h.set.PerNode || n.opening > h.set.OpeningPerNode {
+		if n.places > h.set.MaxPerEndpoint || n.opening > h.set.MaxHandshakesPerEndpoint {
 			h.t.Fatalf("over a cap of a server: %d places, %d opening", n.places, n.opening)
 		}
 		if len(n.waiters) > n.opening+n.resting && h.table.room(n) {
@@ -127,29 +127,29 @@
 func TestAnyHistory(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		set := DefaultSettings(rapid.IntRange(1, 12).Draw(t, "most"))
-		set.PerNode = rapid.IntRange(1, 6).Draw(t, "per node")
-		set.Opening = rapid.IntRange(1, 4).Draw(t, "opening")
-		set.OpeningPerNode = rapid.IntRange(1, 3).Draw(t, "opening per node")
-		set.Waiting = rapid.IntRange(0, 8).Draw(t, "waiting")
-		set.Order = Order(rapid.IntRange(0, 2).Draw(t, "order"))
-		set.MaxUses = rapid.IntRange(0, 3).Draw(t, "uses")
+		set.MaxPerEndpoint = rapid.IntRange(1, 6).Draw(t, "per node")
+		set.MaxHandshakes = rapid.IntRange(1, 4).Draw(t, "opening")
+		set.MaxHandshakesPerEndpoint = rapid.IntRange(1, 3).Draw(t, "opening per node")
+		set.MaxWaiters = rapid.IntRange(0, 8).Draw(t, "waiting")
+		set.ReuseOrder = ReuseOrder(rapid.IntRange(0, 2).Draw(t, "order"))
+		set.MaxRequests = rapid.IntRange(0, 3).Draw(t, "uses")
 		set.MaxAge = time.Duration(rapid.IntRange(0, 2).Draw(t, "age")) * time.Second
-		set.AgeJitter, set.SuspectClose = 0.5, rapid.Bool().Draw(t, "close suspects")
-		set.AheadRate = float64(rapid.IntRange(0, 1).Draw(t, "ahead")) * 100
-		h := &history{t: t, table: NewTable(set, 1), set: set, now: time.Second, over: map[*Node]bool{}, open: map[*Slot]bool{}, waiting: map[*Waiter]bool{}}
+		set.AgeJitter, set.CloseSuspect = 0.5, rapid.Bool().Draw(t, "close suspects")
+		set.PreopenRate = float64(rapid.IntRange(0, 1).Draw(t, "ahead")) * 100
+		h := &history{t: t, table: NewTable(set, 1), set: set, now: time.Second, over: map[*Endpoint]bool{}, open: map[*Slot]bool{}, waiting: map[*Waiter]bool{}}
 		started := 0
 		begin := func() {
 			started++
-			n := h.table.NewNode(h.now, fmt.Sprint(started), "", 0)
+			n := h.table.AddEndpoint(h.now, fmt.Sprint(started), "", 0)
 			h.nodes = append(h.nodes, n)
 			h.do(h.table.SetReady(h.now, n, true))
 		}
 		begin()
 		begin()
-		node := func() *Node { return h.nodes[rapid.IntRange(0, len(h.nodes)-1).Draw(t, "node")] }
+		node := func() *Endpoint { return h.nodes[rapid.IntRange(0, len(h.nodes)-1).Draw(t, "node")] }
 		want := func(t *rapid.T) {
 			n, careful := node(), rapid.Bool().Draw(t, "careful")
-			s, w, actions := h.table.Want(h.now, n, careful)
+			s, w, actions := h.table.Acquire(h.now, n, careful)
 			if w != nil && w.node != nil {
 				h.waiting[w] = true
 			}
@@ -161,19 +161,19 @@
 		opened := func(t *rapid.T) {
 			if s, ok := take(t, &h.opening); ok {
 				h.open[s] = true
-				h.do(h.table.Opened(h.now, s))
+				h.do(h.table.HandshakeSucceeded(h.now, s))
 			}
 		}
 		done := func(t *rapid.T) {
 			if s, ok := take(t, &h.used); ok {
-				h.do(h.table.Done(h.now, s, How(rapid.IntRange(0, 4).Draw(t, "how"))))
+				h.do(h.table.Release(h.now, s, ReleaseOutcome(rapid.IntRange(0, 4).Draw(t, "how"))))
 			}
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"want": want, "want again": want, "opened": opened, "done": done, "done again": done,
 			"failed": func(t *rapid.T) {
 				if s, ok := take(t, &h.opening); ok {
-					h.do(h.table.OpenFailed(h.now, s, false))
+					h.do(h.table.HandshakeFailed(h.now, s, false))
 				}
 			},
 			"cancel": func(t *rapid.T) {
@@ -185,7 +185,7 @@
 			},
 			"stale": func(t *rapid.T) {
 				if s, ok := take(t, &h.used); ok {
-					h.do(h.table.Stale(h.now, s))
+					h.do(h.table.DiscardStale(h.now, s))
 				}
 			},
 			"drain or not": func(t *rapid.T) {
@@ -199,23 +199,23 @@
 				begin()
 			},
 			"configure": func(t *rapid.T) { // only to more places: with fewer the caps hold later
-				h.set.Most, h.set.PerNode = h.set.Most+1, h.set.PerNode+1
+				h.set.MaxConnections, h.set.MaxPerEndpoint = h.set.MaxConnections+1, h.set.MaxPerEndpoint+1
 				h.do(h.table.Configure(h.now, h.set))
 			},
 			"rested": func(t *rapid.T) {
 				if s, ok := take(t, &h.rests); ok {
-					h.now = max(h.now, s.answered+h.set.Rest)
-					h.do(h.table.Rested(h.now, s))
+					h.now = max(h.now, s.answered+h.set.Quarantine)
+					h.do(h.table.QuarantineEnded(h.now, s))
 				}
 			},
-			"sweep": func(t *rapid.T) { h.do(h.table.Sweep(h.now, nil)) },
+			"sweep": func(t *rapid.T) { h.do(h.table.Maintain(h.now, nil)) },
 			"time":  func(t *rapid.T) { h.now += time.Duration(rapid.IntRange(1, 3000).Draw(t, "ms")) * time.Millisecond },
 			"":      func(t *rapid.T) { h.check() },
 		})
 		for len(h.opening) > 0 {
 			opened(t)
 		}
-		h.do(h.table.End(h.now))
+		h.do(h.table.Shutdown(h.now))
 		for len(h.used) > 0 {
 			done(t)
 		}
@@ -236,9 +236,9 @@
 	now time.Duration
 }
 
-func newBench(t *testing.T, change func(*Settings)) (*bench, *Node) {
+func newBench(t *testing.T, change func(*Settings)) (*bench, *Endpoint) {
 	set := DefaultSettings(40)
-	set.Rest = 0 // but in the tests of it
+	set.Quarantine = 0 // but in the tests of it
 	if change != nil {
 		change(&set)
 	}
@@ -246,16 +246,16 @@
 	return b, b.node("a")
 }
 
-func (b *bench) node(id string) *Node {
-	n := b.NewNode(b.now, id, id, 0)
+func (b *bench) node(id string) *Endpoint {
+	n := b.AddEndpoint(b.now, id, id, 0)
 	b.SetReady(b.now, n, true)
 	return n
 }
 
 // get is a connection, as one that is fresh or one that was used before.
-func (b *bench) get(n *Node, careful bool) *Slot {
+func (b *bench) get(n *Endpoint, careful bool) *Slot {
 	b.t.Helper()
-	s, w, actions := b.Want(b.now, n, careful)
+	s, w, actions := b.Acquire(b.now, n, careful)
 	if s != nil {
 		return s
 	}
@@ -263,8 +263,8 @@
 		if a.Kind != Open {
 			continue
 		}
-		for _, a := range b.Opened(b.now, a.Slot) {
-			if a.Kind == Hand && a.Waiter == w {
+		for _, a := range b.HandshakeSucceeded(b.now, a.Slot) {
+			if a.Kind == Grant && a.Waiter == w {
 				return a.Slot
 			}
 		}
@@ -273,21 +273,21 @@
 }
 
 // three are connections that came back in this order, a second apart, the second one after two uses.
-func (b *bench) three(n *Node) (s [3]*Slot) {
+func (b *bench) three(n *Endpoint) (s [3]*Slot) {
 	for i := range s {
 		s[i] = b.get(n, false)
 	}
 	s[0].uses, s[1].uses, s[2].uses = 3, 2, 4
 	for i := range s {
 		b.now += time.Second
-		b.Done(b.now, s[i], InOrder)
+		b.Release(b.now, s[i], Reusable)
 	}
 	return s
 }
 
 func TestOrders(t *testing.T) {
-	for order, want := range map[Order]int{Newest: 2, Oldest: 0, Fewest: 1} {
-		b, n := newBench(t, func(s *Settings) { s.Order = order })
+	for order, want := range map[ReuseOrder]int{MostRecentlyUsed: 2, LeastRecentlyUsed: 0, FewestRequests: 1} {
+		b, n := newBench(t, func(s *Settings) { s.ReuseOrder = order })
 		s := b.three(n)
 		if got := b.get(n, false); got != s[want] {
 			t.Errorf("order %d does not use connection %d", order, want)
@@ -296,7 +296,7 @@
 }
 
 func TestAgeAndUses(t *testing.T) {
-	b, n := newBench(t, func(s *Settings) { s.MaxAge, s.AgeJitter, s.Order = 4*time.Second, 0.5, Oldest })
+	b, n := newBench(t, func(s *Settings) { s.MaxAge, s.AgeJitter, s.ReuseOrder = 4*time.Second, 0.5, LeastRecentlyUsed })
 	ends := map[time.Duration]bool{}
 	for _, s := range b.three(n) {
 		ends[s.ends] = true
@@ -308,13 +308,13 @@
 		t.Error("connections opened together end together")
 	}
 	b.now += 4 * time.Second
-	if s := b.get(n, false); s.uses != 1 || b.Counts().Closed[WhyAge] != 3 {
-		t.Errorf("an old one is used again: %+v", b.Counts())
+	if s := b.get(n, false); s.uses != 1 || b.Stats().Closed[CloseAge] != 3 {
+		t.Errorf("an old one is used again: %+v", b.Stats())
 	}
-	b, n = newBench(t, func(s *Settings) { s.MaxUses = 2 })
+	b, n = newBench(t, func(s *Settings) { s.MaxRequests = 2 })
 	first := b.get(n, false)
 	for range 2 {
-		b.Done(b.now, first, InOrder)
+		b.Release(b.now, first, Reusable)
 		if s := b.get(n, false); (s == first) != (s.uses == 2) {
 			t.Errorf("%d uses", s.uses)
 		}
@@ -328,16 +328,16 @@
 		t.Errorf("at first %v", got)
 	}
 	s := b.get(n, false)
-	b.Done(b.now, s, InOrder)
+	b.Release(b.now, s, Reusable)
 	b.now += 2 * time.Second
 	s = b.get(n, false)
-	b.Done(b.now, s, Crossed)
+	b.Release(b.now, s, ClosedByServer)
 	if got := b.limit(b.now, n); got != 1600*time.Millisecond {
 		t.Errorf("after a close at 2 s: %v", got)
 	}
 	s = b.get(n, false)
 	b.now += time.Second
-	b.Done(b.now, s, InOrder)
+	b.Release(b.now, s, Reusable)
 	b.now += time.Second
 	if got := b.get(n, true); got == s {
 		t.Error("what must not repeat goes out on a connection that has stood for over half the limit")
@@ -359,9 +359,9 @@
 // What must not repeat takes an old connection rather than none, but never a suspect one.
 func TestCarefulWithoutRoom(t *testing.T) {
 	for _, suspect := range []bool{false, true} {
-		b, n := newBench(t, func(s *Settings) { s.PerNode = 1 })
+		b, n := newBench(t, func(s *Settings) { s.MaxPerEndpoint = 1 })
 		s := b.get(n, false)
-		b.Done(b.now, s, InOrder)
+		b.Release(b.now, s, Reusable)
 		b.now += 5 * time.Second
 		if suspect {
 			n.suspect = b.now
@@ -375,35 +375,35 @@
 // After a burst of failures older connections carry what may be repeated until they have proven themselves, or close.
 func TestSuspects(t *testing.T) {
 	for _, closes := range []bool{false, true} {
-		b, n := newBench(t, func(s *Settings) { s.SuspectClose, s.SuspectFailures = closes, 3 })
+		b, n := newBench(t, func(s *Settings) { s.CloseSuspect, s.SuspectAfterFailures = closes, 3 })
 		old := b.get(n, false)
 		var broken []*Slot
 		for range 3 {
 			broken = append(broken, b.get(n, false))
 		}
-		b.Done(b.now, old, InOrder)
-		b.Done(b.now, b.get(n, false), InOrder) // an answer between failures starts the count anew
+		b.Release(b.now, old, Reusable)
+		b.Release(b.now, b.get(n, false), Reusable) // an answer between failures starts the count anew
 		for _, s := range broken {
 			b.now += time.Millisecond
-			b.Done(b.now, s, Broken)
+			b.Release(b.now, s, Broken)
 		}
 		fresh := b.get(n, true)
 		if fresh == old {
 			t.Fatal("what must not repeat goes out on a suspect connection")
 		}
 		if closes {
-			if b.Counts().Closed[WhySuspect] != 1 {
+			if b.Stats().Closed[CloseSuspected] != 1 {
 				t.Error("it was not closed")
 			}
 			continue
 		}
 		b.now += time.Millisecond
-		b.Done(b.now, fresh, InOrder)
+		b.Release(b.now, fresh, Reusable)
 		if got := b.get(n, false); got != old {
 			t.Error("a suspect one is not tried first")
 		}
 		b.now += time.Millisecond
-		b.Done(b.now, old, InOrder)
+		b.Release(b.now, old, Reusable)
 		if got := b.get(n, true); got != old {
 			t.Error("it has proven itself and is shunned")
 		}
@@ -412,10 +412,12 @@
 
 // A server that says nothing holds its own places and handshakes, not what others need.
 func TestSilentServer(t *testing.T) {
-	b, silent := newBench(t, func(s *Settings) { s.Most, s.PerNode, s.Opening, s.OpeningPerNode = 8, 4, 4, 2 })
+	b, silent := newBench(t, func(s *Settings) {
+		s.MaxConnections, s.MaxPerEndpoint, s.MaxHandshakes, s.MaxHandshakesPerEndpoint = 8, 4, 4, 2
+	})
 	var opens []Action
 	for range 6 {
-		_, _, actions := b.Want(b.now, silent, false)
+		_, _, actions := b.Acquire(b.now, silent, false)
 		opens = append(opens, actions...)
 	}
 	if len(opens) != 2 {
@@ -426,8 +428,8 @@
 		t.Error("another server gets nothing meanwhile")
 	}
 	refused := 0
-	for _, a := range b.OpenFailed(b.now, opens[0].Slot, false) {
-		if a.Kind == Refuse && a.Why == NoConnect {
+	for _, a := range b.HandshakeFailed(b.now, opens[0].Slot, false) {
+		if a.Kind == Reject && a.CloseReason == RejectConnectFailed {
 			refused++
 		}
 	}
@@ -441,21 +443,23 @@
 
 // When places run out they go round: a server with many gives one up to those who wait for one with few.
 func TestLastPlacesAreShared(t *testing.T) {
-	b, big := newBench(t, func(s *Settings) { s.Most, s.PerNode, s.Opening, s.OpeningPerNode = 4, 4, 4, 4 })
+	b, big := newBench(t, func(s *Settings) {
+		s.MaxConnections, s.MaxPerEndpoint, s.MaxHandshakes, s.MaxHandshakesPerEndpoint = 4, 4, 4, 4
+	})
 	var used []*Slot
 	for range 4 {
 		used = append(used, b.get(big, false))
 	}
 	small := b.node("b")
-	_, w, _ := b.Want(b.now, small, false)
-	b.Want(b.now, big, false) // which has waited for less
+	_, w, _ := b.Acquire(b.now, small, false)
+	b.Acquire(b.now, big, false) // which has waited for less
 	var got *Action
-	for _, a := range b.Done(b.now, used[0], InOrder) {
+	for _, a := range b.Release(b.now, used[0], Reusable) {
 		if a.Kind == Open {
 			got = &a
 		}
 	}
-	if got == nil || got.Slot.Node != small || w.node != small {
+	if got == nil || got.Slot.Endpoint != small || w.node != small {
 		t.Errorf("%+v", got)
 	}
 }
@@ -464,30 +468,30 @@
 // has rested, or waits for the rest of this one, which is over sooner than a handshake, and what has waited before is served first.
 func TestRestAfterAnAnswer(t *testing.T) {
 	rest := 10 * time.Millisecond
-	b, n := newBench(t, func(set *Settings) { set.Rest = rest })
+	b, n := newBench(t, func(set *Settings) { set.Quarantine = rest })
 	first, second := b.get(n, false), b.get(n, false)
-	b.Done(b.now, second, InOrder)
+	b.Release(b.now, second, Reusable)
 	b.now += 2 * rest
-	b.Done(b.now, first, InOrder)
+	b.Release(b.now, first, Reusable)
 	if got := b.get(n, false); got != second {
 		t.Error("the one that has just had an answer goes first")
 	}
-	s, w, actions := b.Want(b.now, n, false)
-	if s != nil || len(actions) != 1 || actions[0].Kind != Rest || actions[0].Slot != first || actions[0].After != rest {
+	s, w, actions := b.Acquire(b.now, n, false)
+	if s != nil || len(actions) != 1 || actions[0].Kind != ScheduleQuarantineEnd || actions[0].Slot != first || actions[0].Delay != rest {
 		t.Fatalf("%v, %+v", s, actions)
 	}
-	if _, _, more := b.Want(b.now, n, false); len(more) != 1 || more[0].Kind != Open { // the one behind it
+	if _, _, more := b.Acquire(b.now, n, false); len(more) != 1 || more[0].Kind != Open { // the one behind it
 		t.Errorf("%+v", more)
 	}
 	b.now += rest
-	if got := b.Rested(b.now, first); len(got) != 1 || got[0].Kind != Hand || got[0].Waiter != w || got[0].Slot != first {
+	if got := b.QuarantineEnded(b.now, first); len(got) != 1 || got[0].Kind != Grant || got[0].Waiter != w || got[0].Slot != first {
 		t.Errorf("%+v", got)
 	}
-	if again := b.Rested(b.now, first); len(again) != 0 {
+	if again := b.QuarantineEnded(b.now, first); len(again) != 0 {
 		t.Errorf("a second time: %+v", again)
 	}
-	b.Done(b.now, first, Unused) // nothing was written: nothing can come
-	if c := b.Counts(); c.Idle != 0 || c.Waiting != 0 {
+	b.Release(b.now, first, Unused) // nothing was written: nothing can come
+	if c := b.Stats(); c.Idle != 0 || c.Waiting != 0 {
 		t.Errorf("what was not used waits beside one that waits: %+v", c)
 	}
 }
@@ -499,20 +503,20 @@
 		opened := 0
 		for seed := range uint64(agents) {
 			set := DefaultSettings(40)
-			set.AheadRate, set.Agents, set.ColdFrom, set.ColdFor = 50, agents, 0.2, cold
+			set.PreopenRate, set.Agents, set.SlowStartInitialFraction, set.SlowStartWindow = 50, agents, 0.2, cold
 			table := NewTable(set, seed)
-			n := table.NewNode(time.Second, "a", "", time.Second)
+			n := table.AddEndpoint(time.Second, "a", "", time.Second)
 			table.SetReady(time.Second, n, true)
 			for now := time.Second; now < (1+seconds)*time.Second; now += 50 * time.Millisecond {
 				n.sends(now)
 				n.handshake = 0.1
-				for _, a := range append([]Action(nil), table.Sweep(now, nil)...) {
+				for _, a := range append([]Action(nil), table.Maintain(now, nil)...) {
 					opened++
-					for _, a := range table.Opened(now, a.Slot) {
+					for _, a := range table.HandshakeSucceeded(now, a.Slot) {
 						t.Errorf("%+v", a)
 					}
-					s, _, _ := table.Want(now, n, false)
-					table.Done(now, s, Over) // so that there is always need of another
+					s, _, _ := table.Acquire(now, n, false)
+					table.Release(now, s, MustClose) // so that there is always need of another
 				}
 			}
 		}
@@ -528,15 +532,15 @@
 	b.three(n)
 	used := []*Slot{b.get(n, false), b.get(n, false)}
 	set := b.set
-	set.Most, set.PerNode = 1, 1
+	set.MaxConnections, set.MaxPerEndpoint = 1, 1
 	b.Configure(b.now, set)
-	if c := b.Counts(); c.Open != 2 || c.Idle != 0 {
+	if c := b.Stats(); c.Open != 2 || c.Idle != 0 {
 		t.Errorf("%d idle of %d", c.Idle, c.Open)
 	}
 	for _, u := range used {
-		b.Done(b.now, u, InOrder)
+		b.Release(b.now, u, Reusable)
 	}
-	if c := b.Counts(); c.Open != 1 || c.Idle != 1 {
+	if c := b.Stats(); c.Open != 1 || c.Idle != 1 {
 		t.Errorf("%d idle of %d", c.Idle, c.Open)
 	}
 }
@@ -544,20 +548,20 @@
 // An exchange that the agent gave up on before it could expect an answer makes no connection suspect, however often; its own
 // connection closes.
 func TestGivenUpIsNoEvidence(t *testing.T) {
-	for _, how := range []How{GivenUp, Broken} {
+	for _, how := range []ReleaseOutcome{Abandoned, Broken} {
 		b, n := newBench(t, nil)
 		kept := b.get(n, false)
 		var used []*Slot
 		for range 5 {
 			used = append(used, b.get(n, false))
 		}
-		b.Done(b.now, kept, InOrder)
+		b.Release(b.now, kept, Reusable)
 		for _, s := range used {
 			b.now += time.Millisecond
-			b.Done(b.now, s, how)
+			b.Release(b.now, s, how)
 		}
-		c := b.Counts()
-		if still := c.Idle == 1; still != (how == GivenUp) || c.Open != c.Idle || c.Closed[WhyBroken] != 5 {
+		c := b.Stats()
+		if still := c.Idle == 1; still != (how == Abandoned) || c.Open != c.Idle || c.Closed[CloseBroken] != 5 {
 			t.Errorf("%v: %+v", how, c)
 		}
 	}
@@ -566,27 +570,27 @@
 // A connection that is given back unused has stood idle all the while: its idle time goes on, and its next request is its first.
 func TestUnusedStandsOn(t *testing.T) {
 	set := DefaultSettings(4)
-	set.Idle, set.Rest = 10*time.Second, 0
+	set.ServerIdleTimeout, set.Quarantine = 10*time.Second, 0
 	table := NewTable(set, 1)
-	n := table.NewNode(time.Second, "b", "addr", 0)
+	n := table.AddEndpoint(time.Second, "b", "addr", 0)
 	table.SetReady(time.Second, n, true)
-	_, _, actions := table.Want(time.Second, n, false)
+	_, _, actions := table.Acquire(time.Second, n, false)
 	var s *Slot
 	for _, a := range actions {
 		if a.Kind == Open {
 			s = a.Slot
 		}
 	}
-	table.Opened(time.Second, s) // handed to who waits
-	table.Done(time.Second, s, InOrder)
+	table.HandshakeSucceeded(time.Second, s) // handed to who waits
+	table.Release(time.Second, s, Reusable)
 	for _, at := range []time.Duration{5, 8} {
-		got, _, _ := table.Want(at*time.Second, n, false)
+		got, _, _ := table.Acquire(at*time.Second, n, false)
 		if got != s {
 			t.Fatalf("at %d s it is not handed out", at)
 		}
-		table.Done(at*time.Second, s, Unused)
+		table.Release(at*time.Second, s, Unused)
 	}
-	if got, _, _ := table.Want(10*time.Second, n, false); got == s {
+	if got, _, _ := table.Acquire(10*time.Second, n, false); got == s {
 		t.Error("a connection that has stood idle for 9 s of 10 is used, as if it had been used meanwhile")
 	}
 	if s.uses != 1 {
--- a/internal/upstream/http/exchange.go
+++ b/internal/upstream/http/exchange.go
@@ -48,8 +48,8 @@
 	text   []byte            // the latest request's text, kept for its room
 }
 
-// Wrap makes the state of a new connection.
-func Wrap(c net.Conn) any {
+// NewConnState makes the state of a new connection.
+func NewConnState(c net.Conn) any {
 	timed := &timedReader{conn: c}
 	left := &io.LimitedReader{R: timed}
 	return &state{reader: bufio.NewReader(left), left: left, timed: timed}
@@ -93,7 +93,7 @@
 	conn    *pool.Conn
 	state   *state
 	attempt *core.Attempt
-	node    *pool.Node
+	node    *pool.Endpoint
 	message *httpmsg.Message
 	out     core.Outcome
 	told    atomic.Bool  // whoever sets it tells the outcome
@@ -109,7 +109,7 @@
 }
 
 // run writes the request and reads the answer; it says how that leaves the connection.
-func (x *exchange) run(ctx context.Context) pool.How {
+func (x *exchange) run(ctx context.Context) pool.ReleaseOutcome {
 	x.state.left.N = maxHead // http.ReadResponse takes a head of any length
 	x.state.timed.latest, x.state.timed.limit = time.Time{}, func(latest time.Time) time.Time {
 		until, end := x.Clock.At(x.attempt.Deadline()), latest.Add(heldStall)
@@ -131,16 +131,16 @@
 		x.out.Result = logic.ConnectFailed // the server begins a request when its last byte has come
 		if x.message.Body.Broken() != nil {
 			x.out.Result = logic.NotSent
-			return pool.GivenUp // the server did nothing wrong
+			return pool.Abandoned // the server did nothing wrong
 		}
 		if x.message.Body.Rest == nil && errors.Is(err, os.ErrDeadlineExceeded) && x.hasty() {
 			x.out.Result = logic.NotSent // the time was over before the server could take it
-			return pool.GivenUp
+			return pool.Abandoned
 		}
 		return x.broke(err)
 	}
 	if err == nil {
-		x.Sent()
+		x.OnRequestWritten()
 		x.recordWritten()
 	}
 	resp, bad := x.state.readHead()
@@ -151,7 +151,7 @@
 		return x.broke(bad)
 	}
 	x.out.LoadReport = x.readReport(resp.Header.Values("X-Server-Load"))
-	var how pool.How
+	var how pool.ReleaseOutcome
 	if resp.StatusCode == http.StatusOK {
 		how = x.serve(ctx, resp)
 	} else {
@@ -163,7 +163,7 @@
 		}
 		return pool.Broken
 	}
-	if how == pool.InOrder && x.state.reader.Buffered() > 0 {
+	if how == pool.Reusable && x.state.reader.Buffered() > 0 {
 		return pool.Broken
 	}
 	return how
@@ -180,9 +180,9 @@
 
 // broke says how an exchange without an answer leaves its connection. On a used one that ended before a byte came, the server
 // was closing it as the request went out.
-func (x *exchange) broke(err error) pool.How {
+func (x *exchange) broke(err error) pool.ReleaseOutcome {
 	if x.out.Result == logic.TimedOut && x.hasty() {
-		return pool.GivenUp
+		return pool.Abandoned
 	}
 	return x.state.broke(x.conn, err)
 }
@@ -192,26 +192,26 @@
 	return x.Clock.Now()-x.attempt.AwaitingSince() < x.attempt.Call.LatencyObjective
 }
 
-func (s *state) broke(c *pool.Conn, err error) pool.How {
-	if !c.Fresh() && s.timed.latest.IsZero() && !errors.Is(err, os.ErrDeadlineExceeded) && !errors.Is(err, errSpoilt) {
-		return pool.Crossed
+func (s *state) broke(c *pool.Conn, err error) pool.ReleaseOutcome {
+	if !c.FirstUse() && s.timed.latest.IsZero() && !errors.Is(err, os.ErrDeadlineExceeded) && !errors.Is(err, errSpoilt) {
+		return pool.ClosedByServer
 	}
 	return pool.Broken
 }
 
 // left says how an answer leaves its connection.
-func left(resp *http.Response, err error) pool.How {
+func left(resp *http.Response, err error) pool.ReleaseOutcome {
 	switch {
 	case err != nil:
 		return pool.Broken
 	case resp.Close:
-		return pool.Over
+		return pool.MustClose
 	}
-	return pool.InOrder
+	return pool.Reusable
 }
 
 // passOver takes an answer that serves nothing for what it says of the request.
-func (x *exchange) passOver(resp *http.Response) pool.How {
+func (x *exchange) passOver(resp *http.Response) pool.ReleaseOutcome {
 	x.out.Result = logic.Failed
 	if (resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusGatewayTimeout) &&
 		resp.Header.Get("X-Not-Processed") == "1" {
@@ -221,7 +221,7 @@
 	if err != nil {
 		x.out.Result = logic.Reset
 	} else if n == httpmsg.HeldBody { // more of it is not worth waiting for
-		return pool.Over
+		return pool.MustClose
 	}
 	return left(resp, err)
 }
@@ -230,7 +230,7 @@
 // is long flows with its first byte, and one that does not say flows as soon as there is much of it, or it takes time. One with no
 // length ends where the server closes the connection: a spoilt one stays open and a server that dies resets it, so that
 // neither looks like an end.
-func (x *exchange) serve(ctx context.Context, resp *http.Response) pool.How {
+func (x *exchange) serve(ctx context.Context, resp *http.Response) pool.ReleaseOutcome {
 	length := resp.ContentLength
 	if length > httpmsg.MaxBody {
 		x.out.Result = logic.Reset
@@ -283,7 +283,7 @@
 		x.out.Result, x.out.Content = x.broken(fmt.Errorf("%w: %w", errSpoilt, err)), nil
 		x.attempt.Report(x.out)
 		if x.out.Result == logic.TimedOut && x.hasty() {
-			return pool.GivenUp
+			return pool.Abandoned
 		}
 	}
 	return left(resp, err)
--- a/internal/upstream/http/exchange_test.go
+++ b/internal/upstream/http/exchange_test.go
@@ -35,18 +35,18 @@
 	return fixtureWith(t, addr, most, 2*time.Second, nil)
 }
 
-func fixtureWith(t *testing.T, addr string, most int, connectIn time.Duration, dial pool.Dial) *fixture {
+func fixtureWith(t *testing.T, addr string, most int, connectIn time.Duration, dial pool.DialFunc) *fixture {
 	f := &fixture{}
 	clock := core.NewClock()
 	set := pool.DefaultSettings(most)
-	set.Wait = connectIn
-	p, err := pool.New(pool.Config{Settings: set, ConnectIn: connectIn, Clock: clock, Dial: dial, Wrap: Wrap})
+	set.AcquireTimeout = connectIn
+	p, err := pool.New(pool.Config{Settings: set, ConnectTimeout: connectIn, Clock: clock, Dial: dial, NewState: NewConnState})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(p.Close)
-	f.Upstream = &Upstream{Pool: p, Clock: clock, Sent: func() {}, Budget: bodybuffer.NewBudget(1 << 20), Fields: []string{"util", "qps", "eps"},
-		Noted: func(err error) { f.reports = append(f.reports, err) }}
+	f.Upstream = &Upstream{Pool: p, Clock: clock, OnRequestWritten: func() {}, Budget: bodybuffer.NewBudget(1 << 20), LoadReportFields: []string{"util", "qps", "eps"},
+		OnMalformedReport: func(err error) { f.reports = append(f.reports, err) }}
 	f.list(addr, logic.Ready, 0)
 	return f
 }
@@ -99,8 +99,8 @@
 }
 
 // idle counts the connections that wait for use, and all that are open.
-func (f *fixture) idle() int { return f.Pool.Counts().Idle }
-func (f *fixture) open() int { return f.Pool.Counts().Open }
+func (f *fixture) idle() int { return f.Pool.Stats().Idle }
+func (f *fixture) open() int { return f.Pool.Stats().Open }
 
 func resets(c net.Conn, _ *http.Request, _ int) bool {
 	c.(*net.TCPConn).SetLinger(0)
@@ -224,7 +224,7 @@
 	b := testkit.NewBackend(t, func(c net.Conn, r *http.Request, n int) bool { testkit.Says(testkit.ServedText)(c, r, n); return n > 1 })
 	f := newFixture(t, b.Addr().String(), 100)
 	f.make(f.attempt(testkit.Patience))
-	testkit.Eventually(t, "the close has come", func() bool { f.Pool.Sweep(); return f.idle() == 0 })
+	testkit.Eventually(t, "the close has come", func() bool { f.Pool.Maintain(); return f.idle() == 0 })
 	if out := f.make(f.attempt(testkit.Patience)); out.Result != logic.OK || b.Connections() != 2 {
 		t.Errorf("result %v on %d connections", out.Result, b.Connections())
 	}
@@ -263,7 +263,7 @@
 			if out := f.make(a); out.Result != logic.NotSent {
 				t.Errorf("result %v", out.Result)
 			}
-			if f.stillWanted(a.Attempt, a.Target.(*pool.Node)) || b.Requests() != before {
+			if f.stillWanted(a.Attempt, a.Target.(*pool.Endpoint)) || b.Requests() != before {
 				t.Error("it was sent, or would have been")
 			}
 		})
@@ -297,14 +297,14 @@
 func TestConnectionLimits(t *testing.T) {
 	quiet, fine := testkit.NewBackend(t, testkit.Silent), testkit.NewBackend(t, testkit.Says(testkit.ServedText))
 	f := newFixture(t, quiet.Addr().String(), 8)
-	b := f.Pool.Node("b")
+	b := f.Pool.Endpoint("b")
 	soon := time.Now().Add(testkit.Patience)
 	for i := range 2 {
 		if _, err := f.Pool.Get(context.Background(), b, false, soon, nil); err != nil {
 			t.Fatalf("connection %d: %v", i, err)
 		}
 	}
-	if _, err := f.Pool.Get(context.Background(), b, false, soon, nil); !errors.Is(err, pool.ErrNoRoom) {
+	if _, err := f.Pool.Get(context.Background(), b, false, soon, nil); !errors.Is(err, pool.ErrExhausted) {
 		t.Errorf("a third of at most 8/4: %v", err)
 	}
 	// It is the agent's own lack: told as a failure of the backend, it would make the module shun one that is well.
@@ -378,7 +378,7 @@
 }
 
 // held is a dial that waits for the channel to close at that address, as a machine that says nothing does.
-func held(addr string, until chan struct{}) (dial pool.Dial, began chan struct{}) {
+func held(addr string, until chan struct{}) (dial pool.DialFunc, began chan struct{}) {
 	began = make(chan struct{}, 1)
 	return func(ctx context.Context, network, to string) (net.Conn, error) {
 		if to == addr {
@@ -586,7 +586,7 @@
 	case <-time.After(testkit.Patience):
 		t.Fatal("the attempt does not end")
 	}
-	if n := f.Pool.Counts().Closed[pool.WhyBroken]; n != 1 {
+	if n := f.Pool.Stats().Closed[pool.CloseBroken]; n != 1 {
 		t.Errorf("%d connections closed as broken", n)
 	}
 }
--- a/internal/upstream/http/report.go
+++ b/internal/upstream/http/report.go
@@ -16,11 +16,11 @@
 // readReport reads the load report of an answer: the first that can be read. A malformed one is no report.
 func (u *Upstream) readReport(texts []string) logic.LoadReport {
 	for _, text := range texts {
-		r, err := parseReport(text, u.Fields)
+		r, err := parseReport(text, u.LoadReportFields)
 		if err == nil {
 			return r
 		}
-		u.Noted(err)
+		u.OnMalformedReport(err)
 	}
 	return logic.NoLoadReport
 }
--- a/internal/upstream/http/upstream.go
+++ b/internal/upstream/http/upstream.go
@@ -18,12 +18,12 @@
 
 // Upstream makes attempts. It implements core.Upstream.
 type Upstream struct {
-	Pool   *pool.Pool // its connections have the state that Wrap makes
-	Clock  core.Clock
-	Budget *bodybuffer.Budget // for answers
-	Fields []string           // of load reports that count
-	Sent   func()             // a request has been written whole
-	Noted  func(err error)    // a report was malformed
+	Pool              *pool.Pool // its connections have the state that Wrap makes
+	Clock             core.Clock
+	Budget            *bodybuffer.Budget // for answers
+	LoadReportFields  []string           // of load reports that count
+	OnRequestWritten  func()             // a request has been written whole
+	OnMalformedReport func(err error)    // a report was malformed
 
 	Events  *event.Recorder    // nil for nobody
 	Monitor *invariant.Monitor // nil for nobody
@@ -31,19 +31,19 @@
 
 // UpdateEndpoints takes the list of servers or a change of it.
 func (u *Upstream) UpdateEndpoints(l core.EndpointList) (listed, ready int) {
-	return u.Pool.Update(l.Full, l.Endpoints)
+	return u.Pool.UpdateEndpoints(l.Full, l.Endpoints)
 }
 
 // Bind returns the present life of a server.
-func (u *Upstream) Bind(server string) any { return u.Pool.Node(server) }
+func (u *Upstream) Bind(server string) any { return u.Pool.Endpoint(server) }
 
 // Execute makes the attempt and reports its outcome, which is exact. A long answer goes on being read after that.
 func (u *Upstream) Execute(ctx context.Context, a *core.Attempt) {
-	node, _ := a.Target.(*pool.Node)
+	node, _ := a.Target.(*pool.Endpoint)
 	out := core.Outcome{Result: logic.NotSent, LoadReport: logic.NoLoadReport}
 	c, err := u.Pool.Get(ctx, node, a.Call.NonIdempotent, u.Clock.At(a.Deadline()), a.Call.Done())
 	switch {
-	case errors.Is(err, pool.ErrNotReady) || errors.Is(err, pool.ErrNoRoom) || errors.Is(err, pool.ErrLate):
+	case errors.Is(err, pool.ErrNotReady) || errors.Is(err, pool.ErrExhausted) || errors.Is(err, pool.ErrCanceled):
 		a.Report(out) // the agent's own lack says nothing of the server
 		return
 	case err != nil:
@@ -62,13 +62,13 @@
 
 // stillWanted asks the send guard just before the first byte goes out. A dial may have taken long: meanwhile the server may have
 // begun to drain or started anew, the call may have ended, or the servers may have forgotten its key.
-func (u *Upstream) stillWanted(a *core.Attempt, node *pool.Node) bool {
+func (u *Upstream) stillWanted(a *core.Attempt, node *pool.Endpoint) bool {
 	return !u.send(a, node).Check().Denied
 }
 
 // send describes an attempt at this moment, for the send guard.
-func (u *Upstream) send(a *core.Attempt, node *pool.Node) invariant.Send {
-	takes, since := u.Pool.TakesNew(node)
+func (u *Upstream) send(a *core.Attempt, node *pool.Endpoint) invariant.Send {
+	takes, since := u.Pool.AcceptsRequests(node)
 	return invariant.Send{Now: u.Clock.Now(), WriteBy: a.WriteDeadline, RequestOver: a.Call.Finished(), OverSince: a.Call.FinishedAt(),
 		TakesNew: takes, RetiredSince: since}
 }
