--- a/internal/config/operator/operator.go
+++ b/internal/config/operator/operator.go
@@ -119,7 +119,7 @@
 
 // Settings are the limits of those who carry probes out.
 func (p *HealthChecks) Settings() healthcheck.Settings {
-	return healthcheck.Settings{Most: p.MaxConcurrent, Timeout: p.Timeout.D()}
+	return healthcheck.Settings{MaxConcurrent: p.MaxConcurrent, Timeout: p.Timeout.D()}
 }
 
 // Apply puts what the file says into the settings of the module.
@@ -162,10 +162,10 @@
 // Default is the file of which nothing is said.
 func Default() File {
 	set := pool.DefaultSettings(1)
-	return File{Connections: Connections{ReuseOrder: "newest", AgeJitter: 0.2, IdleLimitFraction: set.IdlePart, MinIdleLimit: config.Duration(set.IdleLeast),
-		IdleLimitRecovery: config.Duration(set.IdleHeal), NonIdempotentIdleFraction: set.SurePart, StaleAfterFailures: set.SuspectFailures,
-		StaleFailureWindow: config.Duration(set.SuspectWithin), StaleAction: "close", MaxPreconnected: set.AheadMost},
-		HealthChecks: HealthChecks{PerRequest: wire.HealthChecksPerRequest, PerEndpointRate: wire.EndpointHealthCheckRate, MaxConcurrent: healthcheck.DefaultMost, Timeout: config.Duration(healthcheck.DefaultTimeout)},
+	return File{Connections: Connections{ReuseOrder: "newest", AgeJitter: 0.2, IdleLimitFraction: set.IdleFraction, MinIdleLimit: config.Duration(set.MinIdleLimit),
+		IdleLimitRecovery: config.Duration(set.IdleLimitDoublingTime), NonIdempotentIdleFraction: set.NonIdempotentIdleFraction, StaleAfterFailures: set.SuspectAfterFailures,
+		StaleFailureWindow: config.Duration(set.SuspectWindow), StaleAction: "close", MaxPreconnected: set.PreopenMaxIdle},
+		HealthChecks: HealthChecks{PerRequest: wire.HealthChecksPerRequest, PerEndpointRate: wire.EndpointHealthCheckRate, MaxConcurrent: healthcheck.DefaultMaxConcurrent, Timeout: config.Duration(healthcheck.DefaultTimeout)},
 		Snapshot:     Snapshot{Interval: config.Duration(2 * time.Second), MaxAge: config.Duration(30 * time.Second)}, Overload: overloadDefaults(),
 		Peers: Peers{Bind: "127.0.0.1:0", Seeds: []string{}, ShareFacts: true, ShareBudget: true}}
 }
@@ -189,7 +189,7 @@
 	return f, config.TOML(name, data, &f)
 }
 
-var orders = map[string]pool.Order{"newest": pool.Newest, "oldest": pool.Oldest, "fewest": pool.Fewest}
+var orders = map[string]pool.ReuseOrder{"newest": pool.MostRecentlyUsed, "oldest": pool.LeastRecentlyUsed, "fewest": pool.FewestRequests}
 
 // Bounds of what a file may say.
 const (
@@ -267,24 +267,24 @@
 // Settings puts what the file says over what the agent has worked out.
 func (c *Connections) Settings(set pool.Settings) pool.Settings {
 	if c.MaxConnections > 0 {
-		set.Most = min(set.Most, c.MaxConnections)
-		set.PerNode, set.Opening, set.OpeningPerNode = min(set.PerNode, set.Most), min(set.Opening, set.Most), min(set.OpeningPerNode, set.Most)
+		set.MaxConnections = min(set.MaxConnections, c.MaxConnections)
+		set.MaxPerEndpoint, set.MaxHandshakes, set.MaxHandshakesPerEndpoint = min(set.MaxPerEndpoint, set.MaxConnections), min(set.MaxHandshakes, set.MaxConnections), min(set.MaxHandshakesPerEndpoint, set.MaxConnections)
 	}
 	for _, limit := range []struct {
 		to   *int
 		from int
-	}{{&set.PerNode, c.MaxPerEndpoint}, {&set.Opening, c.MaxHandshakes}, {&set.OpeningPerNode, c.MaxHandshakesPerEndpoint}, {&set.Waiting, c.MaxWaiters}} {
+	}{{&set.MaxPerEndpoint, c.MaxPerEndpoint}, {&set.MaxHandshakes, c.MaxHandshakes}, {&set.MaxHandshakesPerEndpoint, c.MaxHandshakesPerEndpoint}, {&set.MaxWaiters, c.MaxWaiters}} {
 		if limit.from > 0 {
 			*limit.to = limit.from
 		}
 	}
 	if c.WaitTimeout > 0 {
-		set.Wait = c.WaitTimeout.D()
+		set.AcquireTimeout = c.WaitTimeout.D()
 	}
-	set.Order, set.MaxAge, set.AgeJitter, set.MaxUses = orders[c.ReuseOrder], c.MaxAge.D(), c.AgeJitter, c.MaxUses
-	set.IdlePart, set.IdleLeast, set.IdleHeal, set.SurePart = c.IdleLimitFraction, c.MinIdleLimit.D(), c.IdleLimitRecovery.D(), c.NonIdempotentIdleFraction
-	set.SuspectFailures, set.SuspectWithin, set.SuspectClose = c.StaleAfterFailures, c.StaleFailureWindow.D(), c.StaleAction == "close"
-	set.AheadRate, set.AheadMost, set.AheadKeep = c.PreconnectRate, c.MaxPreconnected, c.MinIdlePerEndpoint
+	set.ReuseOrder, set.MaxAge, set.AgeJitter, set.MaxRequests = orders[c.ReuseOrder], c.MaxAge.D(), c.AgeJitter, c.MaxUses
+	set.IdleFraction, set.MinIdleLimit, set.IdleLimitDoublingTime, set.NonIdempotentIdleFraction = c.IdleLimitFraction, c.MinIdleLimit.D(), c.IdleLimitRecovery.D(), c.NonIdempotentIdleFraction
+	set.SuspectAfterFailures, set.SuspectWindow, set.CloseSuspect = c.StaleAfterFailures, c.StaleFailureWindow.D(), c.StaleAction == "close"
+	set.PreopenRate, set.PreopenMaxIdle, set.PreopenMinIdle = c.PreconnectRate, c.MaxPreconnected, c.MinIdlePerEndpoint
 	return set
 }
 
