--- a/cmd/ryeweir/agent.go
+++ b/cmd/ryeweir/agent.go
@@ -121,7 +121,7 @@
 		return err
 	}
 	if cfg.Control != "" {
-		if sockets.Control, err = handover.ListenPatiently(cfg.Control); err != nil {
+		if sockets.Control, err = handover.ListenWithRetry(cfg.Control); err != nil {
 			return fmt.Errorf("listening for operators: %w", err)
 		}
 	}
--- a/internal/acceptretry/accept.go
+++ b/internal/acceptretry/listener.go
@@ -17,8 +17,8 @@
 
 // Bounds of the pause after an accept that failed. It doubles with each further one in a row.
 const (
-	FirstPause   = 5 * time.Millisecond
-	LongestPause = 250 * time.Millisecond
+	InitialBackoff = 5 * time.Millisecond
+	MaxBackoff     = 250 * time.Millisecond
 )
 
 // Listener is a listener whose Accept returns no error but that it is closed.
@@ -40,7 +40,7 @@
 
 // Accept waits for the next connection. It fails only once the listener is closed.
 func (l *Listener) Accept() (net.Conn, error) {
-	pause := FirstPause
+	pause := InitialBackoff
 	for {
 		c, err := l.Listener.Accept()
 		if err == nil {
@@ -49,13 +49,13 @@
 		if errors.Is(err, net.ErrClosed) || l.isClosed() {
 			return nil, net.ErrClosed
 		}
-		l.note(err, pause == FirstPause)
+		l.note(err, pause == InitialBackoff)
 		select {
 		case <-time.After(pause):
 		case <-l.closed:
 			return nil, net.ErrClosed
 		}
-		pause = min(2*pause, LongestPause)
+		pause = min(2*pause, MaxBackoff)
 	}
 }
 
--- a/internal/acceptretry/accept_test.go
+++ b/internal/acceptretry/listener_test.go
@@ -58,13 +58,13 @@
 				t.Fatal(err)
 			}
 		}
-		for i, want := range []time.Duration{0, FirstPause, 2 * FirstPause, 0, FirstPause, 0, FirstPause} {
+		for i, want := range []time.Duration{0, InitialBackoff, 2 * InitialBackoff, 0, InitialBackoff, 0, InitialBackoff} {
 			if i+1 < len(s.times) && i != 2 && s.times[i+1].Sub(s.times[i]) != want {
 				t.Errorf("pause %d is %v, want %v", i, s.times[i+1].Sub(s.times[i]), want)
 			}
 		}
 		last := len(s.times) - 1
-		if pause := s.times[last].Sub(s.times[last-1]); pause != LongestPause {
+		if pause := s.times[last].Sub(s.times[last-1]); pause != MaxBackoff {
 			t.Errorf("the longest pause is %v", pause)
 		}
 		if n := strings.Count(log.String(), "trying again"); n != 3 {
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -119,7 +119,7 @@
 		observe = talk.observe
 		figures.Add("peers", talk.figures)
 	}
-	c := core.New(core.Config{Observe: observe, Balancer: balancer, Clock: clock, Upstream: upstream, HealthChecker: prober, UploadTimeout: httpmsg.LongestUpload,
+	c := core.New(core.Config{Observe: observe, Balancer: balancer, Clock: clock, Upstream: upstream, HealthChecker: prober, UploadTimeout: httpmsg.MaxUploadDuration,
 		Subscribe: func() { disco.Ask() }, EndpointCounts: figures.SetMembers, Log: log, Budget: fleet, PriorityOrder: order,
 		Events: events, Monitor: monitor})
 	if fleet != nil {
@@ -136,8 +136,8 @@
 	disco = discovery.New(discovery.Config{Addr: cfg.Discovery, Agents: cfg.Site.Logic.Balancers, Asked: cfg.Site.Logic.SubscriptionRequired,
 		Zones: cfg.Site.Zones, Known: cfg.Known, Seed: cfg.Seed, Clock: clock, Dial: sockets.Dial, Sink: sink, Log: log, Events: events})
 	figures.Add("border", func() any { return c.BoundaryViolations() })
-	front := fronthttp.New(fronthttp.Config{Site: cfg.Site, Core: c, Clock: clock, Metrics: figures, Budget: bodies,
-		Most: share.fromClients, AcceptFor: cfg.AcceptFor, DrainFor: ops.Drain.Longest.D(), SocketBuffer: ops.Connections.SocketBufferBytes, Log: log,
+	front := fronthttp.New(fronthttp.Config{Site: cfg.Site, Core: c, Clock: clock, Metrics: figures, BodyBudget: bodies,
+		MaxConnections: share.fromClients, AcceptWindow: cfg.AcceptFor, DrainTimeout: ops.Drain.Longest.D(), SocketBufferBytes: ops.Connections.SocketBufferBytes, Log: log,
 		Events: events, Monitor: monitor})
 	if sockets.Control != nil {
 		parts.Go(func() {
@@ -180,7 +180,7 @@
 func shareSockets(limit int, sockets Sockets) shares {
 	room := min(max(limit, leastSockets), mostSockets) - spareSockets
 	if sockets.Control != nil {
-		room -= control.Sockets
+		room -= control.MaxDescriptors
 	}
 	part := backendShare
 	if sockets.Inherited {
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -119,7 +119,7 @@
 		"two ids":           {"/refund-record", "", func(r *http.Request) { r.Header.Add("X-Request-ID", "2") }, http.StatusBadRequest},
 		"long id":           {"/refund-record", "", with("X-Request-ID", strings.Repeat("x", 129)), http.StatusBadRequest},
 		"unknown tenant":    {"/refund-record", "", with("X-Tenant-Id", "nobody"), http.StatusBadRequest},
-		"long body": {"/refund-record", strings.Repeat("x", httpmsg.MaxBody+1), func(*http.Request) {},
+		"long body": {"/refund-record", strings.Repeat("x", httpmsg.MaxBodyBytes+1), func(*http.Request) {},
 			http.StatusRequestEntityTooLarge},
 	} {
 		r := a.newRequest(t, http.MethodPost, c.path, c.body)
@@ -131,7 +131,7 @@
 	if n := b.Requests(); n != 0 {
 		t.Errorf("%d were forwarded", n)
 	}
-	if got := send(t, a.newRequest(t, http.MethodPost, "/refund-record", strings.Repeat("x", httpmsg.MaxBody))); got.status != http.StatusOK {
+	if got := send(t, a.newRequest(t, http.MethodPost, "/refund-record", strings.Repeat("x", httpmsg.MaxBodyBytes))); got.status != http.StatusOK {
 		t.Errorf("the longest body: %+v", got)
 	}
 }
@@ -143,7 +143,7 @@
 		share := shareSockets(limit, Sockets{})
 		if to, from := share.toBackends, share.fromClients; to < 1 || from < 1 || to+from > limit-spareSockets {
 			t.Errorf("of %d: %d to backends, %d from clients", limit, to, from)
-		} else if third := limit / 3; to < third || float64(from)*fronthttp.HeldPart < float64(third) {
+		} else if third := limit / 3; to < third || float64(from)*fronthttp.MaxInFlightFraction < float64(third) {
 			t.Errorf("of %d: usual clients can't hold the third that is theirs", limit)
 		}
 		control := testkit.Listen(t)
@@ -156,7 +156,7 @@
 			t.Errorf("of %d: two processes may hold %+v", limit, both)
 		}
 	}
-	if ends := platform.AcceptOn + fronthttp.DrainMost; platform.AcceptOn <= 400*time.Millisecond || ends >= 700*time.Millisecond {
+	if ends := platform.AcceptOn + fronthttp.DrainMargin; platform.AcceptOn <= 400*time.Millisecond || ends >= 700*time.Millisecond {
 		t.Errorf("accepts for %v, ends %v past the deadline", platform.AcceptOn, ends)
 	}
 }
--- a/internal/agent/streaming_test.go
+++ b/internal/agent/streaming_test.go
@@ -37,7 +37,7 @@
 // Bodies of all sizes go both ways unchanged, with a length and in chunks, and together may be far over the budget.
 func TestLongBodies(t *testing.T) {
 	t.Parallel()
-	for _, size := range []int{httpmsg.HeldBody - 1, httpmsg.HeldBody, httpmsg.HeldBody + 1, 1 << 20} {
+	for _, size := range []int{httpmsg.MaxBufferedBytes - 1, httpmsg.MaxBufferedBytes, httpmsg.MaxBufferedBytes + 1, 1 << 20} {
 		for _, chunked := range []bool{false, true} {
 			text := longText(size)
 			script := func(c net.Conn, r *http.Request, n int) bool {
@@ -74,9 +74,9 @@
 	t.Parallel()
 	b := testkit.NewBackend(t, testkit.Says(testkit.ServedText))
 	a := start(t, testkit.NewDiscovery(t, 1, testkit.EntryText("s-1", b.Addr().String(), "Ready", 0)), 0)
-	for _, length := range []int64{httpmsg.MaxBody + 1, -1} { // chunks show it only at the end
+	for _, length := range []int64{httpmsg.MaxBodyBytes + 1, -1} { // chunks show it only at the end
 		r := a.pay(t, "")
-		r.Body, r.ContentLength = io.NopCloser(io.LimitReader(endless{}, httpmsg.MaxBody+1)), length
+		r.Body, r.ContentLength = io.NopCloser(io.LimitReader(endless{}, httpmsg.MaxBodyBytes+1)), length
 		client := http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: testkit.Patience}
 		if resp, err := client.Do(r); err == nil && resp.StatusCode != http.StatusRequestEntityTooLarge {
 			t.Errorf("%d: %s", length, resp.Status)
@@ -189,7 +189,7 @@
 	t.Parallel()
 	b := testkit.NewBackend(t, testkit.Says(testkit.ServedText))
 	a := start(t, testkit.NewDiscovery(t, 1, testkit.EntryText("s-1", b.Addr().String(), "Ready", 0)), 0)
-	for _, piece := range []int{100, httpmsg.HeldBody} {
+	for _, piece := range []int{100, httpmsg.MaxBufferedBytes} {
 		r := a.pay(t, "")
 		text := longText(piece)
 		r.Body, r.ContentLength = io.NopCloser(&pieces{[]string{text, text, text, text}, 300 * time.Millisecond}), int64(4*piece)
@@ -206,7 +206,7 @@
 	b := testkit.NewBackend(t, testkit.Says(testkit.ServedText))
 	a := start(t, testkit.NewDiscovery(t, 1, testkit.EntryText("s-1", b.Addr().String(), "Ready", 0)), 0)
 	c := a.dial(t)
-	r := a.pay(t, strings.Repeat("x", 10*httpmsg.HeldBody))
+	r := a.pay(t, strings.Repeat("x", 10*httpmsg.MaxBufferedBytes))
 	var text bytes.Buffer
 	r.Write(&text)
 	c.Write(text.Bytes()[:text.Len()-1])
@@ -232,7 +232,7 @@
 			if err != nil {
 				return
 			}
-			io.ReadFull(c, make([]byte, 2*httpmsg.HeldBody))
+			io.ReadFull(c, make([]byte, 2*httpmsg.MaxBufferedBytes))
 			c.(*net.TCPConn).SetLinger(0)
 			c.Close()
 		}
--- a/internal/bodybuffer/flow.go
+++ b/internal/bodybuffer/pipe.go
@@ -21,8 +21,8 @@
 	return b
 }
 
-// Take grants what is wanted as far as the rest reaches, but a little always. The grant goes back with Give.
-func (b *Budget) Take(want int) (grant int) {
+// Reserve grants what is wanted as far as the rest reaches, but a little always. The grant goes back with Give.
+func (b *Budget) Reserve(want int) (grant int) {
 	for {
 		left := b.left.Load()
 		grant = min(want, max(least, int(left)))
@@ -32,8 +32,8 @@
 	}
 }
 
-// Give gives back a grant.
-func (b *Budget) Give(grant int) { b.left.Add(int64(grant)) }
+// Release gives back a grant.
+func (b *Budget) Release(grant int) { b.left.Add(int64(grant)) }
 
 // ErrClosed says that nobody reads from the pipe any more.
 var ErrClosed = errors.New("the pipe is closed")
@@ -52,7 +52,7 @@
 
 // NewPipe returns a pipe that holds as much as wanted, or less where the budget does not reach. It must be closed.
 func NewPipe(b *Budget, want int) *Pipe {
-	p := &Pipe{budget: b, buf: make([]byte, b.Take(max(want, 1)))}
+	p := &Pipe{budget: b, buf: make([]byte, b.Reserve(max(want, 1)))}
 	p.changed = sync.NewCond(&p.mu)
 	return p
 }
@@ -151,8 +151,8 @@
 	p.changed.Broadcast()
 }
 
-// Whole reports whether all has come, and how much of it is in the pipe.
-func (p *Pipe) Whole() (length int, whole bool) {
+// Complete reports whether all has come, and how much of it is in the pipe.
+func (p *Pipe) Complete() (length int, whole bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.held, p.end == io.EOF
@@ -164,7 +164,7 @@
 	defer p.mu.Unlock()
 	if !p.closed {
 		p.closed = true
-		p.budget.Give(len(p.buf))
+		p.budget.Release(len(p.buf))
 		p.changed.Broadcast()
 	}
 }
--- a/internal/bodybuffer/flow_test.go
+++ b/internal/bodybuffer/pipe_test.go
@@ -59,7 +59,7 @@
 		if in.Len() != 200 || full != 1 {
 			t.Errorf("%d unread, said to be full %d times", in.Len(), full)
 		}
-		if n, whole := p.Whole(); n != 100 || whole {
+		if n, whole := p.Complete(); n != 100 || whole {
 			t.Errorf("holds %d, whole: %v", n, whole)
 		}
 		p.Close()
@@ -74,7 +74,7 @@
 	if err := p.Fill(iotest.DataErrReader(bytes.NewReader(noise(100))), func() { t.Error("waited") }, nil); err != nil {
 		t.Error(err)
 	}
-	if n, whole := p.Whole(); n != 100 || !whole {
+	if n, whole := p.Complete(); n != 100 || !whole {
 		t.Errorf("%d, %v", n, whole)
 	}
 }
@@ -107,12 +107,12 @@
 // A budget that is used up still grants a little, and takes back what it gave.
 func TestBudget(t *testing.T) {
 	b := NewBudget(100 << 10)
-	if got := []int{b.Take(64 << 10), b.Take(64 << 10), b.Take(64 << 10), b.Take(10)}; got[0] != 64<<10 || got[1] != 36<<10 ||
+	if got := []int{b.Reserve(64 << 10), b.Reserve(64 << 10), b.Reserve(64 << 10), b.Reserve(10)}; got[0] != 64<<10 || got[1] != 36<<10 ||
 		got[2] != least || got[3] != 10 {
 		t.Errorf("granted %v", got)
 	}
 	for _, n := range []int{64 << 10, 36 << 10, least, 10} {
-		b.Give(n)
+		b.Release(n)
 	}
 	if b.left.Load() != 100<<10 {
 		t.Errorf("%d left", b.left.Load())
--- a/internal/connlimit/ahead.go
+++ b/internal/connlimit/ahead.go
@@ -6,7 +6,7 @@
 	"os"
 	"syscall"
 
-	"ryeweir/internal/bodybuffer"
+	"ryeweir/internal/socket"
 )
 
 // mostAhead is kept of what a client sends behind a request that is open: beyond it a client that leaves is not noticed.
@@ -41,7 +41,7 @@
 
 // closed reports whether the far side has closed a connection on which nothing waits to be read; false where it can't be asked.
 func closed(c net.Conn) bool {
-	n, err := bodybuffer.Peek(c)
+	n, err := socket.Peek(c)
 	return n == 0 && err == nil || errors.Is(err, syscall.ECONNRESET)
 }
 
--- a/internal/connlimit/ahead_test.go
+++ b/internal/connlimit/ahead_test.go
@@ -10,8 +10,8 @@
 	"testing"
 	"time"
 
-	"ryeweir/internal/bodybuffer"
 	"ryeweir/internal/framing"
+	"ryeweir/internal/socket"
 )
 
 // watched is a server whose handler holds each request until its client has left or the test lets it go.
@@ -24,13 +24,13 @@
 
 func newWatched(t *testing.T) *watched {
 	w := &watched{l: New(listen(t), 9), began: make(chan context.Context), goOn: make(chan struct{}), left: make(chan bool, 1)}
-	w.l.Head = time.Minute
-	srv := &http.Server{ConnState: State, ConnContext: Context, Handler: http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
+	w.l.HeaderTimeout = time.Minute
+	srv := &http.Server{ConnState: ConnState, ConnContext: ConnContext, Handler: http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
 		io.Copy(io.Discard, r.Body)
 		ctx, gone := context.WithCancel(r.Context())
 		defer gone()
-		Hold(ctx, "r")
-		if Watch(ctx, gone) {
+		BeginRequest(ctx, "r")
+		if OnDisconnect(ctx, gone) {
 			w.left <- true
 			return
 		}
@@ -100,7 +100,7 @@
 
 // One that has left before its request is looked at is noticed then, below all that wraps its connection: nothing begins for it.
 func TestClientThatHasLeft(t *testing.T) {
-	l := New(framing.Listener{Listener: bodybuffer.Listener{Listener: listen(t)}}, 1)
+	l := New(framing.Listener{Listener: socket.Listener{Listener: listen(t)}}, 1)
 	c, far := pair(t, l)
 	far.Close()
 	eventually(t, "its close has come", func() bool { return closed(c) })
--- a/internal/connlimit/connlimit.go
+++ b/internal/connlimit/connlimit.go
@@ -26,7 +26,7 @@
 	most int
 
 	// Head is how long the head of a request may take that begins on a connection which was resting.
-	Head time.Duration
+	HeaderTimeout time.Duration
 	// Events is told of each connection's accept and close, and of the last byte of each answer. Nil for nobody.
 	Events *event.Recorder
 	// Monitor is told of a connection that closes over a request without an answer. Nil for nobody.
@@ -107,8 +107,8 @@
 // for good leave places to others, who could not open any more.
 const crowdedPart = 0.4
 
-// Crowded reports whether many of the places are taken.
-func (t *Listener) Crowded() bool {
+// NearLimit reports whether many of the places are taken.
+func (t *Listener) NearLimit() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return float64(len(t.open)) > crowdedPart*float64(t.most)
@@ -181,8 +181,8 @@
 	}
 }
 
-// Owing counts the connections on which an answer is owed or on its way out.
-func (t *Listener) Owing() (n int) {
+// InFlight counts the connections on which an answer is owed or on its way out.
+func (t *Listener) InFlight() (n int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for c := range t.open {
@@ -305,7 +305,7 @@
 		}
 		return
 	case c.use == unused && c.served: // it was allowed to rest for less than a head may take
-		c.deadline = time.Now().Add(c.table.Head)
+		c.deadline = time.Now().Add(c.table.HeaderTimeout)
 		c.Conn.SetReadDeadline(c.deadline)
 	}
 	c.use, c.since = reading, time.Now()
@@ -409,8 +409,8 @@
 	}
 }
 
-// State is the http.Server's ConnState: net/http tells it what happens on a connection.
-func State(raw net.Conn, state http.ConnState) {
+// ConnState is the http.Server's ConnState: net/http tells it what happens on a connection.
+func ConnState(raw net.Conn, state http.ConnState) {
 	c, ok := raw.(*Conn)
 	if !ok {
 		return
@@ -425,13 +425,13 @@
 
 type connKey struct{}
 
-// Context is the http.Server's ConnContext: it lets handlers find the connection of their request.
-func Context(ctx context.Context, raw net.Conn) context.Context {
+// ConnContext is the http.Server's ConnContext: it lets handlers find the connection of their request.
+func ConnContext(ctx context.Context, raw net.Conn) context.Context {
 	return context.WithValue(ctx, connKey{}, raw)
 }
 
-// Hold marks the connection of a request as in use: it is owed an answer. It is given back when net/http has written that.
-func Hold(ctx context.Context, request string) {
+// BeginRequest marks the connection of a request as in use: it is owed an answer. It is given back when net/http has written that.
+func BeginRequest(ctx context.Context, request string) {
 	if c, ok := ctx.Value(connKey{}).(*Conn); ok {
 		c.now(inUse)
 		c.table.mu.Lock()
@@ -440,8 +440,8 @@
 	}
 }
 
-// Answered says that the answer of the request on a connection has been decided on and is about to be written.
-func Answered(ctx context.Context) {
+// BeginAnswer says that the answer of the request on a connection has been decided on and is about to be written.
+func BeginAnswer(ctx context.Context) {
 	if c, ok := ctx.Value(connKey{}).(*Conn); ok {
 		c.table.mu.Lock()
 		defer c.table.mu.Unlock()
@@ -449,16 +449,16 @@
 	}
 }
 
-// Number is the number of a request's connection in events; 0 for none.
-func Number(ctx context.Context) uint64 {
+// ConnectionNumber is the number of a request's connection in events; 0 for none.
+func ConnectionNumber(ctx context.Context) uint64 {
 	if c, ok := ctx.Value(connKey{}).(*Conn); ok {
 		return c.number
 	}
 	return 0
 }
 
-// ClientGone reports whether reading the connection of a request showed that its client has closed it.
-func ClientGone(ctx context.Context) bool {
+// ClientDisconnected reports whether reading the connection of a request showed that its client has closed it.
+func ClientDisconnected(ctx context.Context) bool {
 	c, ok := ctx.Value(connKey{}).(*Conn)
 	if !ok {
 		return false
@@ -468,18 +468,18 @@
 	return c.clientGone
 }
 
-// Watch has gone called, once, when the client of a request that has come whole leaves: also where more had come behind the
+// OnDisconnect has gone called, once, when the client of a request that has come whole leaves: also where more had come behind the
 // request before, which net/http does not look past. It reports whether the client has left already. The watch ends with the
 // request.
-func Watch(ctx context.Context, gone func()) (left bool) {
+func OnDisconnect(ctx context.Context, gone func()) (left bool) {
 	if c, ok := ctx.Value(connKey{}).(*Conn); ok {
 		return c.watch(gone)
 	}
 	return false
 }
 
-// Break says that the answer under way on the connection of a request has broken off: the close must not look like its end.
-func Break(ctx context.Context) {
+// AnswerAborted says that the answer under way on the connection of a request has broken off: the close must not look like its end.
+func AnswerAborted(ctx context.Context) {
 	if c, ok := ctx.Value(connKey{}).(*Conn); ok {
 		c.table.mu.Lock()
 		defer c.table.mu.Unlock()
--- a/internal/connlimit/connlimit_test.go
+++ b/internal/connlimit/connlimit_test.go
@@ -80,9 +80,9 @@
 	silent.since = silent.since.Add(-2 * startTime)
 	busy.now(inUse)
 	kept.now(inUse)
-	State(kept, http.StateIdle)
+	ConnState(kept, http.StateIdle)
 	reader := accept()
-	State(reader, http.StateActive)
+	ConnState(reader, http.StateActive)
 	for _, c := range []*Conn{busy, kept, silent, reader} {
 		reads(c)
 	}
@@ -198,7 +198,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			table := New(listen(t), 9)
-			table.Head = time.Minute
+			table.HeaderTimeout = time.Minute
 			c, far := pair(t, table)
 			c.now(inUse)
 			c.now(unused) // as after an answer
--- a/internal/connlimit/crossing_test.go
+++ b/internal/connlimit/crossing_test.go
@@ -14,15 +14,15 @@
 // ends the connection's next read must not pass for a client that has left.
 func TestPlaceNeededAsARequestBegins(t *testing.T) {
 	l := New(listen(t), 1)
-	l.Head = time.Minute
+	l.HeaderTimeout = time.Minute
 	began, goOn := make(chan struct{}), make(chan struct{})
-	srv := &http.Server{ConnState: State, ConnContext: Context, Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	srv := &http.Server{ConnState: ConnState, ConnContext: ConnContext, Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		ctx, gone := context.WithCancel(r.Context())
 		defer gone()
 		close(began) // net/http looks for a client that leaves by now
 		<-goOn
-		Hold(ctx, "r")
-		if Watch(ctx, gone) {
+		BeginRequest(ctx, "r")
+		if OnDisconnect(ctx, gone) {
 			t.Error("its client passes for one that has left")
 		}
 		select {
@@ -66,8 +66,8 @@
 // whole then, and is answered.
 func TestLimitAsABodyEnds(t *testing.T) {
 	l := New(listen(t), 1)
-	l.Head = time.Minute
-	srv := &http.Server{ConnState: State, ConnContext: Context, Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	l.HeaderTimeout = time.Minute
+	srv := &http.Server{ConnState: ConnState, ConnContext: ConnContext, Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		control := http.NewResponseController(w)
 		control.SetReadDeadline(time.Now().Add(30 * time.Millisecond))
 		io.ReadAll(r.Body)                // net/http looks for a client that leaves from here on
@@ -75,8 +75,8 @@
 		control.SetReadDeadline(time.Time{})
 		ctx, gone := context.WithCancel(r.Context())
 		defer gone()
-		Hold(ctx, "r")
-		if Watch(ctx, gone) || ctx.Err() != nil {
+		BeginRequest(ctx, "r")
+		if OnDisconnect(ctx, gone) || ctx.Err() != nil {
 			t.Error("its client passes for one that has left")
 		}
 		io.WriteString(w, "answer")
@@ -116,9 +116,9 @@
 	late := &lateAccept{Listener: listen(t), inHand: make(chan struct{}), goOn: make(chan struct{})}
 	inHand := late.inHand
 	l := New(late, 2)
-	l.Head = time.Minute
-	srv := &http.Server{ConnState: State, ConnContext: Context, Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		Hold(r.Context(), "r")
+	l.HeaderTimeout = time.Minute
+	srv := &http.Server{ConnState: ConnState, ConnContext: ConnContext, Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		BeginRequest(r.Context(), "r")
 		w.Header().Set("Connection", "close")
 		io.WriteString(w, "answer")
 	})}
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -16,8 +16,8 @@
 	"ryeweir/internal/connlimit"
 )
 
-// Sockets is how many descriptors the server may hold: its listener and its connections.
-const Sockets = 1 + mostConns
+// MaxDescriptors is how many descriptors the server may hold: its listener and its connections.
+const MaxDescriptors = 1 + mostConns
 
 const (
 	mostConns   = 24
@@ -44,8 +44,8 @@
 		WriteTimeout:      callTimeout,
 		MaxHeaderBytes:    maxHead,
 		ErrorLog:          slog.NewLogLogger(log.Handler(), slog.LevelWarn),
-		ConnState:         connlimit.State,
-		ConnContext:       connlimit.Context,
+		ConnState:         connlimit.ConnState,
+		ConnContext:       connlimit.ConnContext,
 	}
 	srv.SetKeepAlivesEnabled(false) // one call a connection
 	stopped := context.AfterFunc(ctx, func() { srv.Close() })
--- a/internal/framing/framing.go
+++ b/internal/framing/framing.go
@@ -55,8 +55,8 @@
 
 type key struct{}
 
-// Context lets handlers find a watched connection below others that wrap it.
-func Context(ctx context.Context, c net.Conn) context.Context {
+// ConnContext lets handlers find a watched connection below others that wrap it.
+func ConnContext(ctx context.Context, c net.Conn) context.Context {
 	for {
 		switch inner := c.(type) {
 		case *Conn:
@@ -76,16 +76,16 @@
 	return ok && c.ambiguous.Load()
 }
 
-// Lost reports whether the watch could not follow the connection's messages any more: nothing behind the present one must be
+// Desynchronized reports whether the watch could not follow the connection's messages any more: nothing behind the present one must be
 // read from it.
-func Lost(ctx context.Context) bool {
+func Desynchronized(ctx context.Context) bool {
 	c, ok := ctx.Value(key{}).(*Conn)
 	return ok && c.lost.Load()
 }
 
-// Reset makes the close of the connection of a handler's request a reset, where its network knows that: a client of HTTP/1.0
+// ResetOnClose makes the close of the connection of a handler's request a reset, where its network knows that: a client of HTTP/1.0
 // can't tell otherwise that an answer broke off.
-func Reset(ctx context.Context) {
+func ResetOnClose(ctx context.Context) {
 	c, ok := ctx.Value(key{}).(*Conn)
 	if !ok {
 		return
--- a/internal/front/http/request.go
+++ b/internal/front/http/request.go
@@ -49,7 +49,7 @@
 
 // brokenBody is what a client is told of a body that could not be read.
 func brokenBody(err error) badRequest {
-	if errors.Is(err, httpmsg.ErrTooLong) {
+	if errors.Is(err, httpmsg.ErrBodyTooLarge) {
 		return badRequest{http.StatusRequestEntityTooLarge, err.Error()}
 	}
 	return errNotWhole
@@ -78,8 +78,8 @@
 	}
 	body, release := httpmsg.Body{}, func() {}
 	if r.ContentLength != 0 {
-		in := &httpmsg.Inflow{From: r.Body, Limit: http.NewResponseController(w).SetReadDeadline, Began: time.Now()}
-		if body, release, err = httpmsg.Receive(r, in, s.Budget); err != nil {
+		in := &httpmsg.Upload{Source: r.Body, SetReadDeadline: http.NewResponseController(w).SetReadDeadline, StartedAt: time.Now()}
+		if body, release, err = httpmsg.ReceiveBody(r, in, s.BodyBudget); err != nil {
 			return nil, nil, nil, brokenBody(err)
 		}
 	}
@@ -94,7 +94,7 @@
 		Timeout:          timeout - margin,
 		TimeoutSlack:     margin,
 		LatencyObjective: class.LatencyObjective,
-		BodyPending:      body.Rest != nil,
+		BodyPending:      body.Remainder != nil,
 		NonIdempotent:    class.Idempotency != logic.Idempotent,
 		Message:          m,
 	}
@@ -110,8 +110,8 @@
 	if framing.Ambiguous(r.Context()) {
 		return badRequest{http.StatusBadRequest, "a length beside a transfer encoding"}
 	}
-	if r.ContentLength > httpmsg.MaxBody {
-		return badRequest{http.StatusRequestEntityTooLarge, httpmsg.ErrTooLong.Error()}
+	if r.ContentLength > httpmsg.MaxBodyBytes {
+		return badRequest{http.StatusRequestEntityTooLarge, httpmsg.ErrBodyTooLarge.Error()}
 	}
 	if strings.ContainsFunc(r.Host, func(c rune) bool { return c <= ' ' || c == 0x7f }) {
 		return badRequest{http.StatusBadRequest, "malformed Host"}
--- a/internal/front/http/serve.go
+++ b/internal/front/http/serve.go
@@ -10,17 +10,17 @@
 	"time"
 
 	"ryeweir/internal/acceptretry"
-	"ryeweir/internal/bodybuffer"
 	"ryeweir/internal/connlimit"
 	"ryeweir/internal/event"
 	"ryeweir/internal/framing"
 	"ryeweir/internal/invariant"
+	"ryeweir/internal/socket"
 )
 
 const (
-	// DrainMost is how long past the longest deadline that counts a drain may last.
-	DrainMost = 50 * time.Millisecond
-	drainPoll = 5 * time.Millisecond
+	// DrainMargin is how long past the longest deadline that counts a drain may last.
+	DrainMargin = 50 * time.Millisecond
+	drainPoll   = 5 * time.Millisecond
 	// The platform waits no longer than for a deadline of this.
 	longestCounted = 3 * time.Second
 )
@@ -29,10 +29,10 @@
 // accepted on by the process before this one, too: this one begins when it has somebody to send to, and stops at once.
 func (s *Server) Serve(ctx context.Context, l net.Listener, inherited bool) error {
 	accepting := acceptretry.New(l, s.Log, s.Events)
-	clients := connlimit.New(framing.Listener{Listener: bodybuffer.Listener{Listener: accepting, Bytes: s.SocketBuffer}}, s.Most)
-	clients.Head, clients.Events, clients.Monitor = headerTimeout, s.Events, s.Monitor
+	clients := connlimit.New(framing.Listener{Listener: socket.Listener{Listener: accepting, BufferBytes: s.SocketBufferBytes}}, s.MaxConnections)
+	clients.HeaderTimeout, clients.Events, clients.Monitor = headerTimeout, s.Events, s.Monitor
 	defer clients.Close()
-	s.crowded = clients.Crowded
+	s.crowded = clients.NearLimit
 	srv := s.httpServer()
 	defer srv.Close()
 	if inherited { // what this process does not accept yet, the one before it does
@@ -69,16 +69,16 @@
 	for _, c := range s.Site.Logic.Classes {
 		longest = max(longest, c.Timeout)
 	}
-	drainFor, flowFor := s.AcceptFor+min(longest, longestCounted)+DrainMost, clientStall
-	if s.DrainFor > 0 {
-		drainFor, flowFor = max(s.AcceptFor, s.DrainFor), DrainMost
+	drainFor, flowFor := s.AcceptWindow+min(longest, longestCounted)+DrainMargin, clientStall
+	if s.DrainTimeout > 0 {
+		drainFor, flowFor = max(s.AcceptWindow, s.DrainTimeout), DrainMargin
 	}
 	limited, cancel := context.WithTimeout(ctx, drainFor)
 	defer cancel()
 	s.phase.end()
 	s.Events.Record(event.Event{Kind: event.PhaseChanged, Reason: event.Draining, Detail: "the signal to end has come"})
 	if !inherited { // else the process that follows accepts, and what this one took from it would come late
-		sleep(limited, s.AcceptFor)
+		sleep(limited, s.AcceptWindow)
 		acceptRest(limited, clients)
 	}
 	clients.Close()
@@ -90,10 +90,10 @@
 	s.Core.Shutdown()
 	flowing, cancel := context.WithTimeout(ctx, flowFor)
 	defer cancel()
-	for clients.Owing() > 0 && flowing.Err() == nil {
+	for clients.InFlight() > 0 && flowing.Err() == nil {
 		sleep(flowing, drainPoll)
 	}
-	s.Log.Info("drained", "open", clients.Len(), "owing", clients.Owing())
+	s.Log.Info("drained", "open", clients.Len(), "owing", clients.InFlight())
 	clients.Abort()
 }
 
--- a/internal/front/http/server.go
+++ b/internal/front/http/server.go
@@ -34,23 +34,23 @@
 	heldRetry      = time.Second // the come-back time when too much is open
 )
 
-// HeldPart is the part of the clients' connections that may hold a request; the rest can be told so at once.
-const HeldPart = 0.8
+// MaxInFlightFraction is the part of the clients' connections that may hold a request; the rest can be told so at once.
+const MaxInFlightFraction = 0.8
 
 // Config is what a Server works with.
 type Config struct {
-	Site         wire.Site
-	Core         *core.Core
-	Clock        core.Clock
-	Metrics      *metrics.Metrics
-	Budget       *bodybuffer.Budget // for the bodies of requests
-	Most         int                // connections from clients that there may be
-	AcceptFor    time.Duration      // new connections are accepted for so long after the signal to end
-	SocketBuffer int                // bytes of the kernel's buffer, each way and connection; 0: what it gives
-	DrainFor     time.Duration      // answers that still flow may take so long after it; 0: what the platform allows
-	Log          *slog.Logger
-	Events       *event.Recorder    // what happens to requests and clients' connections; nil for nobody
-	Monitor      *invariant.Monitor // counts broken rules; nil for nobody
+	Site              wire.Site
+	Core              *core.Core
+	Clock             core.Clock
+	Metrics           *metrics.Metrics
+	BodyBudget        *bodybuffer.Budget // for the bodies of requests
+	MaxConnections    int                // connections from clients that there may be
+	AcceptWindow      time.Duration      // new connections are accepted for so long after the signal to end
+	SocketBufferBytes int                // bytes of the kernel's buffer, each way and connection; 0: what it gives
+	DrainTimeout      time.Duration      // answers that still flow may take so long after it; 0: what the platform allows
+	Log               *slog.Logger
+	Events            *event.Recorder    // what happens to requests and clients' connections; nil for nobody
+	Monitor           *invariant.Monitor // counts broken rules; nil for nobody
 }
 
 // Server is the side that faces the clients.
@@ -65,7 +65,7 @@
 
 // New returns a server that serves nobody yet.
 func New(cfg Config) *Server {
-	s := &Server{Config: cfg, phase: newPhase(), mostHeld: int64(HeldPart * float64(cfg.Most)), crowded: func() bool { return false }}
+	s := &Server{Config: cfg, phase: newPhase(), mostHeld: int64(MaxInFlightFraction * float64(cfg.MaxConnections)), crowded: func() bool { return false }}
 	if cfg.Site.MostHeld > 0 {
 		s.mostHeld = min(s.mostHeld, int64(cfg.Site.MostHeld))
 	}
@@ -80,9 +80,9 @@
 		IdleTimeout:       clientIdle,
 		MaxHeaderBytes:    maxHeader,
 		ErrorLog:          slog.NewLogLogger(s.Log.Handler(), slog.LevelWarn),
-		ConnState:         connlimit.State,
+		ConnState:         connlimit.ConnState,
 		ConnContext: func(ctx context.Context, c net.Conn) context.Context {
-			return framing.Context(connlimit.Context(ctx, c), c)
+			return framing.ConnContext(connlimit.ConnContext(ctx, c), c)
 		},
 	}
 }
@@ -107,7 +107,7 @@
 			reason = event.Malformed
 		}
 		s.Events.Record(event.Event{Kind: event.RequestAnswered, Reason: reason, Request: first(r.Header, requestIDHeader),
-			Connection: connlimit.Number(r.Context()), Detail: err.Error()})
+			Connection: connlimit.ConnectionNumber(r.Context()), Detail: err.Error()})
 		turnAway(w, err)
 		return
 	}
@@ -118,7 +118,7 @@
 	took := func() time.Duration {
 		if taken.begin() {
 			s.Metrics.Taken()
-			s.Events.Record(event.Event{Kind: event.RequestRead, Request: c.ID, Connection: connlimit.Number(ctx)})
+			s.Events.Record(event.Event{Kind: event.RequestRead, Request: c.ID, Connection: connlimit.ConnectionNumber(ctx)})
 		}
 		return s.Clock.Now()
 	}
@@ -127,19 +127,19 @@
 			s.Metrics.Released()
 		}
 	}()
-	rest := m.Body.Rest
-	connlimit.Hold(ctx, c.ID)
+	rest := m.Body.Remainder
+	connlimit.BeginRequest(ctx, c.ID)
 	if rest == nil {
 		c.Deadline = took() + c.Timeout
-		if connlimit.Watch(ctx, left) {
+		if connlimit.OnDisconnect(ctx, left) {
 			release()
 			s.abandoned(ctx, c)
 			panic(http.ErrAbortHandler) // nobody waits, and nothing was sent on
 		}
 	} else {
-		rest.Ended = func() {
+		rest.OnComplete = func() {
 			s.Core.BodyReceived(c, took())
-			if connlimit.Watch(ctx, left) {
+			if connlimit.OnDisconnect(ctx, left) {
 				left()
 			}
 		}
@@ -185,16 +185,16 @@
 // abandoned records that a request ends without an answer, as nobody waits for one.
 func (s *Server) abandoned(ctx context.Context, c *core.Call) {
 	reason := event.ConnectionBad
-	if connlimit.ClientGone(ctx) {
+	if connlimit.ClientDisconnected(ctx) {
 		reason = event.ClientClosed
 	}
-	s.Events.Record(event.Event{Kind: event.RequestAbandoned, Reason: reason, Request: c.ID, Connection: connlimit.Number(ctx)})
+	s.Events.Record(event.Event{Kind: event.RequestAbandoned, Reason: reason, Request: c.ID, Connection: connlimit.ConnectionNumber(ctx)})
 }
 
 // answering records that the answer of a request has been decided on and is about to be written.
 func (s *Server) answering(ctx context.Context, c *core.Call, reason event.Reason) {
-	connlimit.Answered(ctx)
-	s.Events.Record(event.Event{Kind: event.RequestAnswered, Reason: reason, Request: c.ID, Connection: connlimit.Number(ctx)})
+	connlimit.BeginAnswer(ctx)
+	s.Events.Record(event.Event{Kind: event.RequestAnswered, Reason: reason, Request: c.ID, Connection: connlimit.ConnectionNumber(ctx)})
 }
 
 // pending counts a request that was taken, once: the last byte of a long body may come as its request ends, in a goroutine of
@@ -248,7 +248,7 @@
 // closing lets the answer about to be written close its connection, where the agent wants clients off or has many. Nothing is
 // read that the framing check has not followed.
 func (s *Server) closing(w http.ResponseWriter, r *http.Request) {
-	if s.phase.leaving() || s.crowded() || framing.Lost(r.Context()) {
+	if s.phase.leaving() || s.crowded() || framing.Desynchronized(r.Context()) {
 		w.Header().Set("Connection", "close")
 	}
 }
@@ -262,7 +262,7 @@
 		s.pass(w, r, c, a.Content.(*httpmsg.Content))
 		return
 	}
-	rest := c.Message.(*httpmsg.Message).Body.Rest
+	rest := c.Message.(*httpmsg.Message).Body.Remainder
 	if rest != nil {
 		rest.Stop() // an attempt may wait for more of it
 		rest.Close()
@@ -301,9 +301,9 @@
 // pass passes on what a backend made, as it comes. What breaks off must not look whole: the connection is cut.
 func (s *Server) pass(w http.ResponseWriter, r *http.Request, c *core.Call, from *httpmsg.Content) {
 	defer from.Pipe.Close()
-	rest := c.Message.(*httpmsg.Message).Body.Rest
-	early := rest != nil && !rest.Whole() // the server did not wait for all of it
-	held, whole := from.Pipe.Whole()
+	rest := c.Message.(*httpmsg.Message).Body.Remainder
+	early := rest != nil && !rest.Complete() // the server did not wait for all of it
+	held, whole := from.Pipe.Complete()
 	if whole {
 		from.Length = int64(held)
 	} else if !early { // a client that leaves ends the wait for more
@@ -315,8 +315,8 @@
 		h.Set("Content-Length", strconv.FormatInt(from.Length, 10))
 	}
 	h["Content-Type"] = nil // do not guess
-	if from.Kind != "" {
-		h.Set("Content-Type", from.Kind)
+	if from.ContentType != "" {
+		h.Set("Content-Type", from.ContentType)
 	}
 	if early {
 		h.Set("Connection", "close")
@@ -332,10 +332,10 @@
 	if err != nil {
 		s.Metrics.Answered(c.Class, metrics.Failed)
 		s.Events.Record(event.Event{Kind: event.RequestAbandoned, Reason: event.BrokenAnswer, Request: c.ID,
-			Connection: connlimit.Number(r.Context()), Detail: err.Error()})
-		connlimit.Break(r.Context())
+			Connection: connlimit.ConnectionNumber(r.Context()), Detail: err.Error()})
+		connlimit.AnswerAborted(r.Context())
 		if !r.ProtoAtLeast(1, 1) { // to which a plain close would be the end of the answer
-			framing.Reset(r.Context())
+			framing.ResetOnClose(r.Context())
 		}
 		panic(http.ErrAbortHandler)
 	}
--- a/internal/front/http/server_test.go
+++ b/internal/front/http/server_test.go
@@ -26,7 +26,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := New(Config{Site: cfg.Site, Clock: core.NewClock(), Metrics: metrics.New(make([]string, 3)), Budget: bodybuffer.NewBudget(1 << 20), Most: 10,
+	s := New(Config{Site: cfg.Site, Clock: core.NewClock(), Metrics: metrics.New(make([]string, 3)), BodyBudget: bodybuffer.NewBudget(1 << 20), MaxConnections: 10,
 		Log: slog.New(slog.DiscardHandler)})
 	r := httptest.NewRequestWithContext(context.Background(), method, path, strings.NewReader(body))
 	for name, value := range map[string]string{"X-Request-ID": "9b1f03aa5c7e2d41", "X-Tenant-Id": "glasgow-airport", "X-Timeout": "2000m", "Idempotency-Key": "k"} {
@@ -110,8 +110,8 @@
 
 // What is idle goes, with a sweep, well before the 4 s after which it breaks a rule.
 func TestDrainTimes(t *testing.T) {
-	if headerTimeout >= 3*time.Second || httpmsg.Stall >= 3*time.Second {
-		t.Errorf("a head may take %v, a pause in a body %v, where an answer is owed in 3 s", headerTimeout, httpmsg.Stall)
+	if headerTimeout >= 3*time.Second || httpmsg.UploadStallTimeout >= 3*time.Second {
+		t.Errorf("a head may take %v, a pause in a body %v, where an answer is owed in 3 s", headerTimeout, httpmsg.UploadStallTimeout)
 	}
 	if drainIdle+drainSweep > 2*time.Second {
 		t.Errorf("idle for %v", drainIdle+drainSweep)
@@ -190,7 +190,7 @@
 		s.ServeHTTP(w, r)
 		stop()
 		<-ended
-		if left := s.Budget.Take(2 << 20); w.Code != http.StatusServiceUnavailable || left != 1<<20 {
+		if left := s.BodyBudget.Reserve(2 << 20); w.Code != http.StatusServiceUnavailable || left != 1<<20 {
 			t.Errorf("too much open %v: %d, and room for %d is left", tooMuch, w.Code, left)
 		}
 	}
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -20,7 +20,7 @@
 // socket stays open elsewhere, so that connections which this process does not accept are accepted by another.
 func Listen(getenv func(string) string, addr string) (l net.Listener, inherited bool, err error) {
 	if !Inherits(getenv) {
-		if l, err = ListenPatiently(addr); err != nil {
+		if l, err = ListenWithRetry(addr); err != nil {
 			return nil, false, fmt.Errorf("listening for clients: %w", err)
 		}
 		return l, false, nil
@@ -44,9 +44,9 @@
 	listenEvery = 50 * time.Millisecond
 )
 
-// ListenPatiently binds an address. A system call that fails, as for lack of descriptors or memory or while another process still
+// ListenWithRetry binds an address. A system call that fails, as for lack of descriptors or memory or while another process still
 // holds the address, is made again for some seconds.
-func ListenPatiently(addr string) (net.Listener, error) {
+func ListenWithRetry(addr string) (net.Listener, error) {
 	for end := time.Now().Add(listenFor); ; time.Sleep(listenEvery) {
 		l, err := net.Listen("tcp", addr)
 		if err == nil {
--- a/internal/httpmsg/body_test.go
+++ b/internal/httpmsg/body_test.go
@@ -12,11 +12,11 @@
 func TestStopAfterTheEnd(t *testing.T) {
 	for _, whole := range []bool{true, false} {
 		var limits []time.Time
-		in := &Inflow{From: strings.NewReader("body"), Began: time.Now(), Limit: func(t time.Time) error {
+		in := &Upload{Source: strings.NewReader("body"), StartedAt: time.Now(), SetReadDeadline: func(t time.Time) error {
 			limits = append(limits, t)
 			return nil
 		}}
-		r := &Rest{From: in, Ended: func() {}}
+		r := &Remainder{Upload: in, OnComplete: func() {}}
 		if whole {
 			if _, err := io.Copy(io.Discard, r); err != nil {
 				t.Fatal(err)
--- a/internal/httpmsg/message.go
+++ b/internal/httpmsg/message.go
@@ -10,12 +10,12 @@
 
 // Bounds of messages.
 const (
-	MaxBody     = 32 << 20 // bytes of the longest body
-	HeldBody    = 64 << 10 // bytes that are held of one; a body up to this is held whole, and can be sent again
-	SlowestBody = 8 << 10  // bytes a second, from when the head was read; slower ones are given up
+	MaxBodyBytes     = 32 << 20 // bytes of the longest body
+	MaxBufferedBytes = 64 << 10 // bytes that are held of one; a body up to this is held whole, and can be sent again
+	MinUploadRate    = 8 << 10  // bytes a second, from when the head was read; slower ones are given up
 
-	// LongestUpload is the time after which a body at the slowest pace has come.
-	LongestUpload = MaxBody/SlowestBody*time.Second + time.Minute
+	// MaxUploadDuration is the time after which a body at the slowest pace has come.
+	MaxUploadDuration = MaxBodyBytes/MinUploadRate*time.Second + time.Minute
 )
 
 // TimeoutHeader states how long the answer may take.
@@ -29,9 +29,9 @@
 
 // Content is what a server made for a request. It may still be coming in when it is passed on.
 type Content struct {
-	Pipe   *bodybuffer.Pipe
-	Length int64  // -1 when not known
-	Kind   string // its Content-Type; empty without one
+	Pipe        *bodybuffer.Pipe
+	Length      int64  // -1 when not known
+	ContentType string // its Content-Type; empty without one
 }
 
 // Discard gives it up.
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -12,9 +12,9 @@
 	"syscall"
 	"time"
 
-	"ryeweir/internal/bodybuffer"
 	"ryeweir/internal/core"
 	"ryeweir/internal/event"
+	"ryeweir/internal/socket"
 	"ryeweir/logic"
 )
 
@@ -326,7 +326,7 @@
 	defer cancel()
 	raw, err := p.cfg.Dial(ctx, "tcp", s.Node.Addr)
 	if err == nil {
-		if err = bodybuffer.SizeSocket(raw, p.cfg.Buffers); err != nil {
+		if err = socket.SetBufferSizes(raw, p.cfg.Buffers); err != nil {
 			raw.Close()
 		}
 	}
@@ -365,6 +365,6 @@
 	if q, ok := c.Conn.(interface{ Quiet() bool }); ok {
 		return q.Quiet()
 	}
-	_, err := bodybuffer.Peek(c.Conn)
+	_, err := socket.Peek(c.Conn)
 	return errors.Is(err, syscall.EAGAIN)
 }
--- a/internal/soak/backend.go
+++ b/internal/soak/backend.go
@@ -184,7 +184,7 @@
 	a.Request, a.Class = r.Header.Get("X-Request-Id"), strings.Trim(r.URL.Path, "/")
 	a.Stated = statedTimeout(r.Header.Get(httpmsg.TimeoutHeader))
 	mode := b.draw()
-	if mode == EarlyAnswer && r.ContentLength > httpmsg.HeldBody {
+	if mode == EarlyAnswer && r.ContentLength > httpmsg.MaxBufferedBytes {
 		a.Did = mode
 		b.report(a)
 		io.WriteString(c, "HTTP/1.1 500 Early\r\nContent-Length: 0\r\nConnection: close\r\n\r\n")
--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -176,7 +176,7 @@
 		}
 	}
 	end := q.Ended
-	if flows := q.Bytes > httpmsg.HeldBody || !q.Whole; flows && q.Began > 0 {
+	if flows := q.Bytes > httpmsg.MaxBufferedBytes || !q.Whole; flows && q.Began > 0 {
 		end = q.Began // what has begun in time may go on for as long as its server gives it, and fail with it
 	}
 	late := end - stopped(life, q.Sent, end) - q.Sent - q.Timeout
--- a/internal/bodybuffer/socket.go
+++ b/internal/socket/socket.go
@@ -1,4 +1,6 @@
-package bodybuffer
+// Package socket reaches what net.Conn does not offer of a socket: a look at what waits to be read, and the sizes of the kernel's
+// buffers.
+package socket
 
 import (
 	"errors"
@@ -28,9 +30,9 @@
 	return n, errors.Join(err, peeked)
 }
 
-// SizeSocket asks the kernel for buffers of so many bytes each way, where the connection has some; 0 leaves them as they are.
+// SetBufferSizes asks the kernel for buffers of so many bytes each way, where the connection has some; 0 leaves them as they are.
 // What they hold is outside any Budget.
-func SizeSocket(c net.Conn, bytes int) error {
+func SetBufferSizes(c net.Conn, bytes int) error {
 	sized, ok := c.(interface {
 		SetReadBuffer(int) error
 		SetWriteBuffer(int) error
@@ -44,14 +46,14 @@
 // Listener is a listener whose connections have sized sockets.
 type Listener struct {
 	net.Listener
-	Bytes int // each way; 0: as the kernel has them
+	BufferBytes int // each way; 0: as the kernel has them
 }
 
 // Accept takes a connection. One whose socket can't be sized has gone already, and is left to fail at its first use.
 func (l Listener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err == nil {
-		SizeSocket(c, l.Bytes)
+		SetBufferSizes(c, l.BufferBytes)
 	}
 	return c, err
 }
--- a/internal/bodybuffer/socket_test.go
+++ b/internal/socket/socket_test.go
@@ -1,4 +1,4 @@
-package bodybuffer
+package socket
 
 import (
 	"errors"
@@ -30,17 +30,17 @@
 		err   error
 	}{{8192, nil}, {0, nil}, {8192, gone}} {
 		s := &sized{err: c.err}
-		if err := SizeSocket(s, c.bytes); !errors.Is(err, c.err) || s.read != c.bytes || s.write != c.bytes {
+		if err := SetBufferSizes(s, c.bytes); !errors.Is(err, c.err) || s.read != c.bytes || s.write != c.bytes {
 			t.Errorf("%d bytes: %d and %d, %v", c.bytes, s.read, s.write, err)
 		}
-		if got, err := (Listener{Listener: one{conn: s}, Bytes: c.bytes}).Accept(); got != s || err != nil {
+		if got, err := (Listener{Listener: one{conn: s}, BufferBytes: c.bytes}).Accept(); got != s || err != nil {
 			t.Errorf("accepted %v, %v", got, err)
 		}
 	}
 	a, b := net.Pipe() // which has no socket
 	defer a.Close()
 	defer b.Close()
-	if err := SizeSocket(a, 8192); err != nil {
+	if err := SetBufferSizes(a, 8192); err != nil {
 		t.Error(err)
 	}
 }
--- a/internal/upstream/http/exchange.go
+++ b/internal/upstream/http/exchange.go
@@ -24,9 +24,9 @@
 )
 
 const (
-	mostInterim   = 8                   // 1xx answers before the final one
-	maxHead       = 16 << 10            // of an answer, with interim ones
-	maxAnswer     = 4 * httpmsg.MaxBody // its body, however the chunks are cut
+	mostInterim   = 8                        // 1xx answers before the final one
+	maxHead       = 16 << 10                 // of an answer, with interim ones
+	maxAnswer     = 4 * httpmsg.MaxBodyBytes // its body, however the chunks are cut
 	startOfAnswer = "HTTP/1."
 
 	// An answer that stops half way is spoilt, and its connection stays open. One that is held is given up soon, since
@@ -126,14 +126,14 @@
 		return end
 	}
 	early, err := x.writeAll()
-	x.out.NotReplayable = x.message.Body.Spent()
+	x.out.NotReplayable = x.message.Body.Consumed()
 	if err != nil && !early {
 		x.out.Result = logic.ConnectFailed // the server begins a request when its last byte has come
-		if x.message.Body.Broken() != nil {
+		if x.message.Body.Err() != nil {
 			x.out.Result = logic.NotSent
 			return pool.GivenUp // the server did nothing wrong
 		}
-		if x.message.Body.Rest == nil && errors.Is(err, os.ErrDeadlineExceeded) && x.hasty() {
+		if x.message.Body.Remainder == nil && errors.Is(err, os.ErrDeadlineExceeded) && x.hasty() {
 			x.out.Result = logic.NotSent // the time was over before the server could take it
 			return pool.GivenUp
 		}
@@ -217,10 +217,10 @@
 		resp.Header.Get("X-Not-Processed") == "1" {
 		x.out.Result = logic.Rejected
 	}
-	n, err := io.Copy(io.Discard, io.LimitReader(resp.Body, httpmsg.HeldBody))
+	n, err := io.Copy(io.Discard, io.LimitReader(resp.Body, httpmsg.MaxBufferedBytes))
 	if err != nil {
 		x.out.Result = logic.Reset
-	} else if n == httpmsg.HeldBody { // more of it is not worth waiting for
+	} else if n == httpmsg.MaxBufferedBytes { // more of it is not worth waiting for
 		return pool.Over
 	}
 	return left(resp, err)
@@ -232,17 +232,17 @@
 // neither looks like an end.
 func (x *exchange) serve(ctx context.Context, resp *http.Response) pool.How {
 	length := resp.ContentLength
-	if length > httpmsg.MaxBody {
+	if length > httpmsg.MaxBodyBytes {
 		x.out.Result = logic.Reset
 		return pool.Broken
 	}
-	want := int64(httpmsg.HeldBody)
+	want := int64(httpmsg.MaxBufferedBytes)
 	if length >= 0 {
 		want = min(want, length)
 	}
 	pipe := bodybuffer.NewPipe(x.Budget, int(want))
 	x.out.Result = logic.OK
-	x.out.Content = &httpmsg.Content{Pipe: pipe, Length: length, Kind: resp.Header.Get("Content-Type")}
+	x.out.Content = &httpmsg.Content{Pipe: pipe, Length: length, ContentType: resp.Header.Get("Content-Type")}
 	var flowing whileOpen // it must not begin once the exchange is over: by then the connection may be another's
 	begin := func() {
 		if x.told.CompareAndSwap(false, true) {
@@ -254,7 +254,7 @@
 	flow := func() {
 		flowing.do(func() {
 			x.flows.Store(true)
-			if held, _ := pipe.Whole(); held > 0 {
+			if held, _ := pipe.Complete(); held > 0 {
 				begin()
 			}
 		})
@@ -271,13 +271,13 @@
 		stop := context.AfterFunc(ctx, pipe.Close) // at the end nobody reads it any more
 		defer stop()
 	}
-	if length > httpmsg.HeldBody {
+	if length > httpmsg.MaxBufferedBytes {
 		flow()
 	} else if len(resp.TransferEncoding) > 0 {
 		timer := time.AfterFunc(flowAfter, flow)
 		defer timer.Stop()
 	}
-	err := pipe.Fill(io.LimitReader(resp.Body, httpmsg.MaxBody+1), flow, added)
+	err := pipe.Fill(io.LimitReader(resp.Body, httpmsg.MaxBodyBytes+1), flow, added)
 	if err != nil && x.told.CompareAndSwap(false, true) {
 		pipe.Close()
 		x.out.Result, x.out.Content = x.broken(fmt.Errorf("%w: %w", errSpoilt, err)), nil
@@ -344,7 +344,7 @@
 // writeAll writes the request. While a long body is on its way it watches for an answer that does not wait for the rest: early
 // says that one has begun to come.
 func (x *exchange) writeAll() (early bool, err error) {
-	if x.message.Body.Rest == nil {
+	if x.message.Body.Remainder == nil {
 		return false, x.write(nil)
 	}
 	var written, answered atomic.Bool
@@ -353,7 +353,7 @@
 		defer close(watched)
 		if _, err := x.state.reader.Peek(1); err == nil && !written.Load() {
 			answered.Store(true)
-			x.message.Body.Rest.Stop()
+			x.message.Body.Remainder.Stop()
 			x.conn.SetWriteDeadline(time.Now())
 		}
 	}()
@@ -380,8 +380,8 @@
 	text = append(text, httpmsg.TimeoutHeader+": "...)
 	text = strconv.AppendInt(text, left.Microseconds(), 10)
 	text = append(text, "u\r\n\r\n"...)
-	if m.Body.Rest == nil {
-		text = append(text, m.Body.Held...)
+	if m.Body.Remainder == nil {
+		text = append(text, m.Body.Buffered...)
 		if cap(text) <= keptText {
 			x.state.text = text
 		}
--- a/internal/upstream/http/exchange_test.go
+++ b/internal/upstream/http/exchange_test.go
@@ -90,7 +90,7 @@
 func (f *fixture) attemptOn(server string, within, writeIn time.Duration) trial {
 	c := &core.Call{ID: "9b1f03aa5c7e2d41", Timeout: within, Message: &httpmsg.Message{
 		Head: []byte("POST /refund-record HTTP/1.1\r\nHost: origin.svc\r\nIdempotency-Key: k\r\nX-Request-Id: 9b1f03aa5c7e2d41\r\nContent-Length: 4\r\n"),
-		Body: httpmsg.Body{Held: []byte("body"), Length: 4}}}
+		Body: httpmsg.Body{Buffered: []byte("body"), Length: 4}}}
 	told := make(chan core.Outcome, 1)
 	now := f.Clock.Now()
 	a := core.NewAttempt(c, f.Bind(server), now+within, now+writeIn, func(o core.Outcome) { told <- o })
@@ -575,8 +575,8 @@
 	a.Call.BodyPending = true
 	a.Call.Message = &httpmsg.Message{
 		Head: []byte("POST /pay HTTP/1.1\r\nHost: origin.svc\r\nX-Request-Id: 9b1f03aa5c7e2d41\r\nContent-Length: 100000\r\n"),
-		Body: httpmsg.Body{Held: []byte("body"), Length: 100000, Rest: &httpmsg.Rest{Ended: func() {},
-			From: &httpmsg.Inflow{From: iotest.ErrReader(broke), Limit: func(time.Time) error { return nil }, Began: time.Now()}}}}
+		Body: httpmsg.Body{Buffered: []byte("body"), Length: 100000, Remainder: &httpmsg.Remainder{OnComplete: func() {},
+			Upload: &httpmsg.Upload{Source: iotest.ErrReader(broke), SetReadDeadline: func(time.Time) error { return nil }, StartedAt: time.Now()}}}}
 	go f.Execute(t.Context(), a.Attempt)
 	select {
 	case out := <-a.told:
