--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -178,7 +178,7 @@
 		}
 	}
 	end := q.EndedAt
-	if flows := q.BodyBytes > httpmsg.HeldBody || !q.Complete; flows && q.AnswerStartedAt > 0 {
+	if flows := q.BodyBytes > httpmsg.MaxBufferedBytes || !q.Complete; flows && q.AnswerStartedAt > 0 {
 		end = q.AnswerStartedAt // what has begun in time may go on for as long as its server gives it, and fail with it
 	}
 	late := end - stopped(life, q.SentAt, end) - q.SentAt - q.Timeout
