--- a/internal/testkit/testkit.go
+++ b/internal/testkit/testkit.go
@@ -217,6 +217,7 @@
 	return d.wholes, d.watches
 }
 
+// ServeHTTP implements http.Handler.
 func (d *Discovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	since, err := strconv.Atoi(r.URL.Query().Get("since"))
 	d.mu.Lock()
@@ -254,6 +255,7 @@
 	buf bytes.Buffer
 }
 
+// Write implements io.Writer.
 func (b *LockedBuffer) Write(p []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
