--- a/cmd/ryeweir/check.go
+++ b/cmd/ryeweir/check.go
@@ -21,10 +21,10 @@
 			"with file, line and key, and the exit code is 1.",
 		Example: "  ryeweir check /run/balancer/config.json",
 		Args:    cobra.ExactArgs(1),
-		RunE: func(c *cobra.Command, args []string) error {
-			if err := check(c.OutOrStdout(), args[0]); err != nil {
-				fmt.Fprintln(c.OutOrStdout(), err)
-				return errSaid
+		RunE: func(command *cobra.Command, args []string) error {
+			if err := check(command.OutOrStdout(), args[0]); err != nil {
+				fmt.Fprintln(command.OutOrStdout(), err)
+				return errReported
 			}
 			return nil
 		},
--- a/cmd/ryeweir/demo.go
+++ b/cmd/ryeweir/demo.go
@@ -24,7 +24,7 @@
 	var seconds int
 	var seed uint64
 	var file string
-	c := &cobra.Command{
+	command := &cobra.Command{
 		Use:   "demo",
 		Short: "Run a world, two agents and callers in one go, and say whether the rules held",
 		Long: "Ten order nodes of two kinds in three zones, discovery, two agents and about 290 requests a second, all on free\n" +
@@ -32,19 +32,19 @@
 			"exit code is 1 if a rule broke.",
 		Example: "  ryeweir demo --seconds 20 --json figures.json",
 		Args:    cobra.NoArgs,
-		RunE: func(c *cobra.Command, _ []string) error {
+		RunE: func(command *cobra.Command, _ []string) error {
 			if seconds < 3 || seconds > 600 {
 				return usage(fmt.Errorf("--seconds must be from 3 to 600, not %d", seconds))
 			}
-			ctx, stop := interruptible(c.Context())
+			ctx, stop := interruptible(command.Context())
 			defer stop()
-			return demo(ctx, c.OutOrStdout(), time.Duration(seconds)*time.Second, seed, file)
+			return demo(ctx, command.OutOrStdout(), time.Duration(seconds)*time.Second, seed, file)
 		},
 	}
-	c.Flags().IntVar(&seconds, "seconds", 20, "how long callers send")
-	c.Flags().Uint64Var(&seed, "seed", 1, "what is drawn by chance follows from it")
-	c.Flags().StringVar(&file, "json", "", "write the figures to this file")
-	return c
+	command.Flags().IntVar(&seconds, "seconds", 20, "how long callers send")
+	command.Flags().Uint64Var(&seed, "seed", 1, "what is drawn by chance follows from it")
+	command.Flags().StringVar(&file, "json", "", "write the figures to this file")
+	return command
 }
 
 // interruptible is a context that Ctrl-C and SIGTERM end; a second Ctrl-C kills the program.
@@ -77,14 +77,14 @@
 	}
 	printOutcome(out, o)
 	if !o.Account.Held() {
-		return errSaid
+		return errReported
 	}
 	return nil
 }
 
 // writeJSON writes a value to a file, whole or not at all.
-func writeJSON(file string, v any) error {
-	text, err := json.MarshalIndent(v, "", " ")
+func writeJSON(file string, value any) error {
+	text, err := json.MarshalIndent(value, "", " ")
 	if err != nil {
 		return fmt.Errorf("figures: %w", err)
 	}
@@ -96,33 +96,33 @@
 }
 
 // printFigures prints how requests ended, the service and the latencies of each class.
-func printFigures(out io.Writer, o experiment.Outcome) {
-	a := o.Account
+func printFigures(out io.Writer, outcome experiment.Outcome) {
+	a := outcome.Account
 	fmt.Fprintf(out, "requests %d  completed %d  rejected %d  failed %d  unanswered %d\n", a.Requests, a.Completed, a.Rejected, a.Failed, a.Unanswered)
-	fmt.Fprintf(out, "service %.3f  worst 10 s %.3f\n", o.Whole, o.WorstWindow)
-	for _, name := range slices.Sorted(maps.Keys(o.Latency)) {
-		p := o.Latency[name]
+	fmt.Fprintf(out, "service %.3f  worst 10 s %.3f\n", outcome.Whole, outcome.WorstWindow)
+	for _, name := range slices.Sorted(maps.Keys(outcome.Latency)) {
+		p := outcome.Latency[name]
 		fmt.Fprintf(out, "%-14s p50 %.1f ms  p90 %.1f ms  p99 %.1f ms  p99.9 %.1f ms  (%d served)\n", name, p.P50, p.P90, p.P99, p.P999, p.Count)
 	}
 }
 
 // printOutcome prints the account and the verdict.
-func printOutcome(out io.Writer, o experiment.Outcome) {
-	a := o.Account
+func printOutcome(out io.Writer, outcome experiment.Outcome) {
+	a := outcome.Account
 	fmt.Fprintln(out)
-	printFigures(out, o)
-	fmt.Fprintf(out, "attempts per request %.3f  wasted work %.1f%%  agents' CPU %.0f us a request\n", o.Attempts, 100*o.Waste, o.CPU)
+	printFigures(out, outcome)
+	fmt.Fprintf(out, "attempts per request %.3f  wasted work %.1f%%  agents' CPU %.0f us a request\n", outcome.Attempts, 100*outcome.Waste, outcome.CPU)
 	fmt.Fprintf(out, "lost %d  duplicates %d  after_drain %d  toppled %d\n", a.Lost, a.Duplicates, a.AfterDrain, a.Toppled)
-	if r := o.Rude; r.Clients > 0 {
+	if r := outcome.Rude; r.Clients > 0 {
 		fmt.Fprintf(out, "rude clients %d, of which %d were served and %d got neither an error nor a close\n", r.Clients, r.Served, r.Ignored)
 	}
-	for _, b := range o.Breaches {
+	for _, b := range outcome.Breaches {
 		fmt.Fprintln(out, "BROKEN:", b)
 	}
-	if o.Lag > 50 {
-		fmt.Fprintf(out, "note: this machine was busy; a request was sent %.0f ms after its time\n", o.Lag)
+	if outcome.Lag > 50 {
+		fmt.Fprintf(out, "note: this machine was busy; a request was sent %.0f ms after its time\n", outcome.Lag)
 	}
-	if o.Interrupted {
+	if outcome.Interrupted {
 		fmt.Fprintln(out, "interrupted: the account so far")
 	}
 	if a.Held() {
@@ -147,9 +147,9 @@
 }
 
 // show draws a look.
-func (s *screen) show(l experiment.Live) {
-	a := l.Account
-	calls := l.Calls
+func (s *screen) show(live experiment.Live) {
+	a := live.Account
+	calls := live.Calls
 	latencies := referee.Latencies(calls, -1)
 	at := func(q float64) float64 {
 		if len(latencies) == 0 {
@@ -157,15 +157,15 @@
 		}
 		return float64(latencies[int(q*float64(len(latencies)-1))].Microseconds()) / 1e3
 	}
-	line := fmt.Sprintf("%4.0fs  %4d/s  served %4d  refused %3d  failed %3d  p50 %6.1f ms  p99 %7.1f ms", l.At.Seconds(), a.Requests-s.last.Requests,
+	line := fmt.Sprintf("%4.0fs  %4d/s  served %4d  refused %3d  failed %3d  p50 %6.1f ms  p99 %7.1f ms", live.At.Seconds(), a.Requests-s.last.Requests,
 		a.Completed-s.last.Completed, a.Rejected-s.last.Rejected, a.Failed+a.Unanswered-s.last.Failed-s.last.Unanswered, at(0.5), at(0.99))
 	s.last = a
 	var news []string
-	for _, m := range l.Marks[min(s.marks, len(l.Marks)):] {
+	for _, m := range live.Marks[min(s.marks, len(live.Marks)):] {
 		news = append(news, fmt.Sprintf("%s: %s for %.0f s", m.Node, m.Text, (m.To-m.At).Seconds()))
 	}
 	if !s.live {
-		s.marks = len(l.Marks)
+		s.marks = len(live.Marks)
 		if len(news) > 0 {
 			line += "  <- " + strings.Join(news, ", ")
 		}
@@ -178,7 +178,7 @@
 	}
 	b.WriteString(line + "\n")
 	s.lines = 1
-	for _, n := range l.States {
+	for _, n := range live.States {
 		state := ""
 		switch {
 		case !n.Up:
@@ -193,8 +193,8 @@
 		fmt.Fprintf(&b, "  %-10s %-12s %5.2f cores' worth  in hand %2d %s\n", n.ID, state, n.Capacity, n.InFlight, strings.Repeat("#", min(40, n.InFlight)))
 		s.lines++
 	}
-	for _, m := range l.Marks {
-		if l.At < m.To {
+	for _, m := range live.Marks {
+		if live.At < m.To {
 			fmt.Fprintf(&b, "  now: %s %s until %.0fs\n", m.Node, m.Text, m.To.Seconds())
 			s.lines++
 		}
--- /dev/null
+++ b/cmd/ryeweir/describe.go
@@ -0,0 +1,70 @@
+package main
+
+import (
+	"errors"
+	"fmt"
+	"strings"
+
+	"ryeweir/internal/config"
+	"ryeweir/internal/config/operator"
+	"ryeweir/internal/emulator"
+	"ryeweir/internal/experiment"
+)
+
+// describeTOML says what a TOML file of ours means, or what is wrong with it.
+func describeTOML(file string, data []byte) (string, error) {
+	kind, err := experiment.KindOf(file, data)
+	if err != nil {
+		return "", err
+	}
+	switch kind {
+	case "experiment":
+		var s experiment.Spec
+		if err := config.TOML(file, data, &s); err != nil {
+			return "", err
+		}
+		return fmt.Sprintf("experiment %s: %d days with %d arms, %d repeats", s.Name, len(s.Days), len(s.Arms), s.Repeats), nil
+	case "drill":
+		var s experiment.DrillSpec
+		if err := config.TOML(file, data, &s); err != nil {
+			return "", err
+		}
+		return describeDay("drill "+s.Name, &s.Day, s.Seed)
+	case "fleet":
+		s := experiment.DefaultFleet()
+		if err := config.TOML(file, data, &s); err != nil {
+			return "", err
+		}
+		return fmt.Sprintf("model %s: %d agents and %d servers with %d arms, %d repeats", s.Name, s.Agents, s.Servers, len(s.Arms), s.Repeats), nil
+	case "operator":
+		f, err := operator.Parse(file, data)
+		if err != nil {
+			return "", err
+		}
+		var text strings.Builder
+		f.Describe(&text)
+		return strings.TrimSuffix(text.String(), "\n"), nil
+	case "load":
+		var s experiment.LoadSpec
+		if err := config.TOML(file, data, &s); err != nil {
+			return "", err
+		}
+		return describeDay("load on "+fmt.Sprint(s.Targets), &s.Day, s.Seed)
+	case "world":
+		var s experiment.WorldSpec
+		if err := config.TOML(file, data, &s); err != nil {
+			return "", err
+		}
+		return describeDay("world", &s.Day, s.Seed)
+	}
+	return "", &config.Error{File: file, Err: errors.New("is neither an experiment, a model of a fleet, an operators' file, a world, load nor a deployment")}
+}
+
+func describeDay(what string, spec *emulator.DaySpec, seed uint64) (string, error) {
+	day, err := spec.Draw(seed)
+	if err != nil {
+		return "", err
+	}
+	return fmt.Sprintf("%s: day %s of %v, %d nodes, %d agents, %.0f requests a second, clients retry %d times, %d troubles", what, spec.Name,
+		day.Length, len(day.Nodes), len(day.Agents), day.Rate, day.Habits.Retries, len(day.Troubles)), nil
+}
--- a/cmd/ryeweir/drill.go
+++ b/cmd/ryeweir/drill.go
@@ -14,7 +14,7 @@
 	var long bool
 	var plays int
 	var file string
-	c := &cobra.Command{
+	command := &cobra.Command{
 		Use:   "lab FILE",
 		Short: "Drill a fleet of real agent processes with faults of and between them; figures and a verdict",
 		Long: "Starts the agents of FILE's day as processes, with stand-in order nodes and discovery, and does to them what the day\n" +
@@ -22,12 +22,12 @@
 			"figures and what was expected and did not come; then the exit code is 1. deploy/drills has some to begin with.",
 		Example: "  ryeweir lab deploy/drills/talk.toml",
 		Args:    cobra.ExactArgs(1),
-		RunE: func(c *cobra.Command, args []string) error {
+		RunE: func(command *cobra.Command, args []string) error {
 			self, err := os.Executable()
 			if err != nil {
 				return fmt.Errorf("where this program is: %w", err)
 			}
-			ctx, stop := interruptible(c.Context())
+			ctx, stop := interruptible(command.Context())
 			defer stop()
 			for play := 1; ; play++ {
 				spec, d, err := experiment.Drill(ctx, args[0], self, long)
@@ -39,25 +39,25 @@
 						return err
 					}
 				}
-				printDrill(c.OutOrStdout(), spec, d)
+				printDrill(command.OutOrStdout(), spec, d)
 				switch {
 				case len(d.Wrong) == 0:
 					return nil
 				case d.Broken || play >= plays:
-					return errSaid
+					return errReported
 				}
 			}
 		},
 	}
-	c.Flags().IntVar(&plays, "plays", 1, "play it so many times at most until all is as expected; a broken rule ends it at once")
-	c.Flags().BoolVar(&long, "long", false, "play the long form")
-	c.Flags().StringVar(&file, "json", "", "write the last play's figures to this file")
-	return c
+	command.Flags().IntVar(&plays, "plays", 1, "play it so many times at most until all is as expected; a broken rule ends it at once")
+	command.Flags().BoolVar(&long, "long", false, "play the long form")
+	command.Flags().StringVar(&file, "json", "", "write the last play's figures to this file")
+	return command
 }
 
 // printDrill prints what came of a drill.
-func printDrill(out io.Writer, spec *experiment.DrillSpec, d experiment.Drilled) {
-	o := d.Outcome
+func printDrill(out io.Writer, spec *experiment.DrillSpec, drilled experiment.Drilled) {
+	o := drilled.Outcome
 	fmt.Fprintf(out, "%s: %s\n", spec.Name, spec.Question)
 	fmt.Fprintf(out, "%+v\nservice %.3f, attempts a request %.2f, chokes %d, probe work %.4f, cold peak %.2f", o.Account, o.Whole, o.Attempts, o.Chokes,
 		o.ProbeWork, o.ColdPeak)
@@ -74,10 +74,10 @@
 	}
 	fmt.Fprintf(out, "the rig waited %.3f ms for a processor (mean), callers were up to %.0f ms late\n", o.Starved, o.Lag)
 	printViews(out, o)
-	for _, w := range d.Wrong {
+	for _, w := range drilled.Wrong {
 		fmt.Fprintln(out, "not as expected:", w)
 	}
-	if len(d.Wrong) == 0 {
+	if len(drilled.Wrong) == 0 {
 		fmt.Fprintln(out, "as expected")
 	}
 }
--- a/cmd/ryeweir/fleet.go
+++ b/cmd/ryeweir/fleet.go
@@ -13,7 +13,7 @@
 
 func fleetCommand() *cobra.Command {
 	var file string
-	c := &cobra.Command{
+	command := &cobra.Command{
 		Use:   "fleet FILE",
 		Short: "Model the connections of many agents, with the real decisions on them",
 		Long: "Plays FILE's model with each of its arms, repeated with other seeds, and prints what the arms cost and lose: handshakes,\n" +
@@ -21,12 +21,12 @@
 			"server that starts anew. Intervals are 95% ones.",
 		Example: "  ryeweir fleet deploy/experiments/fleet-start.toml",
 		Args:    cobra.ExactArgs(1),
-		RunE: func(c *cobra.Command, args []string) error {
+		RunE: func(command *cobra.Command, args []string) error {
 			spec := experiment.DefaultFleet()
-			if err := readTOML(c, args[0], &spec); err != nil {
+			if err := readTOML(command, args[0], &spec); err != nil {
 				return err
 			}
-			figures, err := experiment.Fleet(&spec, c.OutOrStdout())
+			figures, err := experiment.Fleet(&spec, command.OutOrStdout())
 			if err != nil || file == "" {
 				return err
 			}
@@ -40,10 +40,10 @@
 			if err := os.WriteFile(file, append(text, '\n'), 0o644); err != nil {
 				return errors.Join(errors.New("figures not written"), err)
 			}
-			fmt.Fprintln(c.OutOrStdout(), "figures:", file)
+			fmt.Fprintln(command.OutOrStdout(), "figures:", file)
 			return nil
 		},
 	}
-	c.Flags().StringVar(&file, "json", "", "write the figures to this file, too")
-	return c
+	command.Flags().StringVar(&file, "json", "", "write the figures to this file, too")
+	return command
 }
--- a/cmd/ryeweir/main.go
+++ b/cmd/ryeweir/main.go
@@ -1,4 +1,5 @@
-// Command ryeweir is a client-side load balancer agent, and the tools to see it at work.
+// Command ryeweir is a client-side load balancer agent, and the tools to see it at work. Each subcommand has a file, which only parses,
+// checks and calls. Exit codes: 0 yes, 1 the answer is no (a rule broke, a check failed), 2 wrong use.
 package main
 
 import (
@@ -13,10 +14,11 @@
 	"github.com/spf13/cobra"
 )
 
-// Exit codes: 0 yes, 1 the answer is no, 2 wrong use.
+// Exit codes.
 const (
-	exitNo    = 1
-	exitUsage = 2
+	exitYes   = 0
+	exitNo    = 1 // the answer is no, or the command failed
+	exitUsage = 2 // wrong use
 )
 
 func main() { os.Exit(run(context.Background(), os.Args[1:], os.Stdout, os.Stderr)) }
@@ -29,9 +31,9 @@
 	root.SetErr(errs)
 	err := root.ExecuteContext(ctx)
 	if err == nil {
-		return 0
+		return exitYes
 	}
-	if !errors.Is(err, errSaid) {
+	if !errors.Is(err, errReported) {
 		fmt.Fprintln(errs, "ryeweir:", err)
 	}
 	if errors.Is(err, errUsage) {
@@ -42,13 +44,14 @@
 
 var (
 	errUsage = errors.New("wrong use")
-	// errSaid is a no that has been said in full on the output.
-	errSaid = errors.New("the answer is no")
+	// errReported is a no whose reason has been printed in full.
+	errReported = errors.New("the answer is no")
 )
 
 // usage marks an error as wrong use.
 func usage(err error) error { return fmt.Errorf("%w (%w; see --help)", err, errUsage) }
 
+// newRoot builds the command line.
 func newRoot() *cobra.Command {
 	root := &cobra.Command{
 		Use:   "ryeweir",
@@ -65,29 +68,36 @@
 		"least level that is logged: debug (each step of each request), info, warn or error; also "+levelVariable)
 	root.AddCommand(agentCommand(&log), versionCommand(), checkCommand(), demoCommand(), worldCommand(), loadCommand(),
 		experimentCommand(), labCommand(), fleetCommand(), proxyCommand(), soakCommand(), soakAgentCommand(&log), soakBackendCommand())
-	for _, c := range root.Commands() {
-		if args := c.Args; args != nil {
-			c.Args = func(c *cobra.Command, given []string) error {
-				if err := args(c, given); err != nil {
-					return usage(err)
-				}
-				return nil
-			}
-		}
+	for _, command := range root.Commands() {
+		command.Args = argumentsAsUsage(command.Args)
 	}
 	root.Args = cobra.ArbitraryArgs
-	root.RunE = func(c *cobra.Command, args []string) error {
+	root.RunE = func(command *cobra.Command, args []string) error {
 		if len(args) > 0 {
 			return usage(fmt.Errorf("no command %q", args[0]))
 		}
-		return c.Help()
+		return command.Help()
 	}
 	return root
 }
 
-// levelVariable is the environment's word on the least level that is logged. The flag goes before it.
+// argumentsAsUsage makes an error of a command's arguments one of wrong use.
+func argumentsAsUsage(check cobra.PositionalArgs) cobra.PositionalArgs {
+	if check == nil {
+		return nil
+	}
+	return func(command *cobra.Command, args []string) error {
+		if err := check(command, args); err != nil {
+			return usage(err)
+		}
+		return nil
+	}
+}
+
+// levelVariable is the environment variable for the least level that is logged. The flag takes precedence.
 const levelVariable = "RYEWEIR_LOG_LEVEL"
 
+// defaultLevel is the least level that is logged where no flag says one.
 func defaultLevel() string {
 	if level := os.Getenv(levelVariable); level != "" {
 		return level
@@ -95,7 +105,7 @@
 	return "info"
 }
 
-// logging is what the flags say of the log.
+// logging holds the flags of the log.
 type logging struct{ format, level string }
 
 // logger returns the log on w.
--- a/cmd/ryeweir/soak.go
+++ b/cmd/ryeweir/soak.go
@@ -38,8 +38,8 @@
 			"the same plan again. Exits with 1 where a rule was broken; logs and the account stay in the folder then.",
 		Example: "  ryeweir soak --seed 7 --plays 20\n  ryeweir soak --seed 7 --kinds agent-term,server-drain",
 		Args:    cobra.NoArgs,
-		RunE: func(c *cobra.Command, _ []string) error {
-			return runSoak(c.Context(), f, c.OutOrStdout())
+		RunE: func(command *cobra.Command, _ []string) error {
+			return runSoak(command.Context(), f, command.OutOrStdout())
 		},
 	}
 	cmd.Flags().Uint64Var(&f.seed, "seed", 1, "of the first play; the next ones count up")
@@ -53,26 +53,26 @@
 	return cmd
 }
 
-func runSoak(ctx context.Context, f soakFlags, out io.Writer) error {
+func runSoak(ctx context.Context, flags soakFlags, out io.Writer) error {
 	program, err := os.Executable()
 	if err != nil {
 		return err
 	}
 	var only soak.FaultKinds
-	for _, kind := range f.kinds {
+	for _, kind := range flags.kinds {
 		only = append(only, soak.FaultKind(kind))
 	}
 	began, broken := time.Now(), 0
-	for n := range f.plays {
-		if f.until > 0 && time.Since(began) > f.until {
+	for n := range flags.plays {
+		if flags.until > 0 && time.Since(began) > flags.until {
 			break
 		}
-		plan := soak.Draw(f.seed+uint64(n), f.length, only)
-		if f.plan {
+		plan := soak.Draw(flags.seed+uint64(n), flags.length, only)
+		if flags.plan {
 			fmt.Fprint(out, plan.Describe())
 			continue
 		}
-		held, err := soakOnce(ctx, plan, program, f, out)
+		held, err := soakOnce(ctx, plan, program, flags, out)
 		if err != nil {
 			return err
 		}
@@ -82,7 +82,7 @@
 	}
 	if broken > 0 {
 		fmt.Fprintf(out, "rules broken in %d plays\n", broken)
-		return errSaid
+		return errReported
 	}
 	return nil
 }
@@ -91,26 +91,26 @@
 const mostShown = 4
 
 // soakOnce plays one plan, and reports whether the rules held.
-func soakOnce(ctx context.Context, plan *soak.Plan, program string, f soakFlags, out io.Writer) (bool, error) {
-	dir := f.dir
+func soakOnce(ctx context.Context, plan *soak.Plan, program string, flags soakFlags, out io.Writer) (bool, error) {
+	dir := flags.dir
 	var err error
 	if dir == "" {
 		if dir, err = os.MkdirTemp("", "ryeweir-soak-"); err != nil {
 			return false, err
 		}
-	} else if dir = filepath.Join(f.dir, fmt.Sprint(plan.Seed)); true {
+	} else if dir = filepath.Join(flags.dir, fmt.Sprint(plan.Seed)); true {
 		if err = os.MkdirAll(dir, 0o700); err != nil {
 			return false, err
 		}
 	}
-	r, err := soak.Run(ctx, plan, soak.Options{Program: program, Dir: dir, PlantedFaults: f.plant, Out: out})
+	r, err := soak.Run(ctx, plan, soak.Options{Program: program, Dir: dir, PlantedFaults: flags.plant, Out: out})
 	if err != nil {
 		return false, err
 	}
 	fmt.Fprintf(out, "seed %d: %d processes, %d requests, %d answered, %d served, %d attempts, %d troubles, latest by %v, %d MB at most, %d violations\n", plan.Seed,
 		r.Processes, r.Requests, r.Answered, r.Served, r.Attempts, len(plan.Faults), r.Lag.Round(time.Millisecond), r.MostRSS>>20, len(r.Violations))
 	if len(r.Violations) == 0 {
-		if f.dir == "" {
+		if flags.dir == "" {
 			err = os.RemoveAll(dir)
 		}
 		return true, err
@@ -137,7 +137,7 @@
 	var plant []string
 	var clock time.Duration
 	cmd := &cobra.Command{Use: "soak-agent", Hidden: true, Args: cobra.NoArgs, Short: "An agent of a soak",
-		RunE: func(c *cobra.Command, _ []string) error {
+		RunE: func(command *cobra.Command, _ []string) error {
 			machine := faultshim.New(seed)
 			if err := machine.Do("clock " + clock.String()); err != nil {
 				return usage(err)
@@ -147,8 +147,8 @@
 					return usage(err)
 				}
 			}
-			go machine.Follow(c.InOrStdin(), func(line string, err error) { fmt.Fprintln(c.ErrOrStderr(), "soak:", line, err) })
-			return runAgentOn(c.Context(), log, "", peerFlags{}, c.ErrOrStderr(), func(s *agent.Sockets) {
+			go machine.Follow(command.InOrStdin(), func(line string, err error) { fmt.Fprintln(command.ErrOrStderr(), "soak:", line, err) })
+			return runAgentOn(command.Context(), log, "", peerFlags{}, command.ErrOrStderr(), func(s *agent.Sockets) {
 				s.Clients = machine.Listen(s.Clients)
 				s.Dial = machine.Dial(host)
 				s.TimeOfDay = machine.Wall
@@ -168,13 +168,13 @@
 	var instance int
 	var seed uint64
 	cmd := &cobra.Command{Use: "soak-backend", Hidden: true, Args: cobra.NoArgs, Short: "A backend of a soak",
-		RunE: func(c *cobra.Command, _ []string) error {
+		RunE: func(command *cobra.Command, _ []string) error {
 			l, err := net.Listen("tcp", "127.0.0.4:0")
 			if err != nil {
 				return err
 			}
-			fmt.Fprintln(c.OutOrStdout(), l.Addr())
-			return soak.RunBackend(c.Context(), l, id, instance, seed, c.InOrStdin(), c.OutOrStdout())
+			fmt.Fprintln(command.OutOrStdout(), l.Addr())
+			return soak.RunBackend(command.Context(), l, id, instance, seed, command.InOrStdin(), command.OutOrStdout())
 		}}
 	cmd.Flags().StringVar(&id, "id", "", "its name in the list")
 	cmd.Flags().IntVar(&instance, "instance", 1, "which process of the backend this is")
--- /dev/null
+++ b/cmd/ryeweir/world.go
@@ -0,0 +1,91 @@
+package main
+
+import (
+	"context"
+	"fmt"
+	"os"
+	"path/filepath"
+	"time"
+
+	"github.com/spf13/cobra"
+
+	"ryeweir/internal/emulator"
+	"ryeweir/internal/experiment"
+	"ryeweir/internal/processrig"
+)
+
+func worldCommand() *cobra.Command {
+	return &cobra.Command{
+		Use:   "world FILE",
+		Short: "Run stand-in nodes and discovery on loopback ports until stopped",
+		Long: "Runs the order nodes and discovery of FILE's day and writes a configuration for each agent, so that an agent can be\n" +
+			"started by hand beside it. The day's troubles come at their times; Ctrl-C ends it.",
+		Example: "  ryeweir world deploy/experiments/world.toml",
+		Args:    cobra.ExactArgs(1),
+		RunE: func(command *cobra.Command, args []string) error {
+			var spec experiment.WorldSpec
+			if err := readTOML(command, args[0], &spec); err != nil {
+				return err
+			}
+			ctx, stop := interruptible(command.Context())
+			defer stop()
+			return runWorld(ctx, command, &spec)
+		},
+	}
+}
+
+func runWorld(ctx context.Context, command *cobra.Command, spec *experiment.WorldSpec) error {
+	day, err := spec.Day.Draw(spec.Seed)
+	if err != nil {
+		return err
+	}
+	dir := spec.Dir
+	if dir == "" {
+		if dir, err = os.MkdirTemp("", "ryeweir-world-"); err != nil {
+			return err
+		}
+		defer os.RemoveAll(dir)
+	} else if err := os.MkdirAll(dir, 0o755); err != nil {
+		return err
+	}
+	world, err := emulator.Start(context.WithoutCancel(ctx), day, &emulator.Loopback{}, false)
+	if err != nil {
+		return err
+	}
+	defer world.Close()
+	out := command.OutOrStdout()
+	for i, name := range day.Agents {
+		listen, control, err := processrig.TwoPorts("127.0.0.1", i)
+		if err != nil {
+			return err
+		}
+		known := world.Known(i)
+		text, err := day.AgentConfig(i, listen, control, world.Discovery(i), emulator.DefaultLimits(), &known)
+		if err != nil {
+			return err
+		}
+		file := filepath.Join(dir, name+".json")
+		if err := os.WriteFile(file, text, 0o600); err != nil {
+			return fmt.Errorf("the agent's configuration: %w", err)
+		}
+		fmt.Fprintf(out, "PROXY_CONFIG=%s ryeweir agent    # clients at %s, operators at %s\n", file, listen, control)
+	}
+	fmt.Fprintf(out, "%d nodes stand; the day's troubles begin now. Ctrl-C ends it.\n", len(day.Nodes))
+	world.Play()
+	tick := time.NewTicker(5 * time.Second)
+	defer tick.Stop()
+	for {
+		select {
+		case <-ctx.Done():
+			account := world.Referee.Account()
+			fmt.Fprintf(out, "%d attempts came to the nodes, %d were begun\n", account.Attempts, account.Effects)
+			return world.Err()
+		case <-tick.C:
+			line := fmt.Sprintf("%4.0fs", world.Now().Seconds())
+			for _, state := range world.States() {
+				line += fmt.Sprintf("  %s %d/%d", state.ID, state.InFlight, state.Figures.Served)
+			}
+			fmt.Fprintln(out, line)
+		}
+	}
+}
