--- a/cmd/ryeweir/agent.go
+++ b/cmd/ryeweir/agent.go
@@ -69,11 +69,11 @@
 }
 
 func runAgent(ctx context.Context, flags *logging, operators string, at peerFlags, errs io.Writer) error {
-	return runAgentOn(ctx, flags, operators, at, errs, func(*agent.Sockets) {})
+	return runAgentOn(ctx, flags, operators, at, errs, func(*agent.Environment) {})
 }
 
 // runAgentOn runs an agent whose machine may be changed before it starts.
-func runAgentOn(ctx context.Context, flags *logging, operators string, at peerFlags, errs io.Writer, change func(*agent.Sockets)) error {
+func runAgentOn(ctx context.Context, flags *logging, operators string, at peerFlags, errs io.Writer, change func(*agent.Environment)) error {
 	hangups := make(chan os.Signal, 1) // one that waits is enough: the file is read after it
 	signal.Notify(hangups, syscall.SIGHUP)
 	signal.Ignore(syscall.SIGPIPE) // of a log whose reader has died
@@ -106,9 +106,9 @@
 	ctx, stop := signal.NotifyContext(ctx, syscall.SIGTERM, os.Interrupt)
 	defer stop()
 	log = log.With("agent", cfg.Name)
-	reloads := agent.Reloads{Signals: hangups, Load: func() (platform.Config, error) { return platform.Reload(os.Getenv) }}
+	reloads := agent.ReloadConfig{Signals: hangups, LoadPlatform: func() (platform.Config, error) { return platform.Reload(os.Getenv) }}
 	if operators != "" {
-		reloads.Operator = func() (operator.File, error) {
+		reloads.LoadOperator = func() (operator.File, error) {
 			f, err := operator.Load(operators)
 			if err != nil {
 				return f, err
@@ -116,7 +116,7 @@
 			return f, at.apply(&f)
 		}
 	}
-	var sockets agent.Sockets
+	var sockets agent.Environment
 	if sockets.Clients, sockets.Inherited, err = handover.Listen(os.Getenv, cfg.Listen); err != nil {
 		return err
 	}
--- a/cmd/ryeweir/soak.go
+++ b/cmd/ryeweir/soak.go
@@ -148,7 +148,7 @@
 				}
 			}
 			go machine.Follow(c.InOrStdin(), func(line string, err error) { fmt.Fprintln(c.ErrOrStderr(), "soak:", line, err) })
-			return runAgentOn(c.Context(), log, "", peerFlags{}, c.ErrOrStderr(), func(s *agent.Sockets) {
+			return runAgentOn(c.Context(), log, "", peerFlags{}, c.ErrOrStderr(), func(s *agent.Environment) {
 				s.Clients = machine.Listen(s.Clients)
 				s.Dial = machine.Dial(host)
 				s.TimeOfDay = machine.Wall
--- a/internal/agent/accept_test.go
+++ b/internal/agent/accept_test.go
@@ -89,7 +89,7 @@
 		t.Fatal(err)
 	}
 	cfg.AcceptFor = 0
-	return launch(t, cfg, Sockets{Clients: l}, slog.DiscardHandler)
+	return launch(t, cfg, Environment{Clients: l}, slog.DiscardHandler)
 }
 
 // stalled is a listener that accepts nothing while it stalls, as in a process that was paused: what comes waits in the system's queue.
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -40,8 +40,8 @@
 	mostSockets       = 4096 // more are never needed, whatever the limit allows
 )
 
-// Sockets are the listening ones of an agent, and what else it is handed of its machine.
-type Sockets struct {
+// Environment are the listening ones of an agent, and what else it is handed of its machine.
+type Environment struct {
 	Clients   net.Listener
 	Inherited bool         // another process may accept what this one does not
 	Control   net.Listener // for operators; nil without an address for them
@@ -52,7 +52,7 @@
 }
 
 // Run serves until the context ends, then drains as the platform's restarts want it. It closes the sockets.
-func Run(ctx context.Context, cfg platform.Config, ops operator.File, reloads Reloads, sockets Sockets, log *slog.Logger) error {
+func Run(ctx context.Context, cfg platform.Config, ops operator.File, reloads ReloadConfig, sockets Environment, log *slog.Logger) error {
 	defer sockets.Clients.Close()
 	settings := cfg.Site.Logic
 	ops.Probes.Apply(&settings)
@@ -94,17 +94,17 @@
 		memory /= 2
 	}
 	bodies := bodybuffer.NewBudget(int64(memory))
-	figures.Add("events", func() any { return events })
-	figures.Add("invariants", func() any { return monitor })
-	figures.Add("connections", func() any { return conns.Counts() })
+	figures.Register("events", func() any { return events })
+	figures.Register("invariants", func() any { return monitor })
+	figures.Register("connections", func() any { return conns.Counts() })
 	var badReport sync.Once
-	upstream := &uphttp.Upstream{Pool: conns, Clock: clock, Budget: bodies, Fields: cfg.Site.ReportFields, Sent: figures.Sent,
+	upstream := &uphttp.Upstream{Pool: conns, Clock: clock, Budget: bodies, Fields: cfg.Site.ReportFields, Sent: figures.AttemptWritten,
 		Events: events, Monitor: monitor,
 		Noted: func(err error) {
 			badReport.Do(func() { log.Warn("passing over a malformed report; further ones are not logged", "error", err) })
 		}}
 	prober := healthcheck.New(healthcheck.Config{Settings: ops.Probes.Settings(), Reports: len(cfg.Site.ReportFields) > 0, Clock: clock, Asker: upstream, Log: log})
-	figures.Add("probes", func() any { return prober.Counts() })
+	figures.Register("probes", func() any { return prober.Counts() })
 	fleet, order, err := ops.Overload.Budget(cfg.Site.Logic, cfg.Site.MaxRetryAfter, cfg.Seed)
 	if err != nil {
 		return err
@@ -117,13 +117,13 @@
 			return err
 		}
 		observe = talk.observe
-		figures.Add("peers", talk.figures)
+		figures.Register("peers", talk.figures)
 	}
-	c := core.New(core.Config{Observe: observe, Balancer: balancer, Clock: clock, Upstream: upstream, HealthChecker: prober, UploadTimeout: httpmsg.LongestUpload,
-		Subscribe: func() { disco.Ask() }, EndpointCounts: figures.SetMembers, Log: log, Budget: fleet, PriorityOrder: order,
+	c := core.New(core.Config{OnAttemptOutcome: observe, Balancer: balancer, Clock: clock, Upstream: upstream, HealthChecker: prober, UploadTimeout: httpmsg.LongestUpload,
+		Subscribe: func() { disco.Ask() }, OnEndpointCounts: figures.SetEndpointCounts, Log: log, Budget: fleet, PriorityOrder: order,
 		Events: events, Monitor: monitor})
 	if fleet != nil {
-		figures.Add("overload", func() any { return c.BudgetStats() })
+		figures.Register("overload", func() any { return c.BudgetStats() })
 		own := budget.SelfLimits{Wait: ops.Overload.Own.Wait.D(), CPU: ops.Overload.Own.CPU, Memory: ops.Overload.Own.Memory}
 		parts.Go(func() { watchOwn(inner, c, own, cfg.Cores, int64(cfg.MemoryMB)<<20, log) })
 	}
@@ -135,7 +135,7 @@
 	}
 	disco = discovery.New(discovery.Config{Addr: cfg.Discovery, Agents: cfg.Site.Logic.Balancers, Asked: cfg.Site.Logic.SubscriptionRequired,
 		Zones: cfg.Site.Zones, Known: cfg.Known, Seed: cfg.Seed, Clock: clock, Dial: sockets.Dial, Sink: sink, Log: log, Events: events})
-	figures.Add("border", func() any { return c.BoundaryViolations() })
+	figures.Register("border", func() any { return c.BoundaryViolations() })
 	front := fronthttp.New(fronthttp.Config{Site: cfg.Site, Core: c, Clock: clock, Metrics: figures, Budget: bodies,
 		Most: share.fromClients, AcceptFor: cfg.AcceptFor, DrainFor: ops.Drain.Longest.D(), SocketBuffer: ops.Connections.SocketBufferBytes, Log: log,
 		Events: events, Monitor: monitor})
@@ -153,10 +153,10 @@
 	})
 	parts.Go(func() { disco.Run(inner) })
 	if keep {
-		parts.Go(func() { snapshot.Keep(ctx, kept, ops.Snapshot.Every.D(), timeOfDay, c.Knowledge, log) })
+		parts.Go(func() { snapshot.Persist(ctx, kept, ops.Snapshot.Every.D(), timeOfDay, c.Knowledge, log) })
 	}
 	parts.Go(func() {
-		reloads.follow(inner, cfg, ops, disco, func(fresh operator.File) error {
+		reloads.run(inner, cfg, ops, disco, func(fresh operator.File) error {
 			prober.Configure(fresh.Probes.Settings())
 			return conns.Configure(fresh.Connections.Settings(connections(cfg, share.toBackends)))
 		}, log)
@@ -177,7 +177,7 @@
 
 // shareSockets shares out a limit on descriptors. With an inherited socket, two processes hold them together for a while:
 // clients move from the one to the other, so their places are needed once, but each has connections to backends.
-func shareSockets(limit int, sockets Sockets) shares {
+func shareSockets(limit int, sockets Environment) shares {
 	room := min(max(limit, leastSockets), mostSockets) - spareSockets
 	if sockets.Control != nil {
 		room -= control.Sockets
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -140,14 +140,14 @@
 // between the times that the platform states: 0.4 s and 0.7 s past the longest deadline.
 func TestLimitsOfThePlatform(t *testing.T) {
 	for _, limit := range []int{256, 1024, 4096} {
-		share := shareSockets(limit, Sockets{})
+		share := shareSockets(limit, Environment{})
 		if to, from := share.toBackends, share.fromClients; to < 1 || from < 1 || to+from > limit-spareSockets {
 			t.Errorf("of %d: %d to backends, %d from clients", limit, to, from)
 		} else if third := limit / 3; to < third || float64(from)*fronthttp.HeldPart < float64(third) {
 			t.Errorf("of %d: usual clients can't hold the third that is theirs", limit)
 		}
 		control := testkit.Listen(t)
-		alone, both := shareSockets(limit, Sockets{Control: control}), shareSockets(limit, Sockets{Control: control, Inherited: true})
+		alone, both := shareSockets(limit, Environment{Control: control}), shareSockets(limit, Environment{Control: control, Inherited: true})
 		if alone.fromClients+alone.toBackends > share.fromClients+share.toBackends-8 {
 			t.Errorf("of %d: nothing is kept back for operators", limit)
 		}
@@ -301,7 +301,7 @@
 		ctx, stop := context.WithCancel(context.Background())
 		done := make(chan error, 1)
 		go func() {
-			done <- Run(ctx, cfg, operator.Default(), Reloads{}, Sockets{Clients: l}, slog.New(slog.DiscardHandler))
+			done <- Run(ctx, cfg, operator.Default(), ReloadConfig{}, Environment{Clients: l}, slog.New(slog.DiscardHandler))
 		}()
 		a := &running{url: "http://" + l.Addr().String()}
 		testkit.Eventually(t, "the answer to /ready", func() bool { return a.status(t, "/ready") == want })
--- a/internal/agent/clients_test.go
+++ b/internal/agent/clients_test.go
@@ -44,7 +44,7 @@
 	a := startWith(t, testkit.NewDiscovery(t, 1, testkit.EntryText("s-1", b.Addr().String(), "Ready", 0)), 0, func(cfg *platform.Config) {
 		cfg.Sockets = leastSockets
 	})
-	places := shareSockets(leastSockets, Sockets{}).fromClients
+	places := shareSockets(leastSockets, Environment{}).fromClients
 	for i := range 4 * places {
 		c := a.dial(t)
 		if i%2 == 0 {
@@ -70,7 +70,7 @@
 	if got := send(t, a.newRequest(t, http.MethodGet, "/form-check", "")); got.close {
 		t.Error("closed with hardly any open")
 	}
-	places := shareSockets(leastSockets, Sockets{}).fromClients
+	places := shareSockets(leastSockets, Environment{}).fromClients
 	for range places / 2 {
 		a.dial(t)
 	}
--- a/internal/agent/harness_test.go
+++ b/internal/agent/harness_test.go
@@ -48,11 +48,11 @@
 	}
 	cfg.AcceptFor = acceptFor
 	change(&cfg)
-	return launch(t, cfg, Sockets{Clients: testkit.Listen(t), Control: testkit.Listen(t)}, log)
+	return launch(t, cfg, Environment{Clients: testkit.Listen(t), Control: testkit.Listen(t)}, log)
 }
 
 // launch runs an agent on its sockets until the test ends, and waits until it is ready.
-func launch(t *testing.T, cfg platform.Config, sockets Sockets, log slog.Handler) *running {
+func launch(t *testing.T, cfg platform.Config, sockets Environment, log slog.Handler) *running {
 	t.Helper()
 	ctx, stop := context.WithCancel(context.Background())
 	addr := sockets.Clients.Addr().String()
@@ -63,7 +63,7 @@
 	finished := make(chan struct{})
 	go func() {
 		defer close(finished)
-		a.done <- Run(ctx, cfg, operator.Default(), Reloads{}, sockets, slog.New(log))
+		a.done <- Run(ctx, cfg, operator.Default(), ReloadConfig{}, sockets, slog.New(log))
 	}()
 	t.Cleanup(func() { stop(); <-finished })
 	testkit.Eventually(t, "the agent is ready", func() bool { return a.status(t, "/ready") == http.StatusOK })
--- a/internal/agent/learnt.go
+++ b/internal/agent/learnt.go
@@ -24,14 +24,14 @@
 	for _, c := range cfg.Site.Logic.Classes {
 		classes = append(classes, c.Name)
 	}
-	return snapshot.In(dir, cfg.Name, classes), set.Every > 0 && dir != "" && cfg.Name != ""
+	return snapshot.FileIn(dir, cfg.Name, classes), set.Every > 0 && dir != "" && cfg.Name != ""
 }
 
 // recall starts from what the process before this one had learnt, if that is of use.
 func recall(b *logic.Balancer, f snapshot.File, set operator.Snapshot, clock core.Clock, now time.Time, log *slog.Logger) {
 	k, ago, err := f.Load(now, set.Oldest.D())
 	switch {
-	case errors.Is(err, snapshot.ErrNone):
+	case errors.Is(err, snapshot.ErrNotFound):
 	case err != nil:
 		log.Info("starting without what was learnt before", "reason", err)
 	default:
--- a/internal/agent/peers.go
+++ b/internal/agent/peers.go
@@ -74,7 +74,7 @@
 
 // life is the life of a server that is listed, as all agents name it: each has a clock of its own.
 func (p *peers) life(m core.Endpoint) fleetstate.Life {
-	return fleetstate.Life{Server: m.ID, Started: m.StartedMS}
+	return fleetstate.Life{Server: m.ID, Started: m.StartedUnixMilli}
 }
 
 type heardPart struct {
--- a/internal/agent/peers_test.go
+++ b/internal/agent/peers_test.go
@@ -28,7 +28,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	finished := make(chan error, 1)
 	go func() {
-		finished <- Run(ctx, cfg, ops, Reloads{}, Sockets{Clients: clients, Control: operators}, slog.New(slog.DiscardHandler))
+		finished <- Run(ctx, cfg, ops, ReloadConfig{}, Environment{Clients: clients, Control: operators}, slog.New(slog.DiscardHandler))
 	}()
 	t.Cleanup(func() {
 		stop()
@@ -102,7 +102,7 @@
 		t.Fatal(err)
 	}
 	told := make(chan core.EndpointList, 16)
-	p.core = core.New(core.Config{Balancer: balancer, Clock: clock, Upstream: carrier{told}, EndpointCounts: func(int, int) {}, Log: slog.New(slog.DiscardHandler)})
+	p.core = core.New(core.Config{Balancer: balancer, Clock: clock, Upstream: carrier{told}, OnEndpointCounts: func(int, int) {}, Log: slog.New(slog.DiscardHandler)})
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan struct{}, 2)
 	go func() { p.core.Run(ctx); ended <- struct{}{} }()
@@ -113,7 +113,7 @@
 
 // ready is a server that started at a time of day, in milliseconds.
 func (p *peers) ready(id string, started int64) core.Endpoint {
-	return core.Endpoint{Endpoint: logic.Endpoint{ID: id, State: logic.Ready, StartedAt: p.clock.FromUnix(started)}, Addr: "127.0.0.1:1", StartedMS: started}
+	return core.Endpoint{Endpoint: logic.Endpoint{ID: id, State: logic.Ready, StartedAt: p.clock.FromUnix(started)}, Addr: "127.0.0.1:1", StartedUnixMilli: started}
 }
 
 func states(l core.EndpointList) map[string]logic.EndpointState {
--- a/internal/agent/reload.go
+++ b/internal/agent/reload.go
@@ -11,23 +11,23 @@
 	"ryeweir/internal/discovery"
 )
 
-// Reloads says when the configuration is to be read again, and how.
-type Reloads struct {
-	Signals  <-chan os.Signal
-	Load     func() (platform.Config, error)
-	Operator func() (operator.File, error) // nil without an operators' file
+// ReloadConfig says when the configuration is to be read again, and how.
+type ReloadConfig struct {
+	Signals      <-chan os.Signal
+	LoadPlatform func() (platform.Config, error)
+	LoadOperator func() (operator.File, error) // nil without an operators' file
 }
 
-// follow reads the configuration again at each signal and points discovery to where it says. A file that can't be
+// run reads the configuration again at each signal and points discovery to where it says. A file that can't be
 // used changes nothing: the agent goes on with what it has.
-func (r Reloads) follow(ctx context.Context, cfg platform.Config, ops operator.File, d *discovery.Client, apply func(operator.File) error, log *slog.Logger) {
+func (r ReloadConfig) run(ctx context.Context, cfg platform.Config, ops operator.File, d *discovery.Client, apply func(operator.File) error, log *slog.Logger) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-r.Signals:
 		}
-		fresh, err := r.Load()
+		fresh, err := r.LoadPlatform()
 		if err != nil {
 			log.Error("configuration not reloaded, keeping the old one", "error", err)
 			continue
@@ -37,16 +37,16 @@
 			log.Warn("settings have changed, which takes effect at the next start only")
 		}
 		d.Move(fresh.Discovery)
-		ops = r.operator(ops, apply, log)
+		ops = r.reloadOperator(ops, apply, log)
 	}
 }
 
-// operator reads the operators' file again and returns what holds from then on.
-func (r *Reloads) operator(old operator.File, apply func(operator.File) error, log *slog.Logger) operator.File {
-	if r.Operator == nil {
+// reloadOperator reads the operators' file again and returns what holds from then on.
+func (r *ReloadConfig) reloadOperator(old operator.File, apply func(operator.File) error, log *slog.Logger) operator.File {
+	if r.LoadOperator == nil {
 		return old
 	}
-	fresh, err := r.Operator()
+	fresh, err := r.LoadOperator()
 	if err == nil {
 		err = apply(fresh)
 	}
--- a/internal/agent/reload_test.go
+++ b/internal/agent/reload_test.go
@@ -41,9 +41,9 @@
 	l := testkit.Listen(t)
 	a.addr, a.url = l.Addr().String(), "http://"+l.Addr().String()
 	ctx, stop := context.WithCancel(context.Background())
-	reloads := Reloads{Signals: a.hup, Load: func() (platform.Config, error) { return platform.Reload(getenv) }}
+	reloads := ReloadConfig{Signals: a.hup, LoadPlatform: func() (platform.Config, error) { return platform.Reload(getenv) }}
 	go func() {
-		a.done <- Run(ctx, cfg, operator.Default(), reloads, Sockets{Clients: l}, slog.New(slog.NewTextHandler(&a.log, nil)))
+		a.done <- Run(ctx, cfg, operator.Default(), reloads, Environment{Clients: l}, slog.New(slog.NewTextHandler(&a.log, nil)))
 	}()
 	t.Cleanup(func() { stop(); <-a.done })
 	testkit.Eventually(t, "the agent is ready", func() bool { return a.status(t, "/ready") == http.StatusOK })
@@ -115,9 +115,9 @@
 func TestReloadEndsWithTheAgent(t *testing.T) {
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan struct{})
-	r := Reloads{Load: func() (platform.Config, error) { return platform.Config{}, errors.New("never asked for") }}
+	r := ReloadConfig{LoadPlatform: func() (platform.Config, error) { return platform.Config{}, errors.New("never asked for") }}
 	go func() {
-		r.follow(ctx, platform.Config{}, operator.Default(), nil, nil, slog.New(slog.DiscardHandler))
+		r.run(ctx, platform.Config{}, operator.Default(), nil, nil, slog.New(slog.DiscardHandler))
 		close(done)
 	}()
 	stop()
@@ -151,11 +151,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := Reloads{Signals: hup, Load: func() (platform.Config, error) { return cfg, nil }, Operator: func() (operator.File, error) { return operator.Load(file) }}
+	r := ReloadConfig{Signals: hup, LoadPlatform: func() (platform.Config, error) { return cfg, nil }, LoadOperator: func() (operator.File, error) { return operator.Load(file) }}
 	d := discovery.New(discovery.Config{Addr: "127.0.0.1:1"})
 	go func() {
 		defer close(done)
-		r.follow(ctx, cfg, ops, d, func(f operator.File) error {
+		r.run(ctx, cfg, ops, d, func(f operator.File) error {
 			applied = append(applied, f)
 			if f.Connections.PerServer == 9 {
 				return errors.New("too many")
--- a/internal/agent/scenes_test.go
+++ b/internal/agent/scenes_test.go
@@ -166,7 +166,7 @@
 		log = slog.New(slog.NewTextHandler(os.Stderr, nil))
 	}
 	go func() {
-		ended <- agent.Run(ctx, cfg, s.ops, agent.Reloads{}, agent.Sockets{Clients: l, Control: control, Dial: s.network.Dialer(name)}, log)
+		ended <- agent.Run(ctx, cfg, s.ops, agent.ReloadConfig{}, agent.Environment{Clients: l, Control: control, Dial: s.network.Dialer(name)}, log)
 	}()
 	if i == len(s.addrs) {
 		s.addrs, s.stop, s.ended = append(s.addrs, ""), append(s.stop, nil), append(s.ended, nil)
--- a/internal/agent/scripted_test.go
+++ b/internal/agent/scripted_test.go
@@ -100,7 +100,7 @@
 	ctx, stop := context.WithCancel(t.Context())
 	ended := make(chan error, 1)
 	go func() {
-		ended <- agent.Run(ctx, cfg, ops, agent.Reloads{}, agent.Sockets{Clients: clients, Dial: network.Dialer("agent")}, log)
+		ended <- agent.Run(ctx, cfg, ops, agent.ReloadConfig{}, agent.Environment{Clients: clients, Dial: network.Dialer("agent")}, log)
 	}()
 	defer func() {
 		stop()
--- a/internal/agent/stages_test.go
+++ b/internal/agent/stages_test.go
@@ -63,8 +63,8 @@
 	ops := operator.Default()
 	ops.Probes.Share = 0 // the scripts are for requests
 	hangups := make(chan os.Signal, 1)
-	reloads := agent.Reloads{Signals: hangups, Load: func() (platform.Config, error) { return cfg, nil }}
-	sockets := agent.Sockets{Clients: listen("agent:80"), Control: listen("agent:90"), Dial: d.network.Dialer("agent")}
+	reloads := agent.ReloadConfig{Signals: hangups, LoadPlatform: func() (platform.Config, error) { return cfg, nil }}
+	sockets := agent.Environment{Clients: listen("agent:80"), Control: listen("agent:90"), Dial: d.network.Dialer("agent")}
 	ctx, stop := context.WithCancel(t.Context())
 	d.stop, d.hangup = stop, hangups
 	go func() { d.ended <- agent.Run(ctx, cfg, ops, reloads, sockets, slog.New(slog.DiscardHandler)) }()
--- a/internal/connlimit/connlimit.go
+++ b/internal/connlimit/connlimit.go
@@ -92,7 +92,7 @@
 		raw.Close()
 		return nil, net.ErrClosed
 	}
-	c := &Conn{Conn: raw, table: t, since: time.Now(), number: t.Events.NextConnection()}
+	c := &Conn{Conn: raw, table: t, since: time.Now(), number: t.Events.NextConnectionID()}
 	t.open[c] = struct{}{}
 	t.latest = c.since
 	accepted := event.Event{Kind: event.ConnectionAccepted, Connection: c.number}
@@ -338,7 +338,7 @@
 
 // checkClose asks the close guard, and records the close with its reason. The lock is held.
 func (c *Conn) checkClose() {
-	owed := invariant.Close{RequestOpen: c.request != "" && !c.answered, ClientLeft: c.clientGone, AnswerBroke: c.broken}
+	owed := invariant.Close{RequestPending: c.request != "" && !c.answered, ClientLeft: c.clientGone, AnswerTruncated: c.broken}
 	if verdict := owed.Check(); verdict.Denied {
 		c.table.Monitor.Violated(verdict.Rule, c.request, "closing for "+c.closeReason.String())
 	}
--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -79,7 +79,7 @@
 func (a *Attempt) Report(o Outcome) {
 	if !a.told.CompareAndSwap(false, true) {
 		if a.core != nil {
-			a.core.faults.Twice.Add(1)
+			a.core.faults.ReportedTwice.Add(1)
 			a.core.cfg.Monitor.Violated(invariant.OutcomeReportedTwice, a.Call.ID, "attempt on "+a.Endpoint)
 		}
 		if o.Content != nil {
--- a/internal/core/border.go
+++ b/internal/core/border.go
@@ -11,17 +11,17 @@
 // BoundaryViolations counts where a front or an upstream did not keep to what it owes the core. Each should stay 0. The account holds
 // all the same: every attempt has one outcome, every call one answer.
 type BoundaryViolations struct {
-	Twice       atomic.Int64 // attempts whose outcome was reported again, or after it was overdue
-	Unreported  atomic.Int64 // attempts that ended without an outcome
-	Overdue     atomic.Int64 // attempts whose outcome did not come in time
-	Unread      atomic.Int64 // answers that no front took
-	Resubmitted atomic.Int64 // calls that were handed over twice
-	Unfinished  atomic.Int64 // partial calls of which nothing more was heard
+	ReportedTwice atomic.Int64 // attempts whose outcome was reported again, or after it was overdue
+	Unreported    atomic.Int64 // attempts that ended without an outcome
+	Overdue       atomic.Int64 // attempts whose outcome did not come in time
+	Unread        atomic.Int64 // answers that no front took
+	Resubmitted   atomic.Int64 // calls that were handed over twice
+	Unfinished    atomic.Int64 // partial calls of which nothing more was heard
 }
 
 // MarshalJSON gives the counts in the operators' form.
 func (f *BoundaryViolations) MarshalJSON() ([]byte, error) {
-	return json.Marshal(map[string]int64{"reported_twice": f.Twice.Load(), "unreported": f.Unreported.Load(), "overdue": f.Overdue.Load(),
+	return json.Marshal(map[string]int64{"reported_twice": f.ReportedTwice.Load(), "unreported": f.Unreported.Load(), "overdue": f.Overdue.Load(),
 		"unread": f.Unread.Load(), "resubmitted": f.Resubmitted.Load(), "unfinished": f.Unfinished.Load()})
 }
 
@@ -61,7 +61,7 @@
 // watch looks for what fronts and upstreams owe.
 func (c *Core) watch() {
 	now := c.clock.Now()
-	c.cfg.EndpointCounts(c.members, c.balancer.Unavailable())
+	c.cfg.OnEndpointCounts(c.members, c.balancer.Unavailable())
 	c.show()
 	kept := c.given[:0]
 	for _, h := range c.given {
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -20,14 +20,14 @@
 
 // Config is what a Core works with.
 type Config struct {
-	Balancer       *logic.Balancer
-	Clock          Clock
-	Upstream       Upstream
-	UploadTimeout  time.Duration             // how long a Partial call may take to come in
-	HealthChecker  HealthChecker             // nil where the module asks for no probes
-	Subscribe      func()                    // asks for the list, where it must be asked for
-	EndpointCounts func(listed, avoided int) // is told how many servers are listed, and how many of them are avoided
-	Log            *slog.Logger
+	Balancer         *logic.Balancer
+	Clock            Clock
+	Upstream         Upstream
+	UploadTimeout    time.Duration             // how long a Partial call may take to come in
+	HealthChecker    HealthChecker             // nil where the module asks for no probes
+	Subscribe        func()                    // asks for the list, where it must be asked for
+	OnEndpointCounts func(listed, avoided int) // is told how many servers are listed, and how many of them are avoided
+	Log              *slog.Logger
 	// Budget, where there is one, is the agent's part of the fleet's budgets, beside a module that admits all: it may shed a
 	// call before the module sees it, and withhold a retry or a probe that the module asks for, which the module then learns
 	// of as not sent. Nil for none.
@@ -35,9 +35,9 @@
 	PriorityOrder *budget.PriorityOrder // by which it sheds; goes with Budget
 	// Observe, where it is set, is told of each attempt on a server that ended and says something of it: when it was decided on,
 	// and whether it went well. The loop calls it: it must not wait.
-	Observe func(server string, sent time.Duration, well bool)
-	Events  *event.Recorder    // what happens to calls and attempts; nil for nobody
-	Monitor *invariant.Monitor // counts broken rules; nil for nobody
+	OnAttemptOutcome func(server string, sent time.Duration, well bool)
+	Events           *event.Recorder    // what happens to calls and attempts; nil for nobody
+	Monitor          *invariant.Monitor // counts broken rules; nil for nobody
 }
 
 // HealthChecker asks a server's present life, as the upstream's Bind returned it, how it does. It returns within its own time-out, or
@@ -79,8 +79,8 @@
 	if cfg.Subscribe == nil {
 		cfg.Subscribe = func() {}
 	}
-	if cfg.EndpointCounts == nil {
-		cfg.EndpointCounts = func(int, int) {}
+	if cfg.OnEndpointCounts == nil {
+		cfg.OnEndpointCounts = func(int, int) {}
 	}
 	c := &Core{balancer: cfg.Balancer, clock: cfg.Clock, upstream: cfg.Upstream, cfg: cfg, events: make(chan message, eventQueue),
 		done: make(chan struct{}), listed: make(chan struct{}), calls: map[string]*Call{}}
@@ -359,18 +359,18 @@
 // observe tells of an attempt that says something of its server: not of one that was turned away, which is the budget's, nor of
 // one that its client left no time for.
 func (c *Core) observe(a *Attempt, o Outcome) {
-	if c.cfg.Observe == nil {
+	if c.cfg.OnAttemptOutcome == nil {
 		return
 	}
 	switch o.Result {
 	case logic.OK:
-		c.cfg.Observe(a.Endpoint, a.SentAt, true)
+		c.cfg.OnAttemptOutcome(a.Endpoint, a.SentAt, true)
 	case logic.TimedOut:
 		if c.clock.Now()-a.AwaitingSince() >= a.Call.LatencyObjective {
-			c.cfg.Observe(a.Endpoint, a.SentAt, false)
+			c.cfg.OnAttemptOutcome(a.Endpoint, a.SentAt, false)
 		}
 	case logic.Failed, logic.ConnectFailed, logic.Reset:
-		c.cfg.Observe(a.Endpoint, a.SentAt, false)
+		c.cfg.OnAttemptOutcome(a.Endpoint, a.SentAt, false)
 	}
 }
 
@@ -382,7 +382,7 @@
 	}
 	c.decide(logic.EndpointList{Full: l.Full, Endpoints: servers})
 	c.members = listed
-	c.cfg.EndpointCounts(listed, c.balancer.Unavailable())
+	c.cfg.OnEndpointCounts(listed, c.balancer.Unavailable())
 	if is := ready > 0; c.ready.Swap(is) != is {
 		c.cfg.Log.Info("backends to send to", "any", is, "ready", ready)
 		if is {
@@ -431,7 +431,7 @@
 // core itself has seen of the call.
 func (c *Core) mayRepeat(call *Call) bool {
 	first := call.mayHaveRun()
-	verdict := invariant.Repeat{Now: c.clock.Now(), MayHaveRun: first > 0, FirstSent: first, Repeatable: !call.NonIdempotent, Window: call.IdempotencyWindow}.Check()
+	verdict := invariant.Repeat{Now: c.clock.Now(), MayHaveRun: first > 0, FirstSentAt: first, Idempotent: !call.NonIdempotent, IdempotencyWindow: call.IdempotencyWindow}.Check()
 	if verdict.Denied {
 		c.cfg.Monitor.Violated(verdict.Rule, call.ID, "the module decided on a further attempt")
 	}
--- a/internal/core/reasons.go
+++ b/internal/core/reasons.go
@@ -8,15 +8,15 @@
 // causeReasons are the module's causes as reasons of events.
 var causeReasons = [...]event.Reason{
 	logic.NoReason:             event.None,
-	logic.FirstAttempt:         event.First,
-	logic.RetryAttempt:         event.Retry,
-	logic.HedgedAttempt:        event.Hedge,
-	logic.HalfOpenAttempt:      event.HalfOpen,
-	logic.Overloaded:           event.Overload,
-	logic.NoEndpointLeft:       event.NoEndpoint,
-	logic.RetryBudgetExhausted: event.RetryBudget,
+	logic.FirstAttempt:         event.FirstAttempt,
+	logic.RetryAttempt:         event.RetryAttempt,
+	logic.HedgedAttempt:        event.HedgedAttempt,
+	logic.HalfOpenAttempt:      event.HalfOpenAttempt,
+	logic.Overloaded:           event.Overloaded,
+	logic.NoEndpointLeft:       event.NoEndpointLeft,
+	logic.RetryBudgetExhausted: event.RetryBudgetExhausted,
 	logic.NotRetryable:         event.NotRetryable,
-	logic.DeadlineExceeded:     event.Deadline,
+	logic.DeadlineExceeded:     event.DeadlineExceeded,
 	logic.ShuttingDown:         event.ShuttingDown,
 }
 
--- a/internal/core/seam_test.go
+++ b/internal/core/seam_test.go
@@ -392,7 +392,7 @@
 		"two outcomes": {func(_ context.Context, a *core.Attempt) {
 			a.Report(ok)
 			a.Report(core.Outcome{Result: logic.Reset, LoadReport: logic.NoLoadReport, Content: counted{&drops}})
-		}, core.Served, func(f *core.BoundaryViolations) int64 { return f.Twice.Load() }},
+		}, core.Served, func(f *core.BoundaryViolations) int64 { return f.ReportedTwice.Load() }},
 		"no outcome": {func(context.Context, *core.Attempt) {}, core.Failed, func(f *core.BoundaryViolations) int64 { return f.Unreported.Load() }},
 		"none in time": {func(ctx context.Context, a *core.Attempt) { a.Begin(); <-ctx.Done() }, core.Failed,
 			func(f *core.BoundaryViolations) int64 { return f.Overdue.Load() }},
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -240,10 +240,10 @@
 		}
 		err := d.follow(ctx)
 		if ctx.Err() != nil {
-			d.events.Record(event.Event{Kind: event.WatchEnded, Reason: event.Moved, Detail: "the session has ended"})
+			d.events.Record(event.Event{Kind: event.WatchEnded, Reason: event.WatchMoved, Detail: "the session has ended"})
 			return
 		}
-		d.events.Record(event.Event{Kind: event.WatchEnded, Reason: event.Failed, Detail: err.Error()})
+		d.events.Record(event.Event{Kind: event.WatchEnded, Reason: event.WatchFailed, Detail: err.Error()})
 		if !d.down {
 			d.down = true
 			d.log.Warn("discovery out of reach, keeping the last list", "version", d.version, "error", err)
@@ -295,7 +295,7 @@
 		}
 		if errors.Is(err, context.DeadlineExceeded) && ctx.Err() == nil { // it has fallen silent
 			d.log.Info("a watch has fallen silent", "version", d.version)
-			d.events.Record(event.Event{Kind: event.WatchEnded, Reason: event.Silent, Detail: fmt.Sprintf("version %d", d.version)})
+			d.events.Record(event.Event{Kind: event.WatchEnded, Reason: event.WatchSilent, Detail: fmt.Sprintf("version %d", d.version)})
 			err = d.call(ctx, d.watch(0), left/2)
 		}
 		if err != nil {
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -138,7 +138,7 @@
 		return m, e.ID, err
 	}
 	server := logic.Endpoint{ID: e.ID, State: state, Zone: slices.Index(d.zones, e.Zone), Cell: e.Cell, Weight: e.Weight, StartedAt: d.started(e)}
-	return core.Endpoint{Addr: e.Addr, Endpoint: server, StartedMS: e.StartedMS}, e.ID, nil
+	return core.Endpoint{Addr: e.Addr, Endpoint: server, StartedUnixMilli: e.StartedMS}, e.ID, nil
 }
 
 // lateListing is how long before discovery was last heard without it a server may have started that is new in the list. Where a
@@ -149,7 +149,7 @@
 // day. A new one is not in the future, and where discovery was heard not long before without it, not long before that: then the
 // time of day has been stepped in between.
 func (d *Client) started(e entry) time.Duration {
-	if old, known := d.have[e.ID]; known && old.StartedMS == e.StartedMS {
+	if old, known := d.have[e.ID]; known && old.StartedUnixMilli == e.StartedMS {
 		return old.StartedAt
 	}
 	if e.StartedMS == 0 {
--- a/internal/event/event.go
+++ b/internal/event/event.go
@@ -49,19 +49,19 @@
 
 	// Of answers.
 	Served
-	Overload      // rejected: the servers are overloaded
-	NoEndpoint    // no server may get it
-	RetryBudget   // no further attempt is within the retry budget
-	NotRetryable  // what may have run must not be sent again
-	Deadline      // its time was over
-	ShuttingDown  // the process ends
-	TooManyOpen   // as many requests are open as may be
-	BudgetShed    // rejected by the fleet's budget
-	DuplicateID   // another request under its id is open
-	Malformed     // the client's request is not in order
-	BrokenUpload  // its body did not come whole
-	BrokenAnswer  // the answer broke off on its way
-	ClientStalled // the client did not read its answer
+	Overloaded           // rejected: the servers are overloaded
+	NoEndpointLeft       // no server may get it
+	RetryBudgetExhausted // no further attempt is within the retry budget
+	NotRetryable         // what may have run must not be sent again
+	DeadlineExceeded     // its time was over
+	ShuttingDown         // the process ends
+	TooManyOpen          // as many requests are open as may be
+	BudgetShed           // rejected by the fleet's budget
+	DuplicateID          // another request under its id is open
+	Malformed            // the client's request is not in order
+	UploadTruncated      // its body did not come whole
+	AnswerTruncated      // the answer broke off on its way
+	ClientStalled        // the client did not read its answer
 
 	// Of closes and abandoned requests.
 	ClientClosed   // the client closed the connection
@@ -74,10 +74,10 @@
 	ConnectionBad  // reading failed otherwise
 
 	// Of attempts.
-	First
-	Retry
-	Hedge
-	HalfOpen // a request that tests an ejected server
+	FirstAttempt
+	RetryAttempt
+	HedgedAttempt
+	HalfOpenAttempt // a request that tests an ejected server
 
 	// Of results.
 	OK
@@ -95,13 +95,13 @@
 	SuspectConnection
 	CrossedClose
 	BrokenExchange
-	ServerRetired
+	EndpointRetired
 
 	// Of discovery.
-	Failed
-	Silent
-	Moved
-	Stopped
+	WatchFailed
+	WatchSilent
+	WatchMoved
+	WatchStopped
 
 	reasons int = iota
 )
@@ -139,8 +139,8 @@
 // NewRecorder returns a recorder that writes to the log at level debug.
 func NewRecorder(log *slog.Logger) *Recorder { return &Recorder{log: log} }
 
-// NextConnection returns a number for a client's connection, unique in this process.
-func (r *Recorder) NextConnection() uint64 {
+// NextConnectionID returns a number for a client's connection, unique in this process.
+func (r *Recorder) NextConnectionID() uint64 {
 	if r == nil {
 		return 0
 	}
--- a/internal/event/event_test.go
+++ b/internal/event/event_test.go
@@ -12,10 +12,10 @@
 	for _, level := range []slog.Level{slog.LevelInfo, slog.LevelDebug} {
 		var out strings.Builder
 		r := NewRecorder(slog.New(slog.NewTextHandler(&out, &slog.HandlerOptions{Level: level})))
-		r.Record(Event{Kind: AttemptDecided, Reason: Retry, Request: "4f2a", Attempt: 1, Endpoint: "s-1"})
-		r.Record(Event{Kind: AttemptDecided, Reason: Retry, Request: "4f2b"})
-		r.Record(Event{Kind: ConnectionClosed, Reason: IdleTimeout, Connection: r.NextConnection()})
-		if n := r.Count(AttemptDecided, Retry); n != 2 {
+		r.Record(Event{Kind: AttemptDecided, Reason: RetryAttempt, Request: "4f2a", Attempt: 1, Endpoint: "s-1"})
+		r.Record(Event{Kind: AttemptDecided, Reason: RetryAttempt, Request: "4f2b"})
+		r.Record(Event{Kind: ConnectionClosed, Reason: IdleTimeout, Connection: r.NextConnectionID()})
+		if n := r.Count(AttemptDecided, RetryAttempt); n != 2 {
 			t.Errorf("counted %d", n)
 		}
 		data, err := json.Marshal(r)
@@ -54,7 +54,7 @@
 func TestNilRecorder(t *testing.T) {
 	var r *Recorder
 	r.Record(Event{})
-	if r.NextConnection() != 0 || r.Count(RequestRead, None) != 0 || r.Verbose() {
+	if r.NextConnectionID() != 0 || r.Count(RequestRead, None) != 0 || r.Verbose() {
 		t.Error("a nil recorder says something")
 	}
 }
--- a/internal/front/http/serve.go
+++ b/internal/front/http/serve.go
@@ -53,7 +53,7 @@
 	s.Log.Info("listening", "addr", l.Addr().String(), "inherited", inherited)
 	select {
 	case err := <-failed:
-		s.Monitor.Violated(invariant.ListenerEnded, "", err.Error())
+		s.Monitor.Violated(invariant.ListenerClosed, "", err.Error())
 		return fmt.Errorf("serving clients: %w", err)
 	case <-ctx.Done():
 	}
--- a/internal/front/http/server.go
+++ b/internal/front/http/server.go
@@ -101,9 +101,9 @@
 	}
 	c, m, release, err := s.accept(w, r, class)
 	if err != nil {
-		reason := event.BrokenUpload
+		reason := event.UploadTruncated
 		if !errors.Is(err, errNotWhole) { // else there was no request to answer
-			s.Metrics.Answered(class, metrics.Failed)
+			s.Metrics.RequestAnswered(class, metrics.Failed)
 			reason = event.Malformed
 		}
 		s.Events.Record(event.Event{Kind: event.RequestAnswered, Reason: reason, Request: first(r.Header, requestIDHeader),
@@ -117,14 +117,14 @@
 	var taken pending
 	took := func() time.Duration {
 		if taken.begin() {
-			s.Metrics.Taken()
+			s.Metrics.RequestReceived()
 			s.Events.Record(event.Event{Kind: event.RequestRead, Request: c.ID, Connection: connlimit.Number(ctx)})
 		}
 		return s.Clock.Now()
 	}
 	defer func() {
 		if taken.end() {
-			s.Metrics.Released()
+			s.Metrics.RequestFinished()
 		}
 	}()
 	rest := m.Body.Rest
@@ -170,7 +170,7 @@
 			http.NewResponseController(w).SetReadDeadline(time.Now()) // for an attempt that reads from it
 			rest.Close()
 			if _, err := rest.State(); err != nil { // net/http ends the context also when a body stops
-				s.answering(ctx, c, event.BrokenUpload)
+				s.answering(ctx, c, event.UploadTruncated)
 				turnAway(w, brokenBody(err))
 				return
 			}
@@ -221,7 +221,7 @@
 		return
 	}
 	if !s.Core.HasEndpoints() {
-		s.Monitor.Violated(invariant.ReadyWithoutServer, "", "readiness was told before any list of servers")
+		s.Monitor.Violated(invariant.ReadyWithoutEndpoint, "", "readiness was told before any list of servers")
 	}
 	io.WriteString(w, "ready\n")
 }
@@ -267,7 +267,7 @@
 		rest.Stop() // an attempt may wait for more of it
 		rest.Close()
 		if _, err := rest.State(); err != nil { // there is no request to refuse
-			s.answering(r.Context(), c, event.BrokenUpload)
+			s.answering(r.Context(), c, event.UploadTruncated)
 			turnAway(w, brokenBody(err))
 			return
 		}
@@ -291,7 +291,7 @@
 	control.SetWriteDeadline(time.Now().Add(writeTimeout))
 	s.answering(r.Context(), c, a.Reason)
 	w.WriteHeader(status)
-	s.Metrics.Answered(c.Class, result)
+	s.Metrics.RequestAnswered(c.Class, result)
 	if rest != nil {
 		control.Flush()
 		rest.Drain()
@@ -326,12 +326,12 @@
 	_, err := from.Pipe.WriteTo(out)
 	if err != nil && !out.begun && r.Context().Err() == nil { // nothing has been passed on: an answer is owed still
 		h.Del("Content-Length")
-		s.write(w, r, c, core.Answer{Verdict: core.Failed, Reason: event.BrokenAnswer})
+		s.write(w, r, c, core.Answer{Verdict: core.Failed, Reason: event.AnswerTruncated})
 		return
 	}
 	if err != nil {
-		s.Metrics.Answered(c.Class, metrics.Failed)
-		s.Events.Record(event.Event{Kind: event.RequestAbandoned, Reason: event.BrokenAnswer, Request: c.ID,
+		s.Metrics.RequestAnswered(c.Class, metrics.Failed)
+		s.Events.Record(event.Event{Kind: event.RequestAbandoned, Reason: event.AnswerTruncated, Request: c.ID,
 			Connection: connlimit.Number(r.Context()), Detail: err.Error()})
 		connlimit.Break(r.Context())
 		if !r.ProtoAtLeast(1, 1) { // to which a plain close would be the end of the answer
@@ -340,7 +340,7 @@
 		panic(http.ErrAbortHandler)
 	}
 	out.begin()
-	s.Metrics.Answered(c.Class, metrics.Completed)
+	s.Metrics.RequestAnswered(c.Class, metrics.Completed)
 	if early {
 		out.control.Flush()
 		rest.Drain()
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -17,19 +17,19 @@
 // The rules, by guard.
 const (
 	// Send guard.
-	SendAfterClientLeft Rule = iota // an attempt began for a request that was over
-	SendToRetiredServer             // an attempt began at a server that drains, has gone or has started anew
-	SendAfterDeadline               // an attempt began when its time was over
-	DeadlineOverstated              // a server was told of more time than its client had left
+	SendAfterRequestFinished Rule = iota // an attempt began for a request that was over
+	SendToRetiredEndpoint                // an attempt began at a server that drains, has gone or has started anew
+	SendAfterDeadline                    // an attempt began when its time was over
+	DeadlineOverstated                   // a server was told of more time than its client had left
 	// Repeat guard.
-	RepeatOfUnsafe       // what may have run and must not run twice was to be sent again
-	RepeatOutsideWindow  // a keyed request was to be sent again after its window
-	OutcomeReportedTwice // an attempt had a second outcome
+	RepeatOfNonIdempotent        // what may have run and must not run twice was to be sent again
+	RepeatAfterIdempotencyWindow // a keyed request was to be sent again after its window
+	OutcomeReportedTwice         // an attempt had a second outcome
 	// Close guard.
 	ClosedUnanswered // a client's connection closed over a request that was read and got no answer
 	// Start guard.
-	ReadyWithoutServer // readiness was told without a server to send to
-	ListenerEnded      // the agent stopped accepting clients while it served
+	ReadyWithoutEndpoint // readiness was told without a server to send to
+	ListenerClosed       // the agent stopped accepting clients while it served
 
 	rules int = iota
 )
@@ -91,8 +91,8 @@
 const (
 	// DrainGrace is how long after a notification a server may still get something new.
 	DrainGrace = 250 * time.Millisecond
-	// LeaveGrace is how long after its client left an attempt may still begin.
-	LeaveGrace = 100 * time.Millisecond
+	// CancellationGrace is how long after its client left an attempt may still begin.
+	CancellationGrace = 100 * time.Millisecond
 	// DeadlineSlack is by how much the deadline passed on may exceed what the client has left.
 	DeadlineSlack = 150 * time.Millisecond
 )
--- a/internal/invariant/invariant_test.go
+++ b/internal/invariant/invariant_test.go
@@ -11,26 +11,26 @@
 // Each guard names the rule that an act would break, and lets pass what breaks none.
 func TestGuards(t *testing.T) {
 	const second = time.Second
-	fine := Send{Now: second, WriteBy: 2 * second, TakesNew: true}
+	fine := Send{Now: second, WriteDeadline: 2 * second, EndpointAcceptsNew: true}
 	change := func(f func(*Send)) Send { s := fine; f(&s); return s }
 	for what, c := range map[string]struct {
 		got  Verdict
 		want Verdict
 	}{
 		"send":                               {fine.Check(), allowed},
-		"send for who has left":              {change(func(s *Send) { s.RequestOver = true }).Check(), denied(SendAfterClientLeft)},
-		"send to who drains":                 {change(func(s *Send) { s.TakesNew = false }).Check(), denied(SendToRetiredServer)},
-		"send at the deadline":               {change(func(s *Send) { s.Now = s.WriteBy }).Check(), denied(SendAfterDeadline)},
+		"send for who has left":              {change(func(s *Send) { s.RequestFinished = true }).Check(), denied(SendAfterRequestFinished)},
+		"send to who drains":                 {change(func(s *Send) { s.EndpointAcceptsNew = false }).Check(), denied(SendToRetiredEndpoint)},
+		"send at the deadline":               {change(func(s *Send) { s.Now = s.WriteDeadline }).Check(), denied(SendAfterDeadline)},
 		"first attempt of unsafe":            {Repeat{Now: second}.Check(), allowed},
 		"repeat of unsafe that never ran":    {Repeat{Now: second}.Check(), allowed},
-		"repeat of unsafe that may have run": {Repeat{Now: second, MayHaveRun: true, FirstSent: 1}.Check(), denied(RepeatOfUnsafe)},
-		"repeat of repeatable":               {Repeat{Now: second, MayHaveRun: true, FirstSent: 1, Repeatable: true}.Check(), allowed},
-		"repeat in the window":               {Repeat{Now: second, MayHaveRun: true, FirstSent: 1, Window: second}.Check(), allowed},
-		"repeat after the window":            {Repeat{Now: second + 1, MayHaveRun: true, FirstSent: 1, Window: second}.Check(), denied(RepeatOutsideWindow)},
+		"repeat of unsafe that may have run": {Repeat{Now: second, MayHaveRun: true, FirstSentAt: 1}.Check(), denied(RepeatOfNonIdempotent)},
+		"repeat of repeatable":               {Repeat{Now: second, MayHaveRun: true, FirstSentAt: 1, Idempotent: true}.Check(), allowed},
+		"repeat in the window":               {Repeat{Now: second, MayHaveRun: true, FirstSentAt: 1, IdempotencyWindow: second}.Check(), allowed},
+		"repeat after the window":            {Repeat{Now: second + 1, MayHaveRun: true, FirstSentAt: 1, IdempotencyWindow: second}.Check(), denied(RepeatAfterIdempotencyWindow)},
 		"close with nothing owed":            {Close{}.Check(), allowed},
-		"close over a request":               {Close{RequestOpen: true}.Check(), denied(ClosedUnanswered)},
-		"close behind who left":              {Close{RequestOpen: true, ClientLeft: true}.Check(), allowed},
-		"close of an answer that broke off":  {Close{RequestOpen: true, AnswerBroke: true}.Check(), allowed},
+		"close over a request":               {Close{RequestPending: true}.Check(), denied(ClosedUnanswered)},
+		"close behind who left":              {Close{RequestPending: true, ClientLeft: true}.Check(), allowed},
+		"close of an answer that broke off":  {Close{RequestPending: true, AnswerTruncated: true}.Check(), allowed},
 	} {
 		if c.got != c.want {
 			t.Errorf("%s: %+v, want %+v", what, c.got, c.want)
@@ -48,13 +48,13 @@
 		rule         Rule
 		violations   int64
 	}{
-		"in order":                       {Send{Now: now, TakesNew: true}, left, left, SendToRetiredServer, 0},
-		"notified of a drain as it went": {Send{Now: now, RetiredSince: now - DrainGrace}, left, left, SendToRetiredServer, 0},
-		"notified of it long before":     {Send{Now: now, RetiredSince: now - DrainGrace - 1}, left, left, SendToRetiredServer, 1},
-		"its client left as it went":     {Send{Now: now, TakesNew: true, RequestOver: true, OverSince: now - LeaveGrace}, left, left, SendAfterClientLeft, 0},
-		"its client left long before":    {Send{Now: now, TakesNew: true, RequestOver: true, OverSince: now - LeaveGrace - 1}, left, left, SendAfterClientLeft, 1},
-		"held up within the slack":       {Send{Now: now, TakesNew: true}, left, left - DeadlineSlack, DeadlineOverstated, 0},
-		"more time than is left":         {Send{Now: now, TakesNew: true}, left, left - DeadlineSlack - 1, DeadlineOverstated, 1},
+		"in order":                       {Send{Now: now, EndpointAcceptsNew: true}, left, left, SendToRetiredEndpoint, 0},
+		"notified of a drain as it went": {Send{Now: now, RetiredAt: now - DrainGrace}, left, left, SendToRetiredEndpoint, 0},
+		"notified of it long before":     {Send{Now: now, RetiredAt: now - DrainGrace - 1}, left, left, SendToRetiredEndpoint, 1},
+		"its client left as it went":     {Send{Now: now, EndpointAcceptsNew: true, RequestFinished: true, FinishedAt: now - CancellationGrace}, left, left, SendAfterRequestFinished, 0},
+		"its client left long before":    {Send{Now: now, EndpointAcceptsNew: true, RequestFinished: true, FinishedAt: now - CancellationGrace - 1}, left, left, SendAfterRequestFinished, 1},
+		"held up within the slack":       {Send{Now: now, EndpointAcceptsNew: true}, left, left - DeadlineSlack, DeadlineOverstated, 0},
+		"more time than is left":         {Send{Now: now, EndpointAcceptsNew: true}, left, left - DeadlineSlack - 1, DeadlineOverstated, 1},
 	} {
 		var out strings.Builder
 		m := NewMonitor(slog.New(slog.NewTextHandler(&out, nil)))
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -34,28 +34,28 @@
 	return &Metrics{classes: classes, downstream: make([][results]atomic.Int64, len(classes))}
 }
 
-// Add adds figures of another part under a name of their own. It is called before the figures are read.
-func (m *Metrics) Add(name string, figures func() any) {
+// Register adds figures of another part under a name of their own. It is called before the figures are read.
+func (m *Metrics) Register(name string, figures func() any) {
 	if m.more == nil {
 		m.more = map[string]func() any{}
 	}
 	m.more[name] = figures
 }
 
-// Taken counts a request whose last byte has come, until Released.
-func (m *Metrics) Taken() { m.pending.Add(1) }
+// RequestReceived counts a request whose last byte has come, until Released.
+func (m *Metrics) RequestReceived() { m.pending.Add(1) }
 
-// Released says that a request which was taken is over.
-func (m *Metrics) Released() { m.pending.Add(-1) }
+// RequestFinished says that a request which was taken is over.
+func (m *Metrics) RequestFinished() { m.pending.Add(-1) }
 
-// Answered counts the final answer to a request of the class with that index.
-func (m *Metrics) Answered(class int, r Result) { m.downstream[class][r].Add(1) }
+// RequestAnswered counts the final answer to a request of the class with that index.
+func (m *Metrics) RequestAnswered(class int, r Result) { m.downstream[class][r].Add(1) }
 
-// Sent counts an attempt that was written whole to a backend.
-func (m *Metrics) Sent() { m.upstream.Add(1) }
+// AttemptWritten counts an attempt that was written whole to a backend.
+func (m *Metrics) AttemptWritten() { m.upstream.Add(1) }
 
-// SetMembers sets how many backends are listed, and how many of them are avoided.
-func (m *Metrics) SetMembers(listed, avoided int) {
+// SetEndpointCounts sets how many backends are listed, and how many of them are avoided.
+func (m *Metrics) SetEndpointCounts(listed, avoided int) {
 	m.members.Store(int64(listed))
 	m.unavailable.Store(int64(avoided))
 }
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -22,15 +22,15 @@
 	if got := text(t, m); got != want {
 		t.Errorf("at the start %s", got)
 	}
-	m.Answered(0, Completed)
-	m.Answered(1, Rejected)
-	m.Answered(1, Failed)
-	m.Answered(1, Failed)
-	m.Taken()
-	m.Taken()
-	m.Released()
-	m.Sent()
-	m.SetMembers(11, 2)
+	m.RequestAnswered(0, Completed)
+	m.RequestAnswered(1, Rejected)
+	m.RequestAnswered(1, Failed)
+	m.RequestAnswered(1, Failed)
+	m.RequestReceived()
+	m.RequestReceived()
+	m.RequestFinished()
+	m.AttemptWritten()
+	m.SetEndpointCounts(11, 2)
 	want = `{"downstream_requests":{"order":{"completed":0,"rejected":1,"failed":2},"read":{"completed":1,"rejected":0,"failed":0}},` +
 		`"upstream_requests":1,"pending":1,"members":11,"members_unavailable":2}`
 	if got := text(t, m); got != want {
@@ -45,9 +45,9 @@
 	for range 8 {
 		all.Go(func() {
 			for range 1000 {
-				m.Taken()
-				m.Answered(0, Completed)
-				m.Released()
+				m.RequestReceived()
+				m.RequestAnswered(0, Completed)
+				m.RequestFinished()
 				text(t, m)
 			}
 		})
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -308,7 +308,7 @@
 	WhySuspect: event.SuspectConnection,
 	WhyCrossed: event.CrossedClose,
 	WhyBroken:  event.BrokenExchange,
-	WhyRetired: event.ServerRetired,
+	WhyRetired: event.EndpointRetired,
 	WhyRoom:    event.CapacityNeeded,
 	WhyEnd:     event.ProcessEnd,
 }
--- a/internal/snapshot/snapshot.go
+++ b/internal/snapshot/snapshot.go
@@ -60,8 +60,8 @@
 	return os.Rename(part.Name(), path)
 }
 
-// In is the file of an agent in a folder.
-func In(dir, agent string, classes []string) File {
+// FileIn is the file of an agent in a folder.
+func FileIn(dir, agent string, classes []string) File {
 	h := fnv.New64a()
 	io.WriteString(h, agent)
 	return File{Path: filepath.Join(dir, fmt.Sprintf("ryeweir-%016x.knowledge", h.Sum64())), Agent: agent, Classes: classes}
@@ -69,10 +69,10 @@
 
 // Why a file is of no use.
 var (
-	ErrNone  = errors.New("there is no snapshot")
-	ErrBad   = errors.New("the snapshot is spoilt")
-	ErrOther = errors.New("the snapshot is another agent's, or of other settings")
-	ErrOld   = errors.New("the snapshot is too old")
+	ErrNotFound = errors.New("there is no snapshot")
+	ErrCorrupt  = errors.New("the snapshot is spoilt")
+	ErrMismatch = errors.New("the snapshot is another agent's, or of other settings")
+	ErrExpired  = errors.New("the snapshot is too old")
 )
 
 // Save replaces the file whole, or leaves the one that is there. Of a fleet that is too large for the bound it keeps a part.
@@ -122,25 +122,25 @@
 	in, err := os.Open(f.Path)
 	switch {
 	case errors.Is(err, fs.ErrNotExist):
-		return none, 0, ErrNone
+		return none, 0, ErrNotFound
 	case err != nil:
-		return none, 0, fmt.Errorf("%w: %w", ErrBad, err)
+		return none, 0, fmt.Errorf("%w: %w", ErrCorrupt, err)
 	}
 	defer in.Close()
 	data, err := io.ReadAll(io.LimitReader(in, MaxSize+1))
 	if err != nil {
-		return none, 0, fmt.Errorf("%w: %w", ErrBad, err)
+		return none, 0, fmt.Errorf("%w: %w", ErrCorrupt, err)
 	}
 	doc, err := decode(data)
 	if err != nil {
 		return none, 0, err
 	}
 	if doc.Agent != f.Agent || fmt.Sprint(doc.Classes) != fmt.Sprint(f.Classes) {
-		return none, 0, ErrOther
+		return none, 0, ErrMismatch
 	}
 	ago := now.Sub(doc.Taken)
 	if ago > oldest || ago < -time.Second { // one from the future comes from a clock that has stepped
-		return none, 0, fmt.Errorf("%w: written %v ago", ErrOld, ago.Round(time.Millisecond))
+		return none, 0, fmt.Errorf("%w: written %v ago", ErrExpired, ago.Round(time.Millisecond))
 	}
 	return doc.Knowledge.toKnowledge(), max(0, ago), nil
 }
@@ -149,21 +149,21 @@
 func decode(data []byte) (doc document, err error) {
 	switch {
 	case len(data) > MaxSize:
-		return doc, fmt.Errorf("%w: over %d bytes", ErrBad, MaxSize)
+		return doc, fmt.Errorf("%w: over %d bytes", ErrCorrupt, MaxSize)
 	case len(data) < header || string(data[:len(magic)]) != magic:
-		return doc, fmt.Errorf("%w: no snapshot of this version", ErrBad)
+		return doc, fmt.Errorf("%w: no snapshot of this version", ErrCorrupt)
 	case binary.BigEndian.Uint32(data[len(magic):]) != crc32.Checksum(data[header:], crc32.MakeTable(crc32.Castagnoli)):
-		return doc, fmt.Errorf("%w: the checksum differs", ErrBad)
+		return doc, fmt.Errorf("%w: the checksum differs", ErrCorrupt)
 	}
 	if err := json.Unmarshal(data[header:], &doc); err != nil {
-		return doc, fmt.Errorf("%w: %w", ErrBad, err)
+		return doc, fmt.Errorf("%w: %w", ErrCorrupt, err)
 	}
 	return doc, nil
 }
 
-// Keep writes what is known at intervals and once more when the context ends, as long as there is something new. Know returns
+// Persist writes what is known at intervals and once more when the context ends, as long as there is something new. Know returns
 // what is known, and false when nothing has changed since it was last asked or nobody can tell any more.
-func Keep(ctx context.Context, f File, every time.Duration, timeOfDay func() time.Time, know func() (logic.Knowledge, bool), log *slog.Logger) {
+func Persist(ctx context.Context, f File, every time.Duration, timeOfDay func() time.Time, know func() (logic.Knowledge, bool), log *slog.Logger) {
 	f.tidy(timeOfDay())
 	t := time.NewTicker(every)
 	defer t.Stop()
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -24,9 +24,9 @@
 }
 
 func TestSnapshot(t *testing.T) {
-	f := In(t.TempDir(), "n3/../x", []string{"pay"})
+	f := FileIn(t.TempDir(), "n3/../x", []string{"pay"})
 	now := time.Now()
-	if _, _, err := f.Load(now, time.Minute); !errors.Is(err, ErrNone) {
+	if _, _, err := f.Load(now, time.Minute); !errors.Is(err, ErrNotFound) {
 		t.Errorf("before the first: %v", err)
 	}
 	if err := f.Save(sample(), now); err != nil {
@@ -36,16 +36,16 @@
 	if err != nil || ago.Round(time.Second) != 5*time.Second || !reflect.DeepEqual(k, sample()) {
 		t.Errorf("%+v, %v ago, %v", k, ago, err)
 	}
-	other := In(filepath.Dir(f.Path), "n3/../x", []string{"pay", "ask"})
+	other := FileIn(filepath.Dir(f.Path), "n3/../x", []string{"pay", "ask"})
 	for name, c := range map[string]struct {
 		f    File
 		at   time.Time
 		want error
 	}{
-		"too old":         {f, now.Add(2 * time.Minute), ErrOld},
-		"from the future": {f, now.Add(-time.Minute), ErrOld},
-		"other settings":  {other, now, ErrOther},
-		"other agent":     {File{Path: f.Path, Agent: "n4", Classes: f.Classes}, now, ErrOther},
+		"too old":         {f, now.Add(2 * time.Minute), ErrExpired},
+		"from the future": {f, now.Add(-time.Minute), ErrExpired},
+		"other settings":  {other, now, ErrMismatch},
+		"other agent":     {File{Path: f.Path, Agent: "n4", Classes: f.Classes}, now, ErrMismatch},
 	} {
 		if _, _, err := c.f.Load(c.at, time.Minute); !errors.Is(err, c.want) {
 			t.Errorf("%s: %v", name, err)
@@ -68,14 +68,14 @@
 	if err := os.WriteFile(f.Path, make([]byte, MaxSize+1), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, _, err := f.Load(now, time.Minute); !errors.Is(err, ErrBad) {
+	if _, _, err := f.Load(now, time.Minute); !errors.Is(err, ErrCorrupt) {
 		t.Errorf("a file beyond the bound: %v", err)
 	}
 }
 
 // Any byte that differs, and any end that is missing, is noticed.
 func TestSpoilt(t *testing.T) {
-	f := In(t.TempDir(), "n", nil)
+	f := FileIn(t.TempDir(), "n", nil)
 	if err := f.Save(sample(), time.Now()); err != nil {
 		t.Fatal(err)
 	}
@@ -86,10 +86,10 @@
 	for i := range whole {
 		bad := append([]byte(nil), whole...)
 		bad[i] ^= 0x20
-		if _, err := decode(bad); !errors.Is(err, ErrBad) {
+		if _, err := decode(bad); !errors.Is(err, ErrCorrupt) {
 			t.Fatalf("with byte %d changed: %v", i, err)
 		}
-		if _, err := decode(whole[:i]); !errors.Is(err, ErrBad) {
+		if _, err := decode(whole[:i]); !errors.Is(err, ErrCorrupt) {
 			t.Fatalf("cut at %d: %v", i, err)
 		}
 	}
@@ -98,7 +98,7 @@
 func FuzzDecode(f *testing.F) {
 	f.Add([]byte(magic + "\x00\x00\x00\x00{}"))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		if _, err := decode(data); err != nil && !errors.Is(err, ErrBad) {
+		if _, err := decode(data); err != nil && !errors.Is(err, ErrCorrupt) {
 			t.Error(err)
 		}
 	})
@@ -107,7 +107,7 @@
 // What is new is written at intervals and at the end; a folder that can't be written to stops nothing.
 func TestKeep(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := In(t.TempDir(), "n", nil)
+		f := FileIn(t.TempDir(), "n", nil)
 		ctx, stop := context.WithCancel(t.Context())
 		var asked atomic.Int64
 		var fresh atomic.Bool
@@ -117,7 +117,7 @@
 			return sample(), fresh.Swap(false)
 		}
 		ended := make(chan struct{})
-		go func() { Keep(ctx, f, time.Second, time.Now, know, slog.New(slog.DiscardHandler)); close(ended) }()
+		go func() { Persist(ctx, f, time.Second, time.Now, know, slog.New(slog.DiscardHandler)); close(ended) }()
 		time.Sleep(2500 * time.Millisecond)
 		if _, err := os.Stat(f.Path); err != nil || asked.Load() != 2 {
 			t.Fatalf("asked %d times, %v", asked.Load(), err)
@@ -132,19 +132,19 @@
 		ctx, stop = context.WithCancel(t.Context())
 		fresh.Store(true)
 		stop()
-		Keep(ctx, File{Path: "/nowhere/at/all"}, time.Second, time.Now, know, slog.New(slog.DiscardHandler))
+		Persist(ctx, File{Path: "/nowhere/at/all"}, time.Second, time.Now, know, slog.New(slog.DiscardHandler))
 	})
 }
 
 // What processes left that were killed as they wrote goes with the next start, and nothing else does: another process may be
 // writing.
 func TestHalfWrittenFilesGo(t *testing.T) {
-	f := In(t.TempDir(), "n", nil)
+	f := FileIn(t.TempDir(), "n", nil)
 	if err := f.Save(sample(), time.Now()); err != nil {
 		t.Fatal(err)
 	}
 	long := time.Now().Add(-time.Hour)
-	other := In(filepath.Dir(f.Path), "m", nil).Path + ".77"
+	other := FileIn(filepath.Dir(f.Path), "m", nil).Path + ".77"
 	for _, path := range []string{f.Path + ".1", f.Path + ".2", other} {
 		if err := os.WriteFile(path, []byte("RYW"), 0o600); err != nil {
 			t.Fatal(err)
@@ -161,7 +161,7 @@
 	}
 	ctx, stop := context.WithCancel(t.Context())
 	stop()
-	Keep(ctx, f, time.Hour, time.Now, func() (logic.Knowledge, bool) { return logic.Knowledge{}, false }, slog.New(slog.DiscardHandler))
+	Persist(ctx, f, time.Hour, time.Now, func() (logic.Knowledge, bool) { return logic.Knowledge{}, false }, slog.New(slog.DiscardHandler))
 	left, err := filepath.Glob(filepath.Join(filepath.Dir(f.Path), "*"))
 	if want := []string{f.Path, f.Path + ".3", other}; err != nil || !slices.Equal(slices.Sorted(slices.Values(left)), slices.Sorted(slices.Values(want))) {
 		t.Errorf("left are %v, %v", left, err)
@@ -170,7 +170,7 @@
 
 // A file is replaced, never written into: who reads it meanwhile gets the one before, whole.
 func TestReplacedWhole(t *testing.T) {
-	f := In(t.TempDir(), "n", nil)
+	f := FileIn(t.TempDir(), "n", nil)
 	if err := f.Save(sample(), time.Now()); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/upstream/http/upstream.go
+++ b/internal/upstream/http/upstream.go
@@ -69,6 +69,6 @@
 // send describes an attempt at this moment, for the send guard.
 func (u *Upstream) send(a *core.Attempt, node *pool.Node) invariant.Send {
 	takes, since := u.Pool.TakesNew(node)
-	return invariant.Send{Now: u.Clock.Now(), WriteBy: a.WriteDeadline, RequestOver: a.Call.Finished(), OverSince: a.Call.FinishedAt(),
-		TakesNew: takes, RetiredSince: since}
+	return invariant.Send{Now: u.Clock.Now(), WriteDeadline: a.WriteDeadline, RequestFinished: a.Call.Finished(), FinishedAt: a.Call.FinishedAt(),
+		EndpointAcceptsNew: takes, RetiredAt: since}
 }
