--- a/cmd/ryeweir/agent.go
+++ b/cmd/ryeweir/agent.go
@@ -80,11 +80,11 @@
 
 // runAgent runs an agent until SIGTERM or SIGINT has drained it.
 func runAgent(ctx context.Context, flags *logging, operatorFile string, peers peerFlags, errs io.Writer) error {
-	return runAgentOn(ctx, flags, operatorFile, peers, errs, func(*agent.Sockets) {})
+	return runAgentOn(ctx, flags, operatorFile, peers, errs, func(*agent.Environment) {})
 }
 
 // runAgentOn is runAgent on sockets that change may wrap before the agent starts; the soak injects faults there.
-func runAgentOn(ctx context.Context, flags *logging, operatorFile string, peers peerFlags, errs io.Writer, change func(*agent.Sockets)) error {
+func runAgentOn(ctx context.Context, flags *logging, operatorFile string, peers peerFlags, errs io.Writer, change func(*agent.Environment)) error {
 	hangups := make(chan os.Signal, 1) // one pending signal is enough: the files are read after it
 	signal.Notify(hangups, syscall.SIGHUP)
 	signal.Ignore(syscall.SIGPIPE) // from a log whose reader has died
@@ -127,7 +127,7 @@
 }
 
 // listen opens the sockets of clients and operators.
-func listen(config platform.Config) (sockets agent.Sockets, err error) {
+func listen(config platform.Config) (sockets agent.Environment, err error) {
 	if sockets.Clients, sockets.Inherited, err = handover.Listen(os.Getenv, config.Listen); err != nil {
 		return sockets, err
 	}
@@ -141,13 +141,13 @@
 }
 
 // reloads says what SIGHUP reads again: the platform's configuration, and the operators' file where there is one.
-func reloads(hangups <-chan os.Signal, operatorFile string, peers peerFlags) agent.Reloads {
-	r := agent.Reloads{
-		Signals: hangups,
-		Load:    func() (platform.Config, error) { return platform.Reload(os.Getenv) },
+func reloads(hangups <-chan os.Signal, operatorFile string, peers peerFlags) agent.ReloadConfig {
+	r := agent.ReloadConfig{
+		Signals:      hangups,
+		LoadPlatform: func() (platform.Config, error) { return platform.Reload(os.Getenv) },
 	}
 	if operatorFile != "" {
-		r.Operator = func() (operator.File, error) { return peers.load(operatorFile) }
+		r.LoadOperator = func() (operator.File, error) { return peers.load(operatorFile) }
 	}
 	return r
 }
--- a/cmd/ryeweir/soak.go
+++ b/cmd/ryeweir/soak.go
@@ -148,7 +148,7 @@
 				}
 			}
 			go machine.Follow(command.InOrStdin(), func(line string, err error) { fmt.Fprintln(command.ErrOrStderr(), "soak:", line, err) })
-			return runAgentOn(command.Context(), log, "", peerFlags{}, command.ErrOrStderr(), func(s *agent.Sockets) {
+			return runAgentOn(command.Context(), log, "", peerFlags{}, command.ErrOrStderr(), func(s *agent.Environment) {
 				s.Clients = machine.Listen(s.Clients)
 				s.Dial = machine.Dial(host)
 				s.TimeOfDay = machine.Wall
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -40,8 +40,8 @@
 	mostSockets       = 4096 // more are never needed, whatever the limit allows
 )
 
-// Sockets are the listening ones of an agent, and what else it is handed of its machine.
-type Sockets struct {
+// Environment are the listening ones of an agent, and what else it is handed of its machine.
+type Environment struct {
 	Clients   net.Listener
 	Inherited bool          // another process may accept what this one does not
 	Control   net.Listener  // for operators; nil without an address for them
@@ -52,7 +52,7 @@
 }
 
 // Run serves until the context ends, then drains as the platform's restarts want it. It closes the sockets.
-func Run(ctx context.Context, cfg platform.Config, ops operator.File, reloads Reloads, sockets Sockets, log *slog.Logger) error {
+func Run(ctx context.Context, cfg platform.Config, ops operator.File, reloads ReloadConfig, sockets Environment, log *slog.Logger) error {
 	defer sockets.Clients.Close()
 	settings := cfg.Site.Logic
 	ops.HealthChecks.Apply(&settings)
@@ -94,17 +94,17 @@
 		memory /= 2
 	}
 	bodies := bodybuffer.NewBudget(int64(memory))
-	figures.Add("events", func() any { return events })
-	figures.Add("invariants", func() any { return monitor })
-	figures.Add("connections", func() any { return conns.Stats() })
+	figures.Register("events", func() any { return events })
+	figures.Register("invariants", func() any { return monitor })
+	figures.Register("connections", func() any { return conns.Stats() })
 	var badReport sync.Once
-	upstream := &uphttp.Upstream{Pool: conns, Clock: clock, Budget: bodies, LoadReportFields: cfg.Site.LoadReportFields, OnRequestWritten: figures.Sent,
+	upstream := &uphttp.Upstream{Pool: conns, Clock: clock, Budget: bodies, LoadReportFields: cfg.Site.LoadReportFields, OnRequestWritten: figures.AttemptWritten,
 		Events: events, Monitor: monitor,
 		OnMalformedReport: func(err error) {
 			badReport.Do(func() { log.Warn("passing over a malformed report; further ones are not logged", "error", err) })
 		}}
 	prober := healthcheck.New(healthcheck.Config{Settings: ops.HealthChecks.Settings(), LoadReports: len(cfg.Site.LoadReportFields) > 0, Clock: clock, Transport: upstream, Log: log})
-	figures.Add("probes", func() any { return prober.Stats() })
+	figures.Register("probes", func() any { return prober.Stats() })
 	fleet, order, err := ops.Overload.Budget(cfg.Site.Logic, cfg.Site.MaxRetryAfter, cfg.Seed)
 	if err != nil {
 		return err
@@ -117,13 +117,13 @@
 			return err
 		}
 		observe = talk.observe
-		figures.Add("peers", talk.figures)
+		figures.Register("peers", talk.figures)
 	}
-	c := core.New(core.Config{Observe: observe, Balancer: balancer, Clock: clock, Upstream: upstream, HealthChecker: prober, UploadTimeout: httpmsg.MaxUploadDuration,
-		Subscribe: func() { disco.Subscribe() }, EndpointCounts: figures.SetMembers, Log: log, Budget: fleet, PriorityOrder: order,
+	c := core.New(core.Config{OnAttemptOutcome: observe, Balancer: balancer, Clock: clock, Upstream: upstream, HealthChecker: prober, UploadTimeout: httpmsg.MaxUploadDuration,
+		Subscribe: func() { disco.Subscribe() }, OnEndpointCounts: figures.SetEndpointCounts, Log: log, Budget: fleet, PriorityOrder: order,
 		Events: events, Monitor: monitor})
 	if fleet != nil {
-		figures.Add("overload", func() any { return c.BudgetStats() })
+		figures.Register("overload", func() any { return c.BudgetStats() })
 		own := budget.SelfLimits{QueueDelay: ops.Overload.SelfLimits.QueueDelay.D(), CPU: ops.Overload.SelfLimits.CPU, Memory: ops.Overload.SelfLimits.Memory}
 		parts.Go(func() { watchOwn(inner, c, own, cfg.Cores, int64(cfg.MemoryMB)<<20, log) })
 	}
@@ -135,7 +135,7 @@
 	}
 	disco = discovery.New(discovery.Config{Addr: cfg.Discovery, Agents: cfg.Site.Logic.Balancers, SubscriptionRequired: cfg.Site.Logic.SubscriptionRequired,
 		Zones: cfg.Site.Zones, CachedList: cfg.Known, Seed: cfg.Seed, Clock: clock, Dial: sockets.Dial, Sink: sink, Log: log, Events: events})
-	figures.Add("border", func() any { return c.BoundaryViolations() })
+	figures.Register("border", func() any { return c.BoundaryViolations() })
 	front := fronthttp.New(fronthttp.Config{Site: cfg.Site, Core: c, Clock: clock, Metrics: figures, BodyBudget: bodies,
 		MaxConnections: share.fromClients, AcceptWindow: cfg.AcceptFor, DrainTimeout: ops.Drain.MaxDuration.D(), SocketBufferBytes: ops.Connections.SocketBufferBytes, Log: log,
 		Events: events, Monitor: monitor})
@@ -153,10 +153,10 @@
 	})
 	parts.Go(func() { disco.Run(inner) })
 	if keep {
-		parts.Go(func() { snapshot.Keep(ctx, kept, ops.Snapshot.Interval.D(), timeOfDay, c.Knowledge, log) })
+		parts.Go(func() { snapshot.Persist(ctx, kept, ops.Snapshot.Interval.D(), timeOfDay, c.Knowledge, log) })
 	}
 	parts.Go(func() {
-		reloads.follow(inner, cfg, ops, disco, func(fresh operator.File) error {
+		reloads.run(inner, cfg, ops, disco, func(fresh operator.File) error {
 			prober.Configure(fresh.HealthChecks.Settings())
 			return conns.Configure(fresh.Connections.Settings(connections(cfg, share.toBackends)))
 		}, log)
@@ -177,7 +177,7 @@
 
 // shareSockets shares out a limit on descriptors. With an inherited socket, two processes hold them together for a while:
 // clients move from the one to the other, so their places are needed once, but each has connections to backends.
-func shareSockets(limit int, sockets Sockets) shares {
+func shareSockets(limit int, sockets Environment) shares {
 	room := min(max(limit, leastSockets), mostSockets) - spareSockets
 	if sockets.Control != nil {
 		room -= control.MaxDescriptors
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -308,7 +308,7 @@
 	CloseSuspected: event.SuspectConnection,
 	CloseCrossed:   event.CrossedClose,
 	CloseBroken:    event.BrokenExchange,
-	CloseRetired:   event.ServerRetired,
+	CloseRetired:   event.EndpointRetired,
 	CloseCapacity:  event.CapacityNeeded,
 	CloseShutdown:  event.ProcessEnd,
 }
