--- /dev/null
+++ b/internal/connlimit/disconnect_test.go
@@ -0,0 +1,102 @@
+package connlimit
+
+import (
+	"context"
+	"io"
+	"net"
+	"net/http"
+	"strings"
+	"testing"
+	"time"
+
+	"ryeweir/internal/framing"
+	"ryeweir/internal/socket"
+	"ryeweir/internal/testkit"
+)
+
+// blockingServer is a server whose handler blocks each request until its client has disconnected or the test releases it.
+type blockingServer struct {
+	l            *Listener
+	began        chan context.Context
+	release      chan struct{}
+	disconnected chan bool // whether the client was gone from the beginning
+}
+
+func newBlockingServer(t *testing.T) *blockingServer {
+	t.Helper()
+	s := &blockingServer{l: New(testkit.Listen(t), 9), began: make(chan context.Context), release: make(chan struct{}), disconnected: make(chan bool, 1)}
+	s.l.HeaderTimeout = time.Minute
+	serve(t, s.l, func(w http.ResponseWriter, r *http.Request) {
+		io.Copy(io.Discard, r.Body)
+		ctx, cancel := context.WithCancel(r.Context())
+		defer cancel()
+		BeginRequest(ctx, "r")
+		if OnDisconnect(ctx, cancel) {
+			s.disconnected <- true
+			return
+		}
+		s.began <- ctx
+		select {
+		case <-ctx.Done():
+			s.disconnected <- false
+		case <-s.release:
+			io.WriteString(w, r.URL.Path)
+		}
+	})
+	return s
+}
+
+// A client disconnects while its request waits. However it does that, and whatever it sent behind the request, the handler is
+// notified: else attempts would go on for a client that is gone.
+func TestDisconnectIsNoticedBehindAnyBytes(t *testing.T) {
+	for how, disconnect := range map[string]func(*net.TCPConn){
+		"closes":      func(c *net.TCPConn) { c.Close() },
+		"half-closes": func(c *net.TCPConn) { c.CloseWrite() },
+		"resets":      func(c *net.TCPConn) { c.SetLinger(0); c.Close() },
+	} {
+		for behind, text := range map[string]string{"nothing": "", "an empty line": "\r\n", "a next request": get("/b"), "more than a buffer": strings.Repeat(get("/b"), 200)} {
+			t.Run(how+" behind "+behind, func(t *testing.T) {
+				t.Parallel()
+				s := newBlockingServer(t)
+				c := dial(t, s.l)
+				io.WriteString(c, get("/a"))
+				ctx := <-s.began
+				io.WriteString(c, text)
+				if ctx.Err() != nil {
+					t.Error("the handler was notified before the client disconnected")
+				}
+				disconnect(c)
+				if receive(t, "the handler is notified", s.disconnected) {
+					t.Error("the client counted as disconnected from the beginning")
+				}
+			})
+		}
+	}
+}
+
+// A client has disconnected before its request is looked at. That is seen then, below all that wraps its connection, and nothing
+// begins for it.
+func TestEarlierDisconnectIsSeenWhenTheWatchBegins(t *testing.T) {
+	l := New(framing.Listener{Listener: socket.Listener{Listener: testkit.Listen(t)}}, 1)
+	c, client := acceptPair(t, l)
+	client.Close()
+	testkit.Eventually(t, "the client's close arrives", func() bool { return closedByPeer(c) })
+	if !c.watchDisconnect(func() {}) {
+		t.Error("the watch began for a client that is gone")
+	}
+}
+
+// A client sends two requests in one piece and disconnects while the second waits. The handler of the second is notified, not that
+// of the first, which is over.
+func TestDisconnectNotifiesTheRequestInFlight(t *testing.T) {
+	s := newBlockingServer(t)
+	c := dial(t, s.l)
+	io.WriteString(c, get("/a")+get("/b")) // in one buffer of the server's
+	<-s.began
+	io.WriteString(c, get("/c"))
+	s.release <- struct{}{}
+	ctx := <-s.began
+	c.Close()
+	receive(t, "the second handler is notified", ctx.Done())
+	<-s.disconnected
+}
--- /dev/null
+++ b/internal/connlimit/readahead_test.go
@@ -0,0 +1,61 @@
+package connlimit
+
+import (
+	"bufio"
+	"io"
+	"net/http"
+	"testing"
+	"time"
+
+	"ryeweir/internal/testkit"
+)
+
+// Bytes that came behind a request, in any pieces, are read as the next requests: complete and in order.
+func TestReadAheadKeepsPipelinedRequestsInOrder(t *testing.T) {
+	s := newBlockingServer(t)
+	c := dial(t, s.l)
+	in := bufio.NewReader(c)
+	io.WriteString(c, get("/a"))
+	<-s.began
+	for _, piece := range []string{get("/b")[:1], get("/b")[1:5], get("/b")[5:] + get("/c")} {
+		io.WriteString(c, piece)
+	}
+	for _, want := range []string{"/a", "/b", "/c"} {
+		select {
+		case s.release <- struct{}{}:
+		case <-time.After(testTimeout):
+			t.Fatalf("the request for %s does not wait", want)
+		}
+		wantAnswer(t, in, want)
+		if want == "/c" {
+			break
+		}
+		receive(t, "a request follows "+want, s.began)
+	}
+}
+
+// A client floods the connection behind its request. What is read ahead of that is bounded, and the request is answered.
+func TestReadAheadIsBounded(t *testing.T) {
+	s := newBlockingServer(t)
+	c := dial(t, s.l)
+	io.WriteString(c, get("/a"))
+	<-s.began
+	flooding := make(chan struct{})
+	go func() { defer close(flooding); io.CopyN(c, zeros{}, 64*maxReadAhead) }()
+	testkit.Eventually(t, "the bound is reached", func() bool {
+		return s.l.anyConn(func(c *Conn) bool {
+			select {
+			case <-c.readAhead.running:
+				return len(c.readAhead.buffered) == maxReadAhead
+			default:
+				return false
+			}
+		})
+	})
+	s.release <- struct{}{}
+	if resp, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil || resp.StatusCode != http.StatusOK {
+		t.Error(resp, err)
+	}
+	c.Close()
+	<-flooding
+}
