--- a/cmd/ryeweir/demo.go
+++ b/cmd/ryeweir/demo.go
@@ -112,7 +112,7 @@
 	fmt.Fprintln(out)
 	printFigures(out, outcome)
 	fmt.Fprintf(out, "attempts per request %.3f  wasted work %.1f%%  agents' CPU %.0f us a request\n", outcome.Attempts, 100*outcome.Waste, outcome.CPU)
-	fmt.Fprintf(out, "lost %d  duplicates %d  after_drain %d  toppled %d\n", a.Lost, a.Duplicates, a.AfterDrain, a.Toppled)
+	fmt.Fprintf(out, "lost %d  duplicates %d  after_drain %d  toppled %d\n", a.Lost, a.Duplicates, a.AfterDrain, a.SlowStartOverloads)
 	if r := outcome.Rude; r.Clients > 0 {
 		fmt.Fprintf(out, "rude clients %d, of which %d were served and %d got neither an error nor a close\n", r.Clients, r.Served, r.Ignored)
 	}
--- a/cmd/ryeweir/demo_test.go
+++ b/cmd/ryeweir/demo_test.go
@@ -58,7 +58,7 @@
 	if err := json.Unmarshal(text, &o); err != nil {
 		t.Fatal(err)
 	}
-	if a := o.Account; !a.Balanced() || a.Completed < 300 || a.Lost+a.Duplicates+a.Strangers > 0 || o.CPU <= 0 {
+	if a := o.Account; !a.Balanced() || a.Completed < 300 || a.Lost+a.Duplicates+a.UnknownRequests > 0 || o.CPU <= 0 {
 		t.Errorf("%+v\n%s", a, out.String())
 	}
 	for _, want := range []string{"verdict:", "node-02: drain", "place-order"} {
--- a/cmd/ryeweir/describe.go
+++ b/cmd/ryeweir/describe.go
@@ -66,5 +66,5 @@
 		return "", err
 	}
 	return fmt.Sprintf("%s: day %s of %v, %d nodes, %d agents, %.0f requests a second, clients retry %d times, %d troubles", what, spec.Name,
-		day.Length, len(day.Nodes), len(day.Agents), day.Rate, day.Habits.Retries, len(day.Troubles)), nil
+		day.Length, len(day.Nodes), len(day.Agents), day.Rate, day.Clients.Retries, len(day.Faults)), nil
 }
--- a/internal/agent/fleet_test.go
+++ b/internal/agent/fleet_test.go
@@ -75,7 +75,7 @@
 	w.Play()
 	from := w.Now()
 	var lives sync.WaitGroup
-	for _, trouble := range day.AgentTroubles {
+	for _, trouble := range day.AgentFaults {
 		lives.Go(func() {
 			time.Sleep(from + trouble.At - w.Now())
 			f.befall(trouble, limits)
@@ -102,7 +102,7 @@
 }
 
 // befall ends an agent, planned or not, and starts the next in its place.
-func (f *fleet) befall(a emulator.AgentTrouble, limits emulator.Limits) {
+func (f *fleet) befall(a emulator.AgentFault, limits emulator.Limits) {
 	f.mu.Lock()
 	if f.away[a.Agent] {
 		f.mu.Unlock()
--- a/internal/agent/scenes_test.go
+++ b/internal/agent/scenes_test.go
@@ -126,7 +126,7 @@
 	for _, b := range s.Referee.Breaches() {
 		s.t.Error(b)
 	}
-	if !a.Held() || !a.Balanced() || a.Strangers > 0 || s.Err() != nil {
+	if !a.Held() || !a.Balanced() || a.UnknownRequests > 0 || s.Err() != nil {
 		s.t.Errorf("the account %+v, %v", a, s.Err())
 	}
 	service := referee.Serve(s.calls, time.Second, len(s.Day.Classes), len(s.Day.Tenants))
@@ -202,13 +202,13 @@
 	return s.Day.Agents[p.Agent], s.clients[p.Agent], func(referee.End) {}
 }
 
-func trouble(kind node.Kind, nodes int, from, to, size float64) emulator.TroubleSpec {
-	return emulator.TroubleSpec{Kind: string(kind), Nodes: nodes, From: sec(from), To: sec(to), Size: size}
+func trouble(kind node.Kind, nodes int, from, to, size float64) emulator.FaultSpec {
+	return emulator.FaultSpec{Kind: string(kind), Nodes: nodes, From: sec(from), To: sec(to), Size: size}
 }
 
 // add puts troubles into a day.
-func add(troubles ...emulator.TroubleSpec) func(*emulator.DaySpec) {
-	return func(d *emulator.DaySpec) { d.Troubles = append(d.Troubles, troubles...) }
+func add(troubles ...emulator.FaultSpec) func(*emulator.DaySpec) {
+	return func(d *emulator.DaySpec) { d.Faults = append(d.Faults, troubles...) }
 }
 
 func TestScenes(t *testing.T) {
@@ -227,7 +227,7 @@
 		"idle closes":              {day: add(trouble(node.IdleClose, 5, 1, 12, 1)), service: 0.95, verify: effects},
 		"spoilt answers":           {day: add(trouble(node.Spoil, 5, 2, 10, 0.1)), service: 0.8, verify: effects},
 		"oversized answers":        {day: add(trouble(node.Oversize, 5, 2, 10, 0.1)), service: 0.8, verify: effects},
-		"late answers":             {day: add(trouble(node.Late, 2, 2, 8, 1)), service: 0.6},
+		"late answers":             {day: add(trouble(node.LateAnswers, 2, 2, 8, 1)), service: 0.6},
 		"flapping":                 {day: add(flap), service: 0.75},
 		"a drain":                  {day: add(trouble(node.Drain, 2, 3, 8, 0)), service: 0.9},
 		"a restart":                {day: add(trouble(node.Restart, 1, 3, 5, 0)), service: 0.9},
@@ -277,7 +277,7 @@
 
 func coldNodes(d *emulator.DaySpec) {
 	for i := range d.Kinds {
-		d.Kinds[i].Cold = true
+		d.Kinds[i].SlowStart = true
 	}
 }
 
@@ -289,7 +289,7 @@
 func rude(s *stage) {
 	ctx, stop := context.WithTimeout(context.Background(), 8*time.Second)
 	defer stop()
-	f := callers.Rude(ctx, s.network.Dialer("stranger"), s.addrs[0], 40)
+	f := callers.RunMisbehaving(ctx, s.network.Dialer("stranger"), s.addrs[0], 40)
 	if f.Clients < 100 || f.Served > 0 || f.Ignored > 0 {
 		s.t.Errorf("rude clients: %+v", f)
 	}
--- a/internal/agent/scripted_test.go
+++ b/internal/agent/scripted_test.go
@@ -54,8 +54,8 @@
 				p := peer.New(l, c.scripts...)
 				defer p.Close()
 				got, body := ask(t, network, c.method, c.path)
-				if got != c.status || body != c.body || len(p.Seen()) != c.seen || p.Trouble() != nil {
-					t.Errorf("%d %q, asked %d times, %v", got, body, len(p.Seen()), p.Trouble())
+				if got != c.status || body != c.body || len(p.Seen()) != c.seen || p.AddFault() != nil {
+					t.Errorf("%d %q, asked %d times, %v", got, body, len(p.Seen()), p.AddFault())
 				}
 			})
 		})
--- a/internal/agent/soak_test.go
+++ b/internal/agent/soak_test.go
@@ -61,7 +61,7 @@
 				defer close(replaced)
 				w.Replace(round%len(day.Nodes), 2*time.Second)
 			}()
-			calls, _ := callers.Run(t.Context(), callers.Config{Plan: plan, Classes: day.Classes, Tenants: day.Tenants, Habits: day.HabitsAt,
+			calls, _ := callers.Run(t.Context(), callers.Config{Plan: plan, Classes: day.Classes, Tenants: day.Tenants, Habits: day.ClientsAt,
 				Route: s.route, Referee: w.Referee, Epoch: w.Epoch, Answer: 400, Body: 200, Prefix: uint64(round) + 1})
 			<-replaced
 			for _, c := range calls {
--- a/internal/connlimit/close.go
+++ b/internal/connlimit/close.go
@@ -48,8 +48,8 @@
 // checkClose passes the close through the close guard, and records it with its reason. The lock is held.
 func (c *Conn) checkClose() {
 	guard := invariant.Close{
-		RequestPending: c.requestID != "" && !c.answerDecided,
-		ClientLeft:  c.disconnected,
+		RequestPending:  c.requestID != "" && !c.answerDecided,
+		ClientLeft:      c.disconnected,
 		AnswerTruncated: c.answerAborted,
 	}
 	if verdict := guard.Check(); verdict.Denied {
--- a/internal/discovery/fleet_test.go
+++ b/internal/discovery/fleet_test.go
@@ -121,7 +121,7 @@
 	}
 	server.Outage(true)
 	time.Sleep(30 * time.Second)
-	server.Set(entry("s2", discovery.Gone), 0)
+	server.Set(entry("s2", discovery.Removed), 0)
 	server.Set(entry("s2-new", discovery.Ready), 0)
 	time.Sleep(30 * time.Second)
 	server.Outage(false)
--- a/internal/emulator/backend/backend.go
+++ b/internal/emulator/backend/backend.go
@@ -25,7 +25,7 @@
 	Came(id, node string, first time.Duration)
 	Began(id, node string, at time.Duration)
 	Made(id string, sum uint64)
-	Toppled(node string, at time.Duration)
+	SlowStartOverloaded(node string, at time.Duration)
 }
 
 // Config is what a backend is given.
@@ -127,7 +127,7 @@
 	}
 	l := b.listener
 	b.listener = nil
-	b.past = b.past.Plus(b.node.Figures())
+	b.past = b.past.Add(b.node.Figures())
 	conns := make([]*conn, 0, len(b.conns))
 	for c := range b.conns {
 		conns = append(conns, c)
@@ -180,17 +180,17 @@
 	s := State{ID: b.node.ID, Up: b.listener != nil, Figures: b.past}
 	if s.Up {
 		s.InFlight, s.Conns, s.Capacity = b.node.InFlight(), b.node.Conns(), b.node.Capacity()
-		s.Choked, s.Toppled, s.Failing = b.node.Choked(), b.node.Toppled(), b.node.Failing()
+		s.Choked, s.Toppled, s.Failing = b.node.Choked(), b.node.Overloaded(), b.node.Failing()
 		s.Backlog, s.Cores, s.Room = b.node.Backlog(), b.node.Cores, b.node.Room()
-		s.Figures = s.Figures.Plus(b.node.Figures())
+		s.Figures = s.Figures.Add(b.node.Figures())
 	}
 	return s
 }
 
-// Trouble adds a trouble to the node's present life.
-func (b *Backend) Trouble(t node.Trouble) {
+// AddFault adds a trouble to the node's present life.
+func (b *Backend) AddFault(t node.Fault) {
 	b.mu.Lock()
-	b.node.Trouble(t)
+	b.node.AddFault(t)
 	b.mu.Unlock()
 	b.poke()
 }
@@ -229,7 +229,7 @@
 		b.mu.Unlock()
 		events()
 		if toppled && b.cfg.Watch != nil {
-			b.cfg.Watch.Toppled(id, b.now())
+			b.cfg.Watch.SlowStartOverloaded(id, b.now())
 		}
 		timer.Reset(max(0, next-b.now()))
 	}
@@ -459,7 +459,7 @@
 		return false
 	}
 	w, size := b.work(r)
-	w.Unsaid = b.cfg.Unsaid != nil && b.cfg.Unsaid(id, c.node.ID, c.node.Started) // c.node's ID and start do not change
+	w.Unnotified = b.cfg.Unsaid != nil && b.cfg.Unsaid(id, c.node.ID, c.node.Started) // c.node's ID and start do not change
 	a := &attempt{id: id, done: make(chan node.Done, 1)}
 	b.mu.Lock()
 	if c.node != b.node || b.listener == nil {
@@ -481,7 +481,7 @@
 		b.cfg.Watch.Began(id, c.node.ID, b.now())
 	}
 	switch verdict {
-	case node.TurnedAway:
+	case node.Rejected:
 		return c.say(http.StatusServiceUnavailable, "X-Not-Processed: 1\r\n"+c.report(), "")
 	case node.FailedFast:
 		return c.say(http.StatusInternalServerError, c.report(), "an error\n")
--- a/internal/emulator/callers/habits.go
+++ b/internal/emulator/callers/habits.go
@@ -7,49 +7,49 @@
 	"ryeweir/internal/emulator/referee"
 )
 
-// Habits are how clients go about their tries.
-type Habits struct {
-	Retries   int           // further tries by the client itself
-	TryShare  float64       // of the class's deadline after which a try is given up
-	Backoff   time.Duration // before a further try
-	Heed      float64       // share of clients that stay away for as long as a refusal says
-	MostHeed  time.Duration // the longest come-back time that they heed
-	Impatient float64       // share of clients that leave a try early, at a time drawn evenly
+// ClientProfile are how clients go about their tries.
+type ClientProfile struct {
+	Retries                int           // further tries by the client itself
+	AttemptTimeoutFraction float64       // of the class's deadline after which a try is given up
+	Backoff                time.Duration // before a further try
+	RetryAfterFraction     float64       // share of clients that stay away for as long as a refusal says
+	MaxRetryAfter          time.Duration // the longest come-back time that they heed
+	Impatient              float64       // share of clients that leave a try early, at a time drawn evenly
 }
 
 // Journey is a customer's request on its way through the tries of its client. It has no I/O and no clock: the runner tells
 // it how a try ended, and it says what comes next.
 type Journey struct {
 	Planned
-	Class  Class
-	habits Habits
-	rng    *rand.Rand
-	heeds  bool
-	Tries  int
-	result referee.Call
+	Class           Class
+	profile         ClientProfile
+	rng             *rand.Rand
+	heedsRetryAfter bool
+	Attempts        int
+	result          referee.Call
 }
 
 // NewJourney begins a journey.
-func NewJourney(p Planned, c Class, h Habits) *Journey {
+func NewJourney(p Planned, c Class, h ClientProfile) *Journey {
 	rng := rand.New(rand.NewPCG(p.Seed, 0x68616269))
-	return &Journey{Planned: p, Class: c, habits: h, rng: rng, heeds: rng.Float64() < h.Heed,
-		result: referee.Call{At: p.At, Agent: p.Agent, Class: p.Class, Tenant: p.Tenant, Worth: p.Worth, Late: c.LateWorth, Aim: c.Aim}}
+	return &Journey{Planned: p, Class: c, profile: h, rng: rng, heedsRetryAfter: rng.Float64() < h.RetryAfterFraction,
+		result: referee.Call{At: p.At, Agent: p.Agent, Class: p.Class, Tenant: p.Tenant, PriorityWeight: p.PriorityWeight, LateWeight: c.LateWeight, LatencyObjective: c.LatencyObjective}}
 }
 
-// Try begins a try at a time and says how long the client waits for it, and when it leaves without a word (at the end of
+// Attempt begins a try at a time and says how long the client waits for it, and when it leaves without a word (at the end of
 // that, or earlier where it is impatient). 0 says that there is no time for another.
-func (j *Journey) Try(now time.Duration) (wait, leaves time.Duration) {
+func (j *Journey) Attempt(now time.Duration) (wait, leaves time.Duration) {
 	left := j.At + j.Class.Deadline - now
-	wait = min(left, time.Duration(j.habits.TryShare*float64(j.Class.Deadline)))
-	if j.habits.Retries == 0 || j.habits.TryShare == 0 {
+	wait = min(left, time.Duration(j.profile.AttemptTimeoutFraction*float64(j.Class.Deadline)))
+	if j.profile.Retries == 0 || j.profile.AttemptTimeoutFraction == 0 {
 		wait = left
 	}
 	if wait <= 0 {
 		return 0, 0
 	}
-	j.Tries++
+	j.Attempts++
 	leaves = wait
-	if j.rng.Float64() < j.habits.Impatient {
+	if j.rng.Float64() < j.profile.Impatient {
 		leaves = time.Duration(j.rng.Float64() * float64(wait))
 	}
 	return wait, leaves
@@ -57,23 +57,23 @@
 
 // Ended takes the end of a try. It returns when the next one is to begin; over says that there is none.
 func (j *Journey) Ended(now time.Duration, end referee.End, comeBack time.Duration) (next time.Duration, over bool) {
-	j.result.Tries = j.Tries
+	j.result.Attempts = j.Attempts
 	switch end {
 	case referee.Served:
 		j.result.Answered, j.result.Latency = true, now-j.At
 		return 0, true
 	case referee.Refused, referee.Unsent:
 	default: // it may have run: only what is safe is asked again
-		if j.Class.Once {
+		if j.Class.NonIdempotent {
 			return 0, true
 		}
 	}
-	if j.Tries > j.habits.Retries {
+	if j.Attempts > j.profile.Retries {
 		return 0, true
 	}
-	wait := j.habits.Backoff
-	if j.heeds && end == referee.Refused {
-		wait = max(wait, min(comeBack, j.habits.MostHeed))
+	wait := j.profile.Backoff
+	if j.heedsRetryAfter && end == referee.Refused {
+		wait = max(wait, min(comeBack, j.profile.MaxRetryAfter))
 	}
 	next = now + wait
 	return next, next >= j.At+j.Class.Deadline
--- a/internal/emulator/callers/plan.go
+++ b/internal/emulator/callers/plan.go
@@ -13,15 +13,15 @@
 
 // Class is a class of requests.
 type Class struct {
-	Name      string        `toml:"name"`
-	Share     float64       `toml:"share"` // of the requests
-	Work      time.Duration `toml:"-"`     // mean, on a core of speed 1
-	CV        float64       `toml:"cv"`    // of the work: its standard deviation over its mean
-	Aim       time.Duration `toml:"-"`
-	Deadline  time.Duration `toml:"-"` // over all tries
-	Worth     float64       `toml:"worth"`
-	LateWorth float64       `toml:"late_worth"`
-	Once      bool          `toml:"once"` // must never run twice
+	Name             string        `toml:"name"`
+	Share            float64       `toml:"share"` // of the requests
+	Work             time.Duration `toml:"-"`     // mean, on a core of speed 1
+	CV               float64       `toml:"cv"`    // of the work: its standard deviation over its mean
+	LatencyObjective time.Duration `toml:"-"`
+	Deadline         time.Duration `toml:"-"` // over all tries
+	PriorityWeight   float64       `toml:"worth"`
+	LateWeight       float64       `toml:"late_worth"`
+	NonIdempotent    bool          `toml:"once"` // must never run twice
 }
 
 // Tenant is one for whom requests are made.
@@ -82,7 +82,7 @@
 		return errors.New("swing must not be below 0, nor above 1 in a wave, and a wave or bursts need a period")
 	}
 	for _, c := range s.Classes {
-		if c.Share <= 0 || c.Work <= 0 || c.CV < 0 || c.Aim <= 0 || c.Deadline < c.Aim || c.Worth <= 0 || c.LateWorth < 0 || c.LateWorth > 1 {
+		if c.Share <= 0 || c.Work <= 0 || c.CV < 0 || c.LatencyObjective <= 0 || c.Deadline < c.LatencyObjective || c.PriorityWeight <= 0 || c.LateWeight < 0 || c.LateWeight > 1 {
 			return fmt.Errorf("class %q needs a share, work, worth, an aim above 0 and a deadline not before it", c.Name)
 		}
 	}
@@ -96,16 +96,16 @@
 
 // Planned is something to ask: a customer's request, before any try.
 type Planned struct {
-	Number int
-	At     time.Duration
-	Agent  int
-	Class  int
-	Tenant int // -1 without tenants
-	Key    string
-	Work   time.Duration
-	Hint   time.Duration // 0 without one
-	Worth  float64       // its class's, for as much work as it is
-	Seed   uint64        // for what its client draws
+	Number         int
+	At             time.Duration
+	Agent          int
+	Class          int
+	Tenant         int // -1 without tenants
+	Key            string
+	Work           time.Duration
+	Hint           time.Duration // 0 without one
+	PriorityWeight float64       // its class's, for as much work as it is
+	Seed           uint64        // for what its client draws
 }
 
 // Plan draws what is asked, in the order of time. Arrivals are a Poisson process whose rate follows the shape.
@@ -151,7 +151,7 @@
 		}
 		c := s.Classes[p.Class]
 		p.Work = work(rng, c)
-		p.Worth = c.Worth * float64(p.Work) / float64(c.Work)
+		p.PriorityWeight = c.PriorityWeight * float64(p.Work) / float64(c.Work)
 		if s.Hint >= 0 {
 			p.Hint = max(time.Microsecond, time.Duration(float64(p.Work)*math.Exp(s.Hint*rng.NormFloat64())))
 		}
--- a/internal/emulator/callers/rude.go
+++ b/internal/emulator/callers/rude.go
@@ -11,15 +11,15 @@
 	"time"
 )
 
-// RudeFigures are what came of rude clients.
-type RudeFigures struct {
+// MisbehavingFigures are what came of rude clients.
+type MisbehavingFigures struct {
 	Clients int `json:"clients"`
 	Served  int `json:"served"`  // got a 2xx for what is no request
 	Ignored int `json:"ignored"` // got neither an error nor a close in time
 }
 
-// rudeText is what they send, each on a connection of its own.
-var rudeText = []string{
+// malformedRequests is what they send, each on a connection of its own.
+var malformedRequests = []string{
 	"",
 	"\x16\x03\x01\x02\x00\x01\x00\x01\xfc\x03\x03",
 	"GET / HTTP/1.1\r\nHost: x\r\n",
@@ -31,19 +31,19 @@
 	"GET /" + strings.Repeat("a", 70000) + " HTTP/1.1\r\n\r\n",
 }
 
-// rudePatience is how long a rude client is owed an error or a close in.
-const rudePatience = 3 * time.Second
+// misbehavingTimeout is how long a rude client is owed an error or a close in.
+const misbehavingTimeout = 3 * time.Second
 
-// Rude lets so many rude clients a second come to an address until the context ends, each with something that is no
+// RunMisbehaving lets so many rude clients a second come to an address until the context ends, each with something that is no
 // request, and counts what they got.
-func Rude(ctx context.Context, dial func(context.Context, string, string) (net.Conn, error), addr string, rate float64) RudeFigures {
+func RunMisbehaving(ctx context.Context, dial func(context.Context, string, string) (net.Conn, error), addr string, rate float64) MisbehavingFigures {
 	var mu sync.Mutex
-	var out RudeFigures
+	var out MisbehavingFigures
 	var all sync.WaitGroup
 	for n := 0; Sleep(ctx, time.Duration(float64(time.Second)/rate)); n++ {
-		text := rudeText[n%len(rudeText)]
+		text := malformedRequests[n%len(malformedRequests)]
 		all.Go(func() {
-			status, closed := rude(dial, addr, text)
+			status, closed := sendMalformed(dial, addr, text)
 			mu.Lock()
 			defer mu.Unlock()
 			out.Clients++
@@ -59,9 +59,9 @@
 	return out
 }
 
-// rude sends a text and waits for an answer or a close.
-func rude(dial func(context.Context, string, string) (net.Conn, error), addr, text string) (status int, closed bool) {
-	ctx, cancel := context.WithTimeout(context.Background(), rudePatience)
+// sendMalformed sends a text and waits for an answer or a close.
+func sendMalformed(dial func(context.Context, string, string) (net.Conn, error), addr, text string) (status int, closed bool) {
+	ctx, cancel := context.WithTimeout(context.Background(), misbehavingTimeout)
 	defer cancel()
 	c, err := dial(ctx, "tcp", addr)
 	if err != nil {
--- a/internal/emulator/callers/run.go
+++ b/internal/emulator/callers/run.go
@@ -19,7 +19,7 @@
 	Plan    []Planned
 	Classes []Class
 	Tenants []Tenant
-	Habits  func(at time.Duration) Habits // of a client whose request is planned for then
+	Habits  func(at time.Duration) ClientProfile // of a client whose request is planned for then
 	Route   Route
 	Referee *referee.Referee
 	Epoch   time.Time // when the plan's time is 0
@@ -120,7 +120,7 @@
 	r.mu.Unlock()
 	var tried []string
 	for {
-		wait, leaves := j.Try(r.now())
+		wait, leaves := j.Attempt(r.now())
 		if wait == 0 {
 			return
 		}
@@ -134,7 +134,7 @@
 		if r.Direct {
 			agent = ""
 		}
-		r.Referee.Asked(referee.Ask{ID: m.ID, Agent: agent, Once: j.Class.Once, At: r.now(), Class: j.Class.Name, Tenant: m.Tenant})
+		r.Referee.RequestSent(referee.Request{ID: m.ID, Agent: agent, NonIdempotent: j.Class.NonIdempotent, At: r.now(), Class: j.Class.Name, Tenant: m.Tenant})
 		ctx, cancel := context.WithTimeout(context.Background(), leaves)
 		a := client.Send(ctx, m, func() bool { return r.Referee.SentOn(m.ID) })
 		cancel()
@@ -152,7 +152,7 @@
 }
 
 func (r *run) message(j *Journey, wait time.Duration) Message {
-	m := Message{ID: ID(r.Prefix, j.Number, j.Tries), Class: j.Class.Name, Key: j.Key, Once: j.Class.Once,
+	m := Message{ID: ID(r.Prefix, j.Number, j.Attempts), Class: j.Class.Name, Key: j.Key, Once: j.Class.NonIdempotent,
 		Timeout: wait, Hint: j.Hint, Work: j.Work, Answer: r.Answer, Body: r.body}
 	if j.Tenant >= 0 {
 		m.Tenant = r.Tenants[j.Tenant].Name
--- a/internal/emulator/day.go
+++ b/internal/emulator/day.go
@@ -40,7 +40,7 @@
 	Clients   ClientSpec      `toml:"clients"`
 	Net       NetSpec         `toml:"net"`
 	List      ListSpec        `toml:"list"`
-	Troubles  []TroubleSpec   `toml:"trouble"`
+	Faults    []FaultSpec     `toml:"trouble"`
 	Outages   []OutageSpec    `toml:"outage"`
 	Fleet     FleetSpec       `toml:"fleet"`
 	KeepFor   config.Duration `toml:"keep_for"` // how long the referee remembers a request past its end; 0 for all of the day
@@ -48,29 +48,29 @@
 
 // KindSpec is a kind of machine.
 type KindSpec struct {
-	Name   string  `toml:"name"`
-	Nodes  int     `toml:"nodes"`
-	Cores  int     `toml:"cores"`
-	Speed  float64 `toml:"speed"`
-	Spread float64 `toml:"spread"` // of the speeds: relative standard deviation
-	Queue  float64 `toml:"queue_per_core"`
-	Cold   bool    `toml:"cold"`     // starts with the day
-	Chokes bool    `toml:"chokes"`   // turns slow after a lasting overload
-	Conns  int     `toml:"conn_cap"` // connections held at most
-	Errors float64 `toml:"error_rate"`
+	Name      string  `toml:"name"`
+	Nodes     int     `toml:"nodes"`
+	Cores     int     `toml:"cores"`
+	Speed     float64 `toml:"speed"`
+	Spread    float64 `toml:"spread"` // of the speeds: relative standard deviation
+	Queue     float64 `toml:"queue_per_core"`
+	SlowStart bool    `toml:"cold"`     // starts with the day
+	Chokes    bool    `toml:"chokes"`   // turns slow after a lasting overload
+	Conns     int     `toml:"conn_cap"` // connections held at most
+	Errors    float64 `toml:"error_rate"`
 }
 
 // ClassSpec is a class of requests.
 type ClassSpec struct {
-	Name      string          `toml:"name"`
-	Share     float64         `toml:"share"`
-	Work      config.Duration `toml:"work"`
-	CV        float64         `toml:"cv"`
-	Aim       config.Duration `toml:"aim"`
-	Deadline  config.Duration `toml:"deadline"`
-	Worth     float64         `toml:"worth"`
-	LateWorth float64         `toml:"late_worth"`
-	Once      bool            `toml:"once"`
+	Name             string          `toml:"name"`
+	Share            float64         `toml:"share"`
+	Work             config.Duration `toml:"work"`
+	CV               float64         `toml:"cv"`
+	LatencyObjective config.Duration `toml:"aim"`
+	Deadline         config.Duration `toml:"deadline"`
+	PriorityWeight   float64         `toml:"worth"`
+	LateWeight       float64         `toml:"late_worth"`
+	NonIdempotent    bool            `toml:"once"`
 }
 
 // TenantSpec is a tenant; what it asks for beyond its share is worth less.
@@ -81,14 +81,14 @@
 
 // ClientSpec is how clients behave.
 type ClientSpec struct {
-	Retries   int             `toml:"retries"`
-	TryShare  float64         `toml:"try_share"`
-	Backoff   config.Duration `toml:"backoff"`
-	Heed      float64         `toml:"heed"`
-	MostHeed  config.Duration `toml:"most_heed"`
-	Impatient float64         `toml:"impatient"`
-	Slow      float64         `toml:"slow"` // share that takes its time over sending
-	Rude      float64         `toml:"rude"` // rude clients a second, at each agent
+	Retries                int             `toml:"retries"`
+	AttemptTimeoutFraction float64         `toml:"try_share"`
+	Backoff                config.Duration `toml:"backoff"`
+	RetryAfterFraction     float64         `toml:"heed"`
+	MaxRetryAfter          config.Duration `toml:"most_heed"`
+	Impatient              float64         `toml:"impatient"`
+	Slow                   float64         `toml:"slow"` // share that takes its time over sending
+	MisbehavingRate        float64         `toml:"rude"` // rude clients a second, at each agent
 }
 
 // NetSpec is the network between agents and nodes.
@@ -106,8 +106,8 @@
 	Rate   float64         `toml:"rate"`   // calls a second that it can handle; 0 for no limit
 }
 
-// TroubleSpec is a trouble and whom it befalls: so many nodes, drawn by the day's seed, those named, or all of a zone.
-type TroubleSpec struct {
+// FaultSpec is a trouble and whom it befalls: so many nodes, drawn by the day's seed, those named, or all of a zone.
+type FaultSpec struct {
 	Kind  string          `toml:"kind"`
 	Nodes int             `toml:"nodes"`
 	Names []string        `toml:"names"`
@@ -134,7 +134,7 @@
 	return DaySpec{Name: "quiet", Length: config.Duration(20 * time.Second), Agents: 2, AgentSkew: 1, Load: 0.5, Shape: "steady",
 		Period: config.Duration(10 * time.Second), Keys: 700, Zipf: 0.95, Hint: 0.2, Answer: 400, Body: 200,
 		Kinds: DefaultKinds(), Zones: []string{"colombo", "kandy", "galle"}, Classes: DefaultClasses(), Tenants: DefaultTenants(),
-		Clients: ClientSpec{Retries: 3, TryShare: 0.42, Backoff: ms(20), Heed: 0.2, MostHeed: ms(2000), Impatient: 0.015},
+		Clients: ClientSpec{Retries: 3, AttemptTimeoutFraction: 0.42, Backoff: ms(20), RetryAfterFraction: 0.2, MaxRetryAfter: ms(2000), Impatient: 0.015},
 		Net:     NetSpec{Same: ms(0.25), Cross: ms(4.5), Jitter: ms(0.3)},
 		List:    ListSpec{Notice: ms(1000), Add: ms(800), Rate: 60},
 	}
@@ -152,8 +152,8 @@
 // half of what they can do.
 func DefaultClasses() []ClassSpec {
 	return []ClassSpec{
-		{Name: "price-basket", Share: 0.6, Work: ms(35), CV: 1.1, Aim: ms(500), Deadline: ms(2000), Worth: 1, LateWorth: 0.5},
-		{Name: "place-order", Share: 0.4, Work: ms(18), CV: 1, Aim: ms(200), Deadline: ms(800), Worth: 8, LateWorth: 0.25, Once: true},
+		{Name: "price-basket", Share: 0.6, Work: ms(35), CV: 1.1, LatencyObjective: ms(500), Deadline: ms(2000), PriorityWeight: 1, LateWeight: 0.5},
+		{Name: "place-order", Share: 0.4, Work: ms(18), CV: 1, LatencyObjective: ms(200), Deadline: ms(800), PriorityWeight: 8, LateWeight: 0.25, NonIdempotent: true},
 	}
 }
 
@@ -261,7 +261,7 @@
 		wrong("kind", "%d nodes are more than %d", nodes, mostNodes)
 	}
 	for i, c := range d.Classes {
-		if c.Name == "" || c.Share <= 0 || c.Work <= 0 || c.Aim <= 0 || c.Deadline < c.Aim || c.Worth <= 0 || c.LateWorth < 0 || c.LateWorth > 1 || c.CV < 0 {
+		if c.Name == "" || c.Share <= 0 || c.Work <= 0 || c.LatencyObjective <= 0 || c.Deadline < c.LatencyObjective || c.PriorityWeight <= 0 || c.LateWeight < 0 || c.LateWeight > 1 || c.CV < 0 {
 			wrong(fmt.Sprintf("class[%d].name", i), "%q needs a name, share, work, worth, an aim above 0 and a deadline not before it", c.Name)
 		}
 	}
@@ -273,13 +273,13 @@
 	if err := (link.Conditions{Delay: d.Net.Cross.D(), Jitter: d.Net.Jitter.D(), Loss: d.Net.Loss}).Check(); err != nil || d.Net.Same < 0 {
 		wrong("net.loss", "%v", errors.Join(err, errors.New("no time may be below 0")))
 	}
-	if c := d.Clients; c.Retries < 0 || c.Retries > 10 || c.TryShare < 0 || c.TryShare > 1 || c.Backoff < 0 || c.Heed < 0 || c.Heed > 1 ||
-		c.Impatient < 0 || c.Impatient > 1 || c.Slow < 0 || c.Slow > 1 || c.Rude < 0 || c.Rude > 1000 {
+	if c := d.Clients; c.Retries < 0 || c.Retries > 10 || c.AttemptTimeoutFraction < 0 || c.AttemptTimeoutFraction > 1 || c.Backoff < 0 || c.RetryAfterFraction < 0 || c.RetryAfterFraction > 1 ||
+		c.Impatient < 0 || c.Impatient > 1 || c.Slow < 0 || c.Slow > 1 || c.MisbehavingRate < 0 || c.MisbehavingRate > 1000 {
 		wrong("clients.retries", "retries are from 0 to 10, rude clients from 0 to 1,000 a second, shares from 0 to 1, and no time below 0")
 	}
-	for i, t := range d.Troubles {
+	for i, t := range d.Faults {
 		key := fmt.Sprintf("trouble[%d].kind", i)
-		if err := t.trouble().Check(); err != nil {
+		if err := t.fault().Check(); err != nil {
 			wrong(key, "%v", err)
 		}
 		if t.Nodes < 0 || t.Nodes > nodes || t.Nodes == 0 && len(t.Names) == 0 && t.Zone == "" || t.Over < 0 {
@@ -315,8 +315,8 @@
 		}
 	}
 	stretch(&d.Length)
-	for i := range d.Troubles {
-		stretch(&d.Troubles[i].From, &d.Troubles[i].To, &d.Troubles[i].Over)
+	for i := range d.Faults {
+		stretch(&d.Faults[i].From, &d.Faults[i].To, &d.Faults[i].Over)
 	}
 	for i := range d.Outages {
 		stretch(&d.Outages[i].From, &d.Outages[i].To)
@@ -328,8 +328,8 @@
 	for i := range f.Shifts {
 		stretch(&f.Shifts[i].From, &f.Shifts[i].To)
 	}
-	for i := range f.Late {
-		stretch(&f.Late[i].From, &f.Late[i].To)
+	for i := range f.ListDelays {
+		stretch(&f.ListDelays[i].From, &f.ListDelays[i].To)
 	}
 	for i := range f.Cuts {
 		stretch(&f.Cuts[i].From, &f.Cuts[i].To)
@@ -342,32 +342,32 @@
 	}
 }
 
-func (t TroubleSpec) trouble() node.Trouble {
-	return node.Trouble{Kind: node.Kind(t.Kind), From: t.From.D(), To: t.To.D(), Size: t.Size, On: t.On.D(), Off: t.Off.D()}
+func (t FaultSpec) fault() node.Fault {
+	return node.Fault{Kind: node.Kind(t.Kind), From: t.From.D(), To: t.To.D(), Size: t.Size, On: t.On.D(), Off: t.Off.D()}
 }
 
 // Placed is a trouble at a node.
 type Placed struct {
 	Node int
-	node.Trouble
+	node.Fault
 }
 
 // Day is a day as it was drawn: equal specs and seeds draw equal days.
 type Day struct {
-	Spec     DaySpec
-	Seed     uint64
-	Length   time.Duration
-	Nodes    []node.Spec
-	Agents   []string
-	Plan     []callers.Planned
-	Classes  []callers.Class
-	Tenants  []callers.Tenant
-	Habits   callers.Habits
-	Troubles []Placed // in the order of their beginning
+	Spec    DaySpec
+	Seed    uint64
+	Length  time.Duration
+	Nodes   []node.Spec
+	Agents  []string
+	Plan    []callers.Planned
+	Classes []callers.Class
+	Tenants []callers.Tenant
+	Clients callers.ClientProfile
+	Faults  []Placed // in the order of their beginning
 	// In the order of their time.
-	AgentTroubles []AgentTrouble
-	Rate          float64 // requests a second, on average and but for shifts
-	Capacity      float64 // work a second that all nodes can do when warm
+	AgentFaults []AgentFault
+	Rate        float64 // requests a second, on average and but for shifts
+	Capacity    float64 // work a second that all nodes can do when warm
 }
 
 // Draw draws a day.
@@ -377,12 +377,12 @@
 	for _, k := range d.Kinds {
 		for range k.Nodes {
 			id := fmt.Sprintf("node-%02d", len(day.Nodes)+1)
-			s := node.Usual(id, k.Name, d.Zones[len(day.Nodes)%len(d.Zones)], k.Speed*max(0.4, 1+k.Spread*rng.NormFloat64()))
+			s := node.Typical(id, k.Name, d.Zones[len(day.Nodes)%len(d.Zones)], k.Speed*max(0.4, 1+k.Spread*rng.NormFloat64()))
 			s.Cores, s.QueuePerCore, s.ConnCap, s.ErrorRate = k.Cores, k.Queue, k.Conns, k.Errors
 			if !k.Chokes {
 				s.Choke = node.Choke{}
 			}
-			if k.Cold {
+			if k.SlowStart {
 				s.Started = 0
 			}
 			if err := s.Check(); err != nil {
@@ -396,8 +396,8 @@
 	for _, c := range d.Classes {
 		work += c.Share * c.Work.D().Seconds()
 		shares += c.Share
-		day.Classes = append(day.Classes, callers.Class{Name: c.Name, Share: c.Share, Work: c.Work.D(), CV: c.CV, Aim: c.Aim.D(),
-			Deadline: c.Deadline.D(), Worth: c.Worth, LateWorth: c.LateWorth, Once: c.Once})
+		day.Classes = append(day.Classes, callers.Class{Name: c.Name, Share: c.Share, Work: c.Work.D(), CV: c.CV, LatencyObjective: c.LatencyObjective.D(),
+			Deadline: c.Deadline.D(), PriorityWeight: c.PriorityWeight, LateWeight: c.LateWeight, NonIdempotent: c.NonIdempotent})
 	}
 	for _, t := range d.Tenants {
 		day.Tenants = append(day.Tenants, callers.Tenant{Name: t.Name, Share: t.Share})
@@ -429,7 +429,7 @@
 		return nil, err
 	}
 	c := d.Clients
-	day.Habits = callers.Habits{Retries: c.Retries, TryShare: c.TryShare, Backoff: c.Backoff.D(), Heed: c.Heed, MostHeed: c.MostHeed.D(), Impatient: c.Impatient}
+	day.Clients = callers.ClientProfile{Retries: c.Retries, AttemptTimeoutFraction: c.AttemptTimeoutFraction, Backoff: c.Backoff.D(), RetryAfterFraction: c.RetryAfterFraction, MaxRetryAfter: c.MaxRetryAfter.D(), Impatient: c.Impatient}
 	if err := day.place(rng); err != nil {
 		return nil, err
 	}
@@ -440,8 +440,8 @@
 // place says which nodes the troubles befall. A node has at most one of those that end its life.
 func (day *Day) place(rng *rand.Rand) error {
 	ends := map[int]bool{}
-	for _, t := range day.Spec.Troubles {
-		trouble := t.trouble()
+	for _, t := range day.Spec.Faults {
+		trouble := t.fault()
 		ending := trouble.Kind == node.Drain || trouble.Kind == node.Restart || trouble.Kind == node.Replace
 		var at []int
 		for _, name := range t.Names {
@@ -472,10 +472,10 @@
 				wait := t.Over.D() * time.Duration(n) / time.Duration(len(at)-1)
 				later.From, later.To = later.From+wait, later.To+wait
 			}
-			day.Troubles = append(day.Troubles, Placed{i, later})
+			day.Faults = append(day.Faults, Placed{i, later})
 		}
 	}
-	slices.SortStableFunc(day.Troubles, func(a, b Placed) int { return int(a.From - b.From) })
+	slices.SortStableFunc(day.Faults, func(a, b Placed) int { return int(a.From - b.From) })
 	return nil
 }
 
--- a/internal/emulator/days.go
+++ b/internal/emulator/days.go
@@ -67,17 +67,17 @@
 
 func secs(x float64) config.Duration { return config.Duration(x * float64(time.Second)) }
 
-// trouble adds a trouble of a share of the nodes.
-func (d *dayDrawer) trouble(kind node.Kind, share, from, to, size, over float64) {
-	d.Troubles = append(d.Troubles, TroubleSpec{Kind: string(kind), Nodes: d.part(share), From: secs(from), To: secs(to), Size: size, Over: secs(over)})
+// fault adds a trouble of a share of the nodes.
+func (d *dayDrawer) fault(kind node.Kind, share, from, to, size, over float64) {
+	d.Faults = append(d.Faults, FaultSpec{Kind: string(kind), Nodes: d.part(share), From: secs(from), To: secs(to), Size: size, Over: secs(over)})
 }
 
 // bad lets one node of eight be slow or fail fast for most of the day.
 func (d *dayDrawer) bad(failing bool) {
 	if failing {
-		d.trouble(node.FastFail, 0.125, 3, d.Length.D().Seconds()-4, d.between(0.5, 0.98), 0)
+		d.fault(node.FastFail, 0.125, 3, d.Length.D().Seconds()-4, d.between(0.5, 0.98), 0)
 	} else {
-		d.trouble(node.Slow, 0.125, 3, d.Length.D().Seconds()-4, d.between(3.9, 9), 0)
+		d.fault(node.Slow, 0.125, 3, d.Length.D().Seconds()-4, d.between(3.9, 9), 0)
 	}
 }
 
@@ -92,7 +92,7 @@
 	d.Net.Cross = secs(d.between(0.0036, 0.0063))
 	d.List.Notice, d.List.Add = secs(d.between(0.5, 2.5)), secs(d.between(0.3, 1.5))
 	d.List.Rate = 0.6 * float64(f.Agents) * d.between(0.8, 1.4)
-	d.Clients.TryShare, d.Clients.Heed = d.between(0.3, 0.55), d.between(0, 0.5)
+	d.Clients.AttemptTimeoutFraction, d.Clients.RetryAfterFraction = d.between(0.3, 0.55), d.between(0, 0.5)
 	d.Clients.Backoff = secs(d.between(0, 0.1))
 	d.Kinds[0].Nodes = max(1, f.Nodes*38/100)
 	d.Kinds[1].Nodes = f.Nodes - d.Kinds[0].Nodes
@@ -101,7 +101,7 @@
 	for i := range d.Kinds {
 		d.Kinds[i].Conns, d.Kinds[i].Chokes = 120, chokes
 	}
-	d.Fleet.Prices = Prices{Probe: 0.045, Handshake: 0.02, List: 0.02, Waste: 0.05}
+	d.Fleet.Prices = Prices{HealthCheck: 0.045, Handshake: 0.02, List: 0.02, Waste: 0.05}
 	kinds := []string{f.Kind}
 	if f.Kind == MixedDay {
 		kinds = nil
@@ -130,17 +130,17 @@
 			ShiftSpec{Zone: d.Zones[zones[1]], From: secs(from + 9), To: secs(from + 15), Times: d.between(0.3, 0.7)})
 	case RollDay:
 		over := d.between(14, 18)
-		d.trouble(node.Replace, 0.5, 5, 5+d.between(0.5, 2), 0, over)
+		d.fault(node.Replace, 0.5, 5, 5+d.between(0.5, 2), 0, over)
 		fleet.Agents = append(fleet.Agents, AgentSpec{Kind: AgentRestart, Share: 1, Groups: 10, From: secs(5), To: secs(5 + over), Away: secs(d.between(0.2, 0.6))})
 	case HerdDay:
 		from := d.between(5, 8)
-		d.trouble(node.Replace, 0.5, from, from+d.between(0.5, 2), 0, d.between(3, 6))
+		d.fault(node.Replace, 0.5, from, from+d.between(0.5, 2), 0, d.between(3, 6))
 		fleet.Agents = append(fleet.Agents, AgentSpec{Kind: AgentKill, Share: 0.7, From: secs(from + d.between(0, 4)), Away: secs(d.between(0.4, 1.5))})
 		d.List.Rate /= 2
 		d.bad(true)
 	case ZoneDay:
 		from := d.between(5, 8)
-		d.Troubles = append(d.Troubles, TroubleSpec{Kind: string(node.Restart), Zone: d.Zones[zones[0]], From: secs(from), To: secs(from + 5)})
+		d.Faults = append(d.Faults, FaultSpec{Kind: string(node.Restart), Zone: d.Zones[zones[0]], From: secs(from), To: secs(from + 5)})
 		cut := from + d.between(8, 12)
 		fleet.Cuts = append(fleet.Cuts, CutSpec{Zone: d.Zones[zones[1]], From: secs(cut), To: secs(cut + d.between(2, 4))})
 		d.bad(d.Float64() < 0.5)
@@ -149,15 +149,15 @@
 		if d.Float64() < 0.5 {
 			fleet.Cuts = append(fleet.Cuts, CutSpec{Zone: d.Zones[zones[0]], From: secs(from), To: secs(from + 6)})
 		} else {
-			d.trouble(node.Vanish, 0.2, from, from+6, 0, 0)
+			d.fault(node.Vanish, 0.2, from, from+6, 0, 0)
 		}
-		fleet.Late = append(fleet.Late, LateSpec{From: secs(from - 2), To: secs(from + 10), By: secs(d.between(1, 4))})
-		d.trouble(node.ResetConn, 0.5, from-3, from+9, d.between(0.01, 0.04), 0)
-		d.trouble(node.Spoil, 0.5, from-3, from+9, d.between(0.01, 0.03), 0)
+		fleet.ListDelays = append(fleet.ListDelays, ListDelaySpec{From: secs(from - 2), To: secs(from + 10), By: secs(d.between(1, 4))})
+		d.fault(node.ResetConn, 0.5, from-3, from+9, d.between(0.01, 0.04), 0)
+		d.fault(node.Spoil, 0.5, from-3, from+9, d.between(0.01, 0.03), 0)
 	case JoinDay:
 		from := d.between(5, 9)
-		d.trouble(node.Replace, 0.6, from, from+d.between(0.5, 2), 0, 7)
-		d.trouble(node.Spoil, 1, 2, d.Length.D().Seconds()-2, d.between(0.002, 0.01), 0)
+		d.fault(node.Replace, 0.6, from, from+d.between(0.5, 2), 0, 7)
+		d.fault(node.Spoil, 1, 2, d.Length.D().Seconds()-2, d.between(0.002, 0.01), 0)
 		fleet.Storms = append(fleet.Storms, StormSpec{From: secs(from + d.between(0, 6)), To: secs(from + d.between(9, 14)), Retries: 5,
 			Backoff: secs(d.between(0, 0.02)), TryShare: d.between(0.2, 0.4), Impatient: d.between(0.02, 0.15)})
 	}
--- a/internal/emulator/discovery/discovery.go
+++ b/internal/emulator/discovery/discovery.go
@@ -34,7 +34,7 @@
 const (
 	Ready       = "Ready"
 	Terminating = "Terminating"
-	Gone        = "Gone" // among changes only
+	Removed     = "Gone" // among changes only
 )
 
 // List is an answer.
@@ -55,7 +55,7 @@
 const (
 	defaultPatience = time.Second
 	longestWatch    = time.Minute
-	mostKept        = 4096 // changes that watches can go back to; older ones get the whole list
+	maxVersions     = 4096 // changes that watches can go back to; older ones get the whole list
 	headTimeout     = 5 * time.Second
 )
 
@@ -123,7 +123,7 @@
 // Set puts an entry into the list, or changes it, so much later.
 func (s *Server) Set(e Entry, late time.Duration) {
 	s.after(late, func() {
-		if e.State == Gone {
+		if e.State == Removed {
 			delete(s.entries, e.ID)
 			s.past[e.ID] = struct{}{}
 			s.order = slices.DeleteFunc(s.order, func(id string) bool { return id == e.ID })
@@ -136,8 +136,8 @@
 		}
 		s.version++
 		s.changes = append(s.changes, change{s.version, e})
-		if len(s.changes) > mostKept {
-			s.changes = s.changes[len(s.changes)-mostKept:]
+		if len(s.changes) > maxVersions {
+			s.changes = s.changes[len(s.changes)-maxVersions:]
 		}
 		close(s.wake)
 		s.wake = make(chan struct{})
@@ -214,7 +214,7 @@
 	return l
 }
 
-var errTurnedAway = errors.New("too many calls wait")
+var errRejected = errors.New("too many calls wait")
 
 // turn waits for the call's turn. All calls take the same time, one after the other.
 func (s *Server) turn(ctx context.Context) error {
@@ -249,7 +249,7 @@
 		}
 	}
 	if refused {
-		return errTurnedAway
+		return errRejected
 	}
 	return nil
 }
@@ -353,6 +353,6 @@
 		s.cfg.Told(agent, e, now)
 	}
 	for _, id := range past {
-		s.cfg.Told(agent, Entry{ID: id, State: Gone}, now)
+		s.cfg.Told(agent, Entry{ID: id, State: Removed}, now)
 	}
 }
--- a/internal/emulator/discovery/discovery_test.go
+++ b/internal/emulator/discovery/discovery_test.go
@@ -68,7 +68,7 @@
 		if l, _ := s.call("?since=2&timeout_ms=60000"); len(l.Servers) != 1 || l.Servers[0].State != Terminating || l.Full || time.Since(began) != 3*time.Second {
 			t.Errorf("late news: %+v after %v", l, time.Since(began))
 		}
-		s.Set(entry("a", Gone), 0)
+		s.Set(entry("a", Removed), 0)
 		if l, _ := s.call("?since=1&timeout_ms=1"); len(l.Servers) != 2 { // b, and a as it is now
 			t.Errorf("since 1: %+v", l)
 		}
--- a/internal/emulator/fleet.go
+++ b/internal/emulator/fleet.go
@@ -21,14 +21,14 @@
 // AgentSpec is something that befalls a share of the agents, drawn by the day's seed. They begin anew from the list that they
 // had, and with nothing learnt unless Kept.
 type AgentSpec struct {
-	Kind   string          `toml:"kind"`
-	Share  float64         `toml:"share"`
-	Groups int             `toml:"groups"` // one after the other, evenly from From to To; 0 is 1
-	From   config.Duration `toml:"from"`
-	To     config.Duration `toml:"to"`
-	Away   config.Duration `toml:"away"` // until the new process takes clients, or the paused or slow one goes on as before
-	Kept   bool            `toml:"kept"` // the new process begins with what the one before it had learnt
-	Part   float64         `toml:"part"` // of the time, in which a slow process runs: 0.05 to 0.95
+	Kind        string          `toml:"kind"`
+	Share       float64         `toml:"share"`
+	Groups      int             `toml:"groups"` // one after the other, evenly from From to To; 0 is 1
+	From        config.Duration `toml:"from"`
+	To          config.Duration `toml:"to"`
+	Away        config.Duration `toml:"away"` // until the new process takes clients, or the paused or slow one goes on as before
+	WithState   bool            `toml:"kept"` // the new process begins with what the one before it had learnt
+	RunFraction float64         `toml:"part"` // of the time, in which a slow process runs: 0.05 to 0.95
 }
 
 // ShiftSpec multiplies the traffic at a zone's agents for a while, or that of all where no zone is named.
@@ -39,8 +39,8 @@
 	Times float64         `toml:"times"`
 }
 
-// LateSpec makes all that happens to the list in a while known only so much later.
-type LateSpec struct {
+// ListDelaySpec makes all that happens to the list in a while known only so much later.
+type ListDelaySpec struct {
 	From config.Duration `toml:"from"`
 	To   config.Duration `toml:"to"`
 	By   config.Duration `toml:"by"`
@@ -65,26 +65,26 @@
 
 // Prices are taken off a day's goal, each times its figure.
 type Prices struct {
-	Probe     float64 `toml:"probe"`     // one probe a request
-	Handshake float64 `toml:"handshake"` // one handshake a request
-	List      float64 `toml:"list"`      // one call for the list a request
-	Waste     float64 `toml:"waste"`     // as much work for nothing as was done in all
+	HealthCheck float64 `toml:"probe"`     // one probe a request
+	Handshake   float64 `toml:"handshake"` // one handshake a request
+	List        float64 `toml:"list"`      // one call for the list a request
+	Waste       float64 `toml:"waste"`     // as much work for nothing as was done in all
 }
 
 // FleetSpec is what befalls a fleet as a whole.
 type FleetSpec struct {
-	Agents []AgentSpec `toml:"agent_trouble"`
-	Shifts []ShiftSpec `toml:"shift"`
-	Late   []LateSpec  `toml:"late"`
-	Cuts   []CutSpec   `toml:"cut"`
-	Storms []StormSpec `toml:"storm"`
-	Paths  []PathSpec  `toml:"path"` // real processes only
-	Liars  []LiarSpec  `toml:"liar"` // likewise, and only where agents talk with each other
-	Prices Prices      `toml:"prices"`
+	Agents         []AgentSpec         `toml:"agent_trouble"`
+	Shifts         []ShiftSpec         `toml:"shift"`
+	ListDelays     []ListDelaySpec     `toml:"late"`
+	Cuts           []CutSpec           `toml:"cut"`
+	Storms         []StormSpec         `toml:"storm"`
+	Paths          []PathSpec          `toml:"path"` // real processes only
+	ByzantinePeers []ByzantinePeerSpec `toml:"liar"` // likewise, and only where agents talk with each other
+	Prices         Prices              `toml:"prices"`
 }
 
-// LiarSpec is a peer among agents that talk with each other: it serves nobody, and tells the others what is not so.
-type LiarSpec struct {
+// ByzantinePeerSpec is a peer among agents that talk with each other: it serves nobody, and tells the others what is not so.
+type ByzantinePeerSpec struct {
 	Says []string        `toml:"says"`
 	From config.Duration `toml:"from"`
 	To   config.Duration `toml:"to"`
@@ -92,14 +92,14 @@
 
 // What a liar says.
 const (
-	LieSuspect = "suspect" // of all servers, in its own and in the agents' names, stamped as far ahead as is believed
-	LieGone    = "gone"    // of half of the servers
-	LieDemand  = "demand"  // that all there is is asked of it
-	LieRate    = "rate"    // that the nodes bear a million requests a second
+	FalseSuspicion = "suspect" // of all servers, in its own and in the agents' names, stamped as far ahead as is believed
+	FalseRemoval   = "gone"    // of half of the servers
+	FalseDemand    = "demand"  // that all there is is asked of it
+	FalseRate      = "rate"    // that the nodes bear a million requests a second
 )
 
-// Lies are all that a liar may say.
-func Lies() []string { return []string{LieSuspect, LieGone, LieDemand, LieRate} }
+// FalseReports are all that a liar may say.
+func FalseReports() []string { return []string{FalseSuspicion, FalseRemoval, FalseDemand, FalseRate} }
 
 // check tells of what is wrong.
 func (f FleetSpec) check(zones []string, wrong func(key, format string, args ...any)) {
@@ -118,10 +118,10 @@
 		if kinds := []string{AgentRestart, AgentKill, AgentPause, AgentSlow}; !slices.Contains(kinds, a.Kind) {
 			wrong(key+".kind", "%q is none of %v", a.Kind, kinds)
 		}
-		if lives := a.Kind == AgentPause || a.Kind == AgentSlow; lives && a.Kept {
+		if lives := a.Kind == AgentPause || a.Kind == AgentSlow; lives && a.WithState {
 			wrong(key+".kept", "a process that goes on keeps all it has; kept is for one that is started again")
 		}
-		if slow := a.Kind == AgentSlow; slow && !(a.Part >= 0.05 && a.Part <= 0.95) || !slow && a.Part != 0 {
+		if slow := a.Kind == AgentSlow; slow && !(a.RunFraction >= 0.05 && a.RunFraction <= 0.95) || !slow && a.RunFraction != 0 {
 			wrong(key+".part", "is from 0.05 to 0.95 for a slow process, and for no other")
 		}
 		if !(a.Share > 0 && a.Share <= 1) || a.Groups < 0 || a.Groups > mostAgents || a.Away < 0 {
@@ -137,7 +137,7 @@
 			wrong(key+".times", "must be from 0 to 100")
 		}
 	}
-	for i, l := range f.Late {
+	for i, l := range f.ListDelays {
 		span(fmt.Sprintf("late[%d]", i), l.From, l.To)
 		if l.By < 0 || l.By.D() > time.Minute {
 			wrong(fmt.Sprintf("late[%d].by", i), "must be from 0 to a minute")
@@ -153,11 +153,11 @@
 		span(key, p.From, p.To)
 		p.check(key, wrong)
 	}
-	for i, l := range f.Liars {
+	for i, l := range f.ByzantinePeers {
 		key := fmt.Sprintf("liar[%d]", i)
 		span(key, l.From, l.To)
-		if len(l.Says) == 0 || slices.ContainsFunc(l.Says, func(lie string) bool { return !slices.Contains(Lies(), lie) }) {
-			wrong(key+".says", "%v is not made up of %v", l.Says, Lies())
+		if len(l.Says) == 0 || slices.ContainsFunc(l.Says, func(lie string) bool { return !slices.Contains(FalseReports(), lie) }) {
+			wrong(key+".says", "%v is not made up of %v", l.Says, FalseReports())
 		}
 	}
 	for i, s := range f.Storms {
@@ -167,23 +167,23 @@
 			wrong(key+".retries", "retries are from 0 to 10, shares from 0 to 1, and no time below 0")
 		}
 	}
-	if p := f.Prices; p.Probe < 0 || p.Handshake < 0 || p.List < 0 || p.Waste < 0 {
+	if p := f.Prices; p.HealthCheck < 0 || p.Handshake < 0 || p.List < 0 || p.Waste < 0 {
 		wrong("prices.probe", "no price may be below 0")
 	}
 }
 
-// AgentTrouble is a trouble at an agent.
-type AgentTrouble struct {
-	Agent int
-	Kind  string
-	At    time.Duration
-	Away  time.Duration
-	Kept  bool    // the next process begins with what was learnt
-	Part  float64 // of the time, in which a slow process runs
+// AgentFault is a trouble at an agent.
+type AgentFault struct {
+	Agent       int
+	Kind        string
+	At          time.Duration
+	Away        time.Duration
+	WithState   bool    // the next process begins with what was learnt
+	RunFraction float64 // of the time, in which a slow process runs
 }
 
-// Lives says whether the process goes on after the trouble, with all that it had.
-func (t AgentTrouble) Lives() bool { return t.Kind == AgentPause || t.Kind == AgentSlow }
+// Survives says whether the process goes on after the trouble, with all that it had.
+func (t AgentFault) Survives() bool { return t.Kind == AgentPause || t.Kind == AgentSlow }
 
 // placeAgents says which agents the troubles befall.
 func (day *Day) placeAgents(rng *rand.Rand) {
@@ -195,10 +195,10 @@
 			if group := i * groups / n; groups > 1 {
 				at += time.Duration(group) * (a.To - a.From).D() / time.Duration(groups-1)
 			}
-			day.AgentTroubles = append(day.AgentTroubles, AgentTrouble{agent, a.Kind, at, a.Away.D(), a.Kept, a.Part})
+			day.AgentFaults = append(day.AgentFaults, AgentFault{agent, a.Kind, at, a.Away.D(), a.WithState, a.RunFraction})
 		}
 	}
-	slices.SortStableFunc(day.AgentTroubles, func(a, b AgentTrouble) int { return int(a.At - b.At) })
+	slices.SortStableFunc(day.AgentFaults, func(a, b AgentFault) int { return int(a.At - b.At) })
 }
 
 // shifts are the day's shifts, by agent.
@@ -216,12 +216,12 @@
 	return out
 }
 
-// HabitsAt are the habits of a client whose request comes at that time.
-func (day *Day) HabitsAt(at time.Duration) callers.Habits {
-	h := day.Habits
+// ClientsAt are the habits of a client whose request comes at that time.
+func (day *Day) ClientsAt(at time.Duration) callers.ClientProfile {
+	h := day.Clients
 	for _, s := range day.Spec.Fleet.Storms {
 		if at >= s.From.D() && at < s.To.D() {
-			h.Retries, h.Backoff, h.TryShare, h.Impatient = s.Retries, s.Backoff.D(), s.TryShare, s.Impatient
+			h.Retries, h.Backoff, h.AttemptTimeoutFraction, h.Impatient = s.Retries, s.Backoff.D(), s.TryShare, s.Impatient
 		}
 	}
 	return h
@@ -229,7 +229,7 @@
 
 // ListDelay is how much later than usual what happens at that time comes to the list.
 func (day *Day) ListDelay(at time.Duration) (late time.Duration) {
-	for _, l := range day.Spec.Fleet.Late {
+	for _, l := range day.Spec.Fleet.ListDelays {
 		if at >= l.From.D() && at < l.To.D() {
 			late = max(late, l.By.D())
 		}
--- a/internal/emulator/link/link_test.go
+++ b/internal/emulator/link/link_test.go
@@ -248,14 +248,14 @@
 	if _, _, err := read(broken); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("after a reset: %v", err)
 	}
-	if err := r.Refuse(true); err != nil {
+	if err := r.RejectConnections(true); err != nil {
 		t.Fatal(err)
 	}
 	if c, err := net.Dial("tcp", r.Addr().String()); err == nil {
 		c.Close()
 		t.Error("a connection was taken that should have been refused")
 	}
-	if err := r.Refuse(false); err != nil {
+	if err := r.RejectConnections(false); err != nil {
 		t.Fatal(err)
 	}
 	again := dial()
--- a/internal/emulator/link/relay.go
+++ b/internal/emulator/link/relay.go
@@ -44,8 +44,8 @@
 // Addr is where it listens.
 func (r *Relay) Addr() net.Addr { return r.at }
 
-// Refuse lets new connections be refused, as where no process listens, or takes them again.
-func (r *Relay) Refuse(on bool) error {
+// RejectConnections lets new connections be refused, as where no process listens, or takes them again.
+func (r *Relay) RejectConnections(on bool) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	switch {
--- a/internal/emulator/net.go
+++ b/internal/emulator/net.go
@@ -101,7 +101,7 @@
 	var all []error
 	for key, r := range n.relays {
 		if key[1] == node {
-			all = append(all, r.Refuse(on))
+			all = append(all, r.RejectConnections(on))
 		}
 	}
 	return errors.Join(all...)
--- a/internal/emulator/node/load.go
+++ b/internal/emulator/node/load.go
@@ -19,8 +19,8 @@
 	use := n.usedTime / span / float64(n.Cores) // over the whole tick: at its end a slot may just be free
 	n.usedTime = 0
 	n.busy += min(1, span/0.5) * (use - n.busy)
-	for len(n.turned) > 0 && n.turned[0] <= n.now-time.Second {
-		n.turned = n.turned[1:]
+	for len(n.rejections) > 0 && n.rejections[0] <= n.now-time.Second {
+		n.rejections = n.rejections[1:]
 	}
 	n.press()
 	n.report()
@@ -32,15 +32,15 @@
 	if n.Choke.At == 0 {
 		return
 	}
-	waiting := float64(len(n.queue)+len(n.turned)) / float64(n.Cores)
-	since(&n.pressed, n.now, waiting >= n.Choke.At)
-	since(&n.rested, n.now, n.busy < n.Choke.Below)
+	waiting := float64(len(n.queue)+len(n.rejections)) / float64(n.Cores)
+	since(&n.overloadedSince, n.now, waiting >= n.Choke.At)
+	since(&n.idleSince, n.now, n.busy < n.Choke.Below)
 	switch {
-	case n.choked < 0 && n.pressed >= 0 && n.now-n.pressed >= n.Choke.Over:
-		n.choked = n.now
+	case n.chokedSince < 0 && n.overloadedSince >= 0 && n.now-n.overloadedSince >= n.Choke.Over:
+		n.chokedSince = n.now
 		n.figures.Chokes++
-	case n.choked >= 0 && (n.rested >= 0 && n.now-n.rested >= n.Choke.Rest || n.now-n.choked >= n.Choke.Most):
-		n.choked, n.pressed = -1, -1
+	case n.chokedSince >= 0 && (n.idleSince >= 0 && n.now-n.idleSince >= n.Choke.Rest || n.now-n.chokedSince >= n.Choke.Most):
+		n.chokedSince, n.overloadedSince = -1, -1
 	}
 }
 
@@ -86,11 +86,11 @@
 func (n *Node) Probe(now time.Duration) bool {
 	n.step(now)
 	n.probes = slices.DeleteFunc(n.probes, func(t time.Duration) bool { return t <= now-time.Second })
-	if n.ProbeRate > 0 && float64(len(n.probes)) >= n.ProbeRate || n.Silent() {
+	if n.HealthCheckRate > 0 && float64(len(n.probes)) >= n.HealthCheckRate || n.Silent() {
 		return false
 	}
 	n.probes = append(n.probes, now)
-	n.figures.Probes++
-	n.overhead(n.ProbeWork)
+	n.figures.HealthChecks++
+	n.overhead(n.HealthCheckWork)
 	return true
 }
--- a/internal/emulator/node/node.go
+++ b/internal/emulator/node/node.go
@@ -12,11 +12,11 @@
 
 // Work is a request at a node.
 type Work struct {
-	Ticket uint64 // the caller's own number for it, never used twice
-	Key    string
-	Cost   time.Duration // on a core of speed 1
-	Until  time.Duration // when its client stops waiting; 0 for never
-	Unsaid bool          // who sent it had not been told that the node has started anew
+	Ticket     uint64 // the caller's own number for it, never used twice
+	Key        string
+	Cost       time.Duration // on a core of speed 1
+	Until      time.Duration // when its client stops waiting; 0 for never
+	Unnotified bool          // who sent it had not been told that the node has started anew
 }
 
 // Verdict is what a node does with a request that has come.
@@ -25,7 +25,7 @@
 // The verdicts.
 const (
 	Accepted   Verdict = iota // Done tells how it ends
-	TurnedAway                // unseen: full, draining or over
+	Rejected                  // unseen: full, draining or over
 	FailedFast                // an error at once; Ran says whether it took effect before
 	Broken                    // its connection breaks; Ran likewise
 	Ignored                   // nothing will ever be said
@@ -53,20 +53,20 @@
 
 // Figures count what a node has done.
 type Figures struct {
-	Offered, Turned, Failed, Served, Expired, Cancelled int
-	Probes, Handshakes                                  int
-	Work, Wasted                                        time.Duration // done in all; and for answers that nobody got
-	Chokes                                              int
-	ColdPeak                                            float64 // the most that it was sent by those who knew it to be cold, of what topples it; chance aside
+	Offered, Rejected, Failed, Served, Expired, Cancelled int
+	HealthChecks, Handshakes                              int
+	Work, Wasted                                          time.Duration // done in all; and for answers that nobody got
+	Chokes                                                int
+	SlowStartPeak                                         float64 // the most that it was sent by those who knew it to be cold, of what topples it; chance aside
 }
 
-// Plus adds up the figures of two lives.
-func (f Figures) Plus(g Figures) Figures {
-	f.Offered, f.Turned, f.Failed, f.Served = f.Offered+g.Offered, f.Turned+g.Turned, f.Failed+g.Failed, f.Served+g.Served
-	f.Expired, f.Cancelled, f.Probes = f.Expired+g.Expired, f.Cancelled+g.Cancelled, f.Probes+g.Probes
+// Add adds up the figures of two lives.
+func (f Figures) Add(g Figures) Figures {
+	f.Offered, f.Rejected, f.Failed, f.Served = f.Offered+g.Offered, f.Rejected+g.Rejected, f.Failed+g.Failed, f.Served+g.Served
+	f.Expired, f.Cancelled, f.HealthChecks = f.Expired+g.Expired, f.Cancelled+g.Cancelled, f.HealthChecks+g.HealthChecks
 	f.Handshakes, f.Chokes = f.Handshakes+g.Handshakes, f.Chokes+g.Chokes
 	f.Work, f.Wasted = f.Work+g.Work, f.Wasted+g.Wasted
-	f.ColdPeak = max(f.ColdPeak, g.ColdPeak)
+	f.SlowStartPeak = max(f.SlowStartPeak, g.SlowStartPeak)
 	return f
 }
 
@@ -78,38 +78,38 @@
 // Node is one life of an order node. It is not safe for concurrent use. Times never go back.
 type Node struct {
 	Spec
-	rng      *rand.Rand
-	now      time.Duration
-	running  []*item
-	queue    []*item
-	done     []Done
-	began    []uint64
-	troubles []Trouble
-	conns    int
-	figures  Figures
-
-	ticked    time.Duration
-	turned    []time.Duration // the latest ones turned away
-	pressed   time.Duration   // since when it is under pressure; below 0 when not
-	choked    time.Duration   // since when; below 0 when not
-	rested    time.Duration   // since when it rests; below 0 when not
-	busy      float64         // smoothed share of its cores in use
-	toppled   bool
-	blame     bool    // and those who were told that it is cold did it
-	offered   []offer // to a cold node, in the latest FallFor
-	met       map[string]time.Duration
-	probes    []time.Duration // the latest second's
-	reading   reading
-	busyTime  float64 // core-seconds in use since the last reading
-	usedTime  float64 // and since the last tick
-	completed int     // since the last reading
-	pending   []reading
+	rng     *rand.Rand
+	now     time.Duration
+	running []*item
+	queue   []*item
+	done    []Done
+	began   []uint64
+	faults  []Fault
+	conns   int
+	figures Figures
+
+	ticked          time.Duration
+	rejections      []time.Duration // the latest ones turned away
+	overloadedSince time.Duration   // since when it is under pressure; below 0 when not
+	chokedSince     time.Duration   // since when; below 0 when not
+	idleSince       time.Duration   // since when it rests; below 0 when not
+	busy            float64         // smoothed share of its cores in use
+	overloaded      bool
+	blame           bool    // and those who were told that it is cold did it
+	offered         []offer // to a cold node, in the latest FallFor
+	met             map[string]time.Duration
+	probes          []time.Duration // the latest second's
+	reading         reading
+	busyTime        float64 // core-seconds in use since the last reading
+	usedTime        float64 // and since the last tick
+	completed       int     // since the last reading
+	pending         []reading
 }
 
 type offer struct {
-	at     time.Duration
-	work   float64
-	unsaid bool
+	at         time.Duration
+	work       float64
+	unnotified bool
 }
 
 // reading is a load report. Seen is when it can be seen.
@@ -120,18 +120,18 @@
 
 // New returns a node that nothing is wrong with yet. The spec must pass Check.
 func New(spec Spec, seed uint64) *Node {
-	return &Node{Spec: spec, rng: rand.New(rand.NewPCG(seed, 0x6e6f6465)), pressed: -1, choked: -1, rested: -1,
+	return &Node{Spec: spec, rng: rand.New(rand.NewPCG(seed, 0x6e6f6465)), overloadedSince: -1, chokedSince: -1, idleSince: -1,
 		met: map[string]time.Duration{}}
 }
 
-// Trouble adds a trouble, which must pass its Check.
-func (n *Node) Trouble(t Trouble) { n.troubles = append(n.troubles, t) }
+// AddFault adds a trouble, which must pass its Check.
+func (n *Node) AddFault(t Fault) { n.faults = append(n.faults, t) }
 
 // Figures returns the counts so far.
 func (n *Node) Figures() Figures { return n.figures }
 
-// Toppled reports whether the node was pushed over while cold. It stays down.
-func (n *Node) Toppled() bool { return n.toppled }
+// Overloaded reports whether the node was pushed over while cold. It stays down.
+func (n *Node) Overloaded() bool { return n.overloaded }
 
 // Blame reports whether at least blameFrom of what pushed it over came from those who had been told that it is cold.
 func (n *Node) Blame() bool { return n.blame }
@@ -140,7 +140,7 @@
 const blameFrom = 2.0 / 3
 
 // Choked reports whether it is slow after an overload.
-func (n *Node) Choked() bool { return n.choked >= 0 }
+func (n *Node) Choked() bool { return n.chokedSince >= 0 }
 
 // InFlight is what it holds: in work and waiting.
 func (n *Node) InFlight() int { return len(n.running) + len(n.queue) }
@@ -172,10 +172,10 @@
 // Warm is the share of its capacity that a node has for its age.
 func (n *Node) Warm() float64 {
 	age := n.now - n.Started
-	if n.Started < 0 || age >= n.ColdFor {
+	if n.Started < 0 || age >= n.SlowStartWindow {
 		return 1
 	}
-	return n.ColdFrom + (1-n.ColdFrom)*max(0, float64(age)/float64(n.ColdFor))
+	return n.SlowStartInitialFraction + (1-n.SlowStartInitialFraction)*max(0, float64(age)/float64(n.SlowStartWindow))
 }
 
 // Capacity is the work it can do a second at present, crowding aside.
@@ -183,11 +183,11 @@
 
 // unit is the speed of a core at present, before what crowding costs.
 func (n *Node) unit() float64 {
-	if n.toppled {
+	if n.overloaded {
 		return 0
 	}
 	speed := n.Speed * n.Warm() * (1 - n.size(Neighbour)) / max(1, n.size(Slow))
-	if n.choked >= 0 {
+	if n.chokedSince >= 0 {
 		speed /= n.Choke.Slower
 	}
 	if n.ConnCap > 0 {
@@ -218,7 +218,7 @@
 		}
 		next = min(next, n.now+max(1, time.Duration(math.Ceil(least/pace*1e9))))
 	}
-	for _, t := range n.troubles {
+	for _, t := range n.faults {
 		if at := t.next(n.now); at > 0 {
 			next = min(next, at)
 		}
@@ -293,7 +293,7 @@
 	case n.chance(n.size(Oversize)):
 		d.Form = Oversized
 	}
-	d.At += time.Duration(n.size(Late) * 1e9)
+	d.At += time.Duration(n.size(LateAnswers) * 1e9)
 	n.remember(it.Key)
 	n.done = append(n.done, d)
 }
@@ -343,12 +343,12 @@
 	n.figures.Offered++
 	n.count(w)
 	switch {
-	case n.toppled, n.on(Vanish):
+	case n.overloaded, n.on(Vanish):
 		return Ignored, false
 	case n.on(Drain) || w.Until > 0 && now >= w.Until || !n.Room():
-		n.figures.Turned++
-		n.turned = append(n.turned, now)
-		return TurnedAway, false
+		n.figures.Rejected++
+		n.rejections = append(n.rejections, now)
+		return Rejected, false
 	case n.chance(n.size(FastFail)):
 		n.figures.Failed++
 		return FailedFast, n.chance(0.5)
@@ -368,27 +368,27 @@
 // count adds what is sent to a cold node to its budget: more than Overload times its capacity over any FallFor topples it.
 // Three requests of slack stand for chance.
 func (n *Node) count(w Work) {
-	if n.Overload == 0 || n.Warm() == 1 || n.toppled {
+	if n.SlowStartOverloadFactor == 0 || n.Warm() == 1 || n.overloaded {
 		n.offered = nil
 		return
 	}
-	n.offered = append(n.offered, offer{n.now, w.Cost.Seconds(), w.Unsaid})
-	for n.offered[0].at <= n.now-n.FallFor {
+	n.offered = append(n.offered, offer{n.now, w.Cost.Seconds(), w.Unnotified})
+	for n.offered[0].at <= n.now-n.OverloadWindow {
 		n.offered = n.offered[1:]
 	}
 	sum, said, largest := 0.0, 0.0, 0.0
 	for _, o := range n.offered {
 		sum, largest = sum+o.work, max(largest, o.work)
-		if !o.unsaid {
+		if !o.unnotified {
 			said += o.work
 		}
 	}
-	budget := n.Overload * float64(n.Cores) * n.Speed * n.Warm() * n.FallFor.Seconds()
+	budget := n.SlowStartOverloadFactor * float64(n.Cores) * n.Speed * n.Warm() * n.OverloadWindow.Seconds()
 	if said >= blameFrom*sum {
-		n.figures.ColdPeak = max(n.figures.ColdPeak, (sum-3*largest)/budget)
+		n.figures.SlowStartPeak = max(n.figures.SlowStartPeak, (sum-3*largest)/budget)
 	}
 	if sum > budget+3*largest {
-		n.toppled, n.blame = true, said >= blameFrom*sum
+		n.overloaded, n.blame = true, said >= blameFrom*sum
 		n.running, n.queue = nil, nil
 	}
 }
@@ -454,7 +454,7 @@
 }
 
 // Silent reports whether the node says nothing to anybody at present.
-func (n *Node) Silent() bool { return n.toppled || n.on(Vanish) }
+func (n *Node) Silent() bool { return n.overloaded || n.on(Vanish) }
 
 // CloseIdle draws whether a connection that has been idle for this long since the last call is closed by the node.
 func (n *Node) CloseIdle(span time.Duration) bool {
--- a/internal/emulator/node/node_test.go
+++ b/internal/emulator/node/node_test.go
@@ -10,7 +10,7 @@
 
 // plain is a node of one core on which work takes just as long as it costs.
 func plain() Spec {
-	return Spec{ID: "n", Cores: 1, Speed: 1, SlotsPerCore: 1, QueuePerCore: 2, ColdFrom: 0.2, ColdFor: 10 * time.Second, Started: -1}
+	return Spec{ID: "n", Cores: 1, Speed: 1, SlotsPerCore: 1, QueuePerCore: 2, SlowStartInitialFraction: 0.2, SlowStartWindow: 10 * time.Second, Started: -1}
 }
 
 // finish offers work at a time to an idle node and returns how long it took.
@@ -41,19 +41,19 @@
 		"plain":          {want: 100 * time.Millisecond},
 		"a fast core":    {change: func(s *Spec) { s.Speed = 2 }, want: 50 * time.Millisecond},
 		"cold":           {change: func(s *Spec) { s.Started = time.Second }, want: 465 * time.Millisecond}, // a fifth, and rising
-		"slow":           {do: func(n *Node) { n.Trouble(Trouble{Kind: Slow, To: time.Hour, Size: 4}) }, want: 400 * time.Millisecond},
-		"a neighbour":    {do: func(n *Node) { n.Trouble(Trouble{Kind: Neighbour, To: time.Hour, Size: 0.5}) }, want: 200 * time.Millisecond},
-		"neighbour ends": {do: func(n *Node) { n.Trouble(Trouble{Kind: Neighbour, To: 1050 * time.Millisecond, Size: 0.5}) }, want: 125 * time.Millisecond},
+		"slow":           {do: func(n *Node) { n.AddFault(Fault{Kind: Slow, To: time.Hour, Size: 4}) }, want: 400 * time.Millisecond},
+		"a neighbour":    {do: func(n *Node) { n.AddFault(Fault{Kind: Neighbour, To: time.Hour, Size: 0.5}) }, want: 200 * time.Millisecond},
+		"neighbour ends": {do: func(n *Node) { n.AddFault(Fault{Kind: Neighbour, To: 1050 * time.Millisecond, Size: 0.5}) }, want: 125 * time.Millisecond},
 		"both": {do: func(n *Node) {
-			n.Trouble(Trouble{Kind: Slow, To: time.Hour, Size: 2})
-			n.Trouble(Trouble{Kind: Neighbour, To: time.Hour, Size: 0.5})
+			n.AddFault(Fault{Kind: Slow, To: time.Hour, Size: 2})
+			n.AddFault(Fault{Kind: Neighbour, To: time.Hour, Size: 0.5})
 		}, want: 400 * time.Millisecond},
-		"late":         {do: func(n *Node) { n.Trouble(Trouble{Kind: Late, To: time.Hour, Size: 0.3}) }, want: 400 * time.Millisecond},
+		"late":         {do: func(n *Node) { n.AddFault(Fault{Kind: LateAnswers, To: time.Hour, Size: 0.3}) }, want: 400 * time.Millisecond},
 		"a full table": {change: func(s *Spec) { s.ConnCap, s.FullTax = 1, 0.5 }, do: func(n *Node) { n.Connect(time.Second) }, want: 200 * time.Millisecond},
 		"a known key":  {change: func(s *Spec) { s.Affinity = Affinity{0.5, time.Minute, 5} }, do: func(n *Node) { n.remember("k") }, want: 50 * time.Millisecond},
 		"a handshake":  {change: func(s *Spec) { s.Handshake = 30 * time.Millisecond }, do: func(n *Node) { n.Connect(time.Second) }, want: 100 * time.Millisecond},
 		"on and off, off": {do: func(n *Node) {
-			n.Trouble(Trouble{Kind: Slow, To: time.Hour, Size: 4, On: 500 * time.Millisecond, Off: time.Second})
+			n.AddFault(Fault{Kind: Slow, To: time.Hour, Size: 4, On: 500 * time.Millisecond, Off: time.Second})
 		}, want: 100 * time.Millisecond},
 	} {
 		s := plain()
@@ -74,7 +74,7 @@
 // A node holds what it has slots and room for, turns the rest away unseen, and lets go of what is over or cancelled.
 func TestRoom(t *testing.T) {
 	n := New(plain(), 1)
-	for i, want := range []Verdict{Accepted, Accepted, Accepted, TurnedAway} {
+	for i, want := range []Verdict{Accepted, Accepted, Accepted, Rejected} {
 		if v, _ := n.Offer(time.Millisecond, Work{Ticket: uint64(i), Cost: time.Second, Until: 1500 * time.Millisecond}); v != want {
 			t.Errorf("offer %d: %v", i, v)
 		}
@@ -91,10 +91,10 @@
 	for _, d := range n.Advance(4 * time.Second) {
 		expired = expired || d.Ticket == 2 && d.Expired
 	}
-	if f := n.Figures(); !expired && f.Served != 2 || f.Turned != 1 || f.Cancelled != 1 || n.InFlight() != 0 {
+	if f := n.Figures(); !expired && f.Served != 2 || f.Rejected != 1 || f.Cancelled != 1 || n.InFlight() != 0 {
 		t.Errorf("%+v expired %v", f, expired)
 	}
-	if v, _ := n.Offer(5*time.Second, Work{Ticket: 9, Cost: 1, Until: 4 * time.Second}); v != TurnedAway {
+	if v, _ := n.Offer(5*time.Second, Work{Ticket: 9, Cost: 1, Until: 4 * time.Second}); v != Rejected {
 		t.Errorf("what was over got %v", v)
 	}
 }
@@ -129,14 +129,14 @@
 		want bool
 	}{{1.5, false}, {12, true}} {
 		s := plain()
-		s.Cores, s.Started, s.Overload, s.FallFor = 4, 0, 2.5, 2*time.Second
+		s.Cores, s.Started, s.SlowStartOverloadFactor, s.OverloadWindow = 4, 0, 2.5, 2*time.Second
 		n := New(s, 1)
 		gap := time.Duration(float64(20*time.Millisecond) / (c.load * 4 * 0.2))
 		for at := time.Duration(0); at < 4*time.Second; at += gap {
 			n.Offer(at, Work{Ticket: uint64(at) + 1, Cost: 20 * time.Millisecond})
 		}
-		if n.Toppled() != c.want {
-			t.Errorf("at %v times its capacity it toppled: %v", c.load, n.Toppled())
+		if n.Overloaded() != c.want {
+			t.Errorf("at %v times its capacity it toppled: %v", c.load, n.Overloaded())
 		}
 		if v, _ := n.Offer(5*time.Second, Work{Ticket: 1 << 50, Cost: 1}); c.want && v != Ignored {
 			t.Errorf("a toppled node said %v", v)
@@ -148,15 +148,15 @@
 func TestBlame(t *testing.T) {
 	for _, unsaid := range []int{0, 1, 2, 4} { // of four requests
 		spec := plain()
-		spec.Started, spec.Overload, spec.FallFor = 0, 2.5, 2*time.Second
+		spec.Started, spec.SlowStartOverloadFactor, spec.OverloadWindow = 0, 2.5, 2*time.Second
 		n := New(spec, 1)
 		for i := range 40 {
-			n.Offer(time.Duration(i)*10*time.Millisecond, Work{Ticket: uint64(i + 1), Cost: 100 * time.Millisecond, Unsaid: i%4 < unsaid})
+			n.Offer(time.Duration(i)*10*time.Millisecond, Work{Ticket: uint64(i + 1), Cost: 100 * time.Millisecond, Unnotified: i%4 < unsaid})
 		}
-		if !n.Toppled() || n.Blame() != (unsaid <= 1) {
-			t.Errorf("with %d of 4 sent by those who did not know: toppled %v, blame %v", unsaid, n.Toppled(), n.Blame())
+		if !n.Overloaded() || n.Blame() != (unsaid <= 1) {
+			t.Errorf("with %d of 4 sent by those who did not know: toppled %v, blame %v", unsaid, n.Overloaded(), n.Blame())
 		}
-		if peak := n.Figures().ColdPeak; (peak > 1) != (unsaid <= 1) {
+		if peak := n.Figures().SlowStartPeak; (peak > 1) != (unsaid <= 1) {
 			t.Errorf("with %d of 4 by those who did not know the most that it got is %.2f", unsaid, peak)
 		}
 	}
@@ -165,7 +165,7 @@
 func TestReportsComeLate(t *testing.T) {
 	s := plain()
 	s.Report = Report{Period: 500 * time.Millisecond, Delay: 200 * time.Millisecond}
-	s.ProbeRate = 2
+	s.HealthCheckRate = 2
 	n := New(s, 1)
 	n.Advance(10 * time.Second)
 	n.Offer(10*time.Second, Work{Ticket: 1, Cost: 5 * time.Second})
@@ -200,19 +200,19 @@
 // Whatever is offered, cancelled and goes wrong: nothing is lost or done twice, and no more is held than there is room for.
 func TestHistories(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := Usual("n", "k", "z", rapid.Float64Range(0.2, 2).Draw(t, "speed"))
+		s := Typical("n", "k", "z", rapid.Float64Range(0.2, 2).Draw(t, "speed"))
 		s.Started = rapid.SampledFrom([]time.Duration{-1, 0}).Draw(t, "started")
 		n := New(s, rapid.Uint64().Draw(t, "seed"))
 		for _, k := range rapid.SliceOfN(rapid.SampledFrom(kinds), 0, 4).Draw(t, "troubles") {
 			from := time.Duration(rapid.IntRange(0, 2000).Draw(t, "from")) * time.Millisecond
-			tr := Trouble{Kind: k, From: from, To: from + time.Second, Size: 0.5}
+			tr := Fault{Kind: k, From: from, To: from + time.Second, Size: 0.5}
 			if k == Slow {
 				tr.Size = 3
 			}
 			if err := tr.Check(); err != nil {
 				t.Fatal(err)
 			}
-			n.Trouble(tr)
+			n.AddFault(tr)
 		}
 		open, now := map[uint64]bool{}, time.Duration(0)
 		take := func(done []Done) {
@@ -243,15 +243,15 @@
 		}
 		take(n.Advance(now + time.Hour))
 		f := n.Figures()
-		if !n.Toppled() && len(open) != f.Cancelled {
+		if !n.Overloaded() && len(open) != f.Cancelled {
 			t.Fatalf("%d never ended, %d were cancelled", len(open), f.Cancelled)
 		}
 	})
 }
 
 func TestTroubleChecks(t *testing.T) {
-	for _, tr := range []Trouble{{Kind: "plague", To: 1}, {Kind: Slow, From: 2, To: 1, Size: 2}, {Kind: Slow, To: 1, Size: 0.5}, {Kind: FastFail, To: 1},
-		{Kind: Neighbour, To: 1, Size: 1}, {Kind: Late, To: 1}, {Kind: Slow, To: 1, Size: 2, Off: 1}, {Kind: Vanish, From: -1, To: 1}} {
+	for _, tr := range []Fault{{Kind: "plague", To: 1}, {Kind: Slow, From: 2, To: 1, Size: 2}, {Kind: Slow, To: 1, Size: 0.5}, {Kind: FastFail, To: 1},
+		{Kind: Neighbour, To: 1, Size: 1}, {Kind: LateAnswers, To: 1}, {Kind: Slow, To: 1, Size: 2, Off: 1}, {Kind: Vanish, From: -1, To: 1}} {
 		if tr.Check() == nil {
 			t.Errorf("%+v passed", tr)
 		}
--- a/internal/emulator/node/spec.go
+++ b/internal/emulator/node/spec.go
@@ -11,30 +11,30 @@
 
 // Spec says what a node is like. Work is measured in time on a core of speed 1.
 type Spec struct {
-	ID, Kind, Zone string
-	Cores          int
-	Speed          float64 // of a core: work done a second; above 0
-	SlotsPerCore   float64 // requests in work at a time
-	QueuePerCore   float64 // requests that may wait
-	Thrash         float64 // efficiency lost when it holds twice ThrashAt a core or more, from 0 to below 1
-	ThrashAt       float64 // requests held a core from which efficiency falls; 0 for never
-	ColdFrom       float64 // share of its capacity at the start, above 0 to 1
-	ColdFor        time.Duration
-	Started        time.Duration // when it starts cold; below 0 for long ago
-	Choke          Choke
-	Affinity       Affinity
-	ConnCap        int           // connections held at most; 0 for no limit
-	Handshake      time.Duration // work for a new connection
-	FullTax        float64       // share of the capacity that a full table of connections takes
-	ProbeWork      time.Duration // work for a probe
-	ProbeRate      float64       // probes answered a second; 0 for no limit
-	Report         Report
-	ErrorRate      float64       // share of requests that fail after their work
-	WorkNoise      float64       // standard deviation of an attempt's work, as a share of it
-	Overload       float64       // multiple of its present capacity at which a cold node topples; 0 for never
-	FallFor        time.Duration // when sent for so long
-	KeepsCancelled bool          // work goes on when its client has left
-	KeepsExpired   bool          // work goes on when its time is over
+	ID, Kind, Zone           string
+	Cores                    int
+	Speed                    float64 // of a core: work done a second; above 0
+	SlotsPerCore             float64 // requests in work at a time
+	QueuePerCore             float64 // requests that may wait
+	Thrash                   float64 // efficiency lost when it holds twice ThrashAt a core or more, from 0 to below 1
+	ThrashAt                 float64 // requests held a core from which efficiency falls; 0 for never
+	SlowStartInitialFraction float64 // share of its capacity at the start, above 0 to 1
+	SlowStartWindow          time.Duration
+	Started                  time.Duration // when it starts cold; below 0 for long ago
+	Choke                    Choke
+	Affinity                 Affinity
+	ConnCap                  int           // connections held at most; 0 for no limit
+	Handshake                time.Duration // work for a new connection
+	FullTax                  float64       // share of the capacity that a full table of connections takes
+	HealthCheckWork          time.Duration // work for a probe
+	HealthCheckRate          float64       // probes answered a second; 0 for no limit
+	Report                   Report
+	ErrorRate                float64       // share of requests that fail after their work
+	WorkNoise                float64       // standard deviation of an attempt's work, as a share of it
+	SlowStartOverloadFactor  float64       // multiple of its present capacity at which a cold node topples; 0 for never
+	OverloadWindow           time.Duration // when sent for so long
+	KeepsCancelled           bool          // work goes on when its client has left
+	KeepsExpired             bool          // work goes on when its time is over
 }
 
 // Choke is a slowdown after a lasting overload.
@@ -74,11 +74,11 @@
 		return fmt.Errorf("node %s: slots must be above 0 and the queue not below 0", s.ID)
 	case s.Thrash < 0 || s.Thrash >= 1 || s.FullTax < 0 || s.FullTax >= 1 || s.Affinity.Gain < 0 || s.Affinity.Gain >= 1:
 		return fmt.Errorf("node %s: thrash, full tax and affinity gain must be from 0 to below 1", s.ID)
-	case !(s.ColdFrom > 0) || s.ColdFrom > 1 || s.ColdFor < 0:
+	case !(s.SlowStartInitialFraction > 0) || s.SlowStartInitialFraction > 1 || s.SlowStartWindow < 0:
 		return fmt.Errorf("node %s: the cold share must be above 0 and at most 1", s.ID)
 	case s.Choke.At > 0 && !(s.Choke.Slower >= 1):
 		return fmt.Errorf("node %s: a choke must make it at least 1 times slower", s.ID)
-	case s.Overload > 0 && s.FallFor <= 0:
+	case s.SlowStartOverloadFactor > 0 && s.OverloadWindow <= 0:
 		return fmt.Errorf("node %s: it needs a time after which an overload topples it", s.ID)
 	case s.WorkNoise < 0 || s.ErrorRate < 0 || s.ErrorRate > 1:
 		return fmt.Errorf("node %s: work noise must not be below 0, and the error rate from 0 to 1", s.ID)
@@ -86,13 +86,13 @@
 	return nil
 }
 
-// Usual is an order node of the usual size with nothing wrong with it.
-func Usual(id, kind, zone string, speed float64) Spec {
+// Typical is an order node of the usual size with nothing wrong with it.
+func Typical(id, kind, zone string, speed float64) Spec {
 	return Spec{ID: id, Kind: kind, Zone: zone, Cores: 2, Speed: speed, SlotsPerCore: 1, QueuePerCore: 3, Thrash: 0.3,
-		ThrashAt: 6, ColdFrom: 0.2, ColdFor: 16 * time.Second, Started: -1,
+		ThrashAt: 6, SlowStartInitialFraction: 0.2, SlowStartWindow: 16 * time.Second, Started: -1,
 		Choke:    Choke{At: 5, Over: 2 * time.Second, Slower: 2.6, Below: 0.33, Rest: 3500 * time.Millisecond, Most: 28 * time.Second},
 		Affinity: Affinity{Gain: 0.5, For: 6 * time.Second, Keys: 30}, ConnCap: 390, Handshake: 4 * time.Millisecond,
-		FullTax: 0.23, ProbeWork: 130 * time.Microsecond, ProbeRate: 12,
+		FullTax: 0.23, HealthCheckWork: 130 * time.Microsecond, HealthCheckRate: 12,
 		Report:    Report{Period: 800 * time.Millisecond, Delay: 250 * time.Millisecond, Noise: 0.04},
-		WorkNoise: 0.3, ErrorRate: 0.0003, Overload: 2.5, FallFor: 2 * time.Second}
+		WorkNoise: 0.3, ErrorRate: 0.0003, SlowStartOverloadFactor: 2.5, OverloadWindow: 2 * time.Second}
 }
--- a/internal/emulator/node/trouble.go
+++ b/internal/emulator/node/trouble.go
@@ -11,26 +11,26 @@
 
 // The troubles. Size is what its comment says.
 const (
-	Slow      Kind = "slow"        // Size times slower
-	FastFail  Kind = "fast-errors" // Size: share of requests failed at once
-	Neighbour Kind = "neighbour"   // Size: share of the machine taken by another program, on and off
-	Vanish    Kind = "vanish"      // says nothing to anybody; what it has goes on
-	ResetConn Kind = "reset"       // Size: share of requests whose connection breaks after they have come
-	IdleClose Kind = "idle-close"  // Size: idle connections closed a second, as a share of all that are idle
-	Spoil     Kind = "spoil"       // Size: share of answers that can't be read
-	Oversize  Kind = "oversize"    // Size: share of answers far longer than allowed
-	Late      Kind = "late"        // Size: seconds by which answers come late, the work being done
-	Flap      Kind = "flap"        // refuses connections, on and off
-	Drain     Kind = "drain"       // discovery says that it drains; turns new work away once it has started
-	Restart   Kind = "restart"     // dies at From, back at To, cold, under its id
-	Replace   Kind = "replace"     // dies at From, back at To, cold, under a new id at the same address
+	Slow        Kind = "slow"        // Size times slower
+	FastFail    Kind = "fast-errors" // Size: share of requests failed at once
+	Neighbour   Kind = "neighbour"   // Size: share of the machine taken by another program, on and off
+	Vanish      Kind = "vanish"      // says nothing to anybody; what it has goes on
+	ResetConn   Kind = "reset"       // Size: share of requests whose connection breaks after they have come
+	IdleClose   Kind = "idle-close"  // Size: idle connections closed a second, as a share of all that are idle
+	Spoil       Kind = "spoil"       // Size: share of answers that can't be read
+	Oversize    Kind = "oversize"    // Size: share of answers far longer than allowed
+	LateAnswers Kind = "late"        // Size: seconds by which answers come late, the work being done
+	Flap        Kind = "flap"        // refuses connections, on and off
+	Drain       Kind = "drain"       // discovery says that it drains; turns new work away once it has started
+	Restart     Kind = "restart"     // dies at From, back at To, cold, under its id
+	Replace     Kind = "replace"     // dies at From, back at To, cold, under a new id at the same address
 )
 
 // kinds are all the troubles.
-var kinds = []Kind{Slow, FastFail, Neighbour, Vanish, ResetConn, IdleClose, Spoil, Oversize, Late, Flap, Drain, Restart, Replace}
+var kinds = []Kind{Slow, FastFail, Neighbour, Vanish, ResetConn, IdleClose, Spoil, Oversize, LateAnswers, Flap, Drain, Restart, Replace}
 
-// Trouble is something that goes wrong with a node from one time to another.
-type Trouble struct {
+// Fault is something that goes wrong with a node from one time to another.
+type Fault struct {
 	Kind     Kind
 	From, To time.Duration
 	Size     float64
@@ -38,7 +38,7 @@
 }
 
 // Check says what is wrong with a trouble.
-func (t Trouble) Check() error {
+func (t Fault) Check() error {
 	if !slices.Contains(kinds, t.Kind) {
 		return fmt.Errorf("unknown trouble %q: there are %v", t.Kind, kinds)
 	}
@@ -56,7 +56,7 @@
 		wrong = t.Size <= 0 || t.Size > 1
 	case Neighbour:
 		wrong = t.Size <= 0 || t.Size >= 1
-	case Late:
+	case LateAnswers:
 		wrong = t.Size <= 0
 	}
 	if wrong {
@@ -66,7 +66,7 @@
 }
 
 // active reports whether the trouble is on.
-func (t Trouble) active(now time.Duration) bool {
+func (t Fault) active(now time.Duration) bool {
 	if now < t.From || now >= t.To {
 		return false
 	}
@@ -74,7 +74,7 @@
 }
 
 // next is the next time after now at which it begins, ends, comes or goes; 0 when there is none.
-func (t Trouble) next(now time.Duration) time.Duration {
+func (t Fault) next(now time.Duration) time.Duration {
 	switch {
 	case now < t.From:
 		return t.From
@@ -93,7 +93,7 @@
 
 // size is the largest size of a kind of trouble that is on, or 0.
 func (n *Node) size(k Kind) (size float64) {
-	for _, t := range n.troubles {
+	for _, t := range n.faults {
 		if t.Kind == k && t.active(n.now) {
 			size = max(size, t.Size)
 		}
@@ -103,7 +103,7 @@
 
 // on reports whether a trouble of that kind is on.
 func (n *Node) on(k Kind) bool {
-	return slices.ContainsFunc(n.troubles, func(t Trouble) bool { return t.Kind == k && t.active(n.now) })
+	return slices.ContainsFunc(n.faults, func(t Fault) bool { return t.Kind == k && t.active(n.now) })
 }
 
 func (n *Node) chance(share float64) bool { return share > 0 && n.rng.Float64() < share }
--- a/internal/emulator/paths.go
+++ b/internal/emulator/paths.go
@@ -93,7 +93,7 @@
 // Befallen are the agents, by number, that a trouble of their own or a worse way to a node or to discovery befalls.
 func (day *Day) Befallen() map[int]bool {
 	out := map[int]bool{}
-	for _, t := range day.AgentTroubles {
+	for _, t := range day.AgentFaults {
 		out[t.Agent] = true
 	}
 	for i, agent := range day.Agents {
@@ -178,8 +178,8 @@
 
 // hears notes what an agent has been told. The lock is held.
 func (w *World) hears(agent string, e discovery.Entry, at time.Duration) {
-	w.Referee.Told(agent, e.ID, e.State == discovery.Ready, at)
-	if e.State != discovery.Gone {
+	w.Referee.Notified(agent, e.ID, e.State == discovery.Ready, at)
+	if e.State != discovery.Removed {
 		w.heard[[2]string{agent, e.ID}] = e.StartedMS
 	}
 }
--- a/internal/emulator/peer/peer.go
+++ b/internal/emulator/peer/peer.go
@@ -120,8 +120,8 @@
 	return p.count
 }
 
-// Trouble returns what kept scripts from being followed.
-func (p *Peer) Trouble() error {
+// AddFault returns what kept scripts from being followed.
+func (p *Peer) AddFault() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return errors.Join(p.trouble...)
--- a/internal/emulator/referee/referee.go
+++ b/internal/emulator/referee/referee.go
@@ -11,16 +11,16 @@
 
 // Rules are the figures of the rules.
 type Rules struct {
-	DrainGrace time.Duration // after an agent was told, something new may still reach a draining or gone node
-	Slack      time.Duration // more of that, for sockets and the way to the node
-	MostKept   int           // breaches that are kept with their evidence; all are counted
+	DrainGrace  time.Duration // after an agent was told, something new may still reach a draining or gone node
+	Slack       time.Duration // more of that, for sockets and the way to the node
+	MaxRecorded int           // breaches that are kept with their evidence; all are counted
 	// How long a request is remembered after its end, in which a second run of it is seen; 0 for all of the run.
 	KeepFor time.Duration
 }
 
 // DefaultRules are those of the platform on sockets.
 func DefaultRules() Rules {
-	return Rules{DrainGrace: 250 * time.Millisecond, Slack: 50 * time.Millisecond, MostKept: 100}
+	return Rules{DrainGrace: 250 * time.Millisecond, Slack: 50 * time.Millisecond, MaxRecorded: 100}
 }
 
 // Rule names a rule.
@@ -28,10 +28,10 @@
 
 // The rules.
 const (
-	Lost       Rule = "lost"        // the agent ended a request without a whole answer, or served what no node made
-	Duplicate  Rule = "duplicates"  // a request that must not be repeated ran twice
-	AfterDrain Rule = "after_drain" // new work came later than allowed after the agent was told
-	Toppled    Rule = "toppled"     // a cold node was pushed over
+	Lost              Rule = "lost"        // the agent ended a request without a whole answer, or served what no node made
+	Duplicate         Rule = "duplicates"  // a request that must not be repeated ran twice
+	AfterDrain        Rule = "after_drain" // new work came later than allowed after the agent was told
+	SlowStartOverload Rule = "toppled"     // a cold node was pushed over
 )
 
 // Breach is a broken rule with its evidence.
@@ -51,26 +51,26 @@
 
 // Account is what came of a run's requests. A request is one try of a client: a client's own repeat is another.
 type Account struct {
-	Requests   int `json:"requests"`
-	Completed  int `json:"completed"`
-	Rejected   int `json:"rejected"`
-	Failed     int `json:"failed"`
-	Unanswered int `json:"unanswered"` // still owed an answer when their time was up
-	Lost       int `json:"lost"`
-	Duplicates int `json:"duplicates"`
-	AfterDrain int `json:"after_drain"`
-	Toppled    int `json:"toppled"`
-	Attempts   int `json:"attempts"` // requests that came to nodes
-	Effects    int `json:"effects"`  // times that a node began one
-	Strangers  int `json:"strangers"`
+	Requests           int `json:"requests"`
+	Completed          int `json:"completed"`
+	Rejected           int `json:"rejected"`
+	Failed             int `json:"failed"`
+	Unanswered         int `json:"unanswered"` // still owed an answer when their time was up
+	Lost               int `json:"lost"`
+	Duplicates         int `json:"duplicates"`
+	AfterDrain         int `json:"after_drain"`
+	SlowStartOverloads int `json:"toppled"`
+	Attempts           int `json:"attempts"` // requests that came to nodes
+	Effects            int `json:"effects"`  // times that a node began one
+	UnknownRequests    int `json:"strangers"`
 	// Not a rule: new work that came to a draining or gone node later than the rule allows after some agent was told, by an
 	// agent that had not been told itself.
-	Unheard int `json:"unheard"`
+	Unnotified int `json:"unheard"`
 }
 
 // Held reports whether all rules held.
 func (a Account) Held() bool {
-	return a.Lost == 0 && a.Duplicates == 0 && a.AfterDrain == 0 && a.Toppled == 0
+	return a.Lost == 0 && a.Duplicates == 0 && a.AfterDrain == 0 && a.SlowStartOverloads == 0
 }
 
 // Balanced reports whether each request has exactly one end.
@@ -78,18 +78,18 @@
 	return a.Requests == a.Completed+a.Rejected+a.Failed+a.Unanswered+a.Lost
 }
 
-// Ask is a request as its caller sent it.
-type Ask struct {
-	ID     string
-	Agent  string // to whom; empty where a caller chooses nodes by itself
-	Once   bool   // must never run twice
-	At     time.Duration
-	Tenant string
-	Class  string
+// Request is a request as its caller sent it.
+type Request struct {
+	ID            string
+	Agent         string // to whom; empty where a caller chooses nodes by itself
+	NonIdempotent bool   // must never run twice
+	At            time.Duration
+	Tenant        string
+	Class         string
 }
 
-type request struct {
-	Ask
+type requestRecord struct {
+	Request
 	ended    bool
 	came     int
 	began    []place // where and when it took effect
@@ -102,21 +102,21 @@
 	at   time.Duration
 }
 
-type toldKey struct{ agent, node string }
+type notificationKey struct{ agent, node string }
 
 // Referee keeps the account. It is safe for concurrent use. It holds what it knows of each request of a run.
 type Referee struct {
 	rules Rules
 
-	mu       sync.Mutex
-	account  Account
-	breaches []Breach
-	trusts   bool // nodes are out of sight
-	requests map[string]*request
-	told     map[toldKey]time.Duration // since when a node drains or is gone, as told to an agent
-	first    map[string]time.Duration  // and as told to any, by node
-	excused  map[string][]span         // agents that were killed: what they had is nobody's fault
-	ends     []end                     // in their order, where requests are not remembered for ever
+	mu            sync.Mutex
+	account       Account
+	breaches      []Breach
+	trusts        bool // nodes are out of sight
+	requests      map[string]*requestRecord
+	notified      map[notificationKey]time.Duration // since when a node drains or is gone, as told to an agent
+	firstNotified map[string]time.Duration          // and as told to any, by node
+	excused       map[string][]span                 // agents that were killed: what they had is nobody's fault
+	ends          []end                             // in their order, where requests are not remembered for ever
 }
 
 type end struct {
@@ -128,7 +128,7 @@
 
 // New returns a referee at the start of a run.
 func New(rules Rules) *Referee {
-	return &Referee{rules: rules, requests: map[string]*request{}, told: map[toldKey]time.Duration{}, first: map[string]time.Duration{}, excused: map[string][]span{}}
+	return &Referee{rules: rules, requests: map[string]*requestRecord{}, notified: map[notificationKey]time.Duration{}, firstNotified: map[string]time.Duration{}, excused: map[string][]span{}}
 }
 
 func (r *Referee) breach(b Breach) {
@@ -139,19 +139,19 @@
 		r.account.Duplicates++
 	case AfterDrain:
 		r.account.AfterDrain++
-	case Toppled:
-		r.account.Toppled++
+	case SlowStartOverload:
+		r.account.SlowStartOverloads++
 	}
-	if len(r.breaches) < r.rules.MostKept {
+	if len(r.breaches) < r.rules.MaxRecorded {
 		r.breaches = append(r.breaches, b)
 	}
 }
 
-// Asked tells that a caller sends a request.
-func (r *Referee) Asked(a Ask) {
+// RequestSent tells that a caller sends a request.
+func (r *Referee) RequestSent(a Request) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.requests[a.ID] = &request{Ask: a}
+	r.requests[a.ID] = &requestRecord{Request: a}
 	r.account.Requests++
 }
 
@@ -179,18 +179,18 @@
 	r.trusts = true
 }
 
-// Told tells that discovery has written to an agent whether a node takes new work.
-func (r *Referee) Told(agent, node string, takes bool, at time.Duration) {
+// Notified tells that discovery has written to an agent whether a node takes new work.
+func (r *Referee) Notified(agent, node string, takes bool, at time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	key := toldKey{agent, node}
+	key := notificationKey{agent, node}
 	if takes {
-		delete(r.told, key)
-		delete(r.first, node)
-	} else if _, ok := r.told[key]; !ok {
-		r.told[key] = at
-		if _, ok := r.first[node]; !ok {
-			r.first[node] = at
+		delete(r.notified, key)
+		delete(r.firstNotified, node)
+	} else if _, ok := r.notified[key]; !ok {
+		r.notified[key] = at
+		if _, ok := r.firstNotified[node]; !ok {
+			r.firstNotified[node] = at
 		}
 	}
 }
@@ -201,9 +201,9 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.excused[agent] = append(r.excused[agent], span{from, to})
-	for key := range r.told {
+	for key := range r.notified {
 		if key.agent == agent {
-			delete(r.told, key)
+			delete(r.notified, key)
 		}
 	}
 }
@@ -215,14 +215,14 @@
 	q := r.requests[id]
 	r.account.Attempts++
 	if q == nil {
-		r.account.Strangers++
+		r.account.UnknownRequests++
 		return
 	}
 	q.came++
 	q.lastNode = node
-	told, drains := r.told[toldKey{q.Agent, node}]
-	if any, ok := r.first[node]; ok && !drains && q.Agent != "" && first-any > r.rules.DrainGrace+r.rules.Slack {
-		r.account.Unheard++
+	told, drains := r.notified[notificationKey{q.Agent, node}]
+	if any, ok := r.firstNotified[node]; ok && !drains && q.Agent != "" && first-any > r.rules.DrainGrace+r.rules.Slack {
+		r.account.Unnotified++
 	}
 	if late := first - told - r.rules.DrainGrace - r.rules.Slack; drains && q.Agent != "" && late > 0 {
 		r.breach(Breach{AfterDrain, first, id, q.Agent, node, fmt.Sprintf(
@@ -240,7 +240,7 @@
 		return
 	}
 	q.began = append(q.began, place{node, at})
-	if q.Once && len(q.began) > 1 {
+	if q.NonIdempotent && len(q.began) > 1 {
 		first := q.began[0]
 		r.breach(Breach{Duplicate, at, id, q.Agent, node, fmt.Sprintf(
 			"%s, which must not run twice, ran on %s at %.3fs and again on %s at %.3fs, sent by %s", id, first.node, first.at.Seconds(), node, at.Seconds(), q.Agent)})
@@ -256,11 +256,11 @@
 	}
 }
 
-// Toppled tells that a cold node fell over.
-func (r *Referee) Toppled(node string, at time.Duration) {
+// SlowStartOverloaded tells that a cold node fell over.
+func (r *Referee) SlowStartOverloaded(node string, at time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.breach(Breach{Rule: Toppled, At: at, Node: node, Text: fmt.Sprintf("%s was cold and got more than it could bear", node)})
+	r.breach(Breach{Rule: SlowStartOverload, At: at, Node: node, Text: fmt.Sprintf("%s was cold and got more than it could bear", node)})
 }
 
 // End is how a request ended for its caller.
@@ -325,7 +325,7 @@
 	}
 }
 
-func (r *Referee) isExcused(q *request, at time.Duration) bool {
+func (r *Referee) isExcused(q *requestRecord, at time.Duration) bool {
 	return slices.ContainsFunc(r.excused[q.Agent], func(s span) bool { return q.At <= s.to && at >= s.from })
 }
 
--- a/internal/emulator/referee/tally.go
+++ b/internal/emulator/referee/tally.go
@@ -8,16 +8,16 @@
 
 // Call is what a customer asked for, over all the tries of its client.
 type Call struct {
-	At       time.Duration // when it was to be sent, whether or not that was in time
-	Agent    int           // that its client uses
-	Class    int
-	Tenant   int
-	Worth    float64 // of an answer within the aim
-	Late     float64 // share of it for a later one
-	Aim      time.Duration
-	Latency  time.Duration // from At to the whole answer
-	Answered bool          // served at all
-	Tries    int
+	At               time.Duration // when it was to be sent, whether or not that was in time
+	Agent            int           // that its client uses
+	Class            int
+	Tenant           int
+	PriorityWeight   float64 // of an answer within the aim
+	LateWeight       float64 // share of it for a later one
+	LatencyObjective time.Duration
+	Latency          time.Duration // from At to the whole answer
+	Answered         bool          // served at all
+	Attempts         int
 }
 
 // Earned is what the call earned.
@@ -25,10 +25,10 @@
 	switch {
 	case !c.Answered:
 		return 0
-	case c.Latency <= c.Aim:
-		return c.Worth
+	case c.Latency <= c.LatencyObjective:
+		return c.PriorityWeight
 	}
-	return c.Worth * c.Late
+	return c.PriorityWeight * c.LateWeight
 }
 
 // WorstSpan is the length of the window that the worst one is sought over.
@@ -62,15 +62,15 @@
 }
 
 // share is earned over asked; 1 where nothing was asked for.
-type share struct{ earned, asked float64 }
+type share struct{ earned, offered float64 }
 
-func (s *share) add(c Call) { s.earned, s.asked = s.earned+c.Earned(), s.asked+c.Worth }
+func (s *share) add(c Call) { s.earned, s.offered = s.earned+c.Earned(), s.offered+c.PriorityWeight }
 
 func (s share) value() float64 {
-	if s.asked == 0 {
+	if s.offered == 0 {
 		return 1
 	}
-	return s.earned / s.asked
+	return s.earned / s.offered
 }
 
 // Serve counts the service of calls, of which those before from are left out. Seconds, classes and tenants without a call
@@ -107,7 +107,7 @@
 	for i := 0; i+span <= len(seconds); i++ {
 		var w share
 		for _, s := range seconds[i : i+span] {
-			w.earned, w.asked = w.earned+s.earned, w.asked+s.asked
+			w.earned, w.offered = w.earned+s.earned, w.offered+s.offered
 		}
 		out.WorstWindow = min(out.WorstWindow, w.value())
 	}
@@ -126,7 +126,7 @@
 	}
 	out := make([]float64, len(seconds))
 	for i, s := range seconds {
-		if out[i] = s.value(); s.asked == 0 {
+		if out[i] = s.value(); s.offered == 0 {
 			out[i] = math.NaN()
 		}
 	}
--- a/internal/emulator/settings.go
+++ b/internal/emulator/settings.go
@@ -36,11 +36,11 @@
 	var classes, tenants []any
 	for _, c := range day.Classes {
 		effect := "repeatable"
-		if c.Once {
+		if c.NonIdempotent {
 			effect = "once"
 		}
-		classes = append(classes, map[string]any{"Name": c.Name, "Effect": effect, "Group": "all", "AimNs": c.Aim, "DeadlineNs": c.Deadline,
-			"Worth": c.Worth, "LateWorth": c.LateWorth, "WindowNs": 5_000_000_000, "Streamed": false})
+		classes = append(classes, map[string]any{"Name": c.Name, "Effect": effect, "Group": "all", "AimNs": c.LatencyObjective, "DeadlineNs": c.Deadline,
+			"Worth": c.PriorityWeight, "LateWorth": c.LateWeight, "WindowNs": 5_000_000_000, "Streamed": false})
 	}
 	total := 0.0
 	for _, t := range day.Tenants {
@@ -59,14 +59,14 @@
 		"Blend":   map[string]any{"Whole": 0.35, "WorstWindow": 0.35, "WorstClass": 0.2, "WorstTenant": 0.1},
 		"Callers": map[string]any{"MarksRetry": false},
 		"Ceilings": map[string]any{"ConnIdleNs": IdleLimit, "ConnectTimeoutNs": ConnectTimeout, "CpuUsPerRequest": 0.0, "CpuUsPerS": 80000,
-			"MaxRetryAfterNs": day.Spec.Clients.MostHeed.D(), "MaxStreams": 1, "MayCancel": true, "MostHeld": 20000, "MostTries": 5,
+			"MaxRetryAfterNs": day.Spec.Clients.MaxRetryAfter.D(), "MaxStreams": 1, "MayCancel": true, "MostHeld": 20000, "MostTries": 5,
 			"ParallelTries": true, "Peers": false, "Probes": true, "RetryAfter": true},
 		"Classes": classes, "Tenants": tenants, "Domain": map[string]any{"WarmKeys": true}, "OverShareWorth": 0.2,
 		"Prices": map[string]any{"CrossZone": 0.01, "LateFail": 0.03, "Probe": 0.045, "Waste": 0.05, "Connection": 0.0, "Discovery": 0.0,
 			"Handshake": 0.0, "Moves": 0.0, "Origin": 0.0, "Peer": 0.0},
 		"Report": map[string]any{"Fields": []string{"qps", "util"}, "Via": "pull"},
-		"Rules": map[string]any{"ColdFrom": usual.ColdFrom, "ColdNs": usual.ColdFor, "DrainGraceNs": 250_000_000, "FallNs": usual.FallFor,
-			"GraceToAnswerNs": 20_000_000, "MustAskInNs": 10_000_000_000, "OverloadFactor": usual.Overload},
+		"Rules": map[string]any{"ColdFrom": usual.SlowStartInitialFraction, "ColdNs": usual.SlowStartWindow, "DrainGraceNs": 250_000_000, "FallNs": usual.OverloadWindow,
+			"GraceToAnswerNs": 20_000_000, "MustAskInNs": 10_000_000_000, "OverloadFactor": usual.SlowStartOverloadFactor},
 		"Skus": kinds, "Tier": 0, "Tiers": []string{"order-api"}, "WeightKind": "silent", "WorthBy": "work",
 		"Zone": slices.Index(day.Spec.Zones, day.AgentZone(agent)), "Zones": day.Spec.Zones,
 	}
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -181,7 +181,7 @@
 	w.mu.Lock()
 	w.begin = begin
 	w.mu.Unlock()
-	for _, p := range w.Day.Troubles {
+	for _, p := range w.Day.Faults {
 		p.From, p.To = p.From+begin, p.To+begin
 		w.all.Go(func() { w.befall(p) })
 	}
@@ -263,7 +263,7 @@
 	switch p.Kind {
 	case node.Drain, node.Restart, node.Replace, node.Vanish:
 	default:
-		b.Trouble(p.Trouble)
+		b.AddFault(p.Fault)
 	}
 	if !w.until(p.From) {
 		return
@@ -271,16 +271,16 @@
 	w.mark(p.From, p.To, spec.ID, string(p.Kind))
 	switch p.Kind {
 	case node.Drain: // told at once where the list is quick; ends in its death
-		b.Trouble(p.Trouble)
+		b.AddFault(p.Fault)
 		w.disco.Set(w.entry(p.Node, spec, discovery.Terminating), notice+w.late())
 		if w.until(p.To) {
 			w.kill(p.Node)
-			w.disco.Set(w.entry(p.Node, spec, discovery.Gone), notice+w.late())
+			w.disco.Set(w.entry(p.Node, spec, discovery.Removed), notice+w.late())
 		}
 	case node.Restart, node.Replace:
 		w.restart(p.Node, p.To, p.Kind == node.Replace)
 	case node.Vanish:
-		b.Trouble(p.Trouble)
+		b.AddFault(p.Fault)
 		end := w.strain(strained{func(from, to string) bool { return from == spec.ID || to == spec.ID }, link.Conditions{Cut: true}})
 		if w.until(p.To) {
 			end()
@@ -298,7 +298,7 @@
 	w.mu.Unlock()
 	w.kill(i)
 	if renamed || notice < back-w.Now()+add {
-		w.disco.Set(w.entry(i, spec, discovery.Gone), notice+w.late())
+		w.disco.Set(w.entry(i, spec, discovery.Removed), notice+w.late())
 	}
 	if !w.until(back) {
 		return
@@ -374,7 +374,7 @@
 	for i := range plan {
 		plan[i].At += start
 	}
-	calls, figures := callers.Run(ctx, callers.Config{Plan: plan, Classes: w.Day.Classes, Tenants: w.Day.Tenants, Habits: func(at time.Duration) callers.Habits { return w.Day.HabitsAt(at - start) },
+	calls, figures := callers.Run(ctx, callers.Config{Plan: plan, Classes: w.Day.Classes, Tenants: w.Day.Tenants, Habits: func(at time.Duration) callers.ClientProfile { return w.Day.ClientsAt(at - start) },
 		Route: route, Referee: w.Referee, Epoch: w.Epoch, Direct: direct, Answer: w.Day.Spec.Answer, Body: w.Day.Spec.Body,
 		Slow: w.Day.Spec.Clients.Slow, Prefix: w.Day.Seed, Done: done})
 	for i := range calls {
--- a/internal/emulator/world_test.go
+++ b/internal/emulator/world_test.go
@@ -146,12 +146,12 @@
 func TestRefereeCatches(t *testing.T) {
 	drain := func(d *emulator.DaySpec) {
 		d.List.Notice = 0
-		d.Troubles = []emulator.TroubleSpec{{Kind: string(node.Drain), Names: []string{"node-01"}, From: config.Duration(time.Second), To: config.Duration(4 * time.Second)}}
+		d.Faults = []emulator.FaultSpec{{Kind: string(node.Drain), Names: []string{"node-01"}, From: config.Duration(time.Second), To: config.Duration(4 * time.Second)}}
 	}
 	cold := func(d *emulator.DaySpec) {
 		d.Load = 0.5
 		for i := range d.Kinds {
-			d.Kinds[i].Cold = true
+			d.Kinds[i].SlowStart = true
 		}
 	}
 	for _, c := range []struct {
@@ -166,7 +166,7 @@
 		{"makes up", nil, referee.Lost, func(a referee.Account) int { return a.Lost }, "no node made"},
 		{"cuts off", nil, referee.Lost, func(a referee.Account) int { return a.Lost }, "without an answer, after sending it on"},
 		{"goes on sending", drain, referee.AfterDrain, func(a referee.Account) int { return a.AfterDrain }, "after it was told"},
-		{"one for all", cold, referee.Toppled, func(a referee.Account) int { return a.Toppled }, "node-01 was cold"},
+		{"one for all", cold, referee.SlowStartOverload, func(a referee.Account) int { return a.SlowStartOverloads }, "node-01 was cold"},
 	} {
 		t.Run(c.vice, func(t *testing.T) {
 			a, breaches := play(t, c.vice, c.day)
@@ -201,7 +201,7 @@
 func TestOpenLoop(t *testing.T) {
 	slow := func(d *emulator.DaySpec) {
 		d.Clients.Retries, d.Clients.Impatient = 0, 0
-		d.Troubles = []emulator.TroubleSpec{{Kind: string(node.Late), Nodes: 10, To: config.Duration(time.Minute), Size: 0.5}}
+		d.Faults = []emulator.FaultSpec{{Kind: string(node.LateAnswers), Nodes: 10, To: config.Duration(time.Minute), Size: 0.5}}
 	}
 	quick, _ := play(t, "none", func(d *emulator.DaySpec) { d.Clients.Retries, d.Clients.Impatient = 0, 0 })
 	late, _ := play(t, "none", slow)
@@ -213,18 +213,18 @@
 // Equal specs and seeds draw equal days; others don't.
 func TestDraw(t *testing.T) {
 	spec := emulator.DefaultDay()
-	spec.Troubles = []emulator.TroubleSpec{{Kind: "slow", Nodes: 3, To: config.Duration(time.Second), Size: 3}}
+	spec.Faults = []emulator.FaultSpec{{Kind: "slow", Nodes: 3, To: config.Duration(time.Second), Size: 3}}
 	a, err := spec.Draw(5)
 	if err != nil {
 		t.Fatal(err)
 	}
 	b, _ := spec.Draw(5)
 	c, _ := spec.Draw(6)
-	if !slices.Equal(a.Plan, b.Plan) || !slices.Equal(a.Nodes, b.Nodes) || !slices.Equal(a.Troubles, b.Troubles) {
+	if !slices.Equal(a.Plan, b.Plan) || !slices.Equal(a.Nodes, b.Nodes) || !slices.Equal(a.Faults, b.Faults) {
 		t.Error("equal seeds drew other days")
 	}
-	if slices.Equal(a.Plan, c.Plan) || len(a.Troubles) != 3 {
-		t.Errorf("%d troubles", len(a.Troubles))
+	if slices.Equal(a.Plan, c.Plan) || len(a.Faults) != 3 {
+		t.Errorf("%d troubles", len(a.Faults))
 	}
 	got := float64(len(a.Plan)) / a.Length.Seconds()
 	if got < 0.93*a.Rate || got > 1.07*a.Rate {
@@ -240,13 +240,13 @@
 		"class[0]":   func(d *emulator.DaySpec) { d.Classes[0].Deadline = 1 },
 		"tenant[2]":  func(d *emulator.DaySpec) { d.Tenants[2].Share = 0 },
 		"net.loss":   func(d *emulator.DaySpec) { d.Net.Loss = 2 },
-		"clients":    func(d *emulator.DaySpec) { d.Clients.Heed = 2 },
-		"trouble[0]": func(d *emulator.DaySpec) { d.Troubles = []emulator.TroubleSpec{{Kind: "plague", Nodes: 1, To: 1}} },
+		"clients":    func(d *emulator.DaySpec) { d.Clients.RetryAfterFraction = 2 },
+		"trouble[0]": func(d *emulator.DaySpec) { d.Faults = []emulator.FaultSpec{{Kind: "plague", Nodes: 1, To: 1}} },
 		"is no node": func(d *emulator.DaySpec) {
-			d.Troubles = []emulator.TroubleSpec{{Kind: "drain", Names: []string{"x"}, To: 1}}
+			d.Faults = []emulator.FaultSpec{{Kind: "drain", Names: []string{"x"}, To: 1}}
 		},
 		"ends its life": func(d *emulator.DaySpec) {
-			d.Troubles = []emulator.TroubleSpec{{Kind: "drain", Names: []string{"node-01"}, To: 1}, {Kind: "restart", Names: []string{"node-01"}, To: 1}}
+			d.Faults = []emulator.FaultSpec{{Kind: "drain", Names: []string{"node-01"}, To: 1}, {Kind: "restart", Names: []string{"node-01"}, To: 1}}
 		},
 		"unknown shape": func(d *emulator.DaySpec) { d.Shape = "zigzag" },
 		"outage[0]":     func(d *emulator.DaySpec) { d.Outages = []emulator.OutageSpec{{From: 2, To: 1}} },
--- a/internal/experiment/choose.go
+++ b/internal/experiment/choose.go
@@ -146,7 +146,7 @@
 			best, least, wait = i, takes, t.Backlog
 		}
 	}
-	density := p.Worth / p.Work.Seconds()
+	density := p.PriorityWeight / p.Work.Seconds()
 	c.worth += 0.01 * (density - c.worth)
 	if best < 0 || wait > cheapWait && density < c.worth/2 {
 		return -1
--- a/internal/experiment/demo.go
+++ b/internal/experiment/demo.go
@@ -13,7 +13,7 @@
 	d := emulator.DefaultDay()
 	d.Name, d.Length = "demo", config.Duration(length)
 	at := func(share float64) config.Duration { return config.Duration(share * float64(length)) }
-	d.Troubles = []emulator.TroubleSpec{
+	d.Faults = []emulator.FaultSpec{
 		{Kind: string(node.Slow), Names: []string{"node-06"}, From: at(0.15), To: at(0.55), Size: 5},
 		{Kind: string(node.FastFail), Names: []string{"node-09"}, From: at(0.35), To: at(0.7), Size: 0.9},
 		{Kind: string(node.Drain), Names: []string{"node-02"}, From: at(0.5), To: at(0.85)},
--- a/internal/experiment/drill.go
+++ b/internal/experiment/drill.go
@@ -161,7 +161,7 @@
 		}
 	}
 	a := o.Account
-	expect(a.Balanced() && a.Held() && a.Strangers == 0, "the rules, one answer each and no stranger: %+v %v", a, o.Breaches)
+	expect(a.Balanced() && a.Held() && a.UnknownRequests == 0, "the rules, one answer each and no stranger: %+v %v", a, o.Breaches)
 	expect(!o.Interrupted, "it was interrupted")
 	if broken = len(wrong) > 0; broken || busy(o) {
 		return wrong, broken
@@ -170,7 +170,7 @@
 	expect(e.Attempts == 0 || o.Attempts <= e.Attempts, "%.2f attempts a request", o.Attempts)
 	expect(e.ColdPeak == 0 || o.ColdPeak <= e.ColdPeak, "a cold node got %.2f of what topples it", o.ColdPeak)
 	expect(e.ProbeWork == 0 || o.ProbeWork <= e.ProbeWork, "probes took %.4f of the nodes' work", o.ProbeWork)
-	expect(e.Unheard == nil || a.Unheard <= *e.Unheard, "%d requests came to ending nodes from agents that were not told", a.Unheard)
+	expect(e.Unheard == nil || a.Unnotified <= *e.Unheard, "%d requests came to ending nodes from agents that were not told", a.Unnotified)
 	if e.Goodput > 0 || e.Back > 0 {
 		expect(o.Surge != nil, "the day has no surge")
 	}
--- a/internal/experiment/fleet_days_test.go
+++ b/internal/experiment/fleet_days_test.go
@@ -21,14 +21,14 @@
 		"discovery away for 60 s while nodes are replaced": {func(s *emulator.DaySpec) {
 			s.Agents, s.Length = 20, d(75)
 			s.Outages = []emulator.OutageSpec{{From: d(5), To: d(65)}}
-			s.Troubles = []emulator.TroubleSpec{{Kind: "replace", Nodes: 3, From: d(10), To: d(13)}}
+			s.Faults = []emulator.FaultSpec{{Kind: "replace", Nodes: 3, From: d(10), To: d(13)}}
 		}, 0.85},
 		"the others' traffic comes and goes": {func(s *emulator.DaySpec) {
 			s.Agents, s.AgentSkew, s.Load, s.Shape, s.Swing, s.Period = 20, 20, 0.6, "wave", 0.6, d(6)
 		}, 0.9},
 		"a quiet fleet beside a dead node": {func(s *emulator.DaySpec) {
 			s.Agents, s.Load = 200, 0.4
-			s.Troubles = []emulator.TroubleSpec{{Kind: "vanish", Nodes: 2, From: d(4), To: d(18)}}
+			s.Faults = []emulator.FaultSpec{{Kind: "vanish", Nodes: 2, From: d(4), To: d(18)}}
 		}, 0.9},
 		"an overload that would choke all": {func(s *emulator.DaySpec) { s.Agents, s.Load = 4, 1.3 }, 0.8},
 	} {
--- a/internal/experiment/lab_test.go
+++ b/internal/experiment/lab_test.go
@@ -44,7 +44,7 @@
 // Equal days and arms give equal outcomes, to the last call.
 func TestSimulationRepeats(t *testing.T) {
 	trouble := func(d *emulator.DaySpec) {
-		d.Troubles = []emulator.TroubleSpec{
+		d.Faults = []emulator.FaultSpec{
 			{Kind: "slow", Nodes: 2, From: config.Duration(2 * time.Second), To: config.Duration(9 * time.Second), Size: 5},
 			{Kind: "vanish", Nodes: 1, From: config.Duration(3 * time.Second), To: config.Duration(8 * time.Second)},
 			{Kind: "replace", Nodes: 1, From: config.Duration(4 * time.Second), To: config.Duration(6 * time.Second)},
@@ -57,7 +57,7 @@
 		if !reflect.DeepEqual(a, b) {
 			t.Errorf("%s: %+v and %+v", arm.Name, a.Account, b.Account)
 		}
-		if !a.Account.Balanced() || !a.Account.Held() || a.Account.Strangers > 0 {
+		if !a.Account.Balanced() || !a.Account.Held() || a.Account.UnknownRequests > 0 {
 			t.Errorf("%s: %+v %v", arm.Name, a.Account, a.Breaches)
 		}
 	}
@@ -67,7 +67,7 @@
 func TestArmsAreOrdered(t *testing.T) {
 	trouble := func(d *emulator.DaySpec) {
 		d.Load = 0.7
-		d.Troubles = []emulator.TroubleSpec{{Kind: "slow", Nodes: 3, From: config.Duration(2 * time.Second), To: config.Duration(14 * time.Second), Size: 6}}
+		d.Faults = []emulator.FaultSpec{{Kind: "slow", Nodes: 3, From: config.Duration(2 * time.Second), To: config.Duration(14 * time.Second), Size: 6}}
 	}
 	service := func(a Arm) float64 { return simulate(t, day(t, trouble), a).Whole }
 	random, two, agent, top := service(Arm{Chooser: Random}), service(Arm{Chooser: TwoChoices}), service(module), service(Arm{Chooser: Oracle})
@@ -196,7 +196,7 @@
 	s := readSpec(t, strings.Replace(strings.Replace(experimentText, "simulated = true", "", 1), `kind = "random"`, "kind = \"agent\"\nbinary = \"/no/such/program\"", 1))
 	s.Repeats = 1
 	s.Days[0].Length = config.Duration(time.Second)
-	s.Days[0].Troubles = nil
+	s.Days[0].Faults = nil
 	f, err = Run(t.Context(), s, "", t.TempDir(), "", io.Discard)
 	if err != nil || len(f.Outcomes) != 1 || len(f.Failures) != 1 || !strings.Contains(f.Failures[0], "no such file") {
 		t.Errorf("%d outcomes, failures %v, %v", len(f.Outcomes), f.Failures, err)
--- a/internal/experiment/liar.go
+++ b/internal/experiment/liar.go
@@ -19,7 +19,7 @@
 
 // liar is a stand-in for a peer that is wrong about all that it tells: a member of the agents' fleet without an agent.
 type liar struct {
-	spec   emulator.LiarSpec
+	spec   emulator.ByzantinePeerSpec
 	name   string
 	w      *emulator.World
 	member *membership.Member
@@ -33,10 +33,10 @@
 const lieEvery = 100 * time.Millisecond
 
 // newLiar lets a liar in among the peers; at are its arguments as an agent would get them.
-func newLiar(w *emulator.World, spec emulator.LiarSpec, name string, at membership.Config, set operator.Peers) (*liar, error) {
+func newLiar(w *emulator.World, spec emulator.ByzantinePeerSpec, name string, at membership.Config, set operator.Peers) (*liar, error) {
 	l := &liar{spec: spec, name: name, w: w}
 	for _, c := range w.Day.Classes {
-		l.top = max(l.top, c.Worth)
+		l.top = max(l.top, c.PriorityWeight)
 	}
 	at.Name, at.Label, at.Timing, at.Handler, at.Logger = name, set.Label, membership.DefaultTiming(), l, slog.New(slog.DiscardHandler)
 	var err error
@@ -75,7 +75,7 @@
 	servers = slices.DeleteFunc(servers, func(e discovery.Entry) bool { return e.State != discovery.Ready })
 	for i, e := range servers {
 		key := fleetstate.Key{Server: e.ID, Started: e.StartedMS}
-		if l.says(emulator.LieSuspect) {
+		if l.says(emulator.FalseSuspicion) {
 			for _, who := range append([]string{l.name}, l.w.Day.Agents...) {
 				k := key
 				k.Kind, k.Origin = fleetstate.Suspicion, who
@@ -83,7 +83,7 @@
 				out = append(out, fleetstate.Fact{Key: k, Value: math.MaxInt32, Timestamp: l.clock.Next(now.Add(fleetstate.MaxClockSkew * 9 / 10)), Reporter: who})
 			}
 		}
-		if l.says(emulator.LieGone) && i < len(servers)/2 {
+		if l.says(emulator.FalseRemoval) && i < len(servers)/2 {
 			k := key
 			k.Kind, k.Origin = fleetstate.Notice, l.name
 			out = append(out, fleetstate.Fact{Key: k, Value: fleetstate.Removed, Timestamp: l.clock.Next(now), Reporter: l.name})
@@ -95,10 +95,10 @@
 // part is what it says of the fleet's level.
 func (l *liar) part() (p budget.PeerState) {
 	const all = 1e6
-	if l.says(emulator.LieDemand) {
+	if l.says(emulator.FalseDemand) {
 		p.Demand = []budget.Demand{{Priority: l.top, Rate: all}}
 	}
-	if l.says(emulator.LieRate) {
+	if l.says(emulator.FalseRate) {
 		p.Rate = all
 	}
 	return p
--- a/internal/experiment/load.go
+++ b/internal/experiment/load.go
@@ -53,7 +53,7 @@
 	route := func(p callers.Planned, _ []string) (string, *callers.Client, func(referee.End)) {
 		return spec.Targets[p.Agent], clients[p.Agent], func(referee.End) {}
 	}
-	calls, figures := callers.Run(ctx, callers.Config{Plan: day.Plan, Classes: day.Classes, Tenants: day.Tenants, Habits: day.HabitsAt, Route: route,
+	calls, figures := callers.Run(ctx, callers.Config{Plan: day.Plan, Classes: day.Classes, Tenants: day.Tenants, Habits: day.ClientsAt, Route: route,
 		Referee: ref, Epoch: time.Now(), Answer: day.Spec.Answer, Body: day.Spec.Body, Slow: day.Spec.Clients.Slow, Prefix: uint64(time.Now().UnixNano())})
 	t := tallied{day: day, calls: calls, figures: figures, account: ref.Account(), kept: ref.Breaches()}
 	o := t.sum("load", false)
--- a/internal/experiment/order.go
+++ b/internal/experiment/order.go
@@ -13,7 +13,7 @@
 func passedOver(day *emulator.Day, calls []referee.Call) (served, passed float64) {
 	best := 0
 	for i, c := range day.Classes {
-		if c.Worth > day.Classes[best].Worth {
+		if c.PriorityWeight > day.Classes[best].PriorityWeight {
 			best = i
 		}
 	}
@@ -31,7 +31,7 @@
 				missed[second] += work
 				lost += work
 			}
-		case c.Answered && day.Classes[c.Class].Worth < day.Classes[best].Worth:
+		case c.Answered && day.Classes[c.Class].PriorityWeight < day.Classes[best].PriorityWeight:
 			lesser[second] += work
 		}
 	}
--- a/internal/experiment/outcome.go
+++ b/internal/experiment/outcome.go
@@ -53,34 +53,34 @@
 	Account   referee.Account  `json:"account"`
 	Breaches  []referee.Breach `json:"breaches,omitempty"`
 	referee.Service
-	Goal        float64                `json:"goal"`
-	Latency     map[string]Percentiles `json:"latency"`              // a class each, and "all"
-	Attempts    float64                `json:"attempts_per_request"` // that reached nodes
-	Waste       float64                `json:"waste"`                // work that came to nothing, as a share of all work done
-	Probes      int                    `json:"probes"`
-	Handshakes  int                    `json:"handshakes"`
-	ListCalls   int                    `json:"list_calls"`
-	Chokes      int                    `json:"chokes"`
-	Truths      *Truths                `json:"truths,omitempty"`                   // of a simulation
-	ColdPeak    float64                `json:"cold_peak"`                          // the most that a cold node was sent, of what topples it
-	Used        []float64              `json:"nodes_used,omitempty"`               // of a simulation: share of the nodes, a second each
-	Busy        []float64              `json:"nodes_busy,omitempty"`               // of a simulation: work done of what could be, a second each
-	Priced      float64                `json:"priced"`                             // the goal less the day's prices
-	ProbeWork   float64                `json:"probe_work"`                         // as a share of what the nodes could do
-	CPU         float64                `json:"agent_cpu_us_per_request,omitempty"` // of all agents' processes
-	Skipped     int                    `json:"skipped"`                            // calls that found too many open
-	Lag         float64                `json:"lag_ms"`                             // the latest that a call was sent after its time
-	Starved     float64                `json:"starved_ms"`                         // mean wait of the rig's threads for a processor; on sockets
-	Levels      *Levels                `json:"levels,omitempty"`                   // of agents with the fleet's budgets
-	Rude        callers.RudeFigures    `json:"rude"`                               // clients that sent no requests
-	Interrupted bool                   `json:"interrupted,omitempty"`
-	Views       *Views                 `json:"views,omitempty"`  // of agents that talk with each other
-	Worthiest   float64                `json:"worthiest_served"` // of the worthiest class's requests
-	PassedOver  float64                `json:"passed_over"`      // of the worthiest class's requests, those left unserved while lesser ones were
-	Spared      float64                `json:"spared"`           // service of the requests at agents that no fault of their own befell; 1 where there are none
-	Surge       *Surge                 `json:"surge,omitempty"`  // of a day on sockets whose traffic shifts upwards everywhere
-	Series      Series                 `json:"series"`
-	Marks       []emulator.Mark        `json:"marks"`
+	Goal        float64                    `json:"goal"`
+	Latency     map[string]Percentiles     `json:"latency"`              // a class each, and "all"
+	Attempts    float64                    `json:"attempts_per_request"` // that reached nodes
+	Waste       float64                    `json:"waste"`                // work that came to nothing, as a share of all work done
+	Probes      int                        `json:"probes"`
+	Handshakes  int                        `json:"handshakes"`
+	ListCalls   int                        `json:"list_calls"`
+	Chokes      int                        `json:"chokes"`
+	Truths      *Truths                    `json:"truths,omitempty"`                   // of a simulation
+	ColdPeak    float64                    `json:"cold_peak"`                          // the most that a cold node was sent, of what topples it
+	Used        []float64                  `json:"nodes_used,omitempty"`               // of a simulation: share of the nodes, a second each
+	Busy        []float64                  `json:"nodes_busy,omitempty"`               // of a simulation: work done of what could be, a second each
+	Priced      float64                    `json:"priced"`                             // the goal less the day's prices
+	ProbeWork   float64                    `json:"probe_work"`                         // as a share of what the nodes could do
+	CPU         float64                    `json:"agent_cpu_us_per_request,omitempty"` // of all agents' processes
+	Skipped     int                        `json:"skipped"`                            // calls that found too many open
+	Lag         float64                    `json:"lag_ms"`                             // the latest that a call was sent after its time
+	Starved     float64                    `json:"starved_ms"`                         // mean wait of the rig's threads for a processor; on sockets
+	Levels      *Levels                    `json:"levels,omitempty"`                   // of agents with the fleet's budgets
+	Rude        callers.MisbehavingFigures `json:"rude"`                               // clients that sent no requests
+	Interrupted bool                       `json:"interrupted,omitempty"`
+	Views       *Views                     `json:"views,omitempty"`  // of agents that talk with each other
+	Worthiest   float64                    `json:"worthiest_served"` // of the worthiest class's requests
+	PassedOver  float64                    `json:"passed_over"`      // of the worthiest class's requests, those left unserved while lesser ones were
+	Spared      float64                    `json:"spared"`           // service of the requests at agents that no fault of their own befell; 1 where there are none
+	Surge       *Surge                     `json:"surge,omitempty"`  // of a day on sockets whose traffic shifts upwards everywhere
+	Series      Series                     `json:"series"`
+	Marks       []emulator.Mark            `json:"marks"`
 }
 
 // Series are figures over time, one a second. NaN and absent values are null in JSON.
@@ -126,16 +126,16 @@
 	}
 	var all node.Figures
 	for _, f := range t.nodes {
-		all = all.Plus(f)
+		all = all.Add(f)
 	}
 	if all.Work > 0 {
 		o.Waste = float64(all.Wasted) / float64(all.Work)
 	}
-	o.Probes, o.Handshakes, o.Chokes = all.Probes, all.Handshakes, all.Chokes
-	o.ColdPeak = all.ColdPeak
+	o.Probes, o.Handshakes, o.Chokes = all.HealthChecks, all.Handshakes, all.Chokes
+	o.ColdPeak = all.SlowStartPeak
 	p, each := t.day.Spec.Fleet.Prices, 1/max(1, float64(len(t.calls)))
-	o.Priced = o.Goal - p.Probe*float64(o.Probes)*each - p.Handshake*float64(o.Handshakes)*each - p.List*float64(o.ListCalls)*each - p.Waste*o.Waste
-	o.ProbeWork = float64(all.Probes) * t.day.Nodes[0].ProbeWork.Seconds() / (t.day.Capacity * t.day.Length.Seconds())
+	o.Priced = o.Goal - p.HealthCheck*float64(o.Probes)*each - p.Handshake*float64(o.Handshakes)*each - p.List*float64(o.ListCalls)*each - p.Waste*o.Waste
+	o.ProbeWork = float64(all.HealthChecks) * t.day.Nodes[0].HealthCheckWork.Seconds() / (t.day.Capacity * t.day.Length.Seconds())
 	o.Series = series(t.calls)
 	o.Series.Load, o.Series.Goodput = t.load, t.goodput
 	o.Surge = surge(t.day, o)
--- a/internal/experiment/play.go
+++ b/internal/experiment/play.go
@@ -59,7 +59,7 @@
 	if ops.Peers.Enabled {
 		on.Mesh = link.NewMesh(day.Seed)
 		hosts := slices.Clone(day.Agents)
-		for i := range day.Spec.Fleet.Liars {
+		for i := range day.Spec.Fleet.ByzantinePeers {
 			hosts = append(hosts, liarName(i))
 		}
 		if peers, err = processrig.NewPeers(on.Mesh, hosts); err != nil {
@@ -96,13 +96,13 @@
 		all.Go(func() { p.look(watching) })
 	}
 	if len(arm.Command) > 0 {
-		for _, t := range day.AgentTroubles {
+		for _, t := range day.AgentFaults {
 			all.Go(func() { p.befall(watching, t) })
 		}
 	}
-	if rate := day.Spec.Clients.Rude; rate > 0 {
+	if rate := day.Spec.Clients.MisbehavingRate; rate > 0 {
 		for _, a := range p.agents {
-			all.Go(func() { p.rude(callers.Rude(watching, w.Net.Dialer(""), a.Addr, rate)) })
+			all.Go(func() { p.rude(callers.RunMisbehaving(watching, w.Net.Dialer(""), a.Addr, rate)) })
 		}
 	}
 	calls, figures := w.Call(ctx, p.route, len(arm.Command) == 0, p.ended)
@@ -140,7 +140,7 @@
 	choices []*choices
 
 	mu       sync.Mutex
-	rudeness callers.RudeFigures
+	rudeness callers.MisbehavingFigures
 	faults   []error // what could not be done to agents' processes
 	away     []bool  // by agent: killed, ended or paused, and not yet back
 	clients  []*callers.Client
@@ -173,7 +173,7 @@
 	if p.peers == nil {
 		return nil, nil
 	}
-	for i, spec := range p.w.Day.Spec.Fleet.Liars {
+	for i, spec := range p.w.Day.Spec.Fleet.ByzantinePeers {
 		var at membership.Config
 		at.Bind, at.Advertise, at.Seeds = p.peers.Place(len(p.w.Day.Agents) + i)
 		l, err := newLiar(p.w, spec, liarName(i), at, set)
@@ -188,7 +188,7 @@
 // befall does to an agent's process what the day has for it, at its time: it kills it, ends it in order, pauses it or slows it, and
 // after the time away starts the next or lets it go on. A killed agent's requests are nobody's fault; a paused or slow one still
 // owes each of its requests an answer.
-func (p *play) befall(ctx context.Context, t emulator.AgentTrouble) {
+func (p *play) befall(ctx context.Context, t emulator.AgentFault) {
 	if !callers.Sleep(ctx, t.At-p.w.Now()) {
 		return
 	}
@@ -212,7 +212,7 @@
 	case emulator.AgentPause:
 		err = a.Pause()
 	case emulator.AgentSlow:
-		err = a.Slow(ctx, t.Part, t.Away)
+		err = a.Slow(ctx, t.RunFraction, t.Away)
 	case emulator.AgentKill:
 		p.w.Referee.Killed(name, now, now+t.Away)
 		a.Kill()
@@ -222,9 +222,9 @@
 		p.w.Referee.Killed(name, now, now+t.Away) // no process listens until the next one does
 	}
 	if err == nil && callers.Sleep(ctx, now+t.Away-p.w.Now()) {
-		if t.Lives() {
+		if t.Survives() {
 			err = a.Resume()
-		} else if err = a.Again(!t.Kept); err == nil {
+		} else if err = a.Again(!t.WithState); err == nil {
 			err = a.Ready(ctx)
 		}
 	}
@@ -264,7 +264,7 @@
 }
 
 // rude adds up what rude clients got.
-func (p *play) rude(f callers.RudeFigures) {
+func (p *play) rude(f callers.MisbehavingFigures) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.rudeness.Clients += f.Clients
--- a/internal/experiment/simagent.go
+++ b/internal/experiment/simagent.go
@@ -75,7 +75,7 @@
 
 // befallAgent ends an agent's process, planned or not, and begins the next, which knows the list that the one before it had and
 // nothing else.
-func (s *sim) befallAgent(t emulator.AgentTrouble) {
+func (s *sim) befallAgent(t emulator.AgentFault) {
 	old := s.agents[t.Agent]
 	if old.balancer == nil || old.away {
 		return // choosers have no processes; one that is away is not befallen again
@@ -261,7 +261,7 @@
 			if e.State != logic.Removed {
 				a.known = append(a.known, e)
 			}
-			s.referee.Told(s.day.Agents[a.number], e.ID, e.State == logic.Ready, s.now)
+			s.referee.Notified(s.day.Agents[a.number], e.ID, e.State == logic.Ready, s.now)
 		}
 		s.tell(a, logic.EndpointList{Endpoints: entries})
 		s.watch(a, discovery.FleetTimingFor(len(s.day.Agents)))
@@ -272,7 +272,7 @@
 func (s *sim) tellList(a *simAgent, entries []logic.Endpoint) {
 	a.known = slices.Clone(entries)
 	for _, e := range entries {
-		s.referee.Told(s.day.Agents[a.number], e.ID, e.State == logic.Ready, s.now)
+		s.referee.Notified(s.day.Agents[a.number], e.ID, e.State == logic.Ready, s.now)
 	}
 	s.tell(a, logic.EndpointList{Full: true, Endpoints: slices.Clone(entries)})
 }
--- a/internal/experiment/simulate.go
+++ b/internal/experiment/simulate.go
@@ -27,11 +27,11 @@
 		s.nodes, s.byID[n.ID] = append(s.nodes, n), n
 		s.list.entries = append(s.list.entries, s.entry(i, logic.Ready))
 	}
-	if len(day.Spec.Fleet.Paths)+len(day.Spec.Fleet.Liars) > 0 {
+	if len(day.Spec.Fleet.Paths)+len(day.Spec.Fleet.ByzantinePeers) > 0 {
 		return Outcome{}, errors.New("ways between chosen hosts and liars are played by real processes only")
 	}
-	for _, t := range day.AgentTroubles {
-		if t.Lives() || t.Kept {
+	for _, t := range day.AgentFaults {
+		if t.Survives() || t.WithState {
 			return Outcome{}, errors.New("paused and slow agents and those that keep what they learnt are played by real processes only")
 		}
 	}
@@ -63,7 +63,7 @@
 	}
 	t := tallied{day: day, calls: s.calls, account: s.referee.Account(), kept: s.referee.Breaches(), lists: s.list.calls, load: s.load, goodput: s.goodput, marks: s.marks}
 	for _, n := range s.nodes {
-		t.nodes = append(t.nodes, n.past.Plus(n.Figures()))
+		t.nodes = append(t.nodes, n.past.Add(n.Figures()))
 	}
 	o := t.sum(arm.Name, true)
 	o.Truths, o.Used, o.Busy = &s.truth, s.used, s.busy
@@ -166,7 +166,7 @@
 		s.truth.ToDead++
 		return
 	}
-	if n.Room() && n.Backlog() <= at.try.journey.Class.Aim {
+	if n.Room() && n.Backlog() <= at.try.journey.Class.LatencyObjective {
 		return
 	}
 	s.truth.SentIntoJam++
@@ -250,13 +250,13 @@
 			s.talk(a)
 		}
 	}
-	for _, t := range s.day.AgentTroubles {
+	for _, t := range s.day.AgentFaults {
 		s.at(t.At, func() { s.befallAgent(t) })
 	}
 	for _, n := range s.nodes {
 		s.rouse(n)
 	}
-	for _, p := range s.day.Troubles {
+	for _, p := range s.day.Faults {
 		s.befall(p)
 	}
 	for _, o := range s.day.Spec.Outages {
@@ -277,7 +277,7 @@
 	s.left = len(s.day.Plan)
 	for _, p := range s.day.Plan {
 		s.at(p.At, func() {
-			j := callers.NewJourney(p, s.day.Classes[p.Class], s.day.HabitsAt(p.At))
+			j := callers.NewJourney(p, s.day.Classes[p.Class], s.day.ClientsAt(p.At))
 			s.try(j, nil)
 		})
 	}
@@ -348,7 +348,7 @@
 		s.marks = append(s.marks, emulator.Mark{At: p.From, To: p.To, Node: name, Text: string(p.Kind)})
 		switch p.Kind {
 		case node.Drain:
-			n.Trouble(p.Trouble)
+			n.AddFault(p.Fault)
 			s.change(list.Notice.D(), s.entry(p.Node, logic.Draining))
 		case node.Restart, node.Replace:
 			s.kill(n)
@@ -356,7 +356,7 @@
 				s.change(list.Notice.D(), s.entry(p.Node, logic.Removed))
 			}
 		default:
-			n.Trouble(p.Trouble)
+			n.AddFault(p.Fault)
 			s.rouse(n)
 		}
 	})
@@ -372,7 +372,7 @@
 				spec.ID = fmt.Sprintf("%s-%d", spec.ID, s.lives)
 			}
 			spec.Started = s.now
-			n.past = n.past.Plus(n.Figures())
+			n.past = n.past.Add(n.Figures())
 			delete(s.byID, n.ID)
 			n.Node, n.up, n.told, n.seen, n.worked = node.New(spec, s.day.Seed*1000+uint64(len(s.nodes)+n.number)), true, false, 0, 0
 			s.byID[n.ID] = n
@@ -428,10 +428,10 @@
 			s.referee.Began(t.try.id, n.ID, s.now)
 		}
 	}
-	if n.Toppled() && !n.told {
+	if n.Overloaded() && !n.told {
 		n.told = true
 		if n.Blame() {
-			s.referee.Toppled(n.ID, s.now)
+			s.referee.SlowStartOverloaded(n.ID, s.now)
 		}
 	}
 	for _, d := range done {
@@ -469,7 +469,7 @@
 
 // try begins a client's next try, or ends its journey.
 func (s *sim) try(j *callers.Journey, tried []string) {
-	wait, leaves := j.Try(s.now)
+	wait, leaves := j.Attempt(s.now)
 	if wait == 0 {
 		s.finish(j)
 		return
@@ -480,12 +480,12 @@
 		s.unheard(j, tried)
 		return
 	}
-	t := &simTry{id: callers.ID(s.day.Seed, j.Number, j.Tries), agent: a, journey: j, tried: tried, deadline: s.now + wait}
-	ask := referee.Ask{ID: t.id, Agent: s.day.Agents[j.Agent], Once: j.Class.Once, At: s.now, Class: j.Class.Name}
+	t := &simTry{id: callers.ID(s.day.Seed, j.Number, j.Attempts), agent: a, journey: j, tried: tried, deadline: s.now + wait}
+	ask := referee.Request{ID: t.id, Agent: s.day.Agents[j.Agent], NonIdempotent: j.Class.NonIdempotent, At: s.now, Class: j.Class.Name}
 	if a.balancer == nil {
 		ask.Agent = ""
 	}
-	s.referee.Asked(ask)
+	s.referee.RequestSent(ask)
 	s.open[t.id] = t
 	s.at(s.now+leaves, func() { s.leave(t) })
 	if a.balancer == nil {
@@ -720,12 +720,12 @@
 	at.ticket = ticket{n.number, s.tickets}
 	s.waiting[at.ticket] = at
 	verdict, ran := n.Offer(s.now, node.Work{Ticket: s.tickets, Key: t.journey.Key, Cost: t.journey.Work, Until: t.deadline,
-		Unsaid: !t.agent.toldOf(n)})
+		Unnotified: !t.agent.toldOf(n)})
 	if ran {
 		s.referee.Began(t.id, n.ID, s.now)
 	}
 	s.rouse(n)
-	result := map[node.Verdict]logic.Result{node.TurnedAway: logic.Rejected, node.FailedFast: logic.Failed, node.Broken: logic.Reset}
+	result := map[node.Verdict]logic.Result{node.Rejected: logic.Rejected, node.FailedFast: logic.Failed, node.Broken: logic.Reset}
 	if r, ok := result[verdict]; ok {
 		delete(s.waiting, at.ticket)
 		s.back(at, r, 0)
--- a/internal/experiment/statistics.go
+++ b/internal/experiment/statistics.go
@@ -94,7 +94,7 @@
 	{"nodes_used", Outcome.nodesUsed},
 	{"cold_peak", func(o Outcome) float64 { return o.ColdPeak }},
 	{"chokes", func(o Outcome) float64 { return float64(o.Chokes) }},
-	{"unheard", func(o Outcome) float64 { return float64(o.Account.Unheard) }},
+	{"unheard", func(o Outcome) float64 { return float64(o.Account.Unnotified) }},
 	{"completed", func(o Outcome) float64 { return float64(o.Account.Completed) }},
 	{"surge_goodput", func(o Outcome) float64 { return o.surged().Goodput }},
 }
@@ -244,7 +244,7 @@
 				r.Falsely, r.IntoJam = r.Falsely+o.falselyRefused(), r.IntoJam+o.intoJam()
 				r.Refused, r.Used, r.Priced, r.ColdPeak = r.Refused+o.refused(), r.Used+o.nodesUsed(), r.Priced+o.Priced, max(r.ColdPeak, o.ColdPeak)
 				r.Chokes, r.Done = r.Chokes+float64(o.Chokes), r.Done+float64(o.Account.Completed)
-				r.Unheard += float64(o.Account.Unheard)
+				r.Unheard += float64(o.Account.Unnotified)
 				r.Worthy, r.Passed = r.Worthy+o.Worthiest, r.Passed+o.PassedOver
 				if s := o.surged(); r.Back >= 0 && s.Back >= 0 {
 					r.Back = max(r.Back, s.Back)
--- a/internal/experiment/views.go
+++ b/internal/experiment/views.go
@@ -138,7 +138,7 @@
 		out = append(out, ending{p.String(), p.To.D()})
 	}
 	by := map[ending]int{}
-	for _, t := range day.AgentTroubles {
+	for _, t := range day.AgentFaults {
 		by[ending{t.Kind, t.At + t.Away}]++
 	}
 	for e, n := range by {
@@ -152,7 +152,7 @@
 // time until the next fault's beginning counts.
 func views(day *emulator.Day, sights [][]glance) *Views {
 	v := &Views{Agents: len(day.Agents)}
-	all := len(day.Agents) + len(day.Spec.Fleet.Liars)
+	all := len(day.Agents) + len(day.Spec.Fleet.ByzantinePeers)
 	whole := func(s glance) bool { return len(s.names) == all-1 }
 	ends := endings(day)
 	for i, e := range ends {
--- a/internal/experiment/whole_fleet_test.go
+++ b/internal/experiment/whole_fleet_test.go
@@ -106,7 +106,7 @@
 	}
 	p := prey(7)
 	first := p.Spec(7)
-	if want, err := first.Draw(7); err != nil || len(day.Plan) != len(want.Plan) || !slices.Equal(day.Troubles, want.Troubles) || !slices.Equal(day.AgentTroubles, want.AgentTroubles) {
+	if want, err := first.Draw(7); err != nil || len(day.Plan) != len(want.Plan) || !slices.Equal(day.Faults, want.Faults) || !slices.Equal(day.AgentFaults, want.AgentFaults) {
 		t.Errorf("the file draws another day: %v", err)
 	}
 }
@@ -158,8 +158,8 @@
 	late := func(by float64) Outcome {
 		return simulate(t, day(t, func(d *emulator.DaySpec) {
 			base(d)
-			d.Troubles = []emulator.TroubleSpec{{Kind: "replace", Nodes: 5, From: secondsOf(2), To: secondsOf(2.5)}}
-			d.Fleet.Late = []emulator.LateSpec{{From: secondsOf(0), To: secondsOf(12), By: secondsOf(by)}}
+			d.Faults = []emulator.FaultSpec{{Kind: "replace", Nodes: 5, From: secondsOf(2), To: secondsOf(2.5)}}
+			d.Fleet.ListDelays = []emulator.ListDelaySpec{{From: secondsOf(0), To: secondsOf(12), By: secondsOf(by)}}
 		}), module)
 	}
 	if soon, never := late(0), late(20); never.Used[8] >= soon.Used[8] {
@@ -179,7 +179,7 @@
 func TestReplacedNodeLeavesTheList(t *testing.T) {
 	d := day(t, func(d *emulator.DaySpec) {
 		d.List.Notice, d.List.Add = secondsOf(2), secondsOf(0.2)
-		d.Troubles = []emulator.TroubleSpec{{Kind: "replace", Nodes: 3, From: secondsOf(2), To: secondsOf(2.5)}}
+		d.Faults = []emulator.FaultSpec{{Kind: "replace", Nodes: 3, From: secondsOf(2), To: secondsOf(2.5)}}
 	})
 	o := simulate(t, d, module)
 	if o.Attempts <= 0.9 || o.Truths.ToDead > o.Account.Requests/20 {
