--- /dev/null
+++ b/logic/balancer_test.go
@@ -0,0 +1,48 @@
+package logic
+
+import (
+	"fmt"
+	"testing"
+	"time"
+)
+
+func TestUnknownEventsHaveNoEffect(t *testing.T) {
+	h := newHarness(t, testSettings(), 1)
+	for _, e := range []Event{Outcome{Request: "no"}, Outcome{Request: "no", Attempt: -1}, ClientDisconnected{"no"},
+		ResponseStarted{Request: "no"}, HealthChecked{Endpoint: "no"}, TimerFired{99}, Request{ID: "x", Class: 9}} {
+		if a := h.Handle(h.clock, e); len(a) != 0 {
+			t.Errorf("%#v: %+v", e, a)
+		}
+	}
+}
+
+// BenchmarkHandle measures a request and its answer with a load report.
+func BenchmarkHandle(b *testing.B) {
+	for _, size := range []int{20, 200} {
+		b.Run(fmt.Sprintf("endpoints=%d", size), func(b *testing.B) {
+			balancer, err := New(testSettings(), 1)
+			if err != nil {
+				b.Fatal(err)
+			}
+			now := time.Hour
+			balancer.Start(now)
+			list := EndpointList{Full: true}
+			for i := range size {
+				list.Endpoints = append(list.Endpoints, Endpoint{ID: fmt.Sprint("s", i)})
+			}
+			balancer.Handle(now, list)
+			b.ReportAllocs()
+			for b.Loop() {
+				now += time.Millisecond
+				to := ""
+				for _, a := range balancer.Handle(now, Request{ID: "r", Deadline: now + time.Second}) {
+					if a.Kind == Send {
+						to = a.Endpoint
+					}
+				}
+				balancer.Handle(now, Outcome{Request: "r", Endpoint: to, Result: OK, Latency: time.Millisecond,
+					Closed: true, LoadReport: LoadReport{Utilization: 0.5, RequestRate: 50}})
+			}
+		})
+	}
+}
--- a/logic/capacity.go
+++ b/logic/capacity.go
@@ -5,105 +5,222 @@
 	"time"
 )
 
-// Capacity: what each server can do, and how sure that is.
+// Capacity: what an endpoint can serve, and how certain that is. Three sources tell of it:
+//
+//   - load reports in answers: completed requests a second over utilization;
+//   - without those, the latencies of this balancer's own answers;
+//   - load reports in health checks, through a Kalman filter of their own.
+//
+// What is not certain is taken from the mean of the other endpoints, in proportion to the listed weights.
 
-// report takes a server's word on its load: its rate over its utilisation is what it could do at most.
-func (b *Balancer) report(s *server, r LoadReport) {
-	if r.Utilization < 0 || r.RequestRate < 0 || s.coldShare(b) < 1 {
+const (
+	// minUtilization is the utilization below which a report says nothing of capacity: the quotient of two
+	// small figures would call an idle endpoint small, and keep it idle.
+	minUtilization = 0.05
+	// reportFadeHorizons is the time in which load reports in answers fade to 1/e, in horizons.
+	reportFadeHorizons = 4
+	// answerFadeHorizons is the time in which the count of own answers fades to 1/e, in horizons.
+	answerFadeHorizons = 6
+	// priorAnswers is the number of own answers that the mean of the other endpoints counts for.
+	priorAnswers = 4
+	// zonePreference times CrossZoneCost is the factor by which an idle endpoint of the own zone counts as
+	// larger.
+	zonePreference = 60
+)
+
+// capacityEstimate is what is known of the capacity of one endpoint.
+type capacityEstimate struct {
+	requestRate float64 // requests a second at full utilization, or 1/s of latency; 0 without an estimate
+	certainty   float64 // of requestRate: from 0 to 1, fading with time
+	answers     answerLatency
+	reports     reportedLoad
+	checked     checkedCapacity
+}
+
+// answerLatency is the mean latency of this balancer's own answers.
+type answerLatency struct {
+	mean    float64 // seconds
+	samples float64 // answers behind the mean, fading with time
+}
+
+// reportedLoad is the load that the endpoint reports in answers.
+type reportedLoad struct {
+	requestRate       float64       // requests a second, smoothed
+	utilization       float64       // fraction, smoothed
+	latestUtilization float64       // fraction, as last reported
+	at                time.Duration // latest report; 0: none
+}
+
+// learnFromReport takes the load report of an answer. One of a warming endpoint says nothing of its capacity.
+func (b *Balancer) learnFromReport(e *endpoint, r LoadReport) {
+	if r.Utilization < 0 || r.RequestRate < 0 || b.slowStartFraction(e) < 1 {
 		return
 	}
-	b.reports = true
-	keep := math.Exp(-float64(b.now-s.reported) / (reportTime * float64(b.horizon)))
-	if s.reported == 0 {
-		keep = 0
+	b.loadReported = true
+	e.estimate.addReport(r, b.now, b.horizon)
+}
+
+func (c *capacityEstimate) addReport(r LoadReport, now, horizon time.Duration) {
+	load := &c.reports
+	retained := math.Exp(-float64(now-load.at) / (reportFadeHorizons * float64(horizon)))
+	if load.at == 0 {
+		retained = 0
 	}
-	s.reported, s.busy = b.now, r.Utilization
-	s.done = keep*s.done + (1-keep)*r.RequestRate
-	s.util = keep*s.util + (1-keep)*r.Utilization
-	if s.util > utilFloor {
-		s.rate, s.trust = s.done/s.util, 1
+	load.at, load.latestUtilization = now, r.Utilization
+	load.requestRate = retained*load.requestRate + (1-retained)*r.RequestRate
+	load.utilization = retained*load.utilization + (1-retained)*r.Utilization
+	if load.utilization > minUtilization {
+		c.requestRate, c.certainty = load.requestRate/load.utilization, 1
 	}
 }
 
-// ownRate learns from an own answer where no server reports by itself: by Little's law the own served
-// rate over the own mean in flight is one over the mean time to an answer.
-func (b *Balancer) ownRate(s *server, took time.Duration) {
-	if b.reports || took <= 0 {
+// learnFromAnswer takes the latency of an own answer where no endpoint reports its load. By Little's law the
+// served rate over the mean number in flight is one over the mean latency.
+func (b *Balancer) learnFromAnswer(e *endpoint, latency time.Duration) {
+	if b.loadReported || latency <= 0 {
 		return
 	}
-	s.known++
-	s.took += max(learn, 1/s.known) * (took.Seconds() - s.took)
-	s.rate, s.trust = 1/s.took, s.known/(s.known+prior)
+	e.estimate.addAnswer(latency)
+}
+
+func (c *capacityEstimate) addAnswer(latency time.Duration) {
+	own := &c.answers
+	own.samples++
+	own.mean += max(averageSampleWeight, 1/own.samples) * (latency.Seconds() - own.mean)
+	c.requestRate, c.certainty = 1/own.mean, own.samples/(own.samples+priorAnswers)
 }
 
-// forget lets what is known of a server age.
-func (b *Balancer) forget(s *server, passed float64) {
-	if b.reports {
-		s.trust *= math.Exp(-passed / ticks / reportTime)
+// fadeEstimates lets what is known of the capacities age by a number of ticks.
+func (b *Balancer) fadeEstimates(ticks float64) {
+	for _, e := range b.endpoints.listed {
+		e.estimate.fade(ticks, b.loadReported)
+	}
+}
+
+func (c *capacityEstimate) fade(ticks float64, loadReported bool) {
+	if loadReported {
+		c.certainty *= math.Exp(-ticks / ticksPerHorizon / reportFadeHorizons)
 		return
 	}
-	s.known *= math.Exp(-passed / ticks / knownTime)
-	s.trust = s.known / (s.known + prior)
+	c.answers.samples *= math.Exp(-ticks / ticksPerHorizon / answerFadeHorizons)
+	c.certainty = c.answers.samples / (c.answers.samples + priorAnswers)
 }
 
-// doubt is the part of a server's capacity that rests on the mean of the others: 1 where nothing is known
-// of it.
-func (b *Balancer) doubt(s *server) float64 { return prior / (prior + s.known + b.polledCount(s)) }
+// uncertainty is the part of the capacity that rests on the mean of the other endpoints: 1 where nothing is
+// known of this one.
+func (c *capacityEstimate) uncertainty(now time.Duration) float64 {
+	return priorAnswers / (priorAnswers + c.answers.samples + c.checked.equivalentAnswers(now))
+}
 
-// polledCount is what the capacity that a server reported says, in own answers that say as much.
-func (b *Balancer) polledCount(s *server) float64 {
-	if s.polledAt == 0 {
-		return 0
-	}
-	return 1 / b.polledVar(s)
-}
-
-// weigh sets every server's weight for a request: its capacity at present. What is known of it by own
-// answers and by reports counts by how much each says, and the mean of the others, for the server's size
-// in the list, counts as some answers more: else one that once looked slow would get nothing to show
-// better with, and stand idle, and a quiet balancer would lean on chance.
-func (b *Balancer) weigh() {
-	rate, size, polled, told := 0.0, 0.0, 0.0, 0.0
-	for _, s := range b.servers {
-		rate, size = rate+s.rate*s.trust, size+s.Weight*s.trust
-		if n := b.polledCount(s); n > 0 {
-			polled, told = polled+n*s.polled, told+n
+// fleetCapacity is the means over all endpoints that an uncertain one is estimated by.
+type fleetCapacity struct {
+	ratePerWeight float64 // requests a second for each unit of listed weight
+	checkedLog    float64 // mean logarithm of the capacities from health checks
+}
+
+func (set *endpointSet) meanCapacity(now time.Duration) fleetCapacity {
+	rate, weight, checkedLog, checkedAnswers := 0.0, 0.0, 0.0, 0.0
+	for _, e := range set.listed {
+		rate += e.estimate.requestRate * e.estimate.certainty
+		weight += e.Weight * e.estimate.certainty
+		if n := e.estimate.checked.equivalentAnswers(now); n > 0 {
+			checkedLog += n * e.estimate.checked.logCapacity
+			checkedAnswers += n
 		}
 	}
-	mean := 1.0
-	if size > 0 {
-		mean = rate / size
+	mean := fleetCapacity{ratePerWeight: 1}
+	if weight > 0 {
+		mean.ratePerWeight = rate / weight
 	}
-	b.total, b.well = 0, 0
-	spread := max(b.subset, b.crowd)
-	for _, s := range b.servers {
-		usual, warm := mean*s.Weight, s.coldShare(b)
-		s.capacity = usual + (s.rate-usual)*s.trust
-		if n := b.polledCount(s); n > 0 {
-			s.capacity += (usual*math.Exp(s.polled-polled/told) - s.capacity) * n / (n + s.known + prior)
-		}
-		s.weight = s.capacity * warm * (1 - s.failing)
-		if s.own = s.State == Ready && spread > 0; s.State != Ready {
-			continue
-		}
-		if s.own {
-			b.total += s.weight
-		}
-		if s.own && s.until == 0 {
-			b.well, spread = b.well+s.weight, spread-1
-		}
-		if s.Zone == b.set.Zone && warm == 1 {
-			s.weight *= 1 + nearTimes*b.set.CrossZoneCost*max(0, 1-s.util)
+	if checkedAnswers > 0 {
+		mean.checkedLog = checkedLog / checkedAnswers
+	}
+	return mean
+}
+
+// combine returns the capacity of an endpoint of a listed weight. Each source counts by its certainty, and
+// the mean of the others as priorAnswers answers: without that, an endpoint that once looked slow would get
+// nothing by which to correct it, and a balancer with few requests would follow chance.
+func (c *capacityEstimate) combine(listedWeight float64, mean fleetCapacity, now time.Duration) float64 {
+	typical := mean.ratePerWeight * listedWeight
+	capacity := typical + (c.requestRate-typical)*c.certainty
+	if n := c.checked.equivalentAnswers(now); n > 0 {
+		checked := typical * math.Exp(c.checked.logCapacity-mean.checkedLog)
+		capacity += (checked - capacity) * n / (n + c.answers.samples + priorAnswers)
+	}
+	return capacity
+}
+
+// updateWeights sets the capacity and weight of each endpoint, the subset and its capacity, for the event at
+// hand. The zone preference comes last: it steers selection and is no capacity.
+func (b *Balancer) updateWeights() {
+	mean := b.endpoints.meanCapacity(b.now)
+	for _, e := range b.endpoints.listed {
+		e.capacity = e.estimate.combine(e.Weight, mean, b.now)
+		e.weight = e.capacity * b.slowStartFraction(e) * (1 - e.health.failureRate)
+	}
+	b.endpoints.chooseSubset()
+	b.endpoints.sumCapacity()
+	b.preferOwnZone()
+}
+
+// preferOwnZone raises the weight of endpoints in the balancer's own zone, the less the more they are used.
+func (b *Balancer) preferOwnZone() {
+	for _, e := range b.endpoints.listed {
+		if e.State == Ready && e.Zone == b.settings.Zone && b.slowStartFraction(e) == 1 {
+			e.weight *= 1 + zonePreference*b.settings.CrossZoneCost*max(0, 1-e.estimate.reports.utilization)
 		}
 	}
 }
 
-// coldShare is the part of its capacity that a server has at least, so long after its start.
-func (s *server) coldShare(b *Balancer) float64 {
-	age := b.now - s.StartedAt
-	if s.StartedAt == 0 || age >= b.set.SlowStartWindow {
-		return 1
+const (
+	// reportRelativeError is the relative standard error of a figure in a load report.
+	reportRelativeError = 0.07
+	// reportCountingSeconds is the time over which an endpoint counts its requests for a report, in seconds.
+	reportCountingSeconds = 0.8
+	// reportDelaySeconds is the age of a report when it arrives, in seconds.
+	reportDelaySeconds = 0.3
+	// capacityDriftVariance is the variance that the logarithm of a capacity gains, per second.
+	capacityDriftVariance = 0.03
+)
+
+// checkedCapacity is a Kalman filter of the logarithm of the capacity that health checks report. Its state
+// drifts as a random walk.
+type checkedCapacity struct {
+	logCapacity float64       // logarithm of requests a second
+	variance    float64       // of logCapacity at the time of the latest report
+	at          time.Duration // latest report; 0: none
+}
+
+// add takes a report. Its error is that of both figures, of counting few requests, and of its age. A report
+// of an idle endpoint says nothing.
+func (f *checkedCapacity) add(r LoadReport, now time.Duration) {
+	if r.Utilization <= minUtilization || r.RequestRate <= 0 {
+		return
+	}
+	measured := math.Log(r.RequestRate / r.Utilization)
+	noise := 2*reportRelativeError*reportRelativeError + 1/(1+r.RequestRate*reportCountingSeconds) +
+		capacityDriftVariance*(reportDelaySeconds+reportCountingSeconds/2)
+	if f.at == 0 {
+		f.logCapacity, f.variance = measured, noise
+	} else {
+		variance := f.varianceAt(now)
+		gain := variance / (variance + noise)
+		f.logCapacity += gain * (measured - f.logCapacity)
+		f.variance = (1 - gain) * variance
+	}
+	f.at = now
+}
+
+// varianceAt is the variance of the logarithm at a time: it grows with the age of the latest report.
+func (f *checkedCapacity) varianceAt(now time.Duration) float64 {
+	return f.variance + capacityDriftVariance*(now-f.at).Seconds()
+}
+
+// equivalentAnswers is the number of own answers that would say as much as the reports do; 0 without one.
+func (f *checkedCapacity) equivalentAnswers(now time.Duration) float64 {
+	if f.at == 0 {
+		return 0
 	}
-	from := b.set.SlowStartInitialFraction
-	return from + (1-from)*max(0, float64(age)/float64(b.set.SlowStartWindow))
+	return 1 / f.varianceAt(now)
 }
--- /dev/null
+++ b/logic/outlier.go
@@ -0,0 +1,214 @@
+package logic
+
+import (
+	"slices"
+	"time"
+)
+
+// Outlier detection: an endpoint that fails, or that takes requests and answers none, is ejected for one
+// horizon. It returns by a half-open request (halfopen.go).
+
+const (
+	// outcomeWeight is the weight of a new outcome in the failure rate of an endpoint.
+	outcomeWeight = 0.3
+	// ejectionFailureRate is the failure rate above which an endpoint is ejected: three failures in a row,
+	// from 0.
+	ejectionFailureRate = 0.6
+	// maxMissedAnswers is the number of missed answers above which an endpoint is ejected.
+	maxMissedAnswers = 16
+	// minHealthyFraction is the part of the subset's capacity that must not be ejected for ejections to count.
+	minHealthyFraction = 0.5
+)
+
+// healthState is the state of an endpoint in outlier detection.
+//
+//	healthy         -> ejected          by failures, silence or a failed health check
+//	healthy         -> ejectedByGossip  by a peer's report
+//	ejectedByGossip -> healthy          when no peer reports it any more
+//	ejected, ejectedByGossip -> halfOpen       when one request tests it, after the ejection time
+//	halfOpen        -> healthy, ejected        by the outcome of that request
+//	halfOpen        -> the state before        when that outcome proves nothing
+//
+// An ejected endpoint also returns to healthy by the answers of requests that it got before the ejection, or
+// while ejections did not count. A restart of the process makes it healthy.
+type healthState int
+
+const (
+	healthy         healthState = iota
+	ejected                     // on this balancer's own evidence
+	ejectedByGossip             // on the reports of peers alone
+	halfOpen                    // ejected, with one request under way to test it
+)
+
+// endpointHealth is the health of one endpoint.
+type endpointHealth struct {
+	state          healthState
+	beforeHalfOpen healthState   // the state to which an undecided half-open request returns
+	ejectedUntil   time.Duration // in any state but healthy: when a half-open request may test it
+	failureRate    float64       // moving average of outcomes: 1 a failure, 0 an answer
+}
+
+// eject ejects on own evidence, also from another state.
+func (h *endpointHealth) eject(until time.Duration) { h.state, h.ejectedUntil = ejected, until }
+
+// ejectByGossip ejects, or extends an ejection, on the reports of peers.
+func (h *endpointHealth) ejectByGossip(until time.Duration) {
+	h.state, h.ejectedUntil = ejectedByGossip, until
+}
+
+// readmit ends an ejection.
+func (h *endpointHealth) readmit() { h.state, h.ejectedUntil = healthy, 0 }
+
+// awaitsTest reports whether the endpoint is ejected and no request tests it.
+func (h *endpointHealth) awaitsTest() bool { return h.state == ejected || h.state == ejectedByGossip }
+
+// beginHalfOpen marks that a request tests the endpoint.
+func (h *endpointHealth) beginHalfOpen() { h.state, h.beforeHalfOpen = halfOpen, h.state }
+
+// abandonHalfOpen ends a test that proves nothing; another request may test the endpoint at once.
+func (h *endpointHealth) abandonHalfOpen() {
+	if h.state == halfOpen {
+		h.state = h.beforeHalfOpen
+	}
+}
+
+func (b *Balancer) eject(e *endpoint) { e.health.eject(b.now + b.horizon) }
+
+// isEjected reports whether the endpoint gets no requests. While most of the subset's capacity is ejected,
+// no ejection counts: in an overload all endpoints are late, and to eject them leaves the load to the few
+// others.
+func (b *Balancer) isEjected(e *endpoint) bool {
+	set := &b.endpoints
+	return e.health.state != healthy && set.healthyCapacity >= minHealthyFraction*set.totalCapacity
+}
+
+// Unavailable returns the number of listed endpoints that get no requests now: draining or ejected.
+func (b *Balancer) Unavailable() (n int) {
+	for _, e := range b.endpoints.listed {
+		if e.State != Ready || b.isEjected(e) {
+			n++
+		}
+	}
+	return n
+}
+
+// evidence is what an outcome says of the endpoint.
+type evidence int
+
+const (
+	noEvidence       evidence = iota // cancelled or not sent
+	answerEvidence                   // it answers
+	faultEvidence                    // it fails
+	overloadEvidence                 // it answers other requests, but not this one in time
+)
+
+// evidenceOf classifies the outcome of an attempt. A timeout at an endpoint that has answered others
+// meanwhile shows a costly request or an overload, no fault.
+func evidenceOf(a *attempt, result Result) evidence {
+	switch result {
+	case OK:
+		return answerEvidence
+	case TimedOut:
+		if a.endpoint.lastSeen > a.answerDueFrom && a.endpoint.health.state == healthy {
+			return overloadEvidence
+		}
+		return faultEvidence
+	case Failed, Rejected, ConnectFailed, Reset:
+		return faultEvidence
+	}
+	return noEvidence
+}
+
+// learnFromOutcome takes the outcome of an attempt into latencies, capacity, the overload signals and the
+// health of its endpoint. An attempt on an earlier incarnation says nothing of the present one.
+func (b *Balancer) learnFromOutcome(a *attempt, o Outcome) {
+	e := a.endpoint
+	if a.sentAt < e.restartedAt {
+		return
+	}
+	if b.timedOutEarly(a, o.Result) {
+		e.health.abandonHalfOpen()
+		return
+	}
+	found := evidenceOf(a, o.Result)
+	b.observeOverload(a, o, found)
+	switch found {
+	case noEvidence:
+		e.health.abandonHalfOpen()
+	case answerEvidence:
+		b.baseline.observe(a.request.Class, o.Latency)
+		e.lastSeen = b.now
+		b.learnFromAnswer(e, o.Latency)
+		b.updateHealth(e, o.Result)
+	case faultEvidence:
+		b.updateHealth(e, o.Result)
+	}
+}
+
+// timedOutEarly reports whether the client waited for less than the latency objective: its timeout says
+// nothing of the endpoint or of overload. Guards against clients with short deadlines that would eject
+// healthy endpoints.
+func (b *Balancer) timedOutEarly(a *attempt, result Result) bool {
+	return result == TimedOut && a.awaitsAnswer() && b.now-a.answerDueFrom < a.request.class.LatencyObjective
+}
+
+// updateHealth takes an answer or a failure into the failure rate, and ejects or readmits the endpoint. The
+// failure rate also lowers its weight: failures come fast and make an endpoint look idle.
+func (b *Balancer) updateHealth(e *endpoint, result Result) {
+	h := &e.health
+	failure := 1.0
+	if result == OK {
+		failure = 0
+	}
+	h.failureRate += outcomeWeight * (failure - h.failureRate)
+	switch h.state {
+	case healthy:
+		// Where load is shed outside, rejections are its signal: it may hold no request to test an ejected one.
+		shedOutside := b.settings.ExternalAdmission && result == Rejected
+		if h.failureRate > ejectionFailureRate && !shedOutside {
+			b.eject(e)
+		}
+	case halfOpen:
+		if result != OK {
+			b.eject(e)
+			return
+		}
+		h.readmit()
+		h.failureRate = 0
+	default:
+		if result == OK && h.failureRate < ejectionFailureRate {
+			h.readmit()
+			h.failureRate = 0
+		}
+	}
+}
+
+// neverExecutedThereBefore reports whether an earlier attempt of the request at the same endpoint had no
+// effect: a further rejection there says nothing new.
+func (a *attempt) neverExecutedThereBefore() bool {
+	return slices.ContainsFunc(a.request.attempts, func(other *attempt) bool {
+		return other != a && other.endpoint == a.endpoint && !other.inFlight && other.neverExecuted
+	})
+}
+
+// ejectSilentEndpoints ejects endpoints that take requests and answer none.
+func (b *Balancer) ejectSilentEndpoints() {
+	for _, e := range b.endpoints.listed {
+		undecided := e.health.state == healthy || e.health.state == halfOpen
+		if undecided && b.missedAnswers(e) > maxMissedAnswers {
+			b.eject(e)
+		}
+	}
+}
+
+// missedAnswers is the number of answers that the endpoint would usually have given since it was last seen:
+// the time that each attempt in flight waits, over the baseline latency of its class. The sum over all that
+// is in flight tells a silent endpoint from one costly request.
+func (b *Balancer) missedAnswers(e *endpoint) (n float64) {
+	for _, a := range e.inFlight {
+		if a.awaitsAnswer() {
+			n += float64(b.now-max(a.answerDueFrom, e.lastSeen)) / b.baseline[a.request.Class]
+		}
+	}
+	return n
+}
