--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -1,7 +1,6 @@
 package core
 
 import (
-	"context"
 	"sync/atomic"
 	"time"
 
@@ -9,166 +8,173 @@
 	"ryeweir/logic"
 )
 
-// Upstream speaks a protocol towards servers and carries out attempts.
-type Upstream interface {
-	// Update takes the list of servers or a change of it, and returns how many are listed and how many of them may get
-	// something new. Nothing new goes to one that may not from the moment that it returns. It must not block.
-	UpdateEndpoints(EndpointList) (listed, ready int)
-	// Bind returns the present life of a server for an attempt on it, or nil. A server that starts anew or moves has another
-	// life, which gets nothing that was meant for the one before. It must not block.
-	Bind(server string) any
-	// Try carries out the attempt: it reports one outcome by the time that a.Until states, and may go on to bring in a long
-	// answer after that. What may have run is never said not to have. It never sends again by itself. When the context ends
-	// it ends too.
-	Execute(ctx context.Context, a *Attempt)
-}
-
-// Attempt is one Send of the module: a call on its way to one server.
+// Attempt is one Send of the module: a call on its way to one endpoint. The exported fields are not changed after Execute
+// begins.
 type Attempt struct {
-	Call          *Call
-	Number        int // from 0
-	Endpoint      string
-	Target        any           // what Bind returned at the time of the Send
-	SentAt        time.Duration // when the module decided on it
-	WriteDeadline time.Duration // when it is too late to begin: at Until, or earlier for a keyed call sent before
-
-	until   atomic.Int64
-	written atomic.Int64
-	told    atomic.Bool
-	claim   atomic.Int32 // who decided whether it begins: see Begin
-	core    *Core
-	tell    func(Outcome) // of one outside a core
-	next    *Attempt      // the one before it of the same call that is in flight
-	overdue int           // looks of the core that found its outcome overdue
+	Call     *Call
+	Number   int           // counts the call's attempts from 0
+	Endpoint string        // id
+	Target   any           // what Upstream.Bind returned when the attempt was decided on
+	SentAt   time.Duration // when the module decided on it, on the core's clock
+	// WriteDeadline is when it is too late to write the first byte: the deadline, or earlier for a call with an idempotency key
+	// of which an attempt may have run.
+	WriteDeadline time.Duration
+
+	deadline  atomic.Int64 // time.Duration on the core's clock
+	writtenAt atomic.Int64 // when a pending body was written whole, time.Duration on the core's clock; 0 before
+	reported  atomic.Bool  // its outcome is known
+	claim     atomic.Int32 // see Begin
+
+	core   *Core
+	report func(Outcome) // receives the outcome of an attempt outside a core
+
+	// Owned by the loop.
+	previous      *Attempt // the next older attempt of the call in flight
+	overdueChecks int      // checks of the boundary that found its outcome overdue
 }
 
-// Deadline is when the agent stops waiting, on the core's clock.
-func (a *Attempt) Deadline() time.Duration { return time.Duration(a.until.Load()) }
-
-// The states of an attempt's claim. It leaves the first once, for good.
+// The states of an attempt's claim. It leaves unclaimed once and never returns.
 const (
-	waiting   int32 = iota
+	unclaimed int32 = iota
 	begun           // its first byte may be written
-	withdrawn       // its call was over before that: it never begins
+	withdrawn       // its call finished before that: it never begins
 )
 
-// Begin claims the attempt just before its first byte is written; false says that its call is over, and that nothing of it must be
-// written. Of a call that ends without an attempt that has begun, it is certain that none has run.
-func (a *Attempt) Begin() bool { return a.claim.CompareAndSwap(waiting, begun) }
+// NewAttempt returns an attempt outside a core, whose outcome goes to report: for tests of upstreams and for tools.
+func NewAttempt(call *Call, target any, deadline, writeDeadline time.Duration, report func(Outcome)) *Attempt {
+	a := &Attempt{Call: call, Target: target, WriteDeadline: writeDeadline, report: report}
+	a.deadline.Store(int64(deadline))
+	return a
+}
+
+// Deadline returns when the agent stops waiting for the answer, on the core's clock.
+func (a *Attempt) Deadline() time.Duration { return time.Duration(a.deadline.Load()) }
 
-// RequestWritten says that a Partial call has gone on whole. Its time-out runs from then on.
+// Begin claims the right to write the first byte and must be called just before that. It returns false if the call has
+// finished: then nothing may be written.
+//
+// The claim and the withdrawal by Call.finish are one compare-and-swap, so that exactly one of them wins. Without it, a call
+// that ends while its attempt waits for a connection could be answered as one that did not run, and run afterwards.
+func (a *Attempt) Begin() bool { return a.claim.CompareAndSwap(unclaimed, begun) }
+
+// RequestWritten reports when a body that was pending has been written whole. The call's timeout runs from then on.
 func (a *Attempt) RequestWritten(now time.Duration) {
-	a.written.Store(int64(now))
-	a.until.Store(int64(now + a.Call.Timeout))
+	a.writtenAt.Store(int64(now))
+	a.deadline.Store(int64(now + a.Call.Timeout))
 }
 
-// AwaitingSince is since when the server may owe an answer: the Send, or the end of a Partial call's message.
+// AwaitingSince returns since when an answer may be expected, on the core's clock: SentAt, or the end of a pending body.
 func (a *Attempt) AwaitingSince() time.Duration {
-	return max(a.SentAt, time.Duration(a.written.Load()))
-}
-
-// Outcome is how an attempt ended.
-type Outcome struct {
-	Result        logic.Result
-	LoadReport    logic.LoadReport // of the server's load; logic.NoReport without one
-	Content       Content          // of an OK
-	NotReplayable bool             // the call's message can't be sent again
+	return max(a.SentAt, time.Duration(a.writtenAt.Load()))
 }
 
-// Report tells the outcome. Every attempt has exactly one: a further one is counted and dropped.
-func (a *Attempt) Report(o Outcome) {
-	if !a.told.CompareAndSwap(false, true) {
-		if a.core != nil {
-			a.core.faults.ReportedTwice.Add(1)
-			a.core.cfg.Monitor.Violated(invariant.OutcomeReportedTwice, a.Call.ID, "attempt on "+a.Endpoint)
-		}
-		if o.Content != nil {
-			o.Content.Discard()
-		}
+// Report hands over the outcome. An attempt has exactly one: a further one is counted as a violation and discarded.
+func (a *Attempt) Report(outcome Outcome) {
+	if !a.reported.CompareAndSwap(false, true) {
+		a.discardSecond(outcome)
 		return
 	}
 	if a.core == nil {
-		a.tell(o)
+		a.report(outcome)
 		return
 	}
-	a.core.tell(ended{a, o})
-}
-
-// NewAttempt is an attempt outside a core, whose outcome goes to tell: for tests of upstreams and for tools.
-func NewAttempt(call *Call, target any, until, writeBy time.Duration, tell func(Outcome)) *Attempt {
-	a := &Attempt{Call: call, Target: target, WriteDeadline: writeBy, tell: tell}
-	a.until.Store(int64(until))
-	return a
+	a.core.send(attemptEnded{a, outcome})
 }
 
-// try lets the upstream carry out an attempt. One that ends without an outcome may have run.
-func (c *Core) try(ctx context.Context, a *Attempt) {
-	c.upstream.Execute(ctx, a)
-	if a.told.CompareAndSwap(false, true) {
-		c.faults.Unreported.Add(1)
-		c.tell(ended{a, Outcome{Result: logic.Reset, LoadReport: logic.NoLoadReport}})
+// discardSecond counts and discards an outcome that was reported after another, or after the core gave it up as overdue.
+func (a *Attempt) discardSecond(outcome Outcome) {
+	if a.core != nil {
+		a.core.violations.ReportedTwice.Add(1)
+		a.core.config.Monitor.Violated(invariant.OutcomeReportedTwice, a.Call.ID, "attempt on "+a.Endpoint)
+	}
+	if outcome.Content != nil {
+		outcome.Content.Discard()
 	}
 }
 
-// attempt is the next attempt of the call.
-func (c *Call) attempt(act logic.Action, now, upload time.Duration) *Attempt {
-	until := c.Deadline
-	if until == 0 { // known when the message has come
-		until = now + upload
+// newAttempt adds the next attempt of the call, as the module decided. The upload timeout limits an attempt whose deadline
+// is not known yet because the body is pending.
+func (c *Call) newAttempt(action logic.Action, now, uploadTimeout time.Duration) *Attempt {
+	deadline := c.Deadline
+	if deadline == 0 {
+		deadline = now + uploadTimeout
 	}
-	if act.Delay > 0 {
-		until = min(until, now+act.Delay)
+	if action.Delay > 0 {
+		deadline = min(deadline, now+action.Delay)
 	}
-	a := &Attempt{Call: c, Number: c.sends, Endpoint: act.Endpoint, SentAt: now, WriteDeadline: until, next: c.flying}
-	a.until.Store(int64(until))
-	if first := c.mayHaveRun(); first > 0 && c.IdempotencyWindow > 0 { // the module decides by the time now, but a dial may take until after the window
-		a.WriteDeadline = min(until, first+c.IdempotencyWindow)
+	a := &Attempt{
+		Call:          c,
+		Number:        c.attemptsMade,
+		Endpoint:      action.Endpoint,
+		SentAt:        now,
+		WriteDeadline: c.writeDeadline(deadline),
+		previous:      c.inFlight,
 	}
-	c.flying = a
-	c.sends++
-	c.out++
+	a.deadline.Store(int64(deadline))
+	c.inFlight = a
+	c.attemptsMade++
+	c.inFlightCount++
 	return a
 }
 
-// ended counts an attempt as over.
-func (c *Call) ended(a *Attempt, result logic.Result) {
-	for at := &c.flying; *at != nil; at = &(*at).next {
-		if *at == a {
-			*at = a.next
+// writeDeadline returns when the next attempt is too late to begin. The module checks the idempotency window when it decides,
+// but the dial may take until after its end: endpoints would then no longer recognize the retry as one and run it again. The
+// upstream therefore checks this deadline once more as it writes.
+func (c *Call) writeDeadline(deadline time.Duration) time.Duration {
+	first := c.firstExecutedAt()
+	if first == 0 || c.IdempotencyWindow <= 0 {
+		return deadline
+	}
+	return min(deadline, first+c.IdempotencyWindow)
+}
+
+// attemptEnded removes an attempt from those in flight.
+func (c *Call) attemptEnded(a *Attempt, result logic.Result) {
+	for link := &c.inFlight; *link != nil; link = &(*link).previous {
+		if *link == a {
+			*link = a.previous
 			break
 		}
 	}
-	c.out--
+	c.inFlightCount--
+	if provesNotExecuted(result) {
+		return
+	}
+	if c.executedAt == 0 || a.SentAt < c.executedAt {
+		c.executedAt = a.SentAt
+	}
+}
+
+// provesNotExecuted reports whether the request certainly did not run.
+func provesNotExecuted(result logic.Result) bool {
 	switch result {
 	case logic.NotSent, logic.ConnectFailed, logic.Rejected:
-	default:
-		if c.ran == 0 || a.SentAt < c.ran {
-			c.ran = a.SentAt
-		}
+		return true
 	}
+	return false
 }
 
-// withdraw lets no attempt begin any more.
-func (c *Call) withdraw() {
-	for a := c.flying; a != nil; a = a.next {
-		a.claim.CompareAndSwap(waiting, withdrawn)
+// withdrawAttempts stops the attempts that have not begun.
+func (c *Call) withdrawAttempts() {
+	for a := c.inFlight; a != nil; a = a.previous {
+		a.claim.CompareAndSwap(unclaimed, withdrawn)
 	}
 }
 
-// neverRan reports, of a call whose attempts were withdrawn, whether it is certain that none has run.
-func (c *Call) neverRan() bool {
-	for a := c.flying; a != nil; a = a.next {
+// neverExecuted reports whether it is certain that no attempt has run or will. Attempts must have been withdrawn before.
+func (c *Call) neverExecuted() bool {
+	for a := c.inFlight; a != nil; a = a.previous {
 		if a.claim.Load() == begun {
 			return false
 		}
 	}
-	return c.ran == 0
+	return c.executedAt == 0
 }
 
-// mayHaveRun is when the first attempt was sent that may have run, or may yet; 0 without one.
-func (c *Call) mayHaveRun() time.Duration {
-	first := c.ran
-	for a := c.flying; a != nil; a = a.next {
+// firstExecutedAt returns when the earliest attempt was sent that may have run, or may yet; 0 without one.
+func (c *Call) firstExecutedAt() time.Duration {
+	first := c.executedAt
+	for a := c.inFlight; a != nil; a = a.previous {
 		if first == 0 || a.SentAt < first {
 			first = a.SentAt
 		}
--- a/internal/core/call.go
+++ b/internal/core/call.go
@@ -7,87 +7,101 @@
 	"ryeweir/internal/event"
 )
 
-// Call is what a client asks: what the decisions need, the message itself, and the place for its one answer. A front fills
-// in the exported fields and hands it over with Submit; they are not changed after that.
+// Call is one request of a client: what the decisions need, the message itself, and the channel for its one answer. A front
+// sets the exported fields, hands the call over with Submit, and does not change them afterwards.
 type Call struct {
-	ID                string
-	Class, Tenant     int           // indices into the settings; a tenant below 0 is none
-	Key               string        // what it is about; may be empty
-	Timeout           time.Duration // how long the answer may take from the message's last byte on
-	TimeoutSlack      time.Duration // the client waits for so much longer than Timeout
-	LatencyObjective  time.Duration // an answer may take so long: until then no server is to blame that none has come
-	Deadline          time.Duration // when that is over, on the core's clock; 0 of a Partial call until Received
-	BodyPending       bool          // its message still comes in and can be read once
-	NonIdempotent     bool          // a repeat of it does harm: what may be closing is not for it
-	IdempotencyWindow time.Duration // of a keyed class: how long after the first attempt another may begin; else 0
-	Message           any           // only the front and the upstream of its protocol look into it
-	Release           func()        // is called once, when nothing holds the message any more; may be nil
-
-	answer      chan Answer // holds one, so that the loop never waits for a client
+	ID     string // unique among the calls in progress
+	Class  int    // index into the settings' classes
+	Tenant int    // index into the settings' tenants; below 0 for none
+	Key    string // what the request is about, for affinity; may be empty
+
+	// Timeout is how long the answer may take, from the last byte of the message on. The client itself waits TimeoutSlack
+	// longer.
+	Timeout      time.Duration
+	TimeoutSlack time.Duration
+	// Deadline is when Timeout ends, on the core's clock. It is 0 while BodyPending and until BodyReceived.
+	Deadline time.Duration
+	// LatencyObjective is how long an answer may take before its absence counts against the endpoint.
+	LatencyObjective time.Duration
+
+	// BodyPending says that the message is still arriving and can be read once only: no attempt after the first that read it.
+	BodyPending bool
+	// NonIdempotent says that the request must not run twice.
+	NonIdempotent bool
+	// IdempotencyWindow, of a class with idempotency keys, is how long after the first attempt that may have run another may
+	// begin; 0 for other classes.
+	IdempotencyWindow time.Duration
+
+	Message any    // opaque to the core; the front and the upstream of one protocol agree on it
+	Release func() // called once, when nothing uses Message any more; may be nil
+
+	answer      chan Answer // buffered, so that the loop never blocks on a front
 	submitted   atomic.Bool
-	submittedAt time.Duration // with a budget: when it was handed over
-	over        atomic.Bool   // has its answer, or the client left; set by the loop only
-	overSince   atomic.Int64  // when that was, on the core's clock
-	gone        chan struct{} // closed with it
-
-	// The loop's own:
-	taken      time.Duration
-	sends, out int           // attempts made and in flight
-	flying     *Attempt      // the latest of those in flight; they are linked
-	ran        time.Duration // when the first of those that have ended and may have run was sent; 0 without one
+	submittedAt time.Duration // set only with a budget
+	finished    atomic.Bool   // answered or abandoned; set by the loop only
+	finishedAt  atomic.Int64  // time.Duration on the core's clock
+	done        chan struct{} // closed when finished
+
+	// Owned by the loop.
+	acceptedAt    time.Duration
+	attemptsMade  int
+	inFlightCount int
+	inFlight      *Attempt // the latest attempt in flight, linked to those before it
+	// executedAt is when the earliest ended attempt that may have run was sent; 0 without one.
+	executedAt time.Duration
 }
 
-// Done is closed when nobody waits for the call's answer any more; nil of a call that was not handed over.
-func (c *Call) Done() <-chan struct{} { return c.gone }
+// Done is closed when no client waits for the call's answer any more. It is nil for a call that was not submitted.
+func (c *Call) Done() <-chan struct{} { return c.done }
 
-// ends says that nobody waits for the answer any more, and lets no attempt begin. It is called once.
-func (c *Call) ends(now time.Duration) {
-	c.withdraw()
-	c.overSince.Store(int64(now))
-	c.over.Store(true)
-	close(c.gone)
-}
+// Finished reports whether no client waits for the call's answer any more. It may be called by any goroutine.
+func (c *Call) Finished() bool { return c.finished.Load() }
 
-// Finished reports whether nobody waits for the call's answer any more. It may be called by anybody.
-func (c *Call) Finished() bool { return c.over.Load() }
+// FinishedAt returns when Finished became true, on the core's clock. It may be called by any goroutine.
+func (c *Call) FinishedAt() time.Duration { return time.Duration(c.finishedAt.Load()) }
 
-// FinishedAt is when that began, on the core's clock. It may be called by anybody.
-func (c *Call) FinishedAt() time.Duration { return time.Duration(c.overSince.Load()) }
+// finish records that no client waits for the answer any more and stops attempts that have not begun. It is called once.
+func (c *Call) finish(now time.Duration) {
+	c.withdrawAttempts()
+	c.finishedAt.Store(int64(now))
+	c.finished.Store(true)
+	close(c.done)
+}
 
+// release gives the message back to the front.
 func (c *Call) release() {
 	if c.Release != nil {
 		c.Release()
 	}
 }
 
-// Verdict is what kind of answer a client gets.
+// Verdict is the kind of an answer.
 type Verdict int
 
 // The verdicts.
 const (
-	Served    Verdict = iota // with what a server made
-	Rejected                 // trying again is harmless
-	Failed                   // no promise about an effect
-	Duplicate                // another call under its id is open
+	Served    Verdict = iota // with the content that an endpoint sent
+	Rejected                 // the request did not run, or may run again: sending it again does no harm
+	Failed                   // the request may have run
+	Duplicate                // another call under the same id is in progress
 )
 
 // Answer is the final answer to a client.
 type Answer struct {
 	Verdict    Verdict
-	Reason     event.Reason  // why, for those who watch
-	Content    Content       // of one that is served
-	RetryAfter time.Duration // of one that is refused: when to come back; 0 where nothing is said of it
+	Reason     event.Reason  // for events and the log
+	Content    Content       // of Served; the receiver owns it and must consume or discard it
+	RetryAfter time.Duration // how long the client should wait before it sends the request again; 0 to say nothing
 }
 
-// Content is what a server made for a call, which may still be coming in. Only the front and the upstream of its protocol
-// look into it.
+// Content is what an endpoint sent for a call, which may still be arriving. It is opaque to the core.
 type Content interface {
-	// Drop gives it up, unless that was done. It may be called by anybody.
+	// Discard releases content that is not passed on. It may be called more than once and by any goroutine, and must not block.
 	Discard()
 }
 
-// drop gives up an answer that no client gets.
-func (a Answer) drop() {
+// discard releases the content of an answer that no client receives.
+func (a Answer) discard() {
 	if a.Content != nil {
 		a.Content.Discard()
 	}
--- /dev/null
+++ b/internal/core/message.go
@@ -0,0 +1,74 @@
+package core
+
+import (
+	"time"
+
+	"ryeweir/internal/budget"
+	"ryeweir/logic"
+)
+
+// message is an input of the loop: one of the types below.
+type message interface{ message() }
+
+type (
+	// callSubmitted brings a new call.
+	callSubmitted struct{ call *Call }
+
+	// bodyReceived reports when the last byte of a call's message arrived.
+	bodyReceived struct {
+		call *Call
+		at   time.Duration
+	}
+
+	// callAbandoned reports that no client waits for the call's answer any more.
+	callAbandoned struct{ call *Call }
+
+	// attemptEnded brings the one outcome of an attempt.
+	attemptEnded struct {
+		attempt *Attempt
+		outcome Outcome
+	}
+
+	// endpointsUpdated brings a full endpoint list or a change of it.
+	endpointsUpdated struct{ list EndpointList }
+
+	// discoveryUnavailable reports that a subscription to the endpoint list ended or could not be established.
+	discoveryUnavailable struct{}
+
+	// healthChecked brings the result of a health check.
+	healthChecked struct{ logic.HealthChecked }
+
+	// peerReported brings the view that peers have of an endpoint.
+	peerReported struct{ logic.PeerReport }
+
+	// selfOverloadChanged reports whether the agent itself is overloaded.
+	selfOverloadChanged struct{ overloaded bool }
+
+	// peerStatesExchanged brings the budget states of peers and requests this agent's own.
+	peerStatesExchanged struct {
+		states []budget.PeerState
+		peers  int
+		reply  chan<- budget.PeerState // buffered: the loop must not block on it
+	}
+
+	// knowledgeRequested requests what the module has learned.
+	knowledgeRequested struct {
+		reply chan<- logic.Knowledge // buffered: the loop must not block on it
+	}
+
+	// shutdownRequested reports that the process is about to end.
+	shutdownRequested struct{}
+)
+
+func (callSubmitted) message()        {}
+func (bodyReceived) message()         {}
+func (callAbandoned) message()        {}
+func (attemptEnded) message()         {}
+func (endpointsUpdated) message()     {}
+func (discoveryUnavailable) message() {}
+func (healthChecked) message()        {}
+func (peerReported) message()         {}
+func (selfOverloadChanged) message()  {}
+func (peerStatesExchanged) message()  {}
+func (knowledgeRequested) message()   {}
+func (shutdownRequested) message()    {}
--- a/internal/core/reasons.go
+++ b/internal/core/reasons.go
@@ -5,8 +5,8 @@
 	"ryeweir/logic"
 )
 
-// causeReasons are the module's causes as reasons of events.
-var causeReasons = [...]event.Reason{
+// decisionReasons maps the module's reasons to those of events. It has an entry for every logic.Reason.
+var decisionReasons = [...]event.Reason{
 	logic.NoReason:             event.None,
 	logic.FirstAttempt:         event.FirstAttempt,
 	logic.RetryAttempt:         event.RetryAttempt,
@@ -20,7 +20,7 @@
 	logic.ShuttingDown:         event.ShuttingDown,
 }
 
-// resultReasons are the results of attempts as reasons of events.
+// resultReasons maps the results of attempts to reasons of events. It has an entry for every logic.Result.
 var resultReasons = [...]event.Reason{
 	logic.OK:            event.OK,
 	logic.Failed:        event.ServerError,
--- a/internal/core/timers.go
+++ b/internal/core/timers.go
@@ -2,20 +2,24 @@
 
 import "time"
 
-// timer is a timer of the module, or the core's own.
+// timer is a timer of the module, or the core's own for the check of the boundary.
 type timer struct {
-	due   time.Duration
-	token uint64
-	own   bool
+	due           time.Duration
+	token         uint64 // of the module's
+	boundaryCheck bool
 }
 
-// timers is a heap by the time that they are due.
+// timers is a heap (container/heap) with the timer that is due first at index 0.
 type timers []timer
 
 func (t timers) Len() int           { return len(t) }
 func (t timers) Less(i, j int) bool { return t[i].due < t[j].due }
 func (t timers) Swap(i, j int)      { t[i], t[j] = t[j], t[i] }
-func (t *timers) Push(x any)        { *t = append(*t, x.(timer)) }
+
+// Push implements heap.Interface.
+func (t *timers) Push(x any) { *t = append(*t, x.(timer)) }
+
+// Pop implements heap.Interface.
 func (t *timers) Pop() any {
 	last := len(*t) - 1
 	x := (*t)[last]
