--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -43,9 +43,9 @@
 // Environment are the listening ones of an agent, and what else it is handed of its machine.
 type Environment struct {
 	Clients   net.Listener
-	Inherited bool         // another process may accept what this one does not
-	Control   net.Listener // for operators; nil without an address for them
-	Dial      pool.Dial    // to servers and discovery; nil for the machine's network
+	Inherited bool          // another process may accept what this one does not
+	Control   net.Listener  // for operators; nil without an address for them
+	Dial      pool.DialFunc // to servers and discovery; nil for the machine's network
 	// What else an agent has of its machine. Nil for the real one.
 	TimeOfDay func() time.Time
 	Disk      snapshot.Disk
@@ -55,8 +55,8 @@
 func Run(ctx context.Context, cfg platform.Config, ops operator.File, reloads ReloadConfig, sockets Environment, log *slog.Logger) error {
 	defer sockets.Clients.Close()
 	settings := cfg.Site.Logic
-	ops.Probes.Apply(&settings)
-	settings.ExternalAdmission = ops.Overload.Fleet
+	ops.HealthChecks.Apply(&settings)
+	settings.ExternalAdmission = ops.Overload.Enabled
 	balancer, err := logic.New(settings, cfg.Seed)
 	if err != nil {
 		return fmt.Errorf("settings: %w", err)
@@ -79,8 +79,8 @@
 	if keep {
 		recall(balancer, kept, ops.Snapshot, clock, timeOfDay(), log)
 	}
-	conns, err := pool.New(pool.Config{Settings: ops.Connections.Settings(connections(cfg, share.toBackends)), Buffers: ops.Connections.SocketBufferBytes, ConnectIn: cfg.Site.ConnectTimeout, Seed: cfg.Seed, Clock: clock,
-		Dial: sockets.Dial, Wrap: uphttp.Wrap, Events: events})
+	conns, err := pool.New(pool.Config{Settings: ops.Connections.Settings(connections(cfg, share.toBackends)), SocketBufferBytes: ops.Connections.SocketBufferBytes, ConnectTimeout: cfg.Site.ConnectTimeout, Seed: cfg.Seed, Clock: clock,
+		Dial: sockets.Dial, NewState: uphttp.NewConnState, Events: events})
 	if err != nil {
 		return err
 	}
@@ -96,15 +96,15 @@
 	bodies := bodybuffer.NewBudget(int64(memory))
 	figures.Register("events", func() any { return events })
 	figures.Register("invariants", func() any { return monitor })
-	figures.Register("connections", func() any { return conns.Counts() })
+	figures.Register("connections", func() any { return conns.Stats() })
 	var badReport sync.Once
-	upstream := &uphttp.Upstream{Pool: conns, Clock: clock, Budget: bodies, Fields: cfg.Site.ReportFields, Sent: figures.AttemptWritten,
+	upstream := &uphttp.Upstream{Pool: conns, Clock: clock, Budget: bodies, LoadReportFields: cfg.Site.LoadReportFields, OnRequestWritten: figures.AttemptWritten,
 		Events: events, Monitor: monitor,
-		Noted: func(err error) {
+		OnMalformedReport: func(err error) {
 			badReport.Do(func() { log.Warn("passing over a malformed report; further ones are not logged", "error", err) })
 		}}
-	prober := healthcheck.New(healthcheck.Config{Settings: ops.Probes.Settings(), Reports: len(cfg.Site.ReportFields) > 0, Clock: clock, Asker: upstream, Log: log})
-	figures.Register("probes", func() any { return prober.Counts() })
+	prober := healthcheck.New(healthcheck.Config{Settings: ops.HealthChecks.Settings(), LoadReports: len(cfg.Site.LoadReportFields) > 0, Clock: clock, Transport: upstream, Log: log})
+	figures.Register("probes", func() any { return prober.Stats() })
 	fleet, order, err := ops.Overload.Budget(cfg.Site.Logic, cfg.Site.MaxRetryAfter, cfg.Seed)
 	if err != nil {
 		return err
@@ -112,19 +112,19 @@
 	var disco *discovery.Client
 	var talk *peers
 	var observe func(string, time.Duration, bool)
-	if ops.Peers.On {
+	if ops.Peers.Enabled {
 		if talk, err = newPeers(cfg.Name, ops.Peers, clock, log); err != nil {
 			return err
 		}
 		observe = talk.observe
 		figures.Register("peers", talk.figures)
 	}
-	c := core.New(core.Config{OnAttemptOutcome: observe, Balancer: balancer, Clock: clock, Upstream: upstream, HealthChecker: prober, UploadTimeout: httpmsg.LongestUpload,
-		Subscribe: func() { disco.Ask() }, OnEndpointCounts: figures.SetEndpointCounts, Log: log, Budget: fleet, PriorityOrder: order,
+	c := core.New(core.Config{OnAttemptOutcome: observe, Balancer: balancer, Clock: clock, Upstream: upstream, HealthChecker: prober, UploadTimeout: httpmsg.MaxUploadDuration,
+		Subscribe: func() { disco.Subscribe() }, OnEndpointCounts: figures.SetEndpointCounts, Log: log, Budget: fleet, PriorityOrder: order,
 		Events: events, Monitor: monitor})
 	if fleet != nil {
 		figures.Register("overload", func() any { return c.BudgetStats() })
-		own := budget.SelfLimits{Wait: ops.Overload.Own.Wait.D(), CPU: ops.Overload.Own.CPU, Memory: ops.Overload.Own.Memory}
+		own := budget.SelfLimits{QueueDelay: ops.Overload.SelfLimits.QueueDelay.D(), CPU: ops.Overload.SelfLimits.CPU, Memory: ops.Overload.SelfLimits.Memory}
 		parts.Go(func() { watchOwn(inner, c, own, cfg.Cores, int64(cfg.MemoryMB)<<20, log) })
 	}
 	var sink discovery.Sink = c
@@ -133,11 +133,11 @@
 		sink = talk
 		parts.Go(func() { talk.run(inner) })
 	}
-	disco = discovery.New(discovery.Config{Addr: cfg.Discovery, Agents: cfg.Site.Logic.Balancers, Asked: cfg.Site.Logic.SubscriptionRequired,
-		Zones: cfg.Site.Zones, Known: cfg.Known, Seed: cfg.Seed, Clock: clock, Dial: sockets.Dial, Sink: sink, Log: log, Events: events})
+	disco = discovery.New(discovery.Config{Addr: cfg.Discovery, Agents: cfg.Site.Logic.Balancers, SubscriptionRequired: cfg.Site.Logic.SubscriptionRequired,
+		Zones: cfg.Site.Zones, CachedList: cfg.Known, Seed: cfg.Seed, Clock: clock, Dial: sockets.Dial, Sink: sink, Log: log, Events: events})
 	figures.Register("border", func() any { return c.BoundaryViolations() })
-	front := fronthttp.New(fronthttp.Config{Site: cfg.Site, Core: c, Clock: clock, Metrics: figures, Budget: bodies,
-		Most: share.fromClients, AcceptFor: cfg.AcceptFor, DrainFor: ops.Drain.Longest.D(), SocketBuffer: ops.Connections.SocketBufferBytes, Log: log,
+	front := fronthttp.New(fronthttp.Config{Site: cfg.Site, Core: c, Clock: clock, Metrics: figures, BodyBudget: bodies,
+		MaxConnections: share.fromClients, AcceptWindow: cfg.AcceptFor, DrainTimeout: ops.Drain.MaxDuration.D(), SocketBufferBytes: ops.Connections.SocketBufferBytes, Log: log,
 		Events: events, Monitor: monitor})
 	if sockets.Control != nil {
 		parts.Go(func() {
@@ -148,16 +148,16 @@
 	}
 	parts.Go(func() { c.Run(inner) })
 	parts.Go(func() {
-		every(inner, sweepEvery, conns.Sweep)
+		every(inner, sweepEvery, conns.Maintain)
 		conns.Close()
 	})
 	parts.Go(func() { disco.Run(inner) })
 	if keep {
-		parts.Go(func() { snapshot.Persist(ctx, kept, ops.Snapshot.Every.D(), timeOfDay, c.Knowledge, log) })
+		parts.Go(func() { snapshot.Persist(ctx, kept, ops.Snapshot.Interval.D(), timeOfDay, c.Knowledge, log) })
 	}
 	parts.Go(func() {
 		reloads.run(inner, cfg, ops, disco, func(fresh operator.File) error {
-			prober.Configure(fresh.Probes.Settings())
+			prober.Configure(fresh.HealthChecks.Settings())
 			return conns.Configure(fresh.Connections.Settings(connections(cfg, share.toBackends)))
 		}, log)
 	})
@@ -167,8 +167,8 @@
 // connections are the settings of the pool: what the platform says of servers and fleet, and the defaults for the rest.
 func connections(cfg platform.Config, most int) pool.Settings {
 	set := pool.DefaultSettings(most)
-	set.Idle, set.Wait = cfg.Site.ConnIdle, cfg.Site.ConnectTimeout
-	set.Agents, set.ColdFrom, set.ColdFor = cfg.Site.Logic.Balancers, cfg.Site.Logic.SlowStartInitialFraction, cfg.Site.Logic.SlowStartWindow
+	set.ServerIdleTimeout, set.AcquireTimeout = cfg.Site.IdleTimeout, cfg.Site.ConnectTimeout
+	set.Agents, set.SlowStartInitialFraction, set.SlowStartWindow = cfg.Site.Logic.Balancers, cfg.Site.Logic.SlowStartInitialFraction, cfg.Site.Logic.SlowStartWindow
 	return set
 }
 
@@ -180,7 +180,7 @@
 func shareSockets(limit int, sockets Environment) shares {
 	room := min(max(limit, leastSockets), mostSockets) - spareSockets
 	if sockets.Control != nil {
-		room -= control.Sockets
+		room -= control.MaxDescriptors
 	}
 	part := backendShare
 	if sockets.Inherited {
--- a/internal/core/attempts.go
+++ b/internal/core/attempts.go
@@ -89,8 +89,8 @@
 	if c.config.Budget == nil || result == logic.NotSent {
 		return
 	}
-	overload := result == logic.Rejected || result == logic.TimedOut
-	c.config.Budget.AttemptEnded(c.clock.Now(), budget.Outcome{Overload: overload, SentAt: attempt.AwaitingSince()})
+	overloaded := result == logic.Rejected || result == logic.TimedOut
+	c.config.Budget.AttemptEnded(c.clock.Now(), budget.Outcome{Overloaded: overloaded, SentAt: attempt.AwaitingSince()})
 }
 
 // observeOutcome passes on an outcome that is evidence about its endpoint. A rejection is not: it is a sign of load, which the
--- a/internal/core/budget.go
+++ b/internal/core/budget.go
@@ -47,7 +47,7 @@
 	if stats := c.budgetStats.Load(); stats != nil {
 		return *stats
 	}
-	return budget.Stats{Admitted: 1}
+	return budget.Stats{AdmittedFraction: 1}
 }
 
 // admit lets the budget decide on a new call. Without a budget every call is admitted. A call that is not is rejected now, with
--- a/internal/upstream/http/exchange.go
+++ b/internal/upstream/http/exchange.go
@@ -24,9 +24,9 @@
 )
 
 const (
-	mostInterim   = 8                   // 1xx answers before the final one
-	maxHead       = 16 << 10            // of an answer, with interim ones
-	maxAnswer     = 4 * httpmsg.MaxBody // its body, however the chunks are cut
+	mostInterim   = 8                        // 1xx answers before the final one
+	maxHead       = 16 << 10                 // of an answer, with interim ones
+	maxAnswer     = 4 * httpmsg.MaxBodyBytes // its body, however the chunks are cut
 	startOfAnswer = "HTTP/1."
 
 	// An answer that stops half way is spoilt, and its connection stays open. One that is held is given up soon, since
@@ -48,8 +48,8 @@
 	text   []byte            // the latest request's text, kept for its room
 }
 
-// Wrap makes the state of a new connection.
-func Wrap(c net.Conn) any {
+// NewConnState makes the state of a new connection.
+func NewConnState(c net.Conn) any {
 	timed := &timedReader{conn: c}
 	left := &io.LimitedReader{R: timed}
 	return &state{reader: bufio.NewReader(left), left: left, timed: timed}
@@ -93,7 +93,7 @@
 	conn    *pool.Conn
 	state   *state
 	attempt *core.Attempt
-	node    *pool.Node
+	node    *pool.Endpoint
 	message *httpmsg.Message
 	out     core.Outcome
 	told    atomic.Bool  // whoever sets it tells the outcome
@@ -109,7 +109,7 @@
 }
 
 // run writes the request and reads the answer; it says how that leaves the connection.
-func (x *exchange) run(ctx context.Context) pool.How {
+func (x *exchange) run(ctx context.Context) pool.ReleaseOutcome {
 	x.state.left.N = maxHead // http.ReadResponse takes a head of any length
 	x.state.timed.latest, x.state.timed.limit = time.Time{}, func(latest time.Time) time.Time {
 		until, end := x.Clock.At(x.attempt.Deadline()), latest.Add(heldStall)
@@ -126,21 +126,21 @@
 		return end
 	}
 	early, err := x.writeAll()
-	x.out.NotReplayable = x.message.Body.Spent()
+	x.out.NotReplayable = x.message.Body.Consumed()
 	if err != nil && !early {
 		x.out.Result = logic.ConnectFailed // the server begins a request when its last byte has come
-		if x.message.Body.Broken() != nil {
+		if x.message.Body.Err() != nil {
 			x.out.Result = logic.NotSent
-			return pool.GivenUp // the server did nothing wrong
+			return pool.Abandoned // the server did nothing wrong
 		}
-		if x.message.Body.Rest == nil && errors.Is(err, os.ErrDeadlineExceeded) && x.hasty() {
+		if x.message.Body.Remainder == nil && errors.Is(err, os.ErrDeadlineExceeded) && x.hasty() {
 			x.out.Result = logic.NotSent // the time was over before the server could take it
-			return pool.GivenUp
+			return pool.Abandoned
 		}
 		return x.broke(err)
 	}
 	if err == nil {
-		x.Sent()
+		x.OnRequestWritten()
 		x.recordWritten()
 	}
 	resp, bad := x.state.readHead()
@@ -151,7 +151,7 @@
 		return x.broke(bad)
 	}
 	x.out.LoadReport = x.readReport(resp.Header.Values("X-Server-Load"))
-	var how pool.How
+	var how pool.ReleaseOutcome
 	if resp.StatusCode == http.StatusOK {
 		how = x.serve(ctx, resp)
 	} else {
@@ -163,7 +163,7 @@
 		}
 		return pool.Broken
 	}
-	if how == pool.InOrder && x.state.reader.Buffered() > 0 {
+	if how == pool.Reusable && x.state.reader.Buffered() > 0 {
 		return pool.Broken
 	}
 	return how
@@ -180,9 +180,9 @@
 
 // broke says how an exchange without an answer leaves its connection. On a used one that ended before a byte came, the server
 // was closing it as the request went out.
-func (x *exchange) broke(err error) pool.How {
+func (x *exchange) broke(err error) pool.ReleaseOutcome {
 	if x.out.Result == logic.TimedOut && x.hasty() {
-		return pool.GivenUp
+		return pool.Abandoned
 	}
 	return x.state.broke(x.conn, err)
 }
@@ -192,36 +192,36 @@
 	return x.Clock.Now()-x.attempt.AwaitingSince() < x.attempt.Call.LatencyObjective
 }
 
-func (s *state) broke(c *pool.Conn, err error) pool.How {
-	if !c.Fresh() && s.timed.latest.IsZero() && !errors.Is(err, os.ErrDeadlineExceeded) && !errors.Is(err, errSpoilt) {
-		return pool.Crossed
+func (s *state) broke(c *pool.Conn, err error) pool.ReleaseOutcome {
+	if !c.FirstUse() && s.timed.latest.IsZero() && !errors.Is(err, os.ErrDeadlineExceeded) && !errors.Is(err, errSpoilt) {
+		return pool.ClosedByServer
 	}
 	return pool.Broken
 }
 
 // left says how an answer leaves its connection.
-func left(resp *http.Response, err error) pool.How {
+func left(resp *http.Response, err error) pool.ReleaseOutcome {
 	switch {
 	case err != nil:
 		return pool.Broken
 	case resp.Close:
-		return pool.Over
+		return pool.MustClose
 	}
-	return pool.InOrder
+	return pool.Reusable
 }
 
 // passOver takes an answer that serves nothing for what it says of the request.
-func (x *exchange) passOver(resp *http.Response) pool.How {
+func (x *exchange) passOver(resp *http.Response) pool.ReleaseOutcome {
 	x.out.Result = logic.Failed
 	if (resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusGatewayTimeout) &&
 		resp.Header.Get("X-Not-Processed") == "1" {
 		x.out.Result = logic.Rejected
 	}
-	n, err := io.Copy(io.Discard, io.LimitReader(resp.Body, httpmsg.HeldBody))
+	n, err := io.Copy(io.Discard, io.LimitReader(resp.Body, httpmsg.MaxBufferedBytes))
 	if err != nil {
 		x.out.Result = logic.Reset
-	} else if n == httpmsg.HeldBody { // more of it is not worth waiting for
-		return pool.Over
+	} else if n == httpmsg.MaxBufferedBytes { // more of it is not worth waiting for
+		return pool.MustClose
 	}
 	return left(resp, err)
 }
@@ -230,19 +230,19 @@
 // is long flows with its first byte, and one that does not say flows as soon as there is much of it, or it takes time. One with no
 // length ends where the server closes the connection: a spoilt one stays open and a server that dies resets it, so that
 // neither looks like an end.
-func (x *exchange) serve(ctx context.Context, resp *http.Response) pool.How {
+func (x *exchange) serve(ctx context.Context, resp *http.Response) pool.ReleaseOutcome {
 	length := resp.ContentLength
-	if length > httpmsg.MaxBody {
+	if length > httpmsg.MaxBodyBytes {
 		x.out.Result = logic.Reset
 		return pool.Broken
 	}
-	want := int64(httpmsg.HeldBody)
+	want := int64(httpmsg.MaxBufferedBytes)
 	if length >= 0 {
 		want = min(want, length)
 	}
 	pipe := bodybuffer.NewPipe(x.Budget, int(want))
 	x.out.Result = logic.OK
-	x.out.Content = &httpmsg.Content{Pipe: pipe, Length: length, Kind: resp.Header.Get("Content-Type")}
+	x.out.Content = &httpmsg.Content{Pipe: pipe, Length: length, ContentType: resp.Header.Get("Content-Type")}
 	var flowing whileOpen // it must not begin once the exchange is over: by then the connection may be another's
 	begin := func() {
 		if x.told.CompareAndSwap(false, true) {
@@ -254,7 +254,7 @@
 	flow := func() {
 		flowing.do(func() {
 			x.flows.Store(true)
-			if held, _ := pipe.Whole(); held > 0 {
+			if held, _ := pipe.Complete(); held > 0 {
 				begin()
 			}
 		})
@@ -271,19 +271,19 @@
 		stop := context.AfterFunc(ctx, pipe.Close) // at the end nobody reads it any more
 		defer stop()
 	}
-	if length > httpmsg.HeldBody {
+	if length > httpmsg.MaxBufferedBytes {
 		flow()
 	} else if len(resp.TransferEncoding) > 0 {
 		timer := time.AfterFunc(flowAfter, flow)
 		defer timer.Stop()
 	}
-	err := pipe.Fill(io.LimitReader(resp.Body, httpmsg.MaxBody+1), flow, added)
+	err := pipe.Fill(io.LimitReader(resp.Body, httpmsg.MaxBodyBytes+1), flow, added)
 	if err != nil && x.told.CompareAndSwap(false, true) {
 		pipe.Close()
 		x.out.Result, x.out.Content = x.broken(fmt.Errorf("%w: %w", errSpoilt, err)), nil
 		x.attempt.Report(x.out)
 		if x.out.Result == logic.TimedOut && x.hasty() {
-			return pool.GivenUp
+			return pool.Abandoned
 		}
 	}
 	return left(resp, err)
@@ -344,7 +344,7 @@
 // writeAll writes the request. While a long body is on its way it watches for an answer that does not wait for the rest: early
 // says that one has begun to come.
 func (x *exchange) writeAll() (early bool, err error) {
-	if x.message.Body.Rest == nil {
+	if x.message.Body.Remainder == nil {
 		return false, x.write(nil)
 	}
 	var written, answered atomic.Bool
@@ -353,7 +353,7 @@
 		defer close(watched)
 		if _, err := x.state.reader.Peek(1); err == nil && !written.Load() {
 			answered.Store(true)
-			x.message.Body.Rest.Stop()
+			x.message.Body.Remainder.Stop()
 			x.conn.SetWriteDeadline(time.Now())
 		}
 	}()
@@ -380,8 +380,8 @@
 	text = append(text, httpmsg.TimeoutHeader+": "...)
 	text = strconv.AppendInt(text, left.Microseconds(), 10)
 	text = append(text, "u\r\n\r\n"...)
-	if m.Body.Rest == nil {
-		text = append(text, m.Body.Held...)
+	if m.Body.Remainder == nil {
+		text = append(text, m.Body.Buffered...)
 		if cap(text) <= keptText {
 			x.state.text = text
 		}
