--- /dev/null
+++ b/internal/pool/dial.go
@@ -0,0 +1,79 @@
+package pool
+
+import (
+	"context"
+	"errors"
+	"net"
+	"slices"
+	"syscall"
+
+	"ryeweir/internal/bodybuffer"
+	"ryeweir/internal/event"
+)
+
+// DialFunc opens a connection, as net.Dialer's DialContext does. A connection without a socket of the machine has a method
+// Quiet() bool, which reports whether it is open with nothing to read.
+type DialFunc func(ctx context.Context, network, addr string) (net.Conn, error)
+
+// connect opens the connection of a slot and reports the result to the table.
+func (p *Pool) connect(slot *Slot) {
+	conn, err := p.dial(slot.Endpoint.Addr)
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if err == nil && p.closed {
+		conn.Close()
+		err = ErrCanceled
+	}
+	if err != nil {
+		p.recordConnectFailure(slot, err)
+		p.execute(p.table.HandshakeFailed(p.cfg.Clock.Now(), slot, hasLocalCause(err)))
+		return
+	}
+	p.recordOpened(slot, conn)
+	slot.Conn = &Conn{Conn: conn, State: p.cfg.NewState(conn), slot: slot}
+	p.open[slot.Conn] = struct{}{}
+	p.execute(p.table.HandshakeSucceeded(p.cfg.Clock.Now(), slot))
+}
+
+// dial opens a connection within the connect timeout and sizes its buffers.
+func (p *Pool) dial(addr string) (net.Conn, error) {
+	ctx, cancel := context.WithTimeout(p.dialCtx, p.cfg.ConnectTimeout)
+	defer cancel()
+	conn, err := p.cfg.Dial(ctx, "tcp", addr)
+	if err != nil {
+		return nil, err
+	}
+	if err := bodybuffer.SizeSocket(conn, p.cfg.SocketBufferBytes); err != nil {
+		conn.Close()
+		return nil, err
+	}
+	return conn, nil
+}
+
+func (p *Pool) recordConnectFailure(slot *Slot, err error) {
+	p.cfg.Events.Record(event.Event{
+		Kind:     event.UpstreamClosed,
+		Reason:   event.ConnectFailed,
+		Endpoint: slot.Endpoint.ID,
+		Detail:   err.Error(),
+	})
+}
+
+func (p *Pool) recordOpened(slot *Slot, conn net.Conn) {
+	opened := event.Event{Kind: event.UpstreamOpened, Endpoint: slot.Endpoint.ID}
+	if p.cfg.Events.Verbose() {
+		opened.Detail = conn.LocalAddr().String()
+	}
+	p.cfg.Events.Record(opened)
+}
+
+// localCauses are the errors of socket(2) and connect(2) that come from this machine.
+//
+// Failure: the agent runs out of descriptors, ports or memory. If that counted against the endpoint, the balancer would eject
+// healthy endpoints. The guard holds because these errors come before any packet is sent.
+var localCauses = [...]error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL, syscall.EAGAIN, syscall.EPERM}
+
+// hasLocalCause reports whether a connect failed for want of a resource of this machine.
+func hasLocalCause(err error) bool {
+	return slices.ContainsFunc(localCauses[:], func(cause error) bool { return errors.Is(err, cause) })
+}
--- /dev/null
+++ b/internal/pool/execute.go
@@ -0,0 +1,50 @@
+package pool
+
+import (
+	"time"
+
+	"ryeweir/internal/event"
+)
+
+// execute carries out the table's actions in order. The caller holds the lock, and nothing here blocks.
+func (p *Pool) execute(actions []Action) {
+	for _, action := range actions {
+		switch action.Kind {
+		case Open:
+			slot := action.Slot
+			p.dials.Go(func() { p.connect(slot) })
+		case Close:
+			p.closeConn(action.Slot, action.CloseReason)
+		case Grant, Reject:
+			action.Waiter.Result <- action
+		case ScheduleQuarantineEnd:
+			time.AfterFunc(action.Delay, func() { p.quarantineEnded(action.Slot) })
+		}
+	}
+}
+
+func (p *Pool) closeConn(slot *Slot, reason CloseReason) {
+	delete(p.open, slot.Conn)
+	slot.Conn.Close()
+	p.cfg.Events.Record(event.Event{Kind: event.UpstreamClosed, Reason: eventReasons[reason], Endpoint: slot.Endpoint.ID})
+}
+
+// eventReasons are the table's close reasons as reasons of events.
+var eventReasons = [closeReasons]event.Reason{
+	CloseIdle:      event.IdleTimeout,
+	CloseAge:       event.AgeLimit,
+	CloseStale:     event.StaleConnection,
+	CloseSuspected: event.SuspectConnection,
+	CloseCrossed:   event.CrossedClose,
+	CloseBroken:    event.BrokenExchange,
+	CloseRetired:   event.ServerRetired,
+	CloseCapacity:  event.CapacityNeeded,
+	CloseShutdown:  event.ProcessEnd,
+}
+
+// quarantineEnded reports the end of a scheduled delay to the table. After Close it changes nothing, as no slot is idle then.
+func (p *Pool) quarantineEnded(slot *Slot) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.execute(p.table.QuarantineEnded(p.cfg.Clock.Now(), slot))
+}
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -1,5 +1,3 @@
-// Package pool holds the connections to servers. A Table decides what becomes of them, free of I/O and clock; a Pool carries
-// that out. Each connection carries one request at a time.
 package pool
 
 import (
@@ -7,68 +5,56 @@
 	"errors"
 	"fmt"
 	"net"
-	"slices"
 	"sync"
-	"syscall"
 	"time"
 
-	"ryeweir/internal/bodybuffer"
 	"ryeweir/internal/core"
 	"ryeweir/internal/event"
 	"ryeweir/logic"
 )
 
-// DialFunc opens a connection, as net.Dialer's DialContext does. A connection of a network that is not the machine's says by a
-// method Quiet whether it is open with nothing to read, since there is no socket to ask.
-type DialFunc func(ctx context.Context, network, addr string) (net.Conn, error)
+// Reasons why Get returns no connection.
+var (
+	// ErrNotReady says that the endpoint takes no new requests.
+	ErrNotReady = errors.New("the endpoint takes no new requests")
+	// ErrExhausted says that no place became free in time, or that too many requests wait.
+	ErrExhausted = errors.New("the connection pool is exhausted")
+	// ErrCanceled says that the caller's deadline passed, that its context or request ended, or that the pool is closing.
+	ErrCanceled = errors.New("the wait for a connection was canceled")
+	// ErrConnectFailed says that the endpoint's handshake failed or took too long. It is the only one that is evidence against
+	// the endpoint.
+	ErrConnectFailed = errors.New("no connection could be opened")
+)
 
 // Config is what a Pool works with.
 type Config struct {
 	Settings          Settings
-	ConnectTimeout    time.Duration // a connection that is not up by then has failed
+	ConnectTimeout    time.Duration // for a handshake
+	SocketBufferBytes int           // each way, as the kernel is asked for it; 0: the kernel's default
 	Seed              uint64
 	Clock             core.Clock
-	Dial              DialFunc           // nil for the machine's network
-	NewState          func(net.Conn) any // makes the state of a protocol on a new connection
-	Events            *event.Recorder    // nil for nobody
-	SocketBufferBytes int                // bytes of a socket's buffer, each way, as the kernel is asked for them; 0 for what it gives
+	Dial              DialFunc           // nil: the machine's network
+	NewState          func(net.Conn) any // makes Conn.State for a new connection
+	Events            *event.Recorder    // nil: none are recorded
 }
 
-// Pool holds the connections to servers.
+// Pool owns the connections to all endpoints. It is safe for concurrent use.
 type Pool struct {
-	cfg   Config
-	ctx   context.Context // of the handshakes
-	stop  context.CancelFunc
-	dials sync.WaitGroup
-
-	mu     sync.Mutex
-	closed bool
-	table  *Table
-	nodes  map[string]*Endpoint // by id, those listed
-	lives  map[*Endpoint]time.Duration
-	open   map[*Conn]struct{}
-	looked []*Slot // kept for its room
-}
+	cfg        Config
+	dialCtx    context.Context // of the handshakes; ends with Close
+	cancelDial context.CancelFunc
+	dials      sync.WaitGroup
 
-// Conn is a connection to a server.
-type Conn struct {
-	net.Conn
-	State any // of the protocol on it, as Wrap made it
-	slot  *Slot
+	mu        sync.Mutex
+	closed    bool
+	table     *Table
+	endpoints map[string]*Endpoint // by ID, those listed
+	startedAt map[*Endpoint]time.Duration
+	open      map[*Conn]struct{}
+	inspected []*Slot // buffer of Maintain
 }
 
-// FirstUse reports whether its request is the first on it.
-func (c *Conn) FirstUse() bool { return c.slot.uses <= 1 }
-
-// Reasons why there is no connection.
-var (
-	ErrNotReady      = errors.New("the server takes no new requests")
-	ErrExhausted     = errors.New("too many connections are open")
-	ErrCanceled      = errors.New("it came too late, or the pool is closing")
-	ErrConnectFailed = errors.New("no connection came up")
-)
-
-// New returns a pool. It must be closed.
+// New returns a pool, which must be closed. The error is that of Settings.Validate.
 func New(cfg Config) (*Pool, error) {
 	if err := cfg.Settings.Validate(); err != nil {
 		return nil, fmt.Errorf("connections: %w", err)
@@ -76,295 +62,119 @@
 	if cfg.Dial == nil {
 		cfg.Dial = (&net.Dialer{KeepAlive: -1}).DialContext
 	}
-	p := &Pool{cfg: cfg, table: NewTable(cfg.Settings, cfg.Seed), nodes: map[string]*Endpoint{}, lives: map[*Endpoint]time.Duration{},
-		open: map[*Conn]struct{}{}}
-	p.ctx, p.stop = context.WithCancel(context.Background())
-	return p, nil
-}
-
-// UpdateEndpoints takes a list or a change of it and returns how many servers are listed and how many of them are ready. A restart or
-// another address begins another life of a server: what is open to the one before closes as it comes free.
-func (p *Pool) UpdateEndpoints(full bool, members []core.Endpoint) (listed, ready int) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	now := p.cfg.Clock.Now()
-	named := make(map[string]bool, len(members))
-	for _, m := range members {
-		named[m.ID] = true
-		n := p.nodes[m.ID]
-		if n != nil && (m.State == logic.Removed || n.Addr != m.Addr || p.lives[n] != m.StartedAt) {
-			p.retire(now, n)
-			n = nil
-		}
-		if m.State == logic.Removed {
-			continue
-		}
-		if n == nil {
-			n = p.table.AddEndpoint(now, m.ID, m.Addr, m.StartedAt)
-			p.nodes[m.ID], p.lives[n] = n, m.StartedAt
-		}
-		if is := m.State == logic.Ready; is != n.ready {
-			p.carryOut(p.table.SetReady(now, n, is))
-		}
-	}
-	for id, n := range p.nodes {
-		if full && !named[id] {
-			p.retire(now, n)
-		} else if n.ready {
-			ready++
-		}
+	p := &Pool{
+		cfg:       cfg,
+		table:     NewTable(cfg.Settings, cfg.Seed),
+		endpoints: map[string]*Endpoint{},
+		startedAt: map[*Endpoint]time.Duration{},
+		open:      map[*Conn]struct{}{},
 	}
-	return len(p.nodes), ready
+	p.dialCtx, p.cancelDial = context.WithCancel(context.Background())
+	return p, nil
 }
 
-// Configure puts other settings into force.
-func (p *Pool) Configure(set Settings) error {
-	if err := set.Validate(); err != nil {
+// Configure replaces the settings. The error is that of Settings.Validate, and leaves the old ones in force.
+func (p *Pool) Configure(settings Settings) error {
+	if err := settings.Validate(); err != nil {
 		return fmt.Errorf("connections: %w", err)
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.cfg.Settings = set
-	p.carryOut(p.table.Configure(p.cfg.Clock.Now(), set))
+	p.cfg.Settings = settings
+	p.execute(p.table.Configure(p.cfg.Clock.Now(), settings))
 	return nil
 }
 
-// retire ends a server's life: nothing new goes to it.
-func (p *Pool) retire(now time.Duration, n *Endpoint) {
-	p.carryOut(p.table.Retire(now, n))
-	delete(p.nodes, n.ID)
-	delete(p.lives, n)
-}
-
-// Endpoint returns the present life of a server, or nil.
-func (p *Pool) Endpoint(id string) *Endpoint {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.nodes[id]
-}
-
-// AcceptsRequests reports whether the server may still get something new in this life, and if not, since when.
-func (p *Pool) AcceptsRequests(n *Endpoint) (takes bool, since time.Duration) {
+// UpdateEndpoints applies a full snapshot of the endpoints, or a watch event with those that changed. It returns how many are listed
+// and how many of them are ready. A restart or another address makes a new incarnation of an endpoint; connections to the one before
+// close when they are released.
+func (p *Pool) UpdateEndpoints(full bool, members []core.Endpoint) (listed, ready int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if n == nil {
-		return false, 0
-	}
-	return n.ready, n.unready
-}
-
-// Get returns a connection to the server that is up by then, or an error that wraps one of the reasons above. Careful is what
-// must not repeat: it goes out on a connection that the server may be closing only where no other is to be had. Who is gone
-// waits no longer. Put gives the connection back.
-func (p *Pool) Get(ctx context.Context, n *Endpoint, careful bool, until time.Time, gone <-chan struct{}) (*Conn, error) {
-	for {
-		c, w, wait := p.want(n, careful)
-		if c != nil {
-			return c, nil
-		}
-		s, why, err := p.wait(ctx, w, wait, until, gone)
-		switch {
-		case err != nil:
-			return nil, err
-		case s == nil && why == RejectNotReady:
-			return nil, ErrNotReady
-		case s == nil && why == RejectCapacity:
-			return nil, ErrExhausted
-		case s == nil:
-			return nil, fmt.Errorf("%w to %s", ErrConnectFailed, n.ID)
-		case s.uses <= 1 || s.Conn.quiet():
-			return s.Conn, nil
+	now := p.cfg.Clock.Now()
+	inSnapshot := make(map[string]bool, len(members))
+	for i := range members {
+		inSnapshot[members[i].ID] = true
+		p.updateEndpoint(now, &members[i])
+	}
+	for id, endpoint := range p.endpoints {
+		if full && !inSnapshot[id] {
+			p.retire(now, endpoint)
+		} else if endpoint.ready {
+			ready++
 		}
-		p.stale(s)
 	}
+	return len(p.endpoints), ready
 }
 
-// GetLowPriority returns a connection as Get does, for what must not stand in the way of attempts: only where none waits, and one that
-// is idle or, while a part of the places is free, a new one.
-func (p *Pool) GetLowPriority(ctx context.Context, n *Endpoint, until time.Time) (*Conn, error) {
-	p.mu.Lock()
-	spare := p.table.AllowsLowPriority(n)
-	p.mu.Unlock()
-	if !spare {
-		return nil, ErrExhausted
+// updateEndpoint applies the state of one endpoint.
+func (p *Pool) updateEndpoint(now time.Duration, member *core.Endpoint) {
+	endpoint := p.endpoints[member.ID]
+	if endpoint != nil && (member.State == logic.Removed || endpoint.Addr != member.Addr || p.startedAt[endpoint] != member.StartedAt) {
+		p.retire(now, endpoint)
+		endpoint = nil
 	}
-	return p.Get(ctx, n, false, until, nil)
-}
-
-// want asks for a connection: one that is open and quiet, or a place in the queue.
-func (p *Pool) want(n *Endpoint, careful bool) (*Conn, *Waiter, time.Duration) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	for {
-		now := p.cfg.Clock.Now()
-		s, w, actions := p.table.Acquire(now, n, careful)
-		p.carryOut(actions)
-		if s == nil {
-			return nil, w, p.cfg.Settings.AcquireTimeout
-		}
-		if s.Conn.quiet() {
-			return s.Conn, nil, 0
-		}
-		p.carryOut(p.table.DiscardStale(now, s))
+	if member.State == logic.Removed {
+		return
+	}
+	if endpoint == nil {
+		endpoint = p.table.AddEndpoint(now, member.ID, member.Addr, member.StartedAt)
+		p.endpoints[member.ID], p.startedAt[endpoint] = endpoint, member.StartedAt
+	}
+	if ready := member.State == logic.Ready; ready != endpoint.ready {
+		p.execute(p.table.SetReady(now, endpoint, ready))
 	}
 }
 
-func (p *Pool) stale(s *Slot) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.carryOut(p.table.DiscardStale(p.cfg.Clock.Now(), s))
+// retire ends the present incarnation of an endpoint.
+func (p *Pool) retire(now time.Duration, endpoint *Endpoint) {
+	p.execute(p.table.Retire(now, endpoint))
+	delete(p.endpoints, endpoint.ID)
+	delete(p.startedAt, endpoint)
 }
 
-// wait waits for a waiter's answer: a slot, or why there is none.
-func (p *Pool) wait(ctx context.Context, w *Waiter, wait time.Duration, until time.Time, gone <-chan struct{}) (*Slot, CloseReason, error) {
-	select {
-	case a := <-w.Result: // refused at once
-		return a.Slot, a.CloseReason, nil
-	default:
-	}
-	patience := time.NewTimer(min(wait, time.Until(until)))
-	defer patience.Stop()
-	select {
-	case a := <-w.Result:
-		return a.Slot, a.CloseReason, nil
-	case <-patience.C:
-	case <-ctx.Done():
-	case <-gone:
-		until = time.Time{} // whenever it came up, it would be too late
-	}
+// Endpoint returns the present incarnation of an endpoint, or nil.
+func (p *Pool) Endpoint(id string) *Endpoint {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	select {
-	case a := <-w.Result: // it came just now
-		return a.Slot, a.CloseReason, nil
-	default:
-	}
-	why := p.table.Cancel(p.cfg.Clock.Now(), w)
-	if ctx.Err() != nil || !time.Now().Before(until) {
-		return nil, why, ErrCanceled
-	}
-	return nil, why, nil
+	return p.endpoints[id]
 }
 
-// Put gives a connection back, and says how its exchange left it.
-func (p *Pool) Put(c *Conn, how ReleaseOutcome) {
+// AcceptsRequests reports whether an incarnation of an endpoint may get new requests, and if not, since when on the agent's clock.
+func (p *Pool) AcceptsRequests(endpoint *Endpoint) (accepts bool, notReadySince time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.carryOut(p.table.Release(p.cfg.Clock.Now(), c.slot, how))
+	if endpoint == nil {
+		return false, 0
+	}
+	return endpoint.ready, endpoint.notReadySince
 }
 
-// Maintain closes idle connections that will not be used again.
+// Maintain closes idle connections that must not be used again, and opens connections in advance. The owner calls it about once a
+// second.
 func (p *Pool) Maintain() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.looked = p.table.AppendIdle(p.looked[:0])
-	stale := p.looked[:0]
-	for _, s := range p.looked {
-		if !s.Conn.quiet() {
-			stale = append(stale, s)
+	p.inspected = p.table.AppendIdle(p.inspected[:0])
+	stale := p.inspected[:0]
+	for _, slot := range p.inspected {
+		if !slot.Conn.quiet() {
+			stale = append(stale, slot)
 		}
 	}
-	p.carryOut(p.table.Maintain(p.cfg.Clock.Now(), stale))
-	clear(p.looked[:cap(p.looked)])
+	p.execute(p.table.Maintain(p.cfg.Clock.Now(), stale))
+	clear(p.inspected[:cap(p.inspected)])
 }
 
-// Close closes all connections, also those in use, and returns when no handshake is under way.
+// Close closes all connections, also those in use, and returns once no handshake is under way.
 func (p *Pool) Close() {
-	p.stop()
+	p.cancelDial()
 	p.mu.Lock()
 	p.closed = true
-	p.carryOut(p.table.Shutdown(p.cfg.Clock.Now()))
-	for c := range p.open {
-		c.Close()
+	p.execute(p.table.Shutdown())
+	for conn := range p.open {
+		conn.Close()
 	}
 	p.mu.Unlock()
 	p.dials.Wait()
 }
-
-// carryOut does what the table has decided. None of it waits.
-func (p *Pool) carryOut(actions []Action) {
-	for _, a := range actions {
-		switch a.Kind {
-		case Open:
-			s := a.Slot
-			p.dials.Go(func() { p.connect(s) })
-		case Close:
-			delete(p.open, a.Slot.Conn)
-			a.Slot.Conn.Close()
-			p.cfg.Events.Record(event.Event{Kind: event.UpstreamClosed, Reason: closeReasons[a.CloseReason], Endpoint: a.Slot.Endpoint.ID})
-		case Grant, Reject:
-			a.Waiter.Result <- a
-		case ScheduleQuarantineEnd:
-			time.AfterFunc(a.Delay, func() { p.rested(a.Slot) })
-		}
-	}
-}
-
-// closeReasons are the table's reasons of a close as reasons of events.
-var closeReasons = [...]event.Reason{
-	CloseIdle:      event.IdleTimeout,
-	CloseAge:       event.AgeLimit,
-	CloseStale:     event.StaleConnection,
-	CloseSuspected: event.SuspectConnection,
-	CloseCrossed:   event.CrossedClose,
-	CloseBroken:    event.BrokenExchange,
-	CloseRetired:   event.ServerRetired,
-	CloseCapacity:  event.CapacityNeeded,
-	CloseShutdown:  event.ProcessEnd,
-}
-
-// rested tells the table that a slot has rested. After the pool has closed that changes nothing.
-func (p *Pool) rested(s *Slot) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.carryOut(p.table.QuarantineEnded(p.cfg.Clock.Now(), s))
-}
-
-// connect does a slot's handshake.
-func (p *Pool) connect(s *Slot) {
-	ctx, cancel := context.WithTimeout(p.ctx, p.cfg.ConnectTimeout)
-	defer cancel()
-	raw, err := p.cfg.Dial(ctx, "tcp", s.Endpoint.Addr)
-	if err == nil {
-		if err = bodybuffer.SizeSocket(raw, p.cfg.SocketBufferBytes); err != nil {
-			raw.Close()
-		}
-	}
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if err == nil && p.closed {
-		raw.Close()
-		err = ErrCanceled
-	}
-	if err != nil {
-		p.cfg.Events.Record(event.Event{Kind: event.UpstreamClosed, Reason: event.ConnectFailed, Endpoint: s.Endpoint.ID, Detail: err.Error()})
-		p.carryOut(p.table.HandshakeFailed(p.cfg.Clock.Now(), s, ownLack(err)))
-		return
-	}
-	opened := event.Event{Kind: event.UpstreamOpened, Endpoint: s.Endpoint.ID}
-	if p.cfg.Events.Verbose() {
-		opened.Detail = raw.LocalAddr().String()
-	}
-	p.cfg.Events.Record(opened)
-	s.Conn = &Conn{Conn: raw, State: p.cfg.NewState(raw), slot: s}
-	p.open[s.Conn] = struct{}{}
-	p.carryOut(p.table.HandshakeSucceeded(p.cfg.Clock.Now(), s))
-}
-
-// ownLacks are the errors of socket(2) and connect(2) that come from this machine and not from the server or the way to it.
-var ownLacks = [...]error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL, syscall.EAGAIN, syscall.EPERM}
-
-// ownLack reports whether a connect failed for what the agent itself lacks.
-func ownLack(err error) bool {
-	return slices.ContainsFunc(ownLacks[:], func(lack error) bool { return errors.Is(err, lack) })
-}
-
-// quiet reports whether an idle connection is open and nothing has come on it. A server that died or closed it shows here,
-// before a request is risked on it.
-func (c *Conn) quiet() bool {
-	if q, ok := c.Conn.(interface{ Quiet() bool }); ok {
-		return q.Quiet()
-	}
-	_, err := bodybuffer.Peek(c.Conn)
-	return errors.Is(err, syscall.EAGAIN)
-}
--- a/internal/pool/settings.go
+++ b/internal/pool/settings.go
@@ -5,78 +5,107 @@
 	"time"
 )
 
-// ReuseOrder says which of a server's idle connections is used first.
+// ReuseOrder says which of an endpoint's idle connections is used first.
 type ReuseOrder int
 
 // The orders.
 const (
-	MostRecentlyUsed  ReuseOrder = iota // used last: those not needed grow old and close
-	LeastRecentlyUsed                   // unused for longest: all stay warm, and none closes for being idle
-	FewestRequests                      // fewest uses: wear is spread
+	MostRecentlyUsed  ReuseOrder = iota // connections that are not needed expire
+	LeastRecentlyUsed                   // all stay in use, and none expires for being idle
+	FewestRequests                      // spreads the requests evenly
 )
 
-// Settings bound the connections and say how they are used. All limits hold for one agent.
+// Settings limit the connections of one agent and say how they are used.
 type Settings struct {
-	MaxConnections           int // connections in all, open or being opened
-	MaxPerEndpoint           int // of one server
-	MaxHandshakes            int // handshakes at once
-	MaxHandshakesPerEndpoint int // to one server; fewer while it starts or after one has failed
+	MaxConnections           int // open or opening
+	MaxPerEndpoint           int // of these to one endpoint
+	MaxHandshakes            int // under way at a time
+	MaxHandshakesPerEndpoint int // of these with one endpoint; fewer after one has failed
 
-	MaxWaiters     int           // attempts that may wait for a connection at a time
-	AcquireTimeout time.Duration // for so long; a handshake must be over by then, too
+	MaxWaiters     int           // requests that may wait for a connection at a time
+	AcquireTimeout time.Duration // how long each may wait
 
 	ReuseOrder  ReuseOrder
-	MaxAge      time.Duration // 0: any
-	AgeJitter   float64       // the part of MaxAge by which connections' ages are spread, 0 to 1
-	MaxRequests int           // requests on one connection; 0: any number
-
-	// Rest is how long a connection stays unused after an answer: a server may send a second one some milliseconds late.
-	Quarantine time.Duration
-
-	ServerIdleTimeout         time.Duration // servers close what is idle for longer
-	IdleFraction              float64       // of that a connection is used, as a request that crosses the close is lost with it
-	MinIdleLimit              time.Duration // the limit that is learnt never falls below
-	IdleLimitDoublingTime     time.Duration // in which it doubles again after it fell
-	NonIdempotentIdleFraction float64       // of the limit: idle for longer, a connection carries what must not repeat only where no fresh one is to be had
-
-	SuspectAfterFailures int           // broken exchanges in a row with a server after which its older connections are suspect; 0: never
-	SuspectWindow        time.Duration // if they come within this time
-	CloseSuspect         bool          // close suspect ones, in place of trying them first with what may be repeated
-
-	PreopenRate              float64       // connections that all agents together open ahead of need on one server, a second; 0: none
-	PreopenMaxIdle           int           // idle ones that one agent has for that on one server
-	PreopenMinIdle           int           // and at least, whatever comes
-	Agents                   int           // that share the servers
-	SlowStartInitialFraction float64       // a server that starts takes this share of what it takes when warm
-	SlowStartWindow          time.Duration // and all of it after this time
+	MaxAge      time.Duration // 0: no limit
+	AgeJitter   float64       // fraction of MaxAge by which the ages of connections are spread, 0 to 1
+	MaxRequests int           // on one connection; 0: no limit
+
+	Quarantine time.Duration // how long a connection is unused after an answer; 0: none
+
+	ServerIdleTimeout         time.Duration // endpoints close connections that are idle for longer
+	IdleFraction              float64       // of that timeout a connection is used; above 0, at most 1
+	MinIdleLimit              time.Duration // the learned limit never falls below
+	IdleLimitDoublingTime     time.Duration // in which a learned limit doubles again
+	NonIdempotentIdleFraction float64       // of a learned limit, for requests that must not be repeated; 0 to 1
+
+	SuspectAfterFailures int           // failed exchanges in a row after which an endpoint's older connections are suspect; 0: never
+	SuspectWindow        time.Duration // within which the failures must come
+	CloseSuspect         bool          // close suspect connections; else they carry requests that may be repeated
+
+	PreopenRate    float64 // connections a second that all agents together open in advance on one endpoint; 0: none
+	PreopenMaxIdle int     // idle connections to one endpoint up to which one agent opens in advance
+	PreopenMinIdle int     // idle connections to one endpoint at any request rate
+	Agents         int     // that share the endpoints
+
+	SlowStartInitialFraction float64       // of its capacity that a started endpoint has at first; above 0, at most 1
+	SlowStartWindow          time.Duration // until it has all of it; 0: no slow start
 }
 
-// DefaultSettings are those of an agent of which nothing is said, with so many places in all.
-func DefaultSettings(most int) Settings {
+// DefaultSettings are those of an agent that may have so many connections.
+func DefaultSettings(maxConnections int) Settings {
 	return Settings{
-		MaxConnections: most, MaxPerEndpoint: max(1, most/4), MaxHandshakes: max(4, most/4), MaxHandshakesPerEndpoint: max(2, most/8),
-		MaxWaiters: max(1, most), AcquireTimeout: time.Second,
-		Quarantine: 10 * time.Millisecond, IdleFraction: 0.8, ServerIdleTimeout: 10 * time.Second, MinIdleLimit: 250 * time.Millisecond, IdleLimitDoublingTime: 30 * time.Second, NonIdempotentIdleFraction: 0.5,
-		SuspectAfterFailures: 2, SuspectWindow: 10 * time.Second, CloseSuspect: true,
-		PreopenMaxIdle: 2, Agents: 1,
+		MaxConnections:           maxConnections,
+		MaxPerEndpoint:           max(1, maxConnections/4),
+		MaxHandshakes:            max(4, maxConnections/4),
+		MaxHandshakesPerEndpoint: max(2, maxConnections/8),
+
+		MaxWaiters:     max(1, maxConnections),
+		AcquireTimeout: time.Second,
+
+		Quarantine: 10 * time.Millisecond,
+
+		ServerIdleTimeout:         10 * time.Second,
+		IdleFraction:              0.8,
+		MinIdleLimit:              250 * time.Millisecond,
+		IdleLimitDoublingTime:     30 * time.Second,
+		NonIdempotentIdleFraction: 0.5,
+
+		SuspectAfterFailures: 2,
+		SuspectWindow:        10 * time.Second,
+		CloseSuspect:         true,
+
+		PreopenMaxIdle: 2,
+		Agents:         1,
 	}
 }
 
-// Validate says what is wrong with the settings.
+// Errors of Validate.
+var (
+	errNoCapacity = errors.New("there must be capacity for a connection and a handshake, and no limit on waiters below 0")
+	errQuarantine = errors.New("the quarantine after an answer must not be below 0")
+	errDuration   = errors.New("the times to wait, to be idle, to recover and to count failures must be above 0")
+	errFraction   = errors.New("a fraction must be from 0 to 1")
+	errLimit      = errors.New("no limit may be below 0")
+	errSlowStart  = errors.New("there must be an agent, and an initial fraction of slow start above 0 and at most 1")
+)
+
+// Validate returns an error for settings that a Table can't work with.
 func (s *Settings) Validate() error {
 	switch {
 	case s.MaxConnections < 1 || s.MaxPerEndpoint < 1 || s.MaxHandshakes < 1 || s.MaxHandshakesPerEndpoint < 1 || s.MaxWaiters < 0:
-		return errors.New("there must be room for a connection and a handshake")
+		return errNoCapacity
 	case s.Quarantine < 0:
-		return errors.New("the rest after an answer must not be below 0")
+		return errQuarantine
 	case s.AcquireTimeout <= 0 || s.ServerIdleTimeout <= 0 || s.MinIdleLimit <= 0 || s.IdleLimitDoublingTime <= 0 || s.SuspectWindow <= 0:
-		return errors.New("the times to wait, to stand idle, to heal and to count failures must be above 0")
-	case s.IdleFraction <= 0 || s.IdleFraction > 1 || s.NonIdempotentIdleFraction < 0 || s.NonIdempotentIdleFraction > 1 || s.AgeJitter < 0 || s.AgeJitter > 1:
-		return errors.New("a part must be from 0 to 1")
+		return errDuration
+	case s.IdleFraction <= 0 || s.IdleFraction > 1:
+		return errFraction
+	case s.NonIdempotentIdleFraction < 0 || s.NonIdempotentIdleFraction > 1 || s.AgeJitter < 0 || s.AgeJitter > 1:
+		return errFraction
 	case s.MaxAge < 0 || s.MaxRequests < 0 || s.SuspectAfterFailures < 0 || s.PreopenRate < 0 || s.PreopenMaxIdle < 0 || s.PreopenMinIdle < 0:
-		return errors.New("no limit may be below 0")
+		return errLimit
 	case s.Agents < 1 || s.SlowStartWindow > 0 && (s.SlowStartInitialFraction <= 0 || s.SlowStartInitialFraction > 1):
-		return errors.New("there must be an agent, and a cold share above 0 and at most 1")
+		return errSlowStart
 	}
 	return nil
 }
--- a/internal/upstream/http/exchange_test.go
+++ b/internal/upstream/http/exchange_test.go
@@ -300,11 +300,11 @@
 	b := f.Pool.Endpoint("b")
 	soon := time.Now().Add(testkit.Patience)
 	for i := range 2 {
-		if _, err := f.Pool.Get(context.Background(), b, false, soon, nil); err != nil {
+		if _, err := f.Pool.Get(context.Background(), pool.Request{Endpoint: b, Deadline: soon}); err != nil {
 			t.Fatalf("connection %d: %v", i, err)
 		}
 	}
-	if _, err := f.Pool.Get(context.Background(), b, false, soon, nil); !errors.Is(err, pool.ErrExhausted) {
+	if _, err := f.Pool.Get(context.Background(), pool.Request{Endpoint: b, Deadline: soon}); !errors.Is(err, pool.ErrExhausted) {
 		t.Errorf("a third of at most 8/4: %v", err)
 	}
 	// It is the agent's own lack: told as a failure of the backend, it would make the module shun one that is well.
--- a/internal/upstream/http/probe_test.go
+++ b/internal/upstream/http/probe_test.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"ryeweir/internal/healthcheck"
+	"ryeweir/internal/pool"
 	"ryeweir/internal/testkit"
 	"ryeweir/logic"
 )
@@ -66,7 +67,7 @@
 	if crossed.Requests() != 3 || crossed.Connections() != 2 {
 		t.Errorf("%d requests on %d connections", crossed.Requests(), crossed.Connections())
 	}
-	c, err := f.Pool.Get(context.Background(), f.Pool.Endpoint("b"), false, soon(), nil)
+	c, err := f.Pool.Get(context.Background(), pool.Request{Endpoint: f.Pool.Endpoint("b"), Deadline: soon()})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/upstream/http/upstream.go
+++ b/internal/upstream/http/upstream.go
@@ -41,7 +41,7 @@
 func (u *Upstream) Execute(ctx context.Context, a *core.Attempt) {
 	node, _ := a.Target.(*pool.Endpoint)
 	out := core.Outcome{Result: logic.NotSent, LoadReport: logic.NoLoadReport}
-	c, err := u.Pool.Get(ctx, node, a.Call.NonIdempotent, u.Clock.At(a.Deadline()), a.Call.Done())
+	c, err := u.Pool.Get(ctx, pool.Request{Endpoint: node, NonIdempotent: a.Call.NonIdempotent, Deadline: u.Clock.At(a.Deadline()), Abandoned: a.Call.Done()})
 	switch {
 	case errors.Is(err, pool.ErrNotReady) || errors.Is(err, pool.ErrExhausted) || errors.Is(err, pool.ErrCanceled):
 		a.Report(out) // the agent's own lack says nothing of the server
