--- a/internal/pool/conn.go
+++ b/internal/pool/conn.go
@@ -5,7 +5,7 @@
 	"net"
 	"syscall"
 
-	"ryeweir/internal/bodybuffer"
+	"ryeweir/internal/socket"
 )
 
 // Conn is an open connection. Whoever got it from Get owns it until Put.
@@ -27,6 +27,6 @@
 	if network, ok := c.Conn.(interface{ Quiet() bool }); ok {
 		return network.Quiet()
 	}
-	_, err := bodybuffer.Peek(c.Conn)
+	_, err := socket.Peek(c.Conn)
 	return errors.Is(err, syscall.EAGAIN)
 }
--- a/internal/pool/dial.go
+++ b/internal/pool/dial.go
@@ -7,7 +7,7 @@
 	"slices"
 	"syscall"
 
-	"ryeweir/internal/bodybuffer"
+	"ryeweir/internal/socket"
 	"ryeweir/internal/event"
 )
 
@@ -43,7 +43,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := bodybuffer.SizeSocket(conn, p.cfg.SocketBufferBytes); err != nil {
+	if err := socket.SetBufferSizes(conn, p.cfg.SocketBufferBytes); err != nil {
 		conn.Close()
 		return nil, err
 	}
--- a/internal/pool/execute.go
+++ b/internal/pool/execute.go
@@ -37,7 +37,7 @@
 	CloseSuspected: event.SuspectConnection,
 	CloseCrossed:   event.CrossedClose,
 	CloseBroken:    event.BrokenExchange,
-	CloseRetired:   event.ServerRetired,
+	CloseRetired:   event.EndpointRetired,
 	CloseCapacity:  event.CapacityNeeded,
 	CloseShutdown:  event.ProcessEnd,
 }
