--- a/internal/connlimit/disconnect_test.go
+++ b/internal/connlimit/disconnect_test.go
@@ -3,12 +3,14 @@
 import (
 	"context"
 	"io"
+	"log/slog"
 	"net"
 	"net/http"
 	"strings"
 	"testing"
 	"time"
 
+	"ryeweir/internal/event"
 	"ryeweir/internal/framing"
 	"ryeweir/internal/socket"
 	"ryeweir/internal/testkit"
@@ -25,7 +27,7 @@
 func newBlockingServer(t *testing.T) *blockingServer {
 	t.Helper()
 	s := &blockingServer{l: New(testkit.Listen(t), 9), began: make(chan context.Context), release: make(chan struct{}), disconnected: make(chan bool, 1)}
-	s.l.HeaderTimeout = time.Minute
+	s.l.HeaderTimeout, s.l.Events = time.Minute, event.NewRecorder(slog.New(slog.DiscardHandler))
 	serve(t, s.l, func(w http.ResponseWriter, r *http.Request) {
 		io.Copy(io.Discard, r.Body)
 		ctx, cancel := context.WithCancel(r.Context())
--- a/internal/connlimit/helpers_test.go
+++ b/internal/connlimit/helpers_test.go
@@ -44,7 +44,13 @@
 // serve runs an http.Server with this handler on the listener until the test ends.
 func serve(t *testing.T, l *Listener, handler http.HandlerFunc) {
 	t.Helper()
-	srv := &http.Server{ConnState: ConnState, ConnContext: ConnContext, Handler: handler}
+	runServer(t, l, &http.Server{Handler: handler})
+}
+
+// runServer runs an http.Server on the listener until the test ends.
+func runServer(t *testing.T, l *Listener, srv *http.Server) {
+	t.Helper()
+	srv.ConnState, srv.ConnContext = ConnState, ConnContext
 	done := make(chan error, 1)
 	go func() { done <- srv.Serve(l) }()
 	t.Cleanup(func() { l.Abort(); srv.Close(); <-done })
--- a/internal/connlimit/readahead.go
+++ b/internal/connlimit/readahead.go
@@ -45,10 +45,13 @@
 	c.listener.mu.Lock()
 	ahead := &c.readAhead
 	ahead.buffered, ahead.err = append(ahead.buffered, buffer[:read]...), err
-	c.recordReadError(err)
+	disconnected := err != nil && !timedOut(err) // a timeout is stopReadAhead's interrupt
+	if disconnected {
+		c.recordReadError(err)
+	}
 	notify := ahead.onDisconnect // of the present request, which may have begun after the goroutine
 	c.listener.mu.Unlock()
-	if notify != nil && err != nil && !timedOut(err) {
+	if notify != nil && disconnected {
 		notify()
 	}
 }
