--- a/internal/connlimit/close.go
+++ b/internal/connlimit/close.go
@@ -48,9 +48,9 @@
 // checkClose passes the close through the close guard, and records it with its reason. The lock is held.
 func (c *Conn) checkClose() {
 	guard := invariant.Close{
-		RequestOpen: c.requestID != "" && !c.answerDecided,
-		ClientLeft:  c.disconnected,
-		AnswerBroke: c.answerAborted,
+		RequestPending:  c.requestID != "" && !c.answerDecided,
+		ClientLeft:      c.disconnected,
+		AnswerTruncated: c.answerAborted,
 	}
 	if verdict := guard.Check(); verdict.Denied {
 		c.listener.Monitor.Violated(verdict.Rule, c.requestID, "closing for "+c.closeReason.String())
--- a/internal/connlimit/listener.go
+++ b/internal/connlimit/listener.go
@@ -50,7 +50,7 @@
 		raw.Close()
 		return nil, net.ErrClosed
 	}
-	c := &Conn{Conn: raw, listener: l, lastActivity: time.Now(), number: l.Events.NextConnection()}
+	c := &Conn{Conn: raw, listener: l, lastActivity: time.Now(), number: l.Events.NextConnectionID()}
 	l.conns[c] = struct{}{}
 	l.lastAccept = c.lastActivity
 	l.recordAccept(c)
