--- a/cmd/ryeweir/demo.go
+++ b/cmd/ryeweir/demo.go
@@ -66,7 +66,7 @@
 	}
 	fmt.Fprintf(out, "%d order nodes, %d agents, %.0f requests a second for %v (%d in all)\n", len(day.Nodes), len(day.Agents), day.Rate, length, len(day.Plan))
 	s := newScreen(out)
-	o, err := experiment.Play(ctx, day, experiment.Arm{Name: "agent", Command: []string{self, "agent"}}, s.show)
+	o, err := experiment.RunScenario(ctx, day, experiment.Arm{Name: "agent", Command: []string{self, "agent"}}, s.show)
 	if err != nil {
 		return err
 	}
@@ -113,7 +113,7 @@
 	printFigures(out, outcome)
 	fmt.Fprintf(out, "attempts per request %.3f  wasted work %.1f%%  agents' CPU %.0f us a request\n", outcome.Attempts, 100*outcome.Waste, outcome.CPU)
 	fmt.Fprintf(out, "lost %d  duplicates %d  after_drain %d  toppled %d\n", a.Lost, a.Duplicates, a.AfterDrain, a.SlowStartOverloads)
-	if r := outcome.Rude; r.Clients > 0 {
+	if r := outcome.Misbehaving; r.Clients > 0 {
 		fmt.Fprintf(out, "rude clients %d, of which %d were served and %d got neither an error nor a close\n", r.Clients, r.Served, r.Ignored)
 	}
 	for _, b := range outcome.Breaches {
--- a/cmd/ryeweir/describe.go
+++ b/cmd/ryeweir/describe.go
@@ -23,7 +23,7 @@
 		if err := config.TOML(file, data, &s); err != nil {
 			return "", err
 		}
-		return fmt.Sprintf("experiment %s: %d days with %d arms, %d repeats", s.Name, len(s.Days), len(s.Arms), s.Repeats), nil
+		return fmt.Sprintf("experiment %s: %d days with %d arms, %d repeats", s.Name, len(s.Days), len(s.Variants), s.Repeats), nil
 	case "drill":
 		var s experiment.DrillSpec
 		if err := config.TOML(file, data, &s); err != nil {
@@ -35,7 +35,7 @@
 		if err := config.TOML(file, data, &s); err != nil {
 			return "", err
 		}
-		return fmt.Sprintf("model %s: %d agents and %d servers with %d arms, %d repeats", s.Name, s.Agents, s.Servers, len(s.Arms), s.Repeats), nil
+		return fmt.Sprintf("model %s: %d agents and %d servers with %d arms, %d repeats", s.Name, s.Agents, s.Servers, len(s.Variants), s.Repeats), nil
 	case "operator":
 		f, err := operator.Parse(file, data)
 		if err != nil {
--- a/cmd/ryeweir/drill.go
+++ b/cmd/ryeweir/drill.go
@@ -30,7 +30,7 @@
 			ctx, stop := interruptible(command.Context())
 			defer stop()
 			for play := 1; ; play++ {
-				spec, d, err := experiment.Drill(ctx, args[0], self, long)
+				spec, d, err := experiment.RunDrill(ctx, args[0], self, long)
 				if err != nil {
 					return err
 				}
@@ -56,11 +56,11 @@
 }
 
 // printDrill prints what came of a drill.
-func printDrill(out io.Writer, spec *experiment.DrillSpec, drilled experiment.Drilled) {
+func printDrill(out io.Writer, spec *experiment.DrillSpec, drilled experiment.DrillResult) {
 	o := drilled.Outcome
 	fmt.Fprintf(out, "%s: %s\n", spec.Name, spec.Question)
 	fmt.Fprintf(out, "%+v\nservice %.3f, attempts a request %.2f, chokes %d, probe work %.4f, cold peak %.2f", o.Account, o.Whole, o.Attempts, o.Chokes,
-		o.ProbeWork, o.ColdPeak)
+		o.HealthCheckWork, o.SlowStartPeak)
 	for i, class := range spec.Day.Classes {
 		fmt.Fprintf(out, ", %s %.3f", class.Name, o.ByClass[i])
 	}
@@ -72,7 +72,7 @@
 		fmt.Fprintf(out, "budgets: an agent took %.2f of its demand in the surge (median; %.2f to %.2f), %d requests shed, %d retries withheld, over themselves at %d looks\n",
 			l.Median, l.Least, l.Most, l.Shed, l.Withheld, l.Pressed)
 	}
-	fmt.Fprintf(out, "the rig waited %.3f ms for a processor (mean), callers were up to %.0f ms late\n", o.Starved, o.Lag)
+	fmt.Fprintf(out, "the rig waited %.3f ms for a processor (mean), callers were up to %.0f ms late\n", o.ProcessorWait, o.Lag)
 	printViews(out, o)
 	for _, w := range drilled.Wrong {
 		fmt.Fprintln(out, "not as expected:", w)
--- a/cmd/ryeweir/faults_test.go
+++ b/cmd/ryeweir/faults_test.go
@@ -58,7 +58,7 @@
 	}
 	before := len(children(t))
 	const peers = "../../deploy/peers.toml"
-	o, err := experiment.Play(t.Context(), day, experiment.Arm{Name: "agent", Command: []string{self, "agent", "--operator", peers}, Operator: peers}, nil)
+	o, err := experiment.RunScenario(t.Context(), day, experiment.Arm{Name: "agent", Command: []string{self, "agent", "--operator", peers}, Operator: peers}, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -105,7 +105,7 @@
 				o := d.Outcome
 				t.Logf("%+v; attempts a request %.2f, chokes %d, by class %.3f, surge %+v, budgets %+v, views %+v", o.Account, o.Attempts, o.Chokes, o.ByClass, o.Surge, o.Levels, o.Views)
 				if d.Busy {
-					t.Logf("the machine was too busy to judge more than the rules: %.2f ms for a processor, callers %.0f ms late", o.Starved, o.Lag)
+					t.Logf("the machine was too busy to judge more than the rules: %.2f ms for a processor, callers %.0f ms late", o.ProcessorWait, o.Lag)
 				}
 				for _, w := range d.Wrong {
 					t.Error("not as expected:", w)
@@ -119,7 +119,7 @@
 }
 
 // drill plays a drill's file with a program. Its exit says no more than what it tells.
-func drill(t *testing.T, program, file string) (d experiment.Drilled) {
+func drill(t *testing.T, program, file string) (d experiment.DrillResult) {
 	t.Helper()
 	result := filepath.Join(t.TempDir(), "result.json")
 	args := []string{"lab", file, "--json", result, "--plays", "3"}
--- a/internal/emulator/referee/referee.go
+++ b/internal/emulator/referee/referee.go
@@ -68,6 +68,13 @@
 	Unnotified int `json:"unheard"`
 }
 
+// String is the account on one line, each count under its key in reports.
+func (a Account) String() string {
+	return fmt.Sprintf("requests %d, completed %d, rejected %d, failed %d, unanswered %d, lost %d, duplicates %d, after_drain %d, toppled %d, "+
+		"attempts %d, effects %d, strangers %d, unheard %d", a.Requests, a.Completed, a.Rejected, a.Failed, a.Unanswered, a.Lost, a.Duplicates,
+		a.AfterDrain, a.SlowStartOverloads, a.Attempts, a.Effects, a.UnknownRequests, a.Unnotified)
+}
+
 // Held reports whether all rules held.
 func (a Account) Held() bool {
 	return a.Lost == 0 && a.Duplicates == 0 && a.AfterDrain == 0 && a.SlowStartOverloads == 0
--- a/internal/experiment/drill.go
+++ b/internal/experiment/drill.go
@@ -34,24 +34,24 @@
 // Expect is what a drill expects besides the rules, one answer each and no stranger, which hold in any. What is not stated is
 // not expected.
 type Expect struct {
-	Chokes     *int               `toml:"chokes_most"`
-	Attempts   float64            `toml:"attempts_most"`    // at nodes, a request
-	Goodput    float64            `toml:"goodput_least"`    // in the surge
-	Back       config.Duration    `toml:"back_within"`      // service after the surge
-	Served     map[string]float64 `toml:"served_least"`     // by class
-	Shed       map[string]float64 `toml:"served_most"`      // by class
-	PassedOver float64            `toml:"passed_over_most"` // see Outcome
-	Spared     float64            `toml:"spared_least"`     // likewise
-	Whole      bool               `toml:"whole"`            // at the end all agents see all others, and after each fault each does at least once
-	Split      float64            `toml:"split_to"`         // some agent sees no more than this share of the others in a fault: it did bite
-	HeldBack   int64              `toml:"held_back_least"`
-	Differ     int                `toml:"copies_least"`   // different ones that agents held at once: the faults did set them apart
-	Agree      bool               `toml:"copies_agree"`   // at the end all agents hold the same
-	Unheard    *int               `toml:"unheard_most"`   // see referee.Account
-	Notices    float64            `toml:"notice_ms_most"` // the latest that came by a peer
-	ColdPeak   float64            `toml:"cold_peak_most"` // of what topples a cold node
-	ProbeWork  float64            `toml:"probe_work_most"`
-	Pressed    int64              `toml:"pressed_least"` // looks at which some agent was over itself
+	MaxChokes          *int               `toml:"chokes_most"`
+	MaxAttempts        float64            `toml:"attempts_most"`    // at nodes, a request
+	MinGoodput         float64            `toml:"goodput_least"`    // in the surge
+	RecoveredWithin    config.Duration    `toml:"back_within"`      // service after the surge
+	MinServed          map[string]float64 `toml:"served_least"`     // by class
+	MaxServed          map[string]float64 `toml:"served_most"`      // by class
+	MaxPassedOver      float64            `toml:"passed_over_most"` // see Outcome
+	MinSpared          float64            `toml:"spared_least"`     // likewise
+	AllSeeAll          bool               `toml:"whole"`            // at the end all agents see all others, and after each fault each does at least once
+	SplitTo            float64            `toml:"split_to"`         // some agent sees no more than this share of the others in a fault: it did bite
+	MinWithheld        int64              `toml:"held_back_least"`
+	MinCopies          int                `toml:"copies_least"`   // different ones that agents held at once: the faults did set them apart
+	CopiesAgree        bool               `toml:"copies_agree"`   // at the end all agents hold the same
+	MaxUnnotified      *int               `toml:"unheard_most"`   // see referee.Account
+	MaxNoticeMS        float64            `toml:"notice_ms_most"` // the latest that came by a peer
+	MaxSlowStartPeak   float64            `toml:"cold_peak_most"` // of what topples a cold node
+	MaxHealthCheckWork float64            `toml:"probe_work_most"`
+	MinSelfOverloaded  int64              `toml:"pressed_least"` // looks at which some agent was over itself
 }
 
 // Check puts in the defaults and says what is wrong.
@@ -70,7 +70,7 @@
 	wrong(s.Cores < 0 || s.Cores > 64, "cores", "must be from 0 to 64")
 	wrong(s.Long.Agents < 0 || s.Long.Agents > emulator.MostProcesses, "long.agents", "must be from 0 to %d", emulator.MostProcesses)
 	wrong(s.Long.Times < 0 || s.Long.Times > 20, "long.times", "must be from 0 to 20")
-	for key, classes := range map[string]map[string]float64{"expect.served_least": s.Expect.Served, "expect.served_most": s.Expect.Shed} {
+	for key, classes := range map[string]map[string]float64{"expect.served_least": s.Expect.MinServed, "expect.served_most": s.Expect.MaxServed} {
 		for name := range classes {
 			wrong(s.class(name) < 0, key, "%q is no class of the day", name)
 		}
@@ -87,8 +87,8 @@
 	return -1
 }
 
-// Drilled is what came of a drill.
-type Drilled struct {
+// DrillResult is what came of a drill.
+type DrillResult struct {
 	Outcome Outcome  `json:"outcome"`
 	Wrong   []string `json:"wrong,omitempty"`  // what was expected and did not come; empty: it passed
 	Broken  bool     `json:"broken,omitempty"` // of that a rule, or it was interrupted: no other play makes up for it
@@ -104,17 +104,17 @@
 	mostStarved = 0.5
 )
 
-func busy(o Outcome) bool { return o.Lag > mostLag || o.Starved > mostStarved }
+func busy(o Outcome) bool { return o.Lag > mostLag || o.ProcessorWait > mostStarved }
 
-// Drill plays a drill's file with agents of a program, in its long form where asked to.
-func Drill(ctx context.Context, file, self string, long bool) (*DrillSpec, Drilled, error) {
+// RunDrill plays a drill's file with agents of a program, in its long form where asked to.
+func RunDrill(ctx context.Context, file, self string, long bool) (*DrillSpec, DrillResult, error) {
 	var s DrillSpec
 	data, err := config.Read(file)
 	if err != nil {
-		return nil, Drilled{}, err
+		return nil, DrillResult{}, err
 	}
 	if err := config.TOML(file, data, &s); err != nil {
-		return nil, Drilled{}, err
+		return nil, DrillResult{}, err
 	}
 	arm := Arm{Name: s.Name, Command: []string{self, "agent"}, Limits: emulator.DefaultLimits()}
 	if s.Cores > 0 {
@@ -122,13 +122,13 @@
 	}
 	if s.Operator != "" {
 		if arm.Operator, err = filepath.Abs(filepath.Join(filepath.Dir(file), s.Operator)); err != nil {
-			return nil, Drilled{}, fmt.Errorf("the operators' file: %w", err)
+			return nil, DrillResult{}, fmt.Errorf("the operators' file: %w", err)
 		}
 		if _, err := os.Stat(arm.Operator); err != nil {
-			return nil, Drilled{}, &config.Error{File: file, Key: "operator", Err: err}
+			return nil, DrillResult{}, &config.Error{File: file, Key: "operator", Err: err}
 		}
 		if _, err := operator.Load(arm.Operator); err != nil {
-			return nil, Drilled{}, err
+			return nil, DrillResult{}, err
 		}
 		arm.Command = append(arm.Command, "--operator", arm.Operator)
 	}
@@ -142,14 +142,14 @@
 	}
 	day, err := s.Day.Draw(s.Seed)
 	if err != nil {
-		return nil, Drilled{}, err
+		return nil, DrillResult{}, err
 	}
-	o, err := Play(ctx, day, arm, nil)
+	o, err := RunScenario(ctx, day, arm, nil)
 	if err != nil {
-		return nil, Drilled{}, err
+		return nil, DrillResult{}, err
 	}
 	wrong, broken := s.judge(o)
-	return &s, Drilled{Outcome: o, Wrong: wrong, Broken: broken, Busy: busy(o)}, nil
+	return &s, DrillResult{Outcome: o, Wrong: wrong, Broken: broken, Busy: busy(o)}, nil
 }
 
 // judge says what was expected and did not come, and whether a rule is of that.
@@ -166,43 +166,43 @@
 	if broken = len(wrong) > 0; broken || busy(o) {
 		return wrong, broken
 	}
-	expect(e.Chokes == nil || o.Chokes <= *e.Chokes, "%d nodes choked", o.Chokes)
-	expect(e.Attempts == 0 || o.Attempts <= e.Attempts, "%.2f attempts a request", o.Attempts)
-	expect(e.ColdPeak == 0 || o.ColdPeak <= e.ColdPeak, "a cold node got %.2f of what topples it", o.ColdPeak)
-	expect(e.ProbeWork == 0 || o.ProbeWork <= e.ProbeWork, "probes took %.4f of the nodes' work", o.ProbeWork)
-	expect(e.Unheard == nil || a.Unnotified <= *e.Unheard, "%d requests came to ending nodes from agents that were not told", a.Unnotified)
-	if e.Goodput > 0 || e.Back > 0 {
+	expect(e.MaxChokes == nil || o.Chokes <= *e.MaxChokes, "%d nodes choked", o.Chokes)
+	expect(e.MaxAttempts == 0 || o.Attempts <= e.MaxAttempts, "%.2f attempts a request", o.Attempts)
+	expect(e.MaxSlowStartPeak == 0 || o.SlowStartPeak <= e.MaxSlowStartPeak, "a cold node got %.2f of what topples it", o.SlowStartPeak)
+	expect(e.MaxHealthCheckWork == 0 || o.HealthCheckWork <= e.MaxHealthCheckWork, "probes took %.4f of the nodes' work", o.HealthCheckWork)
+	expect(e.MaxUnnotified == nil || a.Unnotified <= *e.MaxUnnotified, "%d requests came to ending nodes from agents that were not told", a.Unnotified)
+	if e.MinGoodput > 0 || e.RecoveredWithin > 0 {
 		expect(o.Surge != nil, "the day has no surge")
 	}
 	if x := o.Surge; x != nil {
-		expect(x.Goodput >= e.Goodput, "goodput %.3f in the surge", x.Goodput)
-		expect(e.Back == 0 || x.Back >= 0 && x.Back <= e.Back.D().Seconds(), "service came back %.0f s after the surge (-1: never)", x.Back)
+		expect(x.Goodput >= e.MinGoodput, "goodput %.3f in the surge", x.Goodput)
+		expect(e.RecoveredWithin == 0 || x.Back >= 0 && x.Back <= e.RecoveredWithin.D().Seconds(), "service came back %.0f s after the surge (-1: never)", x.Back)
 	}
-	expect(o.Spared >= e.Spared, "agents that nothing befell served %.3f", o.Spared)
-	expect(e.PassedOver == 0 || o.PassedOver <= e.PassedOver, "%.3f of the worthiest were passed over", o.PassedOver)
+	expect(o.Spared >= e.MinSpared, "agents that nothing befell served %.3f", o.Spared)
+	expect(e.MaxPassedOver == 0 || o.PassedOver <= e.MaxPassedOver, "%.3f of the worthiest were passed over", o.PassedOver)
 	if l := o.Levels; l != nil {
-		expect(l.Pressed >= e.Pressed, "agents were over themselves at %d looks", l.Pressed)
+		expect(l.Pressed >= e.MinSelfOverloaded, "agents were over themselves at %d looks", l.Pressed)
 	} else {
-		expect(e.Pressed == 0, "the agents told nothing of budgets")
+		expect(e.MinSelfOverloaded == 0, "the agents told nothing of budgets")
 	}
-	for name, least := range e.Served {
+	for name, least := range e.MinServed {
 		got := o.ByClass[s.class(name)]
 		expect(got >= least, "%s was served %.3f", name, got)
 	}
-	for name, most := range e.Shed {
+	for name, most := range e.MaxServed {
 		got := o.ByClass[s.class(name)]
 		expect(got <= most, "%s was served %.3f", name, got)
 	}
 	v := o.Views
 	if v == nil {
-		expect(!e.Whole && e.Split == 0 && e.HeldBack == 0 && e.Notices == 0 && e.Differ == 0 && !e.Agree, "the agents told nothing of their peers")
+		expect(!e.AllSeeAll && e.SplitTo == 0 && e.MinWithheld == 0 && e.MaxNoticeMS == 0 && e.MinCopies == 0 && !e.CopiesAgree, "the agents told nothing of their peers")
 		return wrong, false
 	}
-	expect(v.Copies >= e.Differ, "agents held %d different copies at the most", v.Copies)
-	expect(!e.Agree || v.CopiesLast == 1, "agents held %d different copies at the end", v.CopiesLast)
-	expect(v.HeldBack >= e.HeldBack, "nodes were held back %d times on peers' word", v.HeldBack)
-	expect(e.Notices == 0 || v.NoticeWorst <= e.Notices, "a notice took %.0f ms", v.NoticeWorst)
-	if e.Whole {
+	expect(v.Copies >= e.MinCopies, "agents held %d different copies at the most", v.Copies)
+	expect(!e.CopiesAgree || v.CopiesLast == 1, "agents held %d different copies at the end", v.CopiesLast)
+	expect(v.Withheld >= e.MinWithheld, "nodes were held back %d times on peers' word", v.Withheld)
+	expect(e.MaxNoticeMS == 0 || v.NoticeMaxMS <= e.MaxNoticeMS, "a notice took %.0f ms", v.NoticeMaxMS)
+	if e.AllSeeAll {
 		expect(v.Whole >= 1-1e-9, "%.2f of the agents saw all others at the end", v.Whole)
 		for i, h := range v.Healed {
 			// Where the next fault ends at the same time there is no while to see it in.
@@ -211,12 +211,12 @@
 			}
 		}
 	}
-	if e.Split > 0 {
+	if e.SplitTo > 0 {
 		least := s.Day.Agents
 		for _, h := range v.Healed {
 			least = min(least, h.Least)
 		}
-		expect(float64(least) <= e.Split*float64(s.Day.Agents-1), "no agent saw fewer than %d others: the cut did not bite", least)
+		expect(float64(least) <= e.SplitTo*float64(s.Day.Agents-1), "no agent saw fewer than %d others: the cut did not bite", least)
 	}
 	return wrong, false
 }
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -37,7 +37,7 @@
 // Held reports whether the rules held in all runs with an agent.
 func (f Findings) Held() bool {
 	for _, o := range f.Outcomes {
-		if f.agents[o.Arm] && !o.Account.Held() {
+		if f.agents[o.Variant] && !o.Account.Held() {
 			return false
 		}
 	}
@@ -68,8 +68,8 @@
 // days, as by an earlier program, each arm is compared with itself there, too.
 func Run(ctx context.Context, spec *Spec, self, dir, against string, out io.Writer) (Findings, error) {
 	f := Findings{Name: spec.Name, Question: spec.Question, Simulated: spec.Simulated, Began: time.Now().UTC(),
-		Planned: spec.Repeats * len(spec.Arms) * spec.days(), agents: map[string]bool{}}
-	for _, a := range spec.Arms {
+		Planned: spec.Repeats * len(spec.Variants) * spec.days(), agents: map[string]bool{}}
+	for _, a := range spec.Variants {
 		f.agents[a.Name] = a.Kind == AgentKind
 	}
 	if against != "" {
@@ -96,7 +96,7 @@
 		}
 		o, err := results(i)
 		if err != nil {
-			f.Failures = append(f.Failures, fmt.Sprintf("%s with %s, repeat %d: %v", spec.dayNames()[r.day], spec.Arms[r.arm].Name, r.repeat+1, err))
+			f.Failures = append(f.Failures, fmt.Sprintf("%s with %s, repeat %d: %v", spec.dayNames()[r.day], spec.Variants[r.arm].Name, r.repeat+1, err))
 			fmt.Fprintln(out, "FAILED:", f.Failures[len(f.Failures)-1])
 			continue
 		}
@@ -106,7 +106,7 @@
 		if !o.Account.Held() {
 			note = "  RULE BROKEN"
 		}
-		fmt.Fprintf(out, "%3d of %d  %-12s %-12s repeat %d  service %.3f  p99 %.0f ms%s  (%v left)\n", len(f.Outcomes), f.Planned, o.Day, o.Arm,
+		fmt.Fprintf(out, "%3d of %d  %-12s %-12s repeat %d  service %.3f  p99 %.0f ms%s  (%v left)\n", len(f.Outcomes), f.Planned, o.Day, o.Variant,
 			r.repeat+1, o.Whole, o.Latency["all"].P99, note, left.Round(time.Second))
 		if err := f.save(spec, dir); err != nil {
 			return f, err
@@ -121,7 +121,7 @@
 func (s *Spec) runs() (out []one) {
 	for repeat := range s.Repeats {
 		for day := range s.days() {
-			for arm := range s.Arms {
+			for arm := range s.Variants {
 				out = append(out, one{repeat, day, arm})
 			}
 		}
@@ -176,22 +176,22 @@
 	if err != nil {
 		return Outcome{}, err
 	}
-	arm := spec.Arms[a].arm(self)
+	arm := spec.Variants[a].arm(self)
 	if spec.Simulated {
 		return Simulate(day, arm)
 	}
-	return Play(ctx, day, arm, nil)
+	return RunScenario(ctx, day, arm, nil)
 }
 
 // save writes the figures.
 func (f *Findings) save(spec *Spec, dir string) error {
 	f.Rows, f.Differences = rows(f.Outcomes, spec.dayNames(), spec.armNames()), nil
-	if len(spec.Arms) > 1 {
+	if len(spec.Variants) > 1 {
 		f.Differences = differences(f.Outcomes, spec.dayNames(), spec.armNames())
 	}
 	f.Differences = append(f.Differences, differencesFrom(f.before, f.Outcomes, spec.dayNames(), spec.armNames())...)
 	if spec.Gate {
-		f.Gate = gate(f.Outcomes, spec.Arms, spec.calm())
+		f.Gate = gate(f.Outcomes, spec.Variants, spec.calm())
 	}
 	text, err := json.MarshalIndent(f, "", " ")
 	if err != nil {
--- a/internal/experiment/fleet.go
+++ b/internal/experiment/fleet.go
@@ -21,33 +21,33 @@
 // FleetSpec is the file of a model of many agents' connections: each agent has the real decisions on connections, and sends at
 // a steady rate to its part of the servers. One server starts anew on the way, and another is cut off for a while.
 type FleetSpec struct {
-	Name      string          `toml:"name"`
-	Agents    int             `toml:"agents"`
-	Servers   int             `toml:"servers"`
-	Subset    int             `toml:"subset"`    // servers that an agent sends to
-	Rate      float64         `toml:"rate"`      // requests a second of all agents
-	Careful   float64         `toml:"careful"`   // part of them that must not repeat
-	Length    config.Duration `toml:"length"`    // of the day
-	Cores     int             `toml:"cores"`     // of a server
-	Work      config.Duration `toml:"work"`      // mean processor time of a request
-	Handshake config.Duration `toml:"handshake"` // and of a handshake
-	RTT       config.Duration `toml:"rtt"`
-	Idle      config.Duration `toml:"idle"`         // servers close what is idle for longer, as the settings say
-	Closes    config.Duration `toml:"closes"`       // and as they do; 0s: the same
-	Random    float64         `toml:"random_close"` // closes a second of an idle connection, at random
-	Start     config.Duration `toml:"start"`        // the first server starts anew then; 0s: never
-	ColdFrom  float64         `toml:"cold_from"`
-	ColdFor   config.Duration `toml:"cold_for"`
-	Cut       config.Duration `toml:"cut"`     // the second one is cut off then; 0s: never
-	CutFor    config.Duration `toml:"cut_for"` // what was open stays open and is dead from then on
-	Patience  config.Duration `toml:"patience"`
-	Repeats   int             `toml:"repeats"`
-	Seed      uint64          `toml:"seed"`
-	Arms      []FleetArm      `toml:"fleet_arm"`
+	Name                     string          `toml:"name"`
+	Agents                   int             `toml:"agents"`
+	Servers                  int             `toml:"servers"`
+	Subset                   int             `toml:"subset"`    // servers that an agent sends to
+	Rate                     float64         `toml:"rate"`      // requests a second of all agents
+	Careful                  float64         `toml:"careful"`   // part of them that must not repeat
+	Length                   config.Duration `toml:"length"`    // of the day
+	Cores                    int             `toml:"cores"`     // of a server
+	Work                     config.Duration `toml:"work"`      // mean processor time of a request
+	Handshake                config.Duration `toml:"handshake"` // and of a handshake
+	RTT                      config.Duration `toml:"rtt"`
+	Idle                     config.Duration `toml:"idle"`         // servers close what is idle for longer, as the settings say
+	Closes                   config.Duration `toml:"closes"`       // and as they do; 0s: the same
+	Random                   float64         `toml:"random_close"` // closes a second of an idle connection, at random
+	Start                    config.Duration `toml:"start"`        // the first server starts anew then; 0s: never
+	SlowStartInitialFraction float64         `toml:"cold_from"`
+	SlowStartWindow          config.Duration `toml:"cold_for"`
+	Cut                      config.Duration `toml:"cut"`     // the second one is cut off then; 0s: never
+	CutFor                   config.Duration `toml:"cut_for"` // what was open stays open and is dead from then on
+	Patience                 config.Duration `toml:"patience"`
+	Repeats                  int             `toml:"repeats"`
+	Seed                     uint64          `toml:"seed"`
+	Variants                 []FleetVariant  `toml:"fleet_arm"`
 }
 
-// FleetArm is one way to handle connections.
-type FleetArm struct {
+// FleetVariant is one way to handle connections.
+type FleetVariant struct {
 	Name        string         `toml:"name"`
 	Connections map[string]any `toml:"connections"` // as in an operators' file
 
@@ -59,7 +59,7 @@
 	d := func(t time.Duration) config.Duration { return config.Duration(t) }
 	return FleetSpec{Agents: 200, Servers: 20, Subset: 6, Rate: 2000, Careful: 0.4, Length: d(30 * time.Second), Cores: 8,
 		Work: d(30 * time.Millisecond), Handshake: d(4 * time.Millisecond), RTT: d(time.Millisecond), Idle: d(10 * time.Second),
-		ColdFrom: 0.2, ColdFor: d(15 * time.Second), Patience: d(800 * time.Millisecond), Repeats: 5, Seed: 1}
+		SlowStartInitialFraction: 0.2, SlowStartWindow: d(15 * time.Second), Patience: d(800 * time.Millisecond), Repeats: 5, Seed: 1}
 }
 
 const (
@@ -83,11 +83,11 @@
 	wrong(!(s.Rate > 0) || s.Rate*s.Length.D().Seconds()*float64(max(1, s.Repeats)) > mostFleetRequests, "rate", "must be above 0, and all arms' days together hold %d requests at most", mostFleetRequests)
 	wrong(!(s.Careful >= 0 && s.Careful <= 1), "careful", "must be from 0 to 1")
 	wrong(!(s.Random >= 0), "random_close", "must not be below 0")
-	wrong(s.ColdFor > 0 && !(s.ColdFrom > 0 && s.ColdFrom <= 1), "cold_from", "must be above 0 and at most 1")
+	wrong(s.SlowStartWindow > 0 && !(s.SlowStartInitialFraction > 0 && s.SlowStartInitialFraction <= 1), "cold_from", "must be above 0 and at most 1")
 	wrong(s.Repeats < 1 || s.Repeats > mostRepeats, "repeats", "must be from 1 to %d", mostRepeats)
-	wrong(len(s.Arms) == 0, "name", "a model needs a [[fleet_arm]]")
-	for i := range s.Arms {
-		arm := &s.Arms[i]
+	wrong(len(s.Variants) == 0, "name", "a model needs a [[fleet_arm]]")
+	for i := range s.Variants {
+		arm := &s.Variants[i]
 		text, err := toml.Marshal(map[string]any{"connections": arm.Connections})
 		if err == nil {
 			var f operator.File
@@ -101,16 +101,16 @@
 
 // FleetFigures is what came of one arm.
 type FleetFigures struct {
-	Arm        string   `json:"arm"`
-	Handshakes Interval `json:"handshakes_per_request"`
-	Open       Interval `json:"connections_open"`        // of all agents, on average
-	Crossed    Interval `json:"crossed_per_million"`     // requests that a server's close crossed
-	CrossedOne Interval `json:"crossed_must_not_repeat"` // and those of them that must not repeat
-	TimedOut   Interval `json:"timed_out_after_the_cut"` // requests sent on dead connections after the server was back
-	Peak       Interval `json:"start_peak_handshakes"`   // at the started server, in a tenth of a second
-	ColdShare  Interval `json:"start_cold_share"`        // of its capacity in the first 5 s that handshakes took
-	Mean       Interval `json:"mean_ms"`
-	P99        Interval `json:"p99_ms"`
+	Variant        string   `json:"arm"`
+	Handshakes     Interval `json:"handshakes_per_request"`
+	Open           Interval `json:"connections_open"`        // of all agents, on average
+	Crossed        Interval `json:"crossed_per_million"`     // requests that a server's close crossed
+	CrossedOne     Interval `json:"crossed_must_not_repeat"` // and those of them that must not repeat
+	TimedOut       Interval `json:"timed_out_after_the_cut"` // requests sent on dead connections after the server was back
+	Peak           Interval `json:"start_peak_handshakes"`   // at the started server, in a tenth of a second
+	SlowStartShare Interval `json:"start_cold_share"`        // of its capacity in the first 5 s that handshakes took
+	Mean           Interval `json:"mean_ms"`
+	P99            Interval `json:"p99_ms"`
 }
 
 // Fleet plays the model and prints a table.
@@ -118,7 +118,7 @@
 	var all []FleetFigures
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(w, "arm\thandshakes/request\topen\tcrossed/million\tof these once only\ttimed out after cut\tpeak/100 ms at start\tcold share\tmean ms\tp99 ms")
-	for _, arm := range spec.Arms {
+	for _, arm := range spec.Variants {
 		runs := make([]fleetRun, spec.Repeats)
 		for i := range runs {
 			f, err := newFleet(spec, arm, spec.Seed+uint64(i))
@@ -134,22 +134,22 @@
 			}
 			return bootstrap(xs)
 		}
-		f := FleetFigures{Arm: arm.Name,
-			Handshakes: of(func(r fleetRun) float64 { return float64(r.handshakes) / float64(r.requests) }),
-			Open:       of(func(r fleetRun) float64 { return r.open }),
-			Crossed:    of(func(r fleetRun) float64 { return 1e6 * float64(r.crossed) / float64(r.requests) }),
-			CrossedOne: of(func(r fleetRun) float64 { return float64(r.crossedOne) }),
-			TimedOut:   of(func(r fleetRun) float64 { return float64(r.dead) }),
-			Peak:       of(func(r fleetRun) float64 { return float64(r.peak) }),
-			ColdShare:  of(func(r fleetRun) float64 { return r.coldShare }),
-			Mean:       of(func(r fleetRun) float64 { return r.mean }),
-			P99:        of(func(r fleetRun) float64 { return r.p99 })}
+		f := FleetFigures{Variant: arm.Name,
+			Handshakes:     of(func(r fleetRun) float64 { return float64(r.handshakes) / float64(r.requests) }),
+			Open:           of(func(r fleetRun) float64 { return r.open }),
+			Crossed:        of(func(r fleetRun) float64 { return 1e6 * float64(r.crossed) / float64(r.requests) }),
+			CrossedOne:     of(func(r fleetRun) float64 { return float64(r.crossedOne) }),
+			TimedOut:       of(func(r fleetRun) float64 { return float64(r.dead) }),
+			Peak:           of(func(r fleetRun) float64 { return float64(r.peak) }),
+			SlowStartShare: of(func(r fleetRun) float64 { return r.coldShare }),
+			Mean:           of(func(r fleetRun) float64 { return r.mean }),
+			P99:            of(func(r fleetRun) float64 { return r.p99 })}
 		all = append(all, f)
 		show := func(i Interval, form string) string {
 			return fmt.Sprintf(form+" ("+form+"-"+form+")", i.Mean, i.Low, i.High)
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\n", f.Arm, show(f.Handshakes, "%.4f"), show(f.Open, "%.0f"), show(f.Crossed, "%.0f"),
-			show(f.CrossedOne, "%.1f"), show(f.TimedOut, "%.1f"), show(f.Peak, "%.1f"), show(f.ColdShare, "%.3f"), show(f.Mean, "%.1f"), show(f.P99, "%.1f"))
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\n", f.Variant, show(f.Handshakes, "%.4f"), show(f.Open, "%.0f"), show(f.Crossed, "%.0f"),
+			show(f.CrossedOne, "%.1f"), show(f.TimedOut, "%.1f"), show(f.Peak, "%.1f"), show(f.SlowStartShare, "%.3f"), show(f.Mean, "%.1f"), show(f.P99, "%.1f"))
 	}
 	return all, w.Flush()
 }
@@ -210,13 +210,13 @@
 
 const fleetStart = time.Second // times of 0 mean never
 
-func newFleet(spec *FleetSpec, arm FleetArm, seed uint64) (*fleet, error) {
+func newFleet(spec *FleetSpec, arm FleetVariant, seed uint64) (*fleet, error) {
 	f := &fleet{spec: spec, rng: rand.New(rand.NewPCG(seed, 0x666c6565)), now: fleetStart, perPeak: map[time.Duration]int{}}
 	for range spec.Servers {
 		f.servers = append(f.servers, &fleetServer{free: make([]time.Duration, spec.Cores)})
 	}
 	set := pool.DefaultSettings(450)
-	set.ServerIdleTimeout, set.AcquireTimeout, set.Agents, set.SlowStartInitialFraction, set.SlowStartWindow = spec.Idle.D(), spec.Patience.D(), spec.Agents, spec.ColdFrom, spec.ColdFor.D()
+	set.ServerIdleTimeout, set.AcquireTimeout, set.Agents, set.SlowStartInitialFraction, set.SlowStartWindow = spec.Idle.D(), spec.Patience.D(), spec.Agents, spec.SlowStartInitialFraction, spec.SlowStartWindow.D()
 	set = arm.read.Settings(set)
 	if err := set.Validate(); err != nil {
 		return nil, fmt.Errorf("arm %s: %w", arm.Name, err)
@@ -281,10 +281,10 @@
 
 // warmth is the share of its speed that a server has so long after its start.
 func (f *fleet) warmth(age time.Duration) float64 {
-	if f.spec.ColdFor <= 0 || age >= f.spec.ColdFor.D() {
+	if f.spec.SlowStartWindow <= 0 || age >= f.spec.SlowStartWindow.D() {
 		return 1
 	}
-	return f.spec.ColdFrom + (1-f.spec.ColdFrom)*float64(age)/float64(f.spec.ColdFor.D())
+	return f.spec.SlowStartInitialFraction + (1-f.spec.SlowStartInitialFraction)*float64(age)/float64(f.spec.SlowStartWindow.D())
 }
 
 // arrivals are an agent's requests, a Poisson process.
--- a/internal/experiment/fleet_days_test.go
+++ b/internal/experiment/fleet_days_test.go
@@ -51,8 +51,8 @@
 			if !o.Account.Held() {
 				t.Errorf("rules broke: %v", o.Breaches)
 			}
-			if o.Whole < c.least || o.ProbeWork > 0.01 {
-				t.Errorf("service %.3f, probes took %.4f of the nodes' work", o.Whole, o.ProbeWork)
+			if o.Whole < c.least || o.HealthCheckWork > 0.01 {
+				t.Errorf("service %.3f, probes took %.4f of the nodes' work", o.Whole, o.HealthCheckWork)
 			}
 			if again, err := Simulate(day, Arm{Name: "agent", Command: []string{"agent"}}); err != nil || fmt.Sprint(again.Whole, again.Truths) != fmt.Sprint(o.Whole, o.Truths) {
 				t.Errorf("played again: %v, %v", again.Whole, err)
@@ -84,7 +84,7 @@
 `
 	first, second := t.TempDir(), t.TempDir()
 	f, err := Run(t.Context(), readSpec(t, text), "", first, "", writer(func(string) {}))
-	if err != nil || len(f.Rows) != 2 || f.Rows[0].Probes == 0 || f.Rows[1].Probes != 0 {
+	if err != nil || len(f.Rows) != 2 || f.Rows[0].HealthChecks == 0 || f.Rows[1].HealthChecks != 0 {
 		t.Fatalf("%+v, %v", f.Rows, err)
 	}
 	f, err = Run(t.Context(), readSpec(t, text), "", second, first, writer(func(string) {}))
@@ -93,7 +93,7 @@
 	}
 	same := 0
 	for _, d := range f.Differences {
-		if d.Than == d.Arm+" before" && d.N == 3 && d.Low == 0 && d.High == 0 {
+		if d.Baseline == d.Variant+" before" && d.N == 3 && d.Low == 0 && d.High == 0 {
 			same++
 		}
 	}
--- a/internal/experiment/hunt.go
+++ b/internal/experiment/hunt.go
@@ -99,7 +99,7 @@
 	if err != nil {
 		return "", err
 	}
-	arms := []ArmSpec{{Name: "agent", Kind: AgentKind}, {Name: "late", Kind: Late}}
+	arms := []VariantSpec{{Name: "agent", Kind: AgentKind}, {Name: "late", Kind: Late}}
 	var outcomes []Outcome
 	for _, a := range arms {
 		o, err := Simulate(day, a.arm("agent"))
@@ -110,7 +110,7 @@
 	}
 	for _, r := range gate(outcomes, arms, nil) {
 		if !r.Passed {
-			return fmt.Sprintf("%s: served %.3f, wanted %.3f", r.Why, r.Served, r.Wanted), nil
+			return fmt.Sprintf("%s: served %.3f, wanted %.3f", r.FailureReason, r.Served, r.Wanted), nil
 		}
 	}
 	return "", nil
--- a/internal/experiment/keys_test.go
+++ b/internal/experiment/keys_test.go
@@ -17,7 +17,7 @@
 	for name, got := range map[string][]string{
 		"findings":      testkit.EncodedKeys(Findings{}, "json"),
 		"outcome":       testkit.EncodedKeys(Outcome{}, "json"),
-		"drilled":       testkit.EncodedKeys(Drilled{}, "json"),
+		"drilled":       testkit.EncodedKeys(DrillResult{}, "json"),
 		"fleet-figures": testkit.EncodedKeys(FleetFigures{}, "json"),
 		"cost":          testkit.EncodedKeys(Cost{}, "json"),
 		"experiment":    testkit.EncodedKeys(Spec{}, "toml"),
--- a/internal/experiment/outcome.go
+++ b/internal/experiment/outcome.go
@@ -45,7 +45,7 @@
 // Outcome is what came of a day with an arm.
 type Outcome struct {
 	Day       string           `json:"day"`
-	Arm       string           `json:"arm"`
+	Variant   string           `json:"arm"`
 	Seed      uint64           `json:"seed"`
 	Simulated bool             `json:"simulated"`
 	Seconds   float64          `json:"seconds"`
@@ -53,34 +53,34 @@
 	Account   referee.Account  `json:"account"`
 	Breaches  []referee.Breach `json:"breaches,omitempty"`
 	referee.Service
-	Goal        float64                    `json:"goal"`
-	Latency     map[string]Percentiles     `json:"latency"`              // a class each, and "all"
-	Attempts    float64                    `json:"attempts_per_request"` // that reached nodes
-	Waste       float64                    `json:"waste"`                // work that came to nothing, as a share of all work done
-	Probes      int                        `json:"probes"`
-	Handshakes  int                        `json:"handshakes"`
-	ListCalls   int                        `json:"list_calls"`
-	Chokes      int                        `json:"chokes"`
-	Truths      *Truths                    `json:"truths,omitempty"`                   // of a simulation
-	ColdPeak    float64                    `json:"cold_peak"`                          // the most that a cold node was sent, of what topples it
-	Used        []float64                  `json:"nodes_used,omitempty"`               // of a simulation: share of the nodes, a second each
-	Busy        []float64                  `json:"nodes_busy,omitempty"`               // of a simulation: work done of what could be, a second each
-	Priced      float64                    `json:"priced"`                             // the goal less the day's prices
-	ProbeWork   float64                    `json:"probe_work"`                         // as a share of what the nodes could do
-	CPU         float64                    `json:"agent_cpu_us_per_request,omitempty"` // of all agents' processes
-	Skipped     int                        `json:"skipped"`                            // calls that found too many open
-	Lag         float64                    `json:"lag_ms"`                             // the latest that a call was sent after its time
-	Starved     float64                    `json:"starved_ms"`                         // mean wait of the rig's threads for a processor; on sockets
-	Levels      *Levels                    `json:"levels,omitempty"`                   // of agents with the fleet's budgets
-	Rude        callers.MisbehavingFigures `json:"rude"`                               // clients that sent no requests
-	Interrupted bool                       `json:"interrupted,omitempty"`
-	Views       *Views                     `json:"views,omitempty"`  // of agents that talk with each other
-	Worthiest   float64                    `json:"worthiest_served"` // of the worthiest class's requests
-	PassedOver  float64                    `json:"passed_over"`      // of the worthiest class's requests, those left unserved while lesser ones were
-	Spared      float64                    `json:"spared"`           // service of the requests at agents that no fault of their own befell; 1 where there are none
-	Surge       *Surge                     `json:"surge,omitempty"`  // of a day on sockets whose traffic shifts upwards everywhere
-	Series      Series                     `json:"series"`
-	Marks       []emulator.Mark            `json:"marks"`
+	Goal              float64                    `json:"goal"`
+	Latency           map[string]Percentiles     `json:"latency"`              // a class each, and "all"
+	Attempts          float64                    `json:"attempts_per_request"` // that reached nodes
+	Waste             float64                    `json:"waste"`                // work that came to nothing, as a share of all work done
+	HealthChecks      int                        `json:"probes"`
+	Handshakes        int                        `json:"handshakes"`
+	ListCalls         int                        `json:"list_calls"`
+	Chokes            int                        `json:"chokes"`
+	Truths            *Truths                    `json:"truths,omitempty"`                   // of a simulation
+	SlowStartPeak     float64                    `json:"cold_peak"`                          // the most that a cold node was sent, of what topples it
+	Used              []float64                  `json:"nodes_used,omitempty"`               // of a simulation: share of the nodes, a second each
+	Busy              []float64                  `json:"nodes_busy,omitempty"`               // of a simulation: work done of what could be, a second each
+	Priced            float64                    `json:"priced"`                             // the goal less the day's prices
+	HealthCheckWork   float64                    `json:"probe_work"`                         // as a share of what the nodes could do
+	CPU               float64                    `json:"agent_cpu_us_per_request,omitempty"` // of all agents' processes
+	Skipped           int                        `json:"skipped"`                            // calls that found too many open
+	Lag               float64                    `json:"lag_ms"`                             // the latest that a call was sent after its time
+	ProcessorWait     float64                    `json:"starved_ms"`                         // mean wait of the rig's threads for a processor; on sockets
+	Levels            *Levels                    `json:"levels,omitempty"`                   // of agents with the fleet's budgets
+	Misbehaving       callers.MisbehavingFigures `json:"rude"`                               // clients that sent no requests
+	Interrupted       bool                       `json:"interrupted,omitempty"`
+	Views             *Views                     `json:"views,omitempty"`  // of agents that talk with each other
+	TopPriorityServed float64                    `json:"worthiest_served"` // of the worthiest class's requests
+	PassedOver        float64                    `json:"passed_over"`      // of the worthiest class's requests, those left unserved while lesser ones were
+	Spared            float64                    `json:"spared"`           // service of the requests at agents that no fault of their own befell; 1 where there are none
+	Surge             *Surge                     `json:"surge,omitempty"`  // of a day on sockets whose traffic shifts upwards everywhere
+	Series            Series                     `json:"series"`
+	Marks             []emulator.Mark            `json:"marks"`
 }
 
 // Series are figures over time, one a second. NaN and absent values are null in JSON.
@@ -113,7 +113,7 @@
 // sum makes an outcome of what a run handed over.
 func (t tallied) sum(arm string, simulated bool) Outcome {
 	slices.SortFunc(t.calls, func(a, b referee.Call) int { return int(a.At - b.At) })
-	o := Outcome{Day: t.day.Spec.Name, Arm: arm, Seed: t.day.Seed, Simulated: simulated, Seconds: t.day.Length.Seconds(), Calls: len(t.calls),
+	o := Outcome{Day: t.day.Spec.Name, Variant: arm, Seed: t.day.Seed, Simulated: simulated, Seconds: t.day.Length.Seconds(), Calls: len(t.calls),
 		Account: t.account, Breaches: t.kept, Service: referee.Serve(t.calls, settleTime, len(t.day.Classes), len(t.day.Tenants)),
 		Latency: map[string]Percentiles{"all": percentiles(referee.Latencies(t.calls, -1))}, ListCalls: t.lists, Marks: t.marks,
 		Skipped: t.figures.Skipped, Lag: float64(t.figures.Lag.Microseconds()) / 1e3}
@@ -131,15 +131,15 @@
 	if all.Work > 0 {
 		o.Waste = float64(all.Wasted) / float64(all.Work)
 	}
-	o.Probes, o.Handshakes, o.Chokes = all.HealthChecks, all.Handshakes, all.Chokes
-	o.ColdPeak = all.SlowStartPeak
+	o.HealthChecks, o.Handshakes, o.Chokes = all.HealthChecks, all.Handshakes, all.Chokes
+	o.SlowStartPeak = all.SlowStartPeak
 	p, each := t.day.Spec.Fleet.Prices, 1/max(1, float64(len(t.calls)))
-	o.Priced = o.Goal - p.HealthCheck*float64(o.Probes)*each - p.Handshake*float64(o.Handshakes)*each - p.List*float64(o.ListCalls)*each - p.Waste*o.Waste
-	o.ProbeWork = float64(all.HealthChecks) * t.day.Nodes[0].HealthCheckWork.Seconds() / (t.day.Capacity * t.day.Length.Seconds())
+	o.Priced = o.Goal - p.HealthCheck*float64(o.HealthChecks)*each - p.Handshake*float64(o.Handshakes)*each - p.List*float64(o.ListCalls)*each - p.Waste*o.Waste
+	o.HealthCheckWork = float64(all.HealthChecks) * t.day.Nodes[0].HealthCheckWork.Seconds() / (t.day.Capacity * t.day.Length.Seconds())
 	o.Series = series(t.calls)
 	o.Series.Load, o.Series.Goodput = t.load, t.goodput
 	o.Surge = surge(t.day, o)
-	o.Worthiest, o.PassedOver = passedOver(t.day, t.calls)
+	o.TopPriorityServed, o.PassedOver = passedOver(t.day, t.calls)
 	befallen := t.day.Befallen()
 	spared := slices.DeleteFunc(slices.Clone(t.calls), func(c referee.Call) bool { return befallen[c.Agent] })
 	o.Spared = referee.Serve(spared, settleTime, 0, 0).Whole
--- a/internal/experiment/play.go
+++ b/internal/experiment/play.go
@@ -38,9 +38,9 @@
 	Marks   []emulator.Mark
 }
 
-// Play plays a day with an arm on loopback sockets. watch, where there is one, gets a look each second. When the context
+// RunScenario plays a day with an arm on loopback sockets. watch, where there is one, gets a look each second. When the context
 // ends the day ends early, and the outcome so far is returned, marked as interrupted.
-func Play(ctx context.Context, day *emulator.Day, arm Arm, watch func(Live)) (o Outcome, err error) {
+func RunScenario(ctx context.Context, day *emulator.Day, arm Arm, watch func(Live)) (o Outcome, err error) {
 	dir, err := os.MkdirTemp("", "ryeweir-")
 	if err != nil {
 		return o, err
@@ -116,12 +116,12 @@
 	t := tallied{day: day, calls: calls, figures: figures, account: w.Referee.Account(), kept: w.Referee.Breaches(),
 		nodes: nodeFigures(w.States()), lists: w.Discovered().Whole + w.Discovered().Watches, load: p.load, goodput: p.goodput, marks: w.Marks()}
 	o = t.sum(arm.Name, false)
-	o.Starved = float64(starved.Microseconds()) / 1e3
+	o.ProcessorWait = float64(starved.Microseconds()) / 1e3
 	if peers != nil {
 		o.Views = views(day, p.sights)
 	}
 	o.Levels = levels(day, p.sights)
-	o.Rude, o.Interrupted = p.rudeness, ctx.Err() != nil
+	o.Misbehaving, o.Interrupted = p.rudeness, ctx.Err() != nil
 	if n := t.account.Requests; n > 0 {
 		o.CPU = float64(p.cpu.Microseconds()) / float64(n)
 	}
--- a/internal/experiment/report.go
+++ b/internal/experiment/report.go
@@ -54,8 +54,8 @@
 	for _, day := range spec.dayNames() {
 		first := map[string]Outcome{}
 		for _, o := range f.Outcomes {
-			if _, ok := first[o.Arm]; o.Day == day && !ok {
-				first[o.Arm] = o
+			if _, ok := first[o.Variant]; o.Day == day && !ok {
+				first[o.Variant] = o
 			}
 		}
 		if len(first) == 0 {
@@ -122,7 +122,7 @@
 		var at intervals
 		for d, day := range days {
 			for _, r := range rows {
-				if r.Day == day && r.Arm == arm {
+				if r.Day == day && r.Variant == arm {
 					at.XYs = append(at.XYs, plotter.XY{X: float64(d) + 0.04*float64(i), Y: r.Service.Mean})
 					at.YErrors = append(at.YErrors, struct{ Low, High float64 }{r.Service.Mean - r.Service.Low, r.Service.High - r.Service.Mean})
 				}
--- a/internal/experiment/simulate.go
+++ b/internal/experiment/simulate.go
@@ -113,15 +113,15 @@
 
 // Truths hold what an agent did against what was true at the time, which only a simulation knows.
 type Truths struct {
-	Refused     int `json:"refused"`       // tries refused without having been sent anywhere
-	RefusedRoom int `json:"refused_room"`  // of them, while a node of the list that was ready had a core free
-	RefusedNear int `json:"refused_near"`  // of them, while one of those that its agent spreads its requests over had
-	RefusedCold int `json:"refused_cold"`  // of them, a cold one
-	Sent        int `json:"sent"`          // attempts that came to a node
-	SentIntoJam int `json:"sent_into_jam"` // of them, to a node that had to turn them away or held work for longer than their aim
-	SentAside   int `json:"sent_aside"`    // of these, while another ready node had a core free
-	ToDead      int `json:"to_dead"`       // attempts at a node that says nothing
-	Unheard     int `json:"unheard"`       // tries that came while the agent's process was away
+	Rejected             int `json:"refused"`       // tries refused without having been sent anywhere
+	RejectedWithCapacity int `json:"refused_room"`  // of them, while a node of the list that was ready had a core free
+	RejectedNearCapacity int `json:"refused_near"`  // of them, while one of those that its agent spreads its requests over had
+	RejectedInSlowStart  int `json:"refused_cold"`  // of them, a cold one
+	Sent                 int `json:"sent"`          // attempts that came to a node
+	SentIntoOverload     int `json:"sent_into_jam"` // of them, to a node that had to turn them away or held work for longer than their aim
+	SentDespiteCapacity  int `json:"sent_aside"`    // of these, while another ready node had a core free
+	ToDead               int `json:"to_dead"`       // attempts at a node that says nothing
+	NotRunning           int `json:"unheard"`       // tries that came while the agent's process was away
 }
 
 // idle reports whether a node would begin a request at once.
@@ -139,11 +139,11 @@
 
 // judgeRefusal holds a refusal of what was sent nowhere against what was true.
 func (s *sim) judgeRefusal(a *simAgent) {
-	s.truth.Refused++
+	s.truth.Rejected++
 	if !s.idleCore() {
 		return
 	}
-	s.truth.RefusedRoom++
+	s.truth.RejectedWithCapacity++
 	near, cold := false, true
 	for _, id := range a.balancer.SubsetIDs() {
 		if n := s.byID[id]; n != nil && n.idle() && !s.day.CutOff(a.zone, n.Zone, s.now) {
@@ -151,9 +151,9 @@
 		}
 	}
 	if near {
-		s.truth.RefusedNear++
+		s.truth.RejectedNearCapacity++
 		if cold {
-			s.truth.RefusedCold++
+			s.truth.RejectedInSlowStart++
 		}
 	}
 }
@@ -169,9 +169,9 @@
 	if n.Room() && n.Backlog() <= at.try.journey.Class.LatencyObjective {
 		return
 	}
-	s.truth.SentIntoJam++
+	s.truth.SentIntoOverload++
 	if s.idleCore() {
-		s.truth.SentAside++
+		s.truth.SentDespiteCapacity++
 	}
 }
 
@@ -476,7 +476,7 @@
 	}
 	a := s.agents[j.Agent]
 	if a.away { // nobody listens: the client learns it at once
-		s.truth.Unheard++
+		s.truth.NotRunning++
 		s.unheard(j, tried)
 		return
 	}
--- a/internal/experiment/spec.go
+++ b/internal/experiment/spec.go
@@ -10,8 +10,8 @@
 	"ryeweir/internal/emulator"
 )
 
-// ArmSpec is an arm in an experiment's file.
-type ArmSpec struct {
+// VariantSpec is an arm in an experiment's file.
+type VariantSpec struct {
 	Name     string   `toml:"name"`
 	Kind     string   `toml:"kind"`     // agent, random, round-robin, two-choices or oracle
 	Binary   string   `toml:"binary"`   // of an agent: another build of this program; empty for this one
@@ -32,7 +32,7 @@
 	Repeats   int                 `toml:"repeats"`
 	Seed      uint64              `toml:"seed"`
 	Simulated bool                `toml:"simulated"`
-	Arms      []ArmSpec           `toml:"arm"`
+	Variants  []VariantSpec       `toml:"arm"`
 	Days      []emulator.DaySpec  `toml:"day"`
 	Fleets    []emulator.FleetDay `toml:"fleet_day"` // drawn anew for each seed; in simulated time
 	Gate      bool                `toml:"gate"`      // judge the agents' runs against the arm that sees the state late
@@ -56,14 +56,14 @@
 	if s.Repeats < 1 || s.Repeats > mostRepeats {
 		wrong("repeats", "must be from 1 to %d, not %d", mostRepeats, s.Repeats)
 	}
-	if len(s.Arms) == 0 || s.days() == 0 {
+	if len(s.Variants) == 0 || s.days() == 0 {
 		wrong("name", "an experiment needs an [[arm]], and a [[day]] or a [[fleet_day]]")
 	}
-	if n := s.Repeats * len(s.Arms) * s.days(); n > mostRuns {
+	if n := s.Repeats * len(s.Variants) * s.days(); n > mostRuns {
 		wrong("repeats", "%d runs are more than %d", n, mostRuns)
 	}
 	names := map[string]bool{}
-	for i, a := range s.Arms {
+	for i, a := range s.Variants {
 		key := fmt.Sprintf("arm[%d].", i)
 		if a.Name == "" || names[a.Name] {
 			wrong(key+"name", "%q is missing or there already", a.Name)
@@ -117,7 +117,7 @@
 			wrong(prefix+"kind", "a fleet's days need simulated time")
 		}
 	}
-	if late := slices.ContainsFunc(s.Arms, func(a ArmSpec) bool { return a.Kind == Late }); s.Gate && !late {
+	if late := slices.ContainsFunc(s.Variants, func(a VariantSpec) bool { return a.Kind == Late }); s.Gate && !late {
 		wrong("gate", "needs an arm of the kind %q", Late)
 	}
 	return errors.Join(all...)
@@ -153,7 +153,7 @@
 }
 
 // arm is the arm of a file's entry; self is the path of this program.
-func (a ArmSpec) arm(self string) Arm {
+func (a VariantSpec) arm(self string) Arm {
 	out := Arm{Name: a.Name, Chooser: a.Kind}
 	if a.Kind == AgentKind {
 		binary := a.Binary
@@ -190,7 +190,7 @@
 }
 
 func (s *Spec) armNames() (out []string) {
-	for _, a := range s.Arms {
+	for _, a := range s.Variants {
 		out = append(out, a.Name)
 	}
 	return out
--- a/internal/experiment/statistics.go
+++ b/internal/experiment/statistics.go
@@ -54,10 +54,10 @@
 
 // Difference compares two arms on the same days and seeds.
 type Difference struct {
-	Day    string `json:"day"`
-	Arm    string `json:"arm"`
-	Than   string `json:"than"`
-	Figure string `json:"figure"`
+	Day      string `json:"day"`
+	Variant  string `json:"arm"`
+	Baseline string `json:"than"`
+	Figure   string `json:"figure"`
 	Interval
 	Verdict string `json:"verdict"` // higher, lower, noise, or too few
 }
@@ -92,7 +92,7 @@
 	{"priced", func(o Outcome) float64 { return o.Priced }},
 	{"refused", Outcome.refused},
 	{"nodes_used", Outcome.nodesUsed},
-	{"cold_peak", func(o Outcome) float64 { return o.ColdPeak }},
+	{"cold_peak", func(o Outcome) float64 { return o.SlowStartPeak }},
 	{"chokes", func(o Outcome) float64 { return float64(o.Chokes) }},
 	{"unheard", func(o Outcome) float64 { return float64(o.Account.Unnotified) }},
 	{"completed", func(o Outcome) float64 { return float64(o.Account.Completed) }},
@@ -121,7 +121,9 @@
 	return least
 }
 
-func (o Outcome) probesEach() float64 { return float64(o.Probes) / max(1, float64(o.Account.Requests)) }
+func (o Outcome) probesEach() float64 {
+	return float64(o.HealthChecks) / max(1, float64(o.Account.Requests))
+}
 
 // falselyRefused is the share of all requests that were refused unsent while a node that their agent knew had a core free; 0
 // where the truth is not known.
@@ -129,7 +131,7 @@
 	if o.Truths == nil {
 		return 0
 	}
-	return float64(o.Truths.RefusedRoom) / max(1, float64(o.Account.Requests))
+	return float64(o.Truths.RejectedWithCapacity) / max(1, float64(o.Account.Requests))
 }
 
 // intoJam is the share of attempts that came to a node which had to turn them away or held work for longer than their aim.
@@ -137,14 +139,14 @@
 	if o.Truths == nil {
 		return 0
 	}
-	return float64(o.Truths.SentIntoJam) / max(1, float64(o.Truths.Sent))
+	return float64(o.Truths.SentIntoOverload) / max(1, float64(o.Truths.Sent))
 }
 
 // differences compares every arm with the first, day by day, in pairs of one seed.
 func differences(outcomes []Outcome, days, arms []string) (out []Difference) {
 	for _, day := range days {
 		for _, arm := range arms[1:] {
-			out = append(out, paired(bySeed(outcomes, day, arms[0]), bySeed(outcomes, day, arm), Difference{Day: day, Arm: arm, Than: arms[0]})...)
+			out = append(out, paired(bySeed(outcomes, day, arms[0]), bySeed(outcomes, day, arm), Difference{Day: day, Variant: arm, Baseline: arms[0]})...)
 		}
 	}
 	return out
@@ -155,7 +157,7 @@
 func differencesFrom(before, outcomes []Outcome, days, arms []string) (out []Difference) {
 	for _, day := range days {
 		for _, arm := range arms {
-			out = append(out, paired(bySeed(before, day, arm), bySeed(outcomes, day, arm), Difference{Day: day, Arm: arm, Than: arm + " before"})...)
+			out = append(out, paired(bySeed(before, day, arm), bySeed(outcomes, day, arm), Difference{Day: day, Variant: arm, Baseline: arm + " before"})...)
 		}
 	}
 	return out
@@ -184,7 +186,7 @@
 func bySeed(outcomes []Outcome, day, arm string) map[uint64]Outcome {
 	out := map[uint64]Outcome{}
 	for _, o := range outcomes {
-		if o.Day == day && o.Arm == arm && !o.Interrupted {
+		if o.Day == day && o.Variant == arm && !o.Interrupted {
 			out[o.Seed] = o
 		}
 	}
@@ -193,45 +195,45 @@
 
 // Row is an arm on a day, over its repeats.
 type Row struct {
-	Day      string   `json:"day"`
-	Arm      string   `json:"arm"`
-	Runs     int      `json:"runs"`
-	Held     bool     `json:"rules_held"`
-	Service  Interval `json:"service"`
-	Worst    float64  `json:"worst_window"`
-	Goal     float64  `json:"goal"`
-	P50      float64  `json:"p50_ms"`
-	P99      float64  `json:"p99_ms"`
-	Attempts float64  `json:"attempts_per_request"`
-	Waste    float64  `json:"waste"`
-	CPU      float64  `json:"agent_cpu_us_per_request"`
-	Probes   float64  `json:"probes_per_request"`
-	Probing  float64  `json:"probe_work"`        // as a share of what the nodes could do
-	Lists    float64  `json:"list_calls"`        // of all agents
-	Falsely  float64  `json:"refused_with_room"` // requests refused unsent while a node had a core free, of all
-	IntoJam  float64  `json:"sent_into_jam"`     // of the attempts that came to a node
-	Refused  float64  `json:"refused"`           // requests refused, of all
-	Near     float64  `json:"refused_near"`      // of all, unsent while a node that the agent uses had a core free
-	Used     float64  `json:"nodes_used"`        // share of the nodes in use, in the worst ten seconds
-	ColdPeak float64  `json:"cold_peak"`         // the highest of all runs
-	Priced   float64  `json:"priced"`            // the goal less the day's prices
-	Chokes   float64  `json:"chokes"`            // nodes that choked
-	Goodput  Interval `json:"surge_goodput"`     // see Surge; 0 without one
-	Back     float64  `json:"surge_back_s"`      // the latest of all runs; below 0 where one never came back
-	Done     float64  `json:"completed"`
-	Worthy   float64  `json:"worthiest_served"` // of the worthiest class's requests
-	Passed   float64  `json:"passed_over"`      // see Outcome
-	Unheard  float64  `json:"unheard"`          // sent to ending nodes by agents that were not told; see referee.Account
+	Day                  string   `json:"day"`
+	Variant              string   `json:"arm"`
+	Runs                 int      `json:"runs"`
+	Held                 bool     `json:"rules_held"`
+	Service              Interval `json:"service"`
+	Worst                float64  `json:"worst_window"`
+	Goal                 float64  `json:"goal"`
+	P50                  float64  `json:"p50_ms"`
+	P99                  float64  `json:"p99_ms"`
+	Attempts             float64  `json:"attempts_per_request"`
+	Waste                float64  `json:"waste"`
+	CPU                  float64  `json:"agent_cpu_us_per_request"`
+	HealthChecks         float64  `json:"probes_per_request"`
+	HealthCheckWork      float64  `json:"probe_work"`        // as a share of what the nodes could do
+	Lists                float64  `json:"list_calls"`        // of all agents
+	RejectedWithCapacity float64  `json:"refused_with_room"` // requests refused unsent while a node had a core free, of all
+	SentIntoOverload     float64  `json:"sent_into_jam"`     // of the attempts that came to a node
+	Rejected             float64  `json:"refused"`           // requests refused, of all
+	RejectedNearCapacity float64  `json:"refused_near"`      // of all, unsent while a node that the agent uses had a core free
+	Used                 float64  `json:"nodes_used"`        // share of the nodes in use, in the worst ten seconds
+	SlowStartPeak        float64  `json:"cold_peak"`         // the highest of all runs
+	Priced               float64  `json:"priced"`            // the goal less the day's prices
+	Chokes               float64  `json:"chokes"`            // nodes that choked
+	Goodput              Interval `json:"surge_goodput"`     // see Surge; 0 without one
+	RecoverySeconds      float64  `json:"surge_back_s"`      // the latest of all runs; below 0 where one never came back
+	Completed            float64  `json:"completed"`
+	TopPriorityServed    float64  `json:"worthiest_served"` // of the worthiest class's requests
+	PassedOver           float64  `json:"passed_over"`      // see Outcome
+	Unnotified           float64  `json:"unheard"`          // sent to ending nodes by agents that were not told; see referee.Account
 }
 
 // rows sums up each arm on each day.
 func rows(outcomes []Outcome, days, arms []string) (out []Row) {
 	for _, day := range days {
 		for _, arm := range arms {
-			r := Row{Day: day, Arm: arm, Held: true}
+			r := Row{Day: day, Variant: arm, Held: true}
 			var service, goodput []float64
 			for _, o := range outcomes {
-				if o.Day != day || o.Arm != arm || o.Interrupted {
+				if o.Day != day || o.Variant != arm || o.Interrupted {
 					continue
 				}
 				r.Runs++
@@ -240,20 +242,20 @@
 				r.Worst, r.Goal = r.Worst+o.WorstWindow, r.Goal+o.Goal
 				r.P50, r.P99 = r.P50+o.Latency["all"].P50, r.P99+o.Latency["all"].P99
 				r.Attempts, r.Waste, r.CPU = r.Attempts+o.Attempts, r.Waste+o.Waste, r.CPU+o.CPU
-				r.Probes, r.Probing, r.Lists = r.Probes+o.probesEach(), r.Probing+o.ProbeWork, r.Lists+float64(o.ListCalls)
-				r.Falsely, r.IntoJam = r.Falsely+o.falselyRefused(), r.IntoJam+o.intoJam()
-				r.Refused, r.Used, r.Priced, r.ColdPeak = r.Refused+o.refused(), r.Used+o.nodesUsed(), r.Priced+o.Priced, max(r.ColdPeak, o.ColdPeak)
-				r.Chokes, r.Done = r.Chokes+float64(o.Chokes), r.Done+float64(o.Account.Completed)
-				r.Unheard += float64(o.Account.Unnotified)
-				r.Worthy, r.Passed = r.Worthy+o.Worthiest, r.Passed+o.PassedOver
-				if s := o.surged(); r.Back >= 0 && s.Back >= 0 {
-					r.Back = max(r.Back, s.Back)
+				r.HealthChecks, r.HealthCheckWork, r.Lists = r.HealthChecks+o.probesEach(), r.HealthCheckWork+o.HealthCheckWork, r.Lists+float64(o.ListCalls)
+				r.RejectedWithCapacity, r.SentIntoOverload = r.RejectedWithCapacity+o.falselyRefused(), r.SentIntoOverload+o.intoJam()
+				r.Rejected, r.Used, r.Priced, r.SlowStartPeak = r.Rejected+o.refused(), r.Used+o.nodesUsed(), r.Priced+o.Priced, max(r.SlowStartPeak, o.SlowStartPeak)
+				r.Chokes, r.Completed = r.Chokes+float64(o.Chokes), r.Completed+float64(o.Account.Completed)
+				r.Unnotified += float64(o.Account.Unnotified)
+				r.TopPriorityServed, r.PassedOver = r.TopPriorityServed+o.TopPriorityServed, r.PassedOver+o.PassedOver
+				if s := o.surged(); r.RecoverySeconds >= 0 && s.Back >= 0 {
+					r.RecoverySeconds = max(r.RecoverySeconds, s.Back)
 				} else {
-					r.Back = -1
+					r.RecoverySeconds = -1
 				}
 				goodput = append(goodput, o.surged().Goodput)
 				if o.Truths != nil {
-					r.Near += float64(o.Truths.RefusedNear) / max(1, float64(o.Account.Requests))
+					r.RejectedNearCapacity += float64(o.Truths.RejectedNearCapacity) / max(1, float64(o.Account.Requests))
 				}
 			}
 			if r.Runs == 0 {
@@ -261,7 +263,7 @@
 			}
 			r.Service, r.Goodput = bootstrap(service), bootstrap(goodput)
 			n := float64(r.Runs)
-			for _, x := range []*float64{&r.Worst, &r.Goal, &r.P50, &r.P99, &r.Attempts, &r.Waste, &r.CPU, &r.Probes, &r.Probing, &r.Lists, &r.Falsely, &r.IntoJam, &r.Refused, &r.Near, &r.Used, &r.Priced, &r.Chokes, &r.Done, &r.Unheard, &r.Worthy, &r.Passed} {
+			for _, x := range []*float64{&r.Worst, &r.Goal, &r.P50, &r.P99, &r.Attempts, &r.Waste, &r.CPU, &r.HealthChecks, &r.HealthCheckWork, &r.Lists, &r.RejectedWithCapacity, &r.SentIntoOverload, &r.Rejected, &r.RejectedNearCapacity, &r.Used, &r.Priced, &r.Chokes, &r.Completed, &r.Unnotified, &r.TopPriorityServed, &r.PassedOver} {
 				*x /= n
 			}
 			out = append(out, r)
--- a/internal/experiment/surge.go
+++ b/internal/experiment/surge.go
@@ -73,7 +73,7 @@
 	for i, arm := range arms {
 		good, sent := map[float64][]float64{}, map[float64][]float64{}
 		for _, o := range outcomes {
-			if o.Arm == arm && o.Surge != nil && !o.Interrupted {
+			if o.Variant == arm && o.Surge != nil && !o.Interrupted {
 				good[o.Surge.Offered] = append(good[o.Surge.Offered], o.Surge.Goodput)
 				sent[o.Surge.Offered] = append(sent[o.Surge.Offered], o.Attempts)
 			}
--- a/internal/experiment/surge_test.go
+++ b/internal/experiment/surge_test.go
@@ -38,8 +38,8 @@
 			for _, seed := range []uint64{3, 4} {
 				o := simulate(t, surgeDay(t, times, seed), a)
 				t.Logf("%gx %s: %+v, %d chokes, %.2f attempts a request, passed over %.3f", times, a.Name, *o.Surge, o.Chokes, o.Attempts, o.PassedOver)
-				if !o.Account.Balanced() || !o.Account.Held() || o.Attempts > 0.5 || o.ProbeWork > 0.01 {
-					t.Errorf("%gx %s: %+v, %.2f attempts a request, probe work %.4f", times, a.Name, o.Account, o.Attempts, o.ProbeWork)
+				if !o.Account.Balanced() || !o.Account.Held() || o.Attempts > 0.5 || o.HealthCheckWork > 0.01 {
+					t.Errorf("%gx %s: %+v, %.2f attempts a request, probe work %.4f", times, a.Name, o.Account, o.Attempts, o.HealthCheckWork)
 				}
 				chokes, goodput, passed = chokes+o.Chokes, goodput+o.Surge.Goodput/2, passed+o.PassedOver/2
 				if o.Surge.Back >= 0 && o.Surge.Back <= 2 {
--- a/internal/experiment/views.go
+++ b/internal/experiment/views.go
@@ -16,20 +16,20 @@
 
 // Views is what the agents of a day that talk with each other saw of their peers.
 type Views struct {
-	Agents      int      `json:"agents"`
-	Healed      []Healed `json:"healed"`                // after each fault has ended
-	Whole       float64  `json:"whole_at_end"`          // share of the agents that saw all others when the day ended
-	BytesEach   float64  `json:"bytes_per_second"`      // sent by an agent, mean
-	BytesMost   float64  `json:"bytes_per_second_most"` // by the one that sent most
-	Notices     int64    `json:"notices"`               // of servers' ends that came by a peer first
-	NoticeMean  float64  `json:"notice_mean_ms"`        // from when the first agent was told until they came
-	NoticeWorst float64  `json:"notice_worst_ms"`       //
-	HeldBack    int64    `json:"held_back"`             // times that a server got nothing new on peers' word, before the own list's
-	Refused     int64    `json:"facts_refused"`         // malformed, or too many of one agent
-	Evicted     int64    `json:"facts_evicted"`         // as a replica was full
-	Facts       int      `json:"facts_most"`            // held by an agent at once
-	Copies      int      `json:"copies_most"`           // different ones of what is known of servers' ends that agents held at a look
-	CopiesLast  int      `json:"copies_at_end"`         // likewise, at the last look
+	Agents             int      `json:"agents"`
+	Healed             []Healed `json:"healed"`                // after each fault has ended
+	Whole              float64  `json:"whole_at_end"`          // share of the agents that saw all others when the day ended
+	MeanBytesPerSecond float64  `json:"bytes_per_second"`      // sent by an agent, mean
+	MaxBytesPerSecond  float64  `json:"bytes_per_second_most"` // by the one that sent most
+	Notices            int64    `json:"notices"`               // of servers' ends that came by a peer first
+	NoticeMeanMS       float64  `json:"notice_mean_ms"`        // from when the first agent was told until they came
+	NoticeMaxMS        float64  `json:"notice_worst_ms"`       //
+	Withheld           int64    `json:"held_back"`             // times that a server got nothing new on peers' word, before the own list's
+	FactsRejected      int64    `json:"facts_refused"`         // malformed, or too many of one agent
+	FactsEvicted       int64    `json:"facts_evicted"`         // as a replica was full
+	Facts              int      `json:"facts_most"`            // held by an agent at once
+	Copies             int      `json:"copies_most"`           // different ones of what is known of servers' ends that agents held at a look
+	CopiesLast         int      `json:"copies_at_end"`         // likewise, at the last look
 }
 
 // Healed is how long the agents took to see all that are there after a fault had ended.
@@ -200,20 +200,20 @@
 				bytes, span = bytes+float64(d), span+(each[k].at-each[k-1].at).Seconds()
 			}
 		}
-		v.BytesEach += bytes / span / float64(len(day.Agents))
-		v.BytesMost = max(v.BytesMost, bytes/span)
+		v.MeanBytesPerSecond += bytes / span / float64(len(day.Agents))
+		v.MaxBytesPerSecond = max(v.MaxBytesPerSecond, bytes/span)
 		v.Notices += last.more.Notices.Count
 		sum += last.more.Notices.Sum
-		v.NoticeWorst = max(v.NoticeWorst, float64(last.more.Notices.Most.Microseconds())/1e3)
-		v.HeldBack += last.more.HeldBack
-		v.Refused, v.Evicted = v.Refused+last.more.Facts.Refused, v.Evicted+last.more.Facts.Evicted
+		v.NoticeMaxMS = max(v.NoticeMaxMS, float64(last.more.Notices.Most.Microseconds())/1e3)
+		v.Withheld += last.more.HeldBack
+		v.FactsRejected, v.FactsEvicted = v.FactsRejected+last.more.Facts.Refused, v.FactsEvicted+last.more.Facts.Evicted
 		for _, s := range each {
 			v.Facts = max(v.Facts, s.more.Facts.Held)
 		}
 	}
 	v.Copies, v.CopiesLast = copies(sights)
 	if v.Notices > 0 {
-		v.NoticeMean = float64(sum.Microseconds()) / 1e3 / float64(v.Notices)
+		v.NoticeMeanMS = float64(sum.Microseconds()) / 1e3 / float64(v.Notices)
 	}
 	return v
 }
@@ -255,7 +255,7 @@
 			continue
 		}
 		n := float64(o.Views.Agents)
-		sent[n] = append(sent[n], o.Views.BytesEach)
+		sent[n] = append(sent[n], o.Views.MeanBytesPerSecond)
 		for _, h := range o.Views.Healed[1:] {
 			last[n], median[n] = append(last[n], h.Worst), append(median[n], h.Median)
 		}
--- a/internal/experiment/whole_fleet_test.go
+++ b/internal/experiment/whole_fleet_test.go
@@ -15,7 +15,7 @@
 // Each kind of a whole fleet's day, small, with the real decisions: it passes the gate, cold nodes are in use and get less than topples
 // them, and it is the same when played again.
 func TestWholeFleetDays(t *testing.T) {
-	arms := []ArmSpec{{Name: "agent", Kind: AgentKind}, {Name: "late", Kind: Late}, {Name: "random", Kind: Random}}
+	arms := []VariantSpec{{Name: "agent", Kind: AgentKind}, {Name: "late", Kind: Late}, {Name: "random", Kind: Random}}
 	for _, kind := range []string{emulator.CalmDay, emulator.RollDay, emulator.HerdDay, emulator.ZoneDay, emulator.SplitDay, emulator.JoinDay} {
 		t.Run(kind, func(t *testing.T) {
 			t.Parallel()
@@ -41,8 +41,8 @@
 				}
 			}
 			o := outcomes[0]
-			if o.ColdPeak > 0.8 || o.nodesUsed() < 0.75 || o.Whole < 0.85 {
-				t.Errorf("cold peak %.2f, nodes used %.2f, service %.3f", o.ColdPeak, o.nodesUsed(), o.Whole)
+			if o.SlowStartPeak > 0.8 || o.nodesUsed() < 0.75 || o.Whole < 0.85 {
+				t.Errorf("cold peak %.2f, nodes used %.2f, service %.3f", o.SlowStartPeak, o.nodesUsed(), o.Whole)
 			}
 		})
 	}
@@ -50,16 +50,16 @@
 
 // A gate fails what breaks a rule, what leaves a request without an end and what serves too little, and a calm day wants more.
 func TestGate(t *testing.T) {
-	arms := []ArmSpec{{Name: "a", Kind: AgentKind}, {Name: "l", Kind: Late}, {Name: "r", Kind: Random}}
+	arms := []VariantSpec{{Name: "a", Kind: AgentKind}, {Name: "l", Kind: Late}, {Name: "r", Kind: Random}}
 	play := func(calm bool, served float64, change func(*referee.Account)) GateRow {
-		o := Outcome{Day: "d", Arm: "a", Seed: 1, Account: referee.Account{Requests: 2, Completed: 1, Rejected: 1}}
+		o := Outcome{Day: "d", Variant: "a", Seed: 1, Account: referee.Account{Requests: 2, Completed: 1, Rejected: 1}}
 		o.Whole = served
 		if change != nil {
 			change(&o.Account)
 			o.Breaches = []referee.Breach{{Rule: referee.Lost, Text: "lost"}}
 		}
 		late, plain := o, o
-		late.Arm, late.Whole, plain.Arm, plain.Whole = "l", 0.8, "r", 0.78
+		late.Variant, late.Whole, plain.Variant, plain.Whole = "l", 0.8, "r", 0.78
 		rows := gate([]Outcome{o, late, plain}, arms, map[string]bool{"d": calm})
 		if len(rows) != 1 {
 			t.Fatalf("%+v", rows)
@@ -128,8 +128,8 @@
 		base(d)
 		d.Fleet.Agents = []emulator.AgentSpec{{Kind: emulator.AgentKill, Share: 1, From: secondsOf(4), Away: secondsOf(2)}}
 	}), module)
-	if _, s := calls(killed, 4, 6); killed.Truths.Unheard == 0 || s > 0.8 {
-		t.Errorf("with all agents away for 2 s, %d were not heard and %.2f was served", killed.Truths.Unheard, s)
+	if _, s := calls(killed, 4, 6); killed.Truths.NotRunning == 0 || s > 0.8 {
+		t.Errorf("with all agents away for 2 s, %d were not heard and %.2f was served", killed.Truths.NotRunning, s)
 	}
 	if _, s := calls(killed, 8, 12); s < 0.9 || !killed.Account.Held() {
 		t.Errorf("after their return %.2f is served; %v", s, killed.Breaches)
