--- a/internal/httpmsg/body.go
+++ b/internal/httpmsg/body.go
@@ -32,6 +32,7 @@
 	interrupted bool       // no read waits any more
 }
 
+// Read implements io.Reader.
 func (in *Upload) Read(p []byte) (int, error) {
 	now := time.Now()
 	slowest := in.StartedAt.Add(UploadStallTimeout + time.Duration(in.n)*time.Second/MinUploadRate)
@@ -89,6 +90,7 @@
 
 var errRestClosed = errors.New("the client's request is over")
 
+// Read implements io.Reader.
 func (r *Remainder) Read(p []byte) (int, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
