--- a/internal/pool/dial.go
+++ b/internal/pool/dial.go
@@ -7,8 +7,8 @@
 	"slices"
 	"syscall"
 
-	"ryeweir/internal/socket"
 	"ryeweir/internal/event"
+	"ryeweir/internal/socket"
 )
 
 // DialFunc opens a connection, as net.Dialer's DialContext does. A connection without a socket of the machine has a method
--- /dev/null
+++ b/internal/upstream/http/connection_test.go
@@ -0,0 +1,161 @@
+package http
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"os"
+	"runtime"
+	"sync"
+	"testing"
+	"time"
+
+	"ryeweir/internal/core"
+	"ryeweir/internal/pool"
+	"ryeweir/internal/testkit"
+	"ryeweir/logic"
+)
+
+// An endpoint closes an idle connection. The close is found before a request is lost on it.
+func TestClosedIdleConnectionIsNotUsed(t *testing.T) {
+	backend := testkit.NewBackend(t, func(c net.Conn, r *http.Request, n int) bool { testkit.Says(testkit.ServedText)(c, r, n); return n > 1 })
+	f := newFixture(t, backend.Addr().String(), 100)
+	f.execute(f.attempt(testkit.Patience))
+	testkit.Eventually(t, "the close has arrived", func() bool { f.Pool.Maintain(); return f.idleConnections() == 0 })
+	if out := f.execute(f.attempt(testkit.Patience)); out.Result != logic.OK || backend.Connections() != 2 {
+		t.Errorf("result %v on %d connections", out.Result, backend.Connections())
+	}
+}
+
+func TestConnectionsAreReused(t *testing.T) {
+	backend := testkit.NewBackend(t, testkit.Says(testkit.ServedText))
+	f := newFixture(t, backend.Addr().String(), 100)
+	for range 3 {
+		f.execute(f.attempt(testkit.Patience))
+	}
+	if backend.Connections() != 1 {
+		t.Errorf("%d connections for requests one after another", backend.Connections())
+	}
+}
+
+// An endpoint drains, restarts or is removed: its idle connections close with the update.
+func TestEndpointUpdatesCloseConnections(t *testing.T) {
+	backend := testkit.NewBackend(t, testkit.Says(testkit.ServedText))
+	addr := backend.Addr().String()
+	f := newFixture(t, addr, 100)
+	for i, change := range []func(){
+		func() { f.listEndpoint(addr, logic.Draining, 0) },
+		func() { f.listEndpoint(addr, logic.Ready, 9) },
+		func() {
+			f.UpdateEndpoints(core.EndpointList{Endpoints: []core.Endpoint{{Endpoint: logic.Endpoint{ID: endpointID, State: logic.Removed}}}})
+		},
+	} {
+		f.listEndpoint(addr, logic.Ready, 0)
+		f.execute(f.attempt(testkit.Patience))
+		if f.idleConnections() != 1 {
+			t.Fatalf("%d: no connection is idle", i)
+		}
+		change()
+		if f.openConnections() != 0 {
+			t.Errorf("%d: the connection is still open", i)
+		}
+	}
+}
+
+// An endpoint accepts connections and never answers. It uses up its own places only, and idle connections make place for those that
+// are needed.
+func TestSilentEndpointKeepsToItsConnections(t *testing.T) {
+	silent, healthy := testkit.NewBackend(t, testkit.Silent), testkit.NewBackend(t, testkit.Says(testkit.ServedText))
+	f := newFixture(t, silent.Addr().String(), 8)
+	endpoint := f.Pool.Endpoint(endpointID)
+	soon := time.Now().Add(testkit.Patience)
+	for i := range 2 {
+		if _, err := f.Pool.Get(context.Background(), pool.Request{Endpoint: endpoint, Deadline: soon}); err != nil {
+			t.Fatalf("connection %d: %v", i, err)
+		}
+	}
+	if _, err := f.Pool.Get(context.Background(), pool.Request{Endpoint: endpoint, Deadline: soon}); !errors.Is(err, pool.ErrExhausted) {
+		t.Errorf("a third of at most 8/4: %v", err)
+	}
+	// The agent's own limit is no evidence: as a failure of the endpoint it would make the balancer eject a healthy one.
+	if out := f.execute(f.attempt(testkit.Patience)); out.Result != logic.NotSent {
+		t.Errorf("an attempt without a place: %v", out.Result)
+	}
+	var others []core.Endpoint
+	for i := range 9 {
+		others = append(others, core.Endpoint{Endpoint: logic.Endpoint{ID: fmt.Sprint(i)}, Addr: healthy.Addr().String()})
+	}
+	f.UpdateEndpoints(core.EndpointList{Endpoints: others})
+	for i := range 9 {
+		attempt := f.attemptOn(fmt.Sprint(i), testkit.Patience, testkit.Patience)
+		if out := f.execute(attempt); out.Result != logic.OK {
+			t.Errorf("backend %d: %v", i, out.Result)
+		}
+	}
+	if n := f.openConnections(); n > 8 {
+		t.Errorf("%d connections of at most 8", n)
+	}
+}
+
+// A connect to one endpoint never completes. It fails at the connect timeout and holds up no other endpoint meanwhile.
+func TestBlockedDialHoldsUpNoOtherEndpoint(t *testing.T) {
+	t.Parallel()
+	blocked, healthy := testkit.NewBackend(t, testkit.Says(testkit.ServedText)), testkit.NewBackend(t, testkit.Says(testkit.ServedText))
+	dial, began := dialBlockedUntil(blocked.Addr().String(), nil)
+	f := newFixtureWithDial(t, blocked.Addr().String(), 100, time.Second, dial)
+	f.UpdateEndpoints(core.EndpointList{Endpoints: []core.Endpoint{{Endpoint: logic.Endpoint{ID: "other"}, Addr: healthy.Addr().String()}}})
+	done := make(chan outcome)
+	go func() { done <- f.execute(f.attempt(testkit.Patience)) }()
+	<-began
+	if out := f.execute(f.attemptOn("other", testkit.Patience, testkit.Patience)); out.Result != logic.OK {
+		t.Errorf("to another backend meanwhile: %v", out.Result)
+	}
+	if out := <-done; out.Result != logic.ConnectFailed || blocked.Requests() != 0 {
+		t.Errorf("the blocked dial: %v", out.Result)
+	}
+}
+
+// With RYEWEIR_LONG set: bytes of heap that an idle connection takes, after a request on each.
+func TestMemoryOfConnections(t *testing.T) {
+	if os.Getenv("RYEWEIR_LONG") == "" {
+		t.Skip("a measurement")
+	}
+	const n = 400
+	l := testkit.Listen(t)
+	var arrived sync.WaitGroup
+	arrived.Add(n)
+	go func() {
+		for {
+			c, err := l.Accept()
+			if err != nil {
+				return
+			}
+			t.Cleanup(func() { c.Close() })
+			go func() {
+				var buf [1024]byte
+				c.Read(buf[:])
+				arrived.Done()
+				arrived.Wait() // so that each request has a connection of its own
+				io.WriteString(c, testkit.ServedText)
+			}()
+		}
+	}()
+	f := newFixture(t, l.Addr().String(), 4*n)
+	heap := func() uint64 {
+		runtime.GC()
+		runtime.GC()
+		var m runtime.MemStats
+		runtime.ReadMemStats(&m)
+		return m.HeapAlloc
+	}
+	before := heap()
+	var all sync.WaitGroup
+	for range n {
+		all.Go(func() { f.execute(f.attempt(testkit.Patience)).text(t) })
+	}
+	all.Wait()
+	t.Logf("%d idle connections, %d bytes of heap each with the stand-in's end", f.idleConnections(), (heap()-before)/n)
+}
--- /dev/null
+++ b/internal/upstream/http/healthcheck_test.go
@@ -0,0 +1,89 @@
+package http
+
+import (
+	"context"
+	"net"
+	"net/http"
+	"testing"
+	"time"
+
+	"ryeweir/internal/healthcheck"
+	"ryeweir/internal/pool"
+	"ryeweir/internal/testkit"
+	"ryeweir/logic"
+)
+
+// Endpoints answer health checks in every form. The result is exact, and the connection is reused only after a complete response.
+func TestHealthCheckResponses(t *testing.T) {
+	for name, test := range map[string]struct {
+		script      func(c net.Conn, r *http.Request, n int) bool
+		kind        healthcheck.RequestKind
+		result      logic.Result
+		utilization float64
+		unsupported bool
+		idle        int
+	}{
+		"a report":         {testkit.Says("HTTP/1.1 200 OK\r\nContent-Length: 17\r\n\r\nutil=0.5,qps=40.\n"), healthcheck.LoadRequest, logic.OK, 0.5, false, 1},
+		"a malformed one":  {testkit.Says("HTTP/1.1 200 OK\r\nContent-Length: 8\r\n\r\nutil=abc"), healthcheck.LoadRequest, logic.OK, -1, false, 1},
+		"health":           {testkit.Says("HTTP/1.1 200 OK\r\nContent-Length: 8\r\n\r\nutil=0.5"), healthcheck.HealthRequest, logic.OK, -1, false, 1},
+		"too long":         {testkit.Says("HTTP/1.1 200 OK\r\nContent-Length: 9000\r\n\r\n" + string(make([]byte, 9000))), healthcheck.LoadRequest, logic.OK, -1, false, 0},
+		"unhealthy":        {testkit.Says("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"), healthcheck.LoadRequest, logic.Rejected, -1, false, 1},
+		"an error":         {testkit.Says("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"), healthcheck.LoadRequest, logic.Failed, -1, false, 1},
+		"not found":        {testkit.Says("HTTP/1.1 404 No\r\nContent-Length: 0\r\n\r\n"), healthcheck.LoadRequest, logic.Failed, -1, true, 1},
+		"noise":            {testkit.Says("what is this"), healthcheck.LoadRequest, logic.Reset, -1, false, 0},
+		"a reset":          {resetsConnection, healthcheck.LoadRequest, logic.Reset, -1, false, 0},
+		"half a response":  {testkit.Says("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nutil"), healthcheck.LoadRequest, logic.TimedOut, -1, false, 0},
+		"a close after it": {testkit.Says("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 8\r\n\r\nutil=0.5"), healthcheck.LoadRequest, logic.OK, 0.5, false, 0},
+		"nothing":          {func(c net.Conn, _ *http.Request, _ int) bool { c.Read(make([]byte, 1)); return false }, healthcheck.LoadRequest, logic.TimedOut, -1, false, 0},
+	} {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			backend := testkit.NewBackend(t, test.script)
+			f := newFixture(t, backend.Addr().String(), 4)
+			got := f.HealthCheck(context.Background(), f.Bind(endpointID), test.kind, time.Now().Add(300*time.Millisecond))
+			if got.Result != test.result || got.LoadReport.Utilization != test.utilization || got.Unsupported != test.unsupported || f.idleConnections() != test.idle {
+				t.Errorf("%+v, %d connections idle", got, f.idleConnections())
+			}
+		})
+	}
+}
+
+// A health check crosses the close of an idle connection, comes while requests need every place, or to an endpoint that drains. It is
+// repeated once after a crossed close, takes no place that requests need, and is not sent to a draining endpoint.
+func TestHealthCheckYieldsToRequests(t *testing.T) {
+	crossed := testkit.NewBackend(t, func(c net.Conn, r *http.Request, n int) bool {
+		if n == 2 {
+			return false // closes the first connection at its second request
+		}
+		return testkit.Says("HTTP/1.1 200 OK\r\nContent-Length: 8\r\n\r\nutil=0.5")(c, r, n)
+	})
+	f := newFixture(t, crossed.Addr().String(), 1)
+	soon := func() time.Time { return time.Now().Add(testkit.Patience) }
+	for range 2 {
+		if got := f.HealthCheck(context.Background(), f.Bind(endpointID), healthcheck.LoadRequest, soon()); got.Result != logic.OK {
+			t.Errorf("%+v", got)
+		}
+	}
+	if crossed.Requests() != 3 || crossed.Connections() != 2 {
+		t.Errorf("%d requests on %d connections", crossed.Requests(), crossed.Connections())
+	}
+	conn, err := f.Pool.Get(context.Background(), pool.Request{Endpoint: f.Pool.Endpoint(endpointID), Deadline: soon()})
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got := f.HealthCheck(context.Background(), f.Bind(endpointID), healthcheck.LoadRequest, soon()); got.Result != logic.NotSent {
+		t.Errorf("with the only place in use: %+v", got)
+	}
+	f.Pool.Put(conn, pool.Reusable)
+	endpoint := f.Bind(endpointID)
+	f.listEndpoint(crossed.Addr().String(), logic.Draining, 0)
+	if got := f.HealthCheck(context.Background(), endpoint, healthcheck.LoadRequest, soon()); got.Result != logic.NotSent {
+		t.Errorf("while it drains: %+v", got)
+	}
+	refused := testkit.Listen(t)
+	refused.Close()
+	f = newFixture(t, refused.Addr().String(), 4)
+	if got := f.HealthCheck(context.Background(), f.Bind(endpointID), healthcheck.LoadRequest, soon()); got.Result != logic.ConnectFailed {
+		t.Errorf("where nobody listens: %+v", got)
+	}
+}
--- /dev/null
+++ b/internal/upstream/http/outcome_test.go
@@ -0,0 +1,196 @@
+package http
+
+import (
+	"context"
+	"io"
+	"net"
+	"net/http"
+	"os"
+	"strings"
+	"sync"
+	"syscall"
+	"testing"
+	"time"
+
+	"ryeweir/internal/testkit"
+	"ryeweir/logic"
+)
+
+// Endpoints answer in every form, damaged ones too. The balancer retries by the outcome, so it must say exactly what may have run: an
+// outcome that denies it repeats an effect.
+func TestOutcomeSaysExactlyWhatMayHaveRun(t *testing.T) {
+	t.Parallel()
+	for name, test := range map[string]struct {
+		script func(net.Conn, *http.Request, int) bool
+		want   logic.Result
+		idle   int
+	}{
+		"served":                     {testkit.Says(testkit.ServedText), logic.OK, 1},
+		"served, then closed":        {testkit.Says("HTTP/1.1 200 OK\r\nContent-Length: 4\r\nConnection: close\r\n\r\nfine"), logic.OK, 0},
+		"chunked":                    {testkit.Says("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nfine\r\n0\r\n\r\n"), logic.OK, 1},
+		"after an interim response":  {testkit.Says("HTTP/1.1 103 Early Hints\r\n\r\n" + testkit.ServedText), logic.OK, 1},
+		"more than one response":     {testkit.Says(testkit.ServedText + testkit.ServedText), logic.OK, 0},
+		"error":                      {testkit.Says("HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n"), logic.Failed, 1},
+		"503 that may have run":      {testkit.Says("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"), logic.Failed, 1},
+		"503 not processed":          {testkit.Says("HTTP/1.1 503 Busy\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"), logic.Rejected, 1},
+		"504 not processed":          {testkit.Says("HTTP/1.1 504 Late\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"), logic.Rejected, 1},
+		"500 that claims not to run": {testkit.Says("HTTP/1.1 500 Oops\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"), logic.Failed, 1},
+		"closed":                     {testkit.Closes, logic.Reset, 0},
+		"reset":                      {resetsConnection, logic.Reset, 0},
+		"garbage":                    {testkit.Says("no HTTP at all\r\n\r\n"), logic.Reset, 0},
+		"endless head":               {testkit.Says("HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 8*maxHeadBytes)), logic.Reset, 0},
+		"switching protocols":        {testkit.Says("HTTP/1.1 101 Other\r\n\r\nsomething else\r\n\r\n"), logic.Reset, 0},
+		"error longer than the buffer": {testkit.Says("HTTP/1.1 500 Oops\r\nContent-Length: 70000\r\n\r\n" + strings.Repeat("x", 70000)),
+			logic.Failed, 0},
+		// These leave the connection open and silent, which must not hold the attempt until its deadline.
+		"noise with no line":        {testkit.Says("\x16\x03\x01noise"), logic.Reset, 0},
+		"noise like a response":     {testkit.Says("HTTPS"), logic.Reset, 0},
+		"half a head":               {testkit.Says("HTTP/1.1 200 OK\r\nContent-Le"), logic.Reset, 0},
+		"half a body":               {testkit.Says("HTTP/1.1 200 OK\r\nContent-Length: 400\r\n\r\nfine"), logic.Reset, 0},
+		"a chunk with no size":      {testkit.Says("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nfine\r\nzz\r\nfine\r\n"), logic.Reset, 0},
+		"a length of 3 GB":          {testkit.Says("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nfine"), logic.Reset, 0},
+		"two lengths":               {testkit.Says("HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\nfine"), logic.Reset, 0},
+		"negative length":           {testkit.Says("HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\nfine"), logic.Reset, 0},
+		"no length, left open":      {testkit.Says("HTTP/1.1 200 OK\r\n\r\nfine"), logic.Reset, 0},
+		"endless interim responses": {testkit.Says(strings.Repeat("HTTP/1.1 103 Early Hints\r\n\r\n", 2*maxInterimResponses)), logic.Reset, 0},
+		"complete, then noise":      {testkit.Says(testkit.ServedText + "\x00noise"), logic.OK, 0},
+		// Such a body ends with the connection; an endpoint that dies in the middle of one resets it.
+		"no length, then closed": {func(c net.Conn, r *http.Request, n int) bool {
+			io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\nfine")
+			return false
+		}, logic.OK, 0},
+		"no length, then reset": {func(c net.Conn, r *http.Request, n int) bool {
+			io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\nfine")
+			return resetsConnection(c, r, n)
+		}, logic.Reset, 0},
+		"truncated": {func(c net.Conn, r *http.Request, n int) bool {
+			io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 400\r\n\r\nfine")
+			return false
+		}, logic.Reset, 0},
+	} {
+		t.Run(name, func(t *testing.T) {
+			backend := testkit.NewBackend(t, test.script)
+			f := newFixture(t, backend.Addr().String(), 100)
+			attempt := f.attempt(testkit.Patience)
+			out := f.execute(attempt)
+			if out.Result != test.want {
+				t.Errorf("result %v, want %v", out.Result, test.want)
+			}
+			if body := out.text(t); (out.Result == logic.OK) != (body == "fine") {
+				t.Errorf("body %q", body)
+			}
+			if latency := f.Clock.Now() - attempt.SentAt; latency > testkit.Patience/2 {
+				t.Errorf("it took %v", latency)
+			}
+			if backend.Requests() != 1 {
+				t.Errorf("the backend saw %d requests", backend.Requests())
+			}
+			if f.idleConnections() != test.idle {
+				t.Errorf("%d idle connections, want %d", f.idleConnections(), test.idle)
+			}
+		})
+	}
+}
+
+func TestRefusedConnectionIsConnectFailed(t *testing.T) {
+	f := newFixture(t, testkit.Refusing(t), 100)
+	if out := f.execute(f.attempt(testkit.Patience)); out.Result != logic.ConnectFailed {
+		t.Errorf("result %v", out.Result)
+	}
+}
+
+func TestSilentEndpointTimesOut(t *testing.T) {
+	t.Parallel()
+	backend := testkit.NewBackend(t, testkit.Silent)
+	f := newFixture(t, backend.Addr().String(), 100)
+	if out := f.execute(f.attempt(time.Second)); out.Result != logic.TimedOut {
+		t.Errorf("result %v", out.Result)
+	}
+	if n := f.openConnections(); n != 0 {
+		t.Errorf("%d connections left open", n)
+	}
+}
+
+// A reused connection breaks under a request. The outcome is one Reset and nothing is sent again: net/http's Transport would do that by
+// itself, which may repeat an effect.
+func TestBrokenConnectionIsNotRetriedByTheUpstream(t *testing.T) {
+	backend := testkit.NewBackend(t, func(c net.Conn, r *http.Request, n int) bool {
+		return n == 1 && testkit.Says(testkit.ServedText)(c, r, n)
+	})
+	f := newFixture(t, backend.Addr().String(), 100)
+	if out := f.execute(f.attempt(testkit.Patience)); out.Result != logic.OK {
+		t.Fatalf("first: %v", out.Result)
+	}
+	if out := f.execute(f.attempt(testkit.Patience)); out.Result != logic.Reset {
+		t.Errorf("second: %v", out.Result)
+	}
+	if backend.Requests() != 2 || backend.Connections() != 1 {
+		t.Errorf("%d requests on %d connections", backend.Requests(), backend.Connections())
+	}
+}
+
+// A client sets deadlines below the class's latency objective. Its attempts get exact outcomes, also if the response has begun to arrive
+// or the deadline passed before the write, and each costs its own connection only, as it is no evidence against the endpoint.
+func TestShortDeadlinesCostNoOtherConnections(t *testing.T) {
+	t.Parallel()
+	const idle = 6
+	var together sync.WaitGroup
+	together.Add(idle)
+	backend := testkit.NewBackend(t, func(c net.Conn, r *http.Request, n int) bool {
+		if n <= idle {
+			together.Done()
+			together.Wait()
+			return testkit.Says(testkit.ServedText)(c, r, n)
+		}
+		if n == idle+1 {
+			io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nfi")
+		}
+		return testkit.Silent(c, r, n)
+	})
+	f := newFixture(t, backend.Addr().String(), 40)
+	var all sync.WaitGroup
+	for range idle {
+		all.Go(func() { f.execute(f.attempt(testkit.Patience)).Content.Discard() })
+	}
+	all.Wait()
+	if f.idleConnections() != idle {
+		t.Fatalf("%d connections are idle", f.idleConnections())
+	}
+	for i, test := range []struct {
+		timeout, objective time.Duration
+		want               logic.Result
+	}{
+		{50 * time.Millisecond, time.Minute, logic.TimedOut},
+		{5 * time.Millisecond, time.Minute, logic.TimedOut},
+		{5 * time.Millisecond, time.Minute, logic.TimedOut},
+		{-time.Millisecond, time.Minute, logic.NotSent},
+		{-time.Millisecond, 0, logic.ConnectFailed}, // the endpoint had its objective, and took nothing
+	} {
+		attempt := f.attemptOn(endpointID, test.timeout, time.Second)
+		attempt.Call.LatencyObjective = test.objective
+		if out := f.execute(attempt); out.Result != test.want || out.Content != nil {
+			t.Errorf("timeout %v: result %d", test.timeout, out.Result)
+		}
+		if n := f.idleConnections(); n != idle-1-i || f.openConnections() != n {
+			t.Errorf("after %d of them %d of %d open connections are idle", i+1, n, f.openConnections())
+		}
+	}
+}
+
+// The agent runs out of descriptors, ports or memory and a connect fails. The attempt was not sent, and no endpoint is ejected for it. An
+// error of the network or the endpoint is a failed connect.
+func TestLocalConnectErrorsAreNoEvidenceAgainstTheEndpoint(t *testing.T) {
+	for errno, want := range map[syscall.Errno]logic.Result{
+		syscall.EMFILE: logic.NotSent, syscall.ENFILE: logic.NotSent, syscall.ENOBUFS: logic.NotSent, syscall.ENOMEM: logic.NotSent,
+		syscall.EADDRNOTAVAIL: logic.NotSent, syscall.EAGAIN: logic.NotSent, syscall.EPERM: logic.NotSent,
+		syscall.ECONNREFUSED: logic.ConnectFailed, syscall.ETIMEDOUT: logic.ConnectFailed, syscall.EHOSTUNREACH: logic.ConnectFailed,
+		syscall.ENETUNREACH: logic.ConnectFailed, syscall.ECONNRESET: logic.ConnectFailed,
+	} {
+		f := newFixtureWithDial(t, "127.0.0.1:1", 10, time.Second, func(context.Context, string, string) (net.Conn, error) {
+			return nil, &net.OpError{Op: "dial", Net: "tcp", Err: os.NewSyscallError("connect", errno)}
+		})
+		if out := f.execute(f.attempt(time.Second)); out.Result != want {
+			t.Errorf("%v: %v, want %v", errno, out.Result, want)
+		}
+	}
+}
--- a/internal/upstream/http/upstream.go
+++ b/internal/upstream/http/upstream.go
@@ -1,6 +1,3 @@
-// Package http carries out attempts as HTTP/1.1 exchanges with servers. Each connection carries one request at a time, and
-// all that happens to it is done here and in the pool: http.Transport would send a request again by itself when a kept
-// connection turns out dead, which counts as an attempt that nobody decided on.
 package http
 
 import (
@@ -16,59 +13,99 @@
 	"ryeweir/logic"
 )
 
-// Upstream makes attempts. It implements core.Upstream.
+// Upstream carries out attempts and health checks. It implements core.Upstream and healthcheck.Transport, and is safe for
+// concurrent use.
 type Upstream struct {
-	Pool              *pool.Pool // its connections have the state that Wrap makes
+	Pool              *pool.Pool // with NewConnState as its Config.NewState
 	Clock             core.Clock
-	Budget            *bodybuffer.Budget // for answers
-	LoadReportFields  []string           // of load reports that count
-	OnRequestWritten  func()             // a request has been written whole
-	OnMalformedReport func(err error)    // a report was malformed
+	Budget            *bodybuffer.Budget // for buffers of responses
+	LoadReportFields  []string           // that are read of a load report
+	OnRequestWritten  func()             // called when a request has been written completely
+	OnMalformedReport func(err error)    // called with a load report that can't be read
 
-	Events  *event.Recorder    // nil for nobody
-	Monitor *invariant.Monitor // nil for nobody
+	Events  *event.Recorder    // nil: none are recorded
+	Monitor *invariant.Monitor // nil: none
 }
 
-// UpdateEndpoints takes the list of servers or a change of it.
-func (u *Upstream) UpdateEndpoints(l core.EndpointList) (listed, ready int) {
-	return u.Pool.UpdateEndpoints(l.Full, l.Endpoints)
+// UpdateEndpoints applies a full snapshot of the endpoints or a watch event.
+func (u *Upstream) UpdateEndpoints(list core.EndpointList) (listed, ready int) {
+	return u.Pool.UpdateEndpoints(list.Full, list.Endpoints)
 }
 
-// Bind returns the present life of a server.
-func (u *Upstream) Bind(server string) any { return u.Pool.Endpoint(server) }
+// Bind returns the present incarnation of an endpoint, or nil.
+func (u *Upstream) Bind(endpointID string) any { return u.Pool.Endpoint(endpointID) }
 
-// Execute makes the attempt and reports its outcome, which is exact. A long answer goes on being read after that.
-func (u *Upstream) Execute(ctx context.Context, a *core.Attempt) {
-	node, _ := a.Target.(*pool.Endpoint)
-	out := core.Outcome{Result: logic.NotSent, LoadReport: logic.NoLoadReport}
-	c, err := u.Pool.Get(ctx, pool.Request{Endpoint: node, NonIdempotent: a.Call.NonIdempotent, Deadline: u.Clock.At(a.Deadline()), Abandoned: a.Call.Done()})
-	switch {
-	case errors.Is(err, pool.ErrNotReady) || errors.Is(err, pool.ErrExhausted) || errors.Is(err, pool.ErrCanceled):
-		a.Report(out) // the agent's own lack says nothing of the server
+// Execute carries out an attempt and reports its one outcome. It returns when the exchange is over, which is later than the report
+// if the response is streamed.
+func (u *Upstream) Execute(ctx context.Context, attempt *core.Attempt) {
+	endpoint, _ := attempt.Target.(*pool.Endpoint)
+	outcome := core.Outcome{Result: logic.NotSent, LoadReport: logic.NoLoadReport}
+	conn, err := u.connect(ctx, attempt, endpoint)
+	if err != nil {
+		outcome.Result = connectFailure(err)
+		attempt.Report(outcome)
 		return
-	case err != nil:
-		out.Result = logic.ConnectFailed
-		a.Report(out)
-		return
-	case !u.stillWanted(a, node) || !a.Begin():
-		u.Pool.Put(c, pool.Unused)
-		a.Report(out)
+	}
+	if !u.claim(attempt, endpoint) {
+		u.Pool.Put(conn, pool.Unused)
+		attempt.Report(outcome)
 		return
 	}
-	x := &exchange{Upstream: u, conn: c, state: c.State.(*state), attempt: a, node: node, message: a.Call.Message.(*httpmsg.Message), out: out}
-	u.Pool.Put(c, x.run(ctx))
-	x.finish()
+	x := &exchange{
+		Upstream: u,
+		conn:     conn,
+		state:    conn.State.(*connState),
+		attempt:  attempt,
+		endpoint: endpoint,
+		message:  attempt.Call.Message.(*httpmsg.Message),
+		outcome:  outcome,
+	}
+	u.Pool.Put(conn, x.run(ctx))
+	x.reportOnce()
 }
 
-// stillWanted asks the send guard just before the first byte goes out. A dial may have taken long: meanwhile the server may have
-// begun to drain or started anew, the call may have ended, or the servers may have forgotten its key.
-func (u *Upstream) stillWanted(a *core.Attempt, node *pool.Endpoint) bool {
-	return !u.send(a, node).Check().Denied
+// connect gets a connection for the attempt.
+func (u *Upstream) connect(ctx context.Context, attempt *core.Attempt, endpoint *pool.Endpoint) (*pool.Conn, error) {
+	return u.Pool.Get(ctx, pool.Request{
+		Endpoint:      endpoint,
+		NonIdempotent: attempt.Call.NonIdempotent,
+		Deadline:      u.Clock.At(attempt.Deadline()),
+		Abandoned:     attempt.Call.Done(),
+	})
+}
+
+// connectFailure is the result of an attempt that got no connection. Only a failed handshake is evidence against the endpoint; the
+// agent's own limits are not.
+func connectFailure(err error) logic.Result {
+	if errors.Is(err, pool.ErrConnectFailed) {
+		return logic.ConnectFailed
+	}
+	return logic.NotSent
 }
 
-// send describes an attempt at this moment, for the send guard.
-func (u *Upstream) send(a *core.Attempt, node *pool.Endpoint) invariant.Send {
-	takes, since := u.Pool.AcceptsRequests(node)
-	return invariant.Send{Now: u.Clock.Now(), WriteDeadline: a.WriteDeadline, RequestFinished: a.Call.Finished(), FinishedAt: a.Call.FinishedAt(),
-		EndpointAcceptsNew: takes, RetiredAt: since}
+// claim reports whether the attempt may write its first byte.
+//
+// Failure: the wait for a connection took long, and meanwhile the endpoint began to drain or restarted, the call ended, or the
+// endpoints may have forgotten its idempotency key. The guard holds because it is asked after the connection is there, just
+// before the first byte; Attempt.Begin then excludes that the call ends as not sent.
+func (u *Upstream) claim(attempt *core.Attempt, endpoint *pool.Endpoint) bool {
+	return u.mayStillSend(attempt, endpoint) && attempt.Begin()
+}
+
+// mayStillSend asks the send guard.
+func (u *Upstream) mayStillSend(attempt *core.Attempt, endpoint *pool.Endpoint) bool {
+	return !u.describeSend(attempt, endpoint).Check().Denied
+}
+
+// describeSend describes an attempt at this moment, for the send guard.
+func (u *Upstream) describeSend(attempt *core.Attempt, endpoint *pool.Endpoint) invariant.Send {
+	accepts, notReadySince := u.Pool.AcceptsRequests(endpoint)
+	return invariant.Send{
+		Now:                u.Clock.Now(),
+		WriteDeadline:      attempt.WriteDeadline,
+		RequestFinished:    attempt.Call.Finished(),
+		FinishedAt:         attempt.Call.FinishedAt(),
+		EndpointAcceptsNew: accepts,
+		RetiredAt:          notReadySince,
+	}
 }
