--- a/cmd/ryeweir/demo.go
+++ b/cmd/ryeweir/demo.go
@@ -66,7 +66,7 @@
 	}
 	fmt.Fprintf(out, "%d order nodes, %d agents, %.0f requests a second for %v (%d in all)\n", len(day.Nodes), len(day.Agents), day.Rate, length, len(day.Plan))
 	s := newScreen(out)
-	o, err := experiment.RunScenario(ctx, day, experiment.Arm{Name: "agent", Command: []string{self, "agent"}}, s.show)
+	o, err := experiment.RunScenario(ctx, day, experiment.Variant{Name: "agent", Command: []string{self, "agent"}}, s.show)
 	if err != nil {
 		return err
 	}
--- a/cmd/ryeweir/faults_test.go
+++ b/cmd/ryeweir/faults_test.go
@@ -58,7 +58,7 @@
 	}
 	before := len(children(t))
 	const peers = "../../deploy/peers.toml"
-	o, err := experiment.RunScenario(t.Context(), day, experiment.Arm{Name: "agent", Command: []string{self, "agent", "--operator", peers}, Operator: peers}, nil)
+	o, err := experiment.RunScenario(t.Context(), day, experiment.Variant{Name: "agent", Command: []string{self, "agent", "--operator", peers}, Operator: peers}, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/experiment/drill.go
+++ b/internal/experiment/drill.go
@@ -116,7 +116,7 @@
 	if err := config.TOML(file, data, &s); err != nil {
 		return nil, DrillResult{}, err
 	}
-	arm := Arm{Name: s.Name, Command: []string{self, "agent"}, Limits: emulator.DefaultLimits()}
+	arm := Variant{Name: s.Name, Command: []string{self, "agent"}, Limits: emulator.DefaultLimits()}
 	if s.Cores > 0 {
 		arm.Limits.Cores = s.Cores
 	}
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -30,9 +30,9 @@
 	return d
 }
 
-var module = Arm{Name: "agent", Command: []string{"-", "agent"}}
+var module = Variant{Name: "agent", Command: []string{"-", "agent"}}
 
-func simulate(t *testing.T, d *emulator.Day, a Arm) Outcome {
+func simulate(t *testing.T, d *emulator.Day, a Variant) Outcome {
 	t.Helper()
 	o, err := Simulate(d, a)
 	if err != nil {
@@ -52,7 +52,7 @@
 		}
 		d.Outages = []emulator.OutageSpec{{From: config.Duration(7 * time.Second), To: config.Duration(9 * time.Second)}}
 	}
-	for _, arm := range []Arm{module, {Name: "r", Chooser: Random}, {Name: "o", Chooser: Oracle}} {
+	for _, arm := range []Variant{module, {Name: "r", Chooser: Random}, {Name: "o", Chooser: Oracle}} {
 		a, b := simulate(t, day(t, trouble), arm), simulate(t, day(t, trouble), arm)
 		if !reflect.DeepEqual(a, b) {
 			t.Errorf("%s: %+v and %+v", arm.Name, a.Account, b.Account)
@@ -69,8 +69,8 @@
 		d.Load = 0.7
 		d.Faults = []emulator.FaultSpec{{Kind: "slow", Nodes: 3, From: config.Duration(2 * time.Second), To: config.Duration(14 * time.Second), Size: 6}}
 	}
-	service := func(a Arm) float64 { return simulate(t, day(t, trouble), a).Whole }
-	random, two, agent, top := service(Arm{Chooser: Random}), service(Arm{Chooser: TwoChoices}), service(module), service(Arm{Chooser: Oracle})
+	service := func(a Variant) float64 { return simulate(t, day(t, trouble), a).Whole }
+	random, two, agent, top := service(Variant{Chooser: Random}), service(Variant{Chooser: TwoChoices}), service(module), service(Variant{Chooser: Oracle})
 	if !(random < two && two < agent && agent <= top+0.02) {
 		t.Errorf("random %.3f, two choices %.3f, agent %.3f, top %.3f", random, two, agent, top)
 	}
--- a/internal/experiment/fleet_days_test.go
+++ b/internal/experiment/fleet_days_test.go
@@ -44,7 +44,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			o, err := Simulate(day, Arm{Name: "agent", Command: []string{"agent"}})
+			o, err := Simulate(day, Variant{Name: "agent", Command: []string{"agent"}})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -54,7 +54,7 @@
 			if o.Whole < c.least || o.HealthCheckWork > 0.01 {
 				t.Errorf("service %.3f, probes took %.4f of the nodes' work", o.Whole, o.HealthCheckWork)
 			}
-			if again, err := Simulate(day, Arm{Name: "agent", Command: []string{"agent"}}); err != nil || fmt.Sprint(again.Whole, again.Truths) != fmt.Sprint(o.Whole, o.Truths) {
+			if again, err := Simulate(day, Variant{Name: "agent", Command: []string{"agent"}}); err != nil || fmt.Sprint(again.Whole, again.Truths) != fmt.Sprint(o.Whole, o.Truths) {
 				t.Errorf("played again: %v, %v", again.Whole, err)
 			}
 		})
--- a/internal/experiment/play.go
+++ b/internal/experiment/play.go
@@ -20,8 +20,8 @@
 	"ryeweir/internal/processrig"
 )
 
-// Arm is a way to get requests to nodes.
-type Arm struct {
+// Variant is a way to get requests to nodes.
+type Variant struct {
 	Name     string
 	Command  []string // of an agent's process; empty for callers that choose by themselves
 	Chooser  string   // the reference arm's name
@@ -40,7 +40,7 @@
 
 // RunScenario plays a day with an arm on loopback sockets. watch, where there is one, gets a look each second. When the context
 // ends the day ends early, and the outcome so far is returned, marked as interrupted.
-func RunScenario(ctx context.Context, day *emulator.Day, arm Arm, watch func(Live)) (o Outcome, err error) {
+func RunScenario(ctx context.Context, day *emulator.Day, arm Variant, watch func(Live)) (o Outcome, err error) {
 	dir, err := os.MkdirTemp("", "ryeweir-")
 	if err != nil {
 		return o, err
@@ -130,7 +130,7 @@
 
 type play struct {
 	w       *emulator.World
-	arm     Arm
+	arm     Variant
 	peers   *processrig.Peers
 	agents  []*processrig.Process
 	cpu     time.Duration
--- /dev/null
+++ b/internal/experiment/simulation_events.go
@@ -0,0 +1,38 @@
+package experiment
+
+import (
+	"container/heap"
+	"time"
+)
+
+// simEvents is a heap by time, then by the order of making.
+type simEvent struct {
+	at  time.Duration
+	seq int
+	do  func()
+}
+
+type simEvents []simEvent
+
+func (e simEvents) Len() int { return len(e) }
+
+func (e simEvents) Less(i, j int) bool {
+	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].seq < e[j].seq
+}
+
+func (e simEvents) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
+
+func (e *simEvents) Push(x any) { *e = append(*e, x.(simEvent)) }
+
+func (e *simEvents) Pop() any {
+	last := len(*e) - 1
+	x := (*e)[last]
+	(*e)[last] = simEvent{}
+	*e = (*e)[:last]
+	return x
+}
+
+func (s *simulation) schedule(t time.Duration, do func()) {
+	s.scheduled++
+	heap.Push(&s.events, simEvent{max(t, s.now), s.scheduled, do})
+}
--- a/internal/experiment/spec.go
+++ b/internal/experiment/spec.go
@@ -153,8 +153,8 @@
 }
 
 // arm is the arm of a file's entry; self is the path of this program.
-func (a VariantSpec) arm(self string) Arm {
-	out := Arm{Name: a.Name, Chooser: a.Kind}
+func (a VariantSpec) arm(self string) Variant {
+	out := Variant{Name: a.Name, Chooser: a.Kind}
 	if a.Kind == AgentKind {
 		binary := a.Binary
 		if binary == "" {
--- a/internal/experiment/surge_test.go
+++ b/internal/experiment/surge_test.go
@@ -27,13 +27,15 @@
 // The fleet's budgets hold a surge in simulated time, alone and with talk: the nodes go on to do what they can, few attempts
 // are made, place-order goes first, and service is back at once. Without them the nodes choke. Equal plays are equal.
 func TestSurgeHeld(t *testing.T) {
-	arm := func(operator string) Arm { return Arm{Name: operator, Command: module.Command, Operator: operator} }
+	arm := func(operator string) Variant {
+		return Variant{Name: operator, Command: module.Command, Operator: operator}
+	}
 	alone, together := arm("../../deploy/overload.toml"), arm("../../deploy/peers.toml")
 	if o := simulate(t, surgeDay(t, 10, 3), module); o.Chokes < 4 || o.Surge.Goodput > 0.65 {
 		t.Errorf("without budgets: %d chokes, %+v: the day is too mild to tell anything", o.Chokes, o.Surge)
 	}
 	for _, times := range []float64{3, 10} {
-		for _, a := range []Arm{alone, together} {
+		for _, a := range []Variant{alone, together} {
 			chokes, goodput, passed, back := 0, 0.0, 0.0, 0
 			for _, seed := range []uint64{3, 4} {
 				o := simulate(t, surgeDay(t, times, seed), a)
