--- a/logic/admission_test.go
+++ b/logic/admission_test.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// Where requests are shed before they come here, a jam refuses none, and being turned away, which is a jam's sign, keeps no
-// server out: the shed may hold no request that would be its trial.
+// Where load is shed before it arrives here, the balancer must shed none itself: a request would be shed
+// twice. Endpoints reject requests in an overload, and must not be ejected for it: the requests that would
+// test them may never arrive.
 func TestExternalAdmissionShedsNothingHere(t *testing.T) {
 	set := testSettings()
 	set.ExternalAdmission = true
@@ -14,31 +15,37 @@
 	h.setSheddingLevel(1e6)
 	h.advance(h.horizon)
 	if h.OverloadLevel() < 1 {
-		t.Errorf("a jam of %v is told", h.OverloadLevel())
+		t.Errorf("the overload level is %v", h.OverloadLevel())
 	}
 	for range 50 {
 		id, to := h.sendRequest(cheapClass)
 		if to == "" {
-			t.Fatal("refused in a jam")
+			t.Fatal("a request is shed")
 		}
 		h.endAttempt(id, to, 0, Rejected, NoLoadReport)
 	}
 	if n := h.Unavailable(); n > 0 {
-		t.Errorf("%d servers are kept out, as they turned requests away", n)
+		t.Errorf("%d endpoints are ejected, as they rejected requests", n)
 	}
-	late := h.overload.latencyRatio
+	latencyRatio := h.overload.latencyRatio
 	id, to := h.sendRequest(cheapClass)
-	if h.endAttempt(id, to, 0, Rejected, NoLoadReport); h.overload.latencyRatio > late {
-		t.Error("what was turned away counts as late")
+	if h.endAttempt(id, to, 0, Rejected, NoLoadReport); h.overload.latencyRatio > latencyRatio {
+		t.Error("a rejection counts as a late answer")
 	}
-	h = newHarness(t, set, 1, 1, 1, 1)
+}
+
+// Where load is shed outside, an endpoint that fails must still be ejected.
+func TestExternalAdmissionEjectsFailingEndpoint(t *testing.T) {
+	set := testSettings()
+	set.ExternalAdmission = true
+	h := newHarness(t, set, 1, 1, 1, 1)
 	for range 20 {
-		ended := map[string]string{}
+		sentTo := map[string]string{}
 		for range 16 {
 			id, to := h.sendRequest(nonIdempotentClass)
-			ended[id] = to
+			sentTo[id] = to
 		}
-		for id, to := range ended {
+		for id, to := range sentTo {
 			result := OK
 			if to == "s0" {
 				result = Failed
@@ -47,44 +54,47 @@
 		}
 	}
 	if n := h.Unavailable(); n != 1 {
-		t.Errorf("%d servers are kept out, of which one fails", n)
+		t.Errorf("%d endpoints are ejected, of which one fails", n)
 	}
 }
 
-// Guards against the valuable waiting behind the cheap.
+// In an overload requests of high priority must not wait behind those of low priority.
 func TestLowPriorityIsShedFirst(t *testing.T) {
 	h := newHarness(t, testSettings(), 1, 1)
-	refused := [2]int{}
+	rejected := [2]int{}
 	for i := range 2000 {
 		h.setSheddingLevel(0.1)
-		id, to := h.sendRequest(i % 2)
+		class := i % 2
+		id, to := h.sendRequest(class)
 		if to == "" {
-			refused[i%2]++
+			rejected[class]++
 		} else {
 			h.endAttempt(id, to, 0, OK, NoLoadReport)
 		}
 	}
-	if refused[0] < 400 || refused[1] > 120 {
-		t.Errorf("refused %d cheap and %d dear of 1000 each", refused[0], refused[1])
+	if rejected[cheapClass] < 400 || rejected[nonIdempotentClass] > 120 {
+		t.Errorf("shed %v of 1000 each of low and high priority", rejected)
 	}
 }
 
-// Guards against long work crowding out short work of the same worth in a jam.
+// In an overload long requests must not displace short ones of the same weight, as one of them takes the
+// capacity of several.
 func TestLongRequestsAreShedFirst(t *testing.T) {
 	set := testSettings()
 	set.Classes[1].PriorityWeight = set.Classes[0].PriorityWeight
 	h := newHarness(t, set, 1, 1)
-	refused := [2]int{}
+	rejected := [2]int{}
 	for i := range 4000 {
 		h.setSheddingLevel(0.3)
-		id, to := h.sendRequest(i % 2)
+		class := i % 2
+		id, to := h.sendRequest(class)
 		if to == "" {
-			refused[i%2]++
+			rejected[class]++
 			continue
 		}
-		h.answer(id, to, time.Duration(20+60*(i%2)) * time.Millisecond, NoLoadReport)
+		h.answer(id, to, time.Duration(20+60*class)*time.Millisecond, NoLoadReport)
 	}
-	if refused[1] < 2*refused[0] {
-		t.Errorf("refused %d short and %d long of 2000 each", refused[0], refused[1])
+	if rejected[1] < 2*rejected[0] {
+		t.Errorf("shed %d short and %d long requests of 2000 each", rejected[0], rejected[1])
 	}
 }
--- a/logic/affinity_test.go
+++ b/logic/affinity_test.go
@@ -4,41 +4,51 @@
 	"fmt"
 	"math"
 	"testing"
+	"time"
 )
 
-// The server of a key is drawn in proportion to capacity, alike at every balancer, and gives way under load.
-func TestAffinityEndpointIsSharedAndYieldsUnderLoad(t *testing.T) {
+// The affinity endpoint of a key is drawn in proportion to capacity, and is the same at every balancer.
+func TestAffinityEndpointIsSharedAndProportionalToCapacity(t *testing.T) {
 	set := testSettings()
 	set.UseListedWeights, set.KeyAffinity = true, true
 	h, other := newHarness(t, set, 1, 2, 3, 4), newHarness(t, set, 1, 2, 3, 4)
-	other.random.Uint64() // another state of chance
+	other.random.Uint64() // its random source has another state
 	h.updateWeights()
 	other.updateWeights()
-	const n = 20000
-	got := make([]float64, 4)
-	for i := range n {
+	const keys = 20000
+	count := map[string]float64{}
+	for i := range keys {
 		key := fmt.Sprint("key", i)
-		s := affinityEndpoint(h.endpoints.listed, key)
-		if affinityEndpoint(other.endpoints.listed, key).ID != s.ID {
-			t.Fatalf("%s is at home in two places", key)
+		e := affinityEndpoint(h.endpoints.listed, key)
+		if affinityEndpoint(other.endpoints.listed, key).ID != e.ID {
+			t.Fatalf("%s has different endpoints at two balancers", key)
 		}
-		got[s.ID[1]-'0']++
+		count[e.ID]++
 	}
-	for i, g := range got {
-		if want := n * float64(i+1) / 10; math.Abs(g-want) > 4*math.Sqrt(want) {
-			t.Errorf("server %d is home to %v keys, want about %v", i, g, want)
+	for i := range 4 {
+		want := keys * float64(i+1) / 10
+		if got := count[endpointID(i)]; math.Abs(got-want) > 4*math.Sqrt(want) {
+			t.Errorf("endpoint %d has %v keys, want about %v", i, got, want)
 		}
 	}
+}
+
+// All requests have the same key and nothing ends. The key's endpoint fills up, and the others must get the
+// rest.
+func TestHotKeySpreadsUnderLoad(t *testing.T) {
+	set := testSettings()
+	set.UseListedWeights, set.KeyAffinity = true, true
+	h := newHarness(t, set, 1, 2, 3, 4)
 	sent := map[string]int{}
-	for i := range 40 { // one key, nothing ends: its home fills up and the rest goes elsewhere
-		e := Request{ID: fmt.Sprint("x", i), Key: "hot", Class: 1, Deadline: h.clock + 1e9}
-		for _, a := range h.Handle(h.clock, e) {
+	for i := range 40 {
+		r := Request{ID: fmt.Sprint("r", i), Key: "hot", Class: nonIdempotentClass, Deadline: h.clock + time.Second}
+		for _, a := range h.Handle(h.clock, r) {
 			if a.Kind == Send {
 				sent[a.Endpoint]++
 			}
 		}
 	}
 	if len(sent) < 4 {
-		t.Errorf("a hot key keeps to %v", sent)
+		t.Errorf("a hot key stays at %v", sent)
 	}
 }
--- a/logic/attempt_test.go
+++ b/logic/attempt_test.go
@@ -5,14 +5,15 @@
 	"time"
 )
 
-// A request that still comes in owes nothing to its client and is owed nothing by its server: it makes that server no
-// silent one, gets no copy and no deadline, until its end has come.
+// A request streams its body to its endpoint for a minute. Until the body has arrived the endpoint owes no
+// answer: it must not be ejected as silent, and the request has no deadline and no second attempt. From
+// then on it owes one.
 func TestRequestWithPendingBodyAwaitsNoAnswer(t *testing.T) {
 	set := testSettings()
 	set.HedgingAllowed = true
 	h := newHarness(t, set, 1, 1)
 	var to string
-	for _, a := range h.Handle(h.clock, Request{ID: "up", Class: 0, BodyPending: true}) {
+	for _, a := range h.Handle(h.clock, Request{ID: "upload", Class: cheapClass, BodyPending: true}) {
 		switch a.Kind {
 		case Send:
 			to = a.Endpoint
@@ -20,26 +21,28 @@
 			t.Errorf("%+v", a)
 		}
 	}
-	for _, s := range h.endpoints.listed {
-		if h.maySend(h.requests["up"], s) {
-			t.Errorf("may go to %s beside %s", s.ID, to)
+	for _, e := range h.endpoints.listed {
+		if h.maySend(h.requests["upload"], e) {
+			t.Errorf("it may go to %s beside %s", e.ID, to)
 		}
 	}
 	if actions := h.advance(time.Minute); len(actions) > 0 || h.endpoint(to).health.state != healthy {
-		t.Errorf("%+v, ejected: %v", actions, h.endpoint(to).health.state != healthy)
+		t.Errorf("while the body arrives: %+v, %+v", actions, h.endpoint(to).health)
 	}
-	actions := h.Handle(h.clock, BodyReceived{Request: "up", Deadline: h.clock + time.Second})
+	actions := h.Handle(h.clock, BodyReceived{Request: "upload", Deadline: h.clock + time.Second})
 	if len(actions) != 1 || actions[0].Kind != SetTimer || actions[0].Delay != time.Second {
-		t.Errorf("%+v", actions)
+		t.Errorf("after the body: %+v", actions)
 	}
 	if h.advance(10 * time.Second); h.endpoint(to).health.state == healthy {
-		t.Error("owing an answer for long, it is not ejected")
+		t.Error("an endpoint that gives no answer to the whole request is not ejected")
 	}
-	if actions := h.Handle(h.clock, BodyReceived{Request: "nobody"}); len(actions) > 0 {
-		t.Errorf("%+v", actions)
+	if actions := h.Handle(h.clock, BodyReceived{Request: "unknown"}); len(actions) > 0 {
+		t.Errorf("for an unknown request: %+v", actions)
 	}
 }
 
+// A connection breaks and the request may have been executed. A retry in another cell would execute it
+// again, as only its own cell drops the repeat. A Reject would make the client do the same.
 func TestRetryStaysWithinDedupScope(t *testing.T) {
 	h := newHarness(t, testSettings(), 1, 1, 1, 1)
 	for range 30 {
@@ -49,21 +52,14 @@
 			t.Fatalf("after a reset at %s: %+v", to, next)
 		}
 		if next[0].Kind == Reject {
-			t.Fatal("a keyed request that may have run was refused")
+			t.Fatal("a request with a key that may have been executed is rejected")
 		}
 	}
 }
 
-func TestRequestWithoutEndpointIsRejected(t *testing.T) {
-	h := newHarness(t, testSettings())
-	a := h.Handle(h.clock, Request{ID: "x", Deadline: h.clock + 1e9})
-	if last := a[len(a)-1]; last.Kind != Reject {
-		t.Errorf("with no server: %+v", a)
-	}
-}
-
-// Guards against a keyed request that leaves the cell of its first attempt because a list has moved that
-// attempt's server to another cell since.
+// The endpoint of a request's first attempt moves to another cell, by a change of the list, before the
+// retry. The retry must stay in the cell where the first attempt was sent: that is the one that drops the
+// repeat.
 func TestRetryStaysInCellOfFirstSend(t *testing.T) {
 	h := newHarness(t, testSettings(), 1, 1, 1, 1)
 	id, to := h.sendRequest(keyedClass)
@@ -71,24 +67,56 @@
 	h.list(Endpoint{ID: to, Weight: 1, Cell: 1 - cell})
 	for _, a := range h.endAttempt(id, to, 0, Reset, NoLoadReport) {
 		if a.Kind == Send && (a.Endpoint == to || h.endpoint(a.Endpoint).Cell != cell) {
-			t.Errorf("first sent to %s in cell %d, then to %s in cell %d", to, cell, a.Endpoint, h.endpoint(a.Endpoint).Cell)
+			t.Errorf("first sent to %s in cell %d, then to %s in cell %d",
+				to, cell, a.Endpoint, h.endpoint(a.Endpoint).Cell)
 		}
 	}
 }
 
-// Guards against a Send or a second answer when a request's outcome, its client's leaving and its timer come
-// together, in any order.
+// A connection breaks shortly before the end of the idempotency window. A retry is executed again when it
+// arrives after the window, so none may be sent in its last moments, which are as long as a timer may be
+// late.
+func TestRetryStaysWithinIdempotencyWindow(t *testing.T) {
+	set := testSettings()
+	window := set.Classes[keyedClass].IdempotencyWindow
+	for _, c := range []struct {
+		after time.Duration
+		want  ActionKind
+	}{{window - 2*set.TimerResolution, Send}, {window - set.TimerResolution, Fail}, {window, Fail}} {
+		h := newHarness(t, set, 1, 1) // one cell
+		id, to := h.sendRequest(keyedClass)
+		h.clock += c.after
+		if next := h.endAttempt(id, to, 0, Reset, NoLoadReport); len(next) != 1 || next[0].Kind != c.want {
+			t.Errorf("%v after the first send, in a window of %v: %+v", c.after, window, next)
+		}
+	}
+}
+
+// With no endpoint listed a request gets its final answer at once.
+func TestRequestWithoutEndpointIsRejected(t *testing.T) {
+	h := newHarness(t, testSettings())
+	actions := h.Handle(h.clock, Request{ID: "x", Deadline: h.clock + time.Second})
+	if last := actions[len(actions)-1]; last.Kind != Reject {
+		t.Errorf("with no endpoint: %+v", actions)
+	}
+}
+
+// An outcome, the client's disconnect and the deadline of a request come together, in any order. Nothing
+// may be sent then, and there may be one final answer at most.
 func TestRequestEndsOnceWhenEventsCoincide(t *testing.T) {
 	for _, result := range []Result{Reset, Rejected, TimedOut, OK} {
 		for _, order := range [][3]int{{0, 1, 2}, {0, 2, 1}, {1, 0, 2}, {1, 2, 0}, {2, 0, 1}, {2, 1, 0}} {
 			h := newHarness(t, testSettings(), 1, 1, 1)
 			id, to := h.sendRequest(nonIdempotentClass)
 			h.clock += 2 * time.Second // the deadline
+			events := [3]Event{
+				Outcome{Request: id, Endpoint: to, Result: result, Closed: result == OK, LoadReport: NoLoadReport},
+				ClientDisconnected{id},
+				TimerFired{h.deadlines.latestToken()},
+			}
 			answers := 0
-			for _, k := range order {
-				e := []Event{Outcome{Request: id, Endpoint: to, Result: result, Closed: result == OK, LoadReport: NoLoadReport},
-					ClientDisconnected{id}, TimerFired{deadlineToken + h.deadlines.timersSet}}[k]
-				for _, a := range h.Handle(h.clock, e) {
+			for _, next := range order {
+				for _, a := range h.Handle(h.clock, events[next]) {
 					switch a.Kind {
 					case Send:
 						t.Errorf("result %d, order %v: sent at the deadline", result, order)
@@ -98,7 +126,7 @@
 				}
 			}
 			if answers > 1 || len(h.requests) != 0 {
-				t.Errorf("result %d, order %v: %d answers, %d requests kept", result, order, answers, len(h.requests))
+				t.Errorf("result %d, order %v: %d final answers, %d requests left", result, order, answers, len(h.requests))
 			}
 		}
 	}
--- a/logic/balancer_test.go
+++ b/logic/balancer_test.go
@@ -6,12 +6,21 @@
 	"time"
 )
 
+// An event may come late, for a request or endpoint that is gone, or be of a caller in error. It must have
+// no effect.
 func TestUnknownEventsHaveNoEffect(t *testing.T) {
 	h := newHarness(t, testSettings(), 1)
-	for _, e := range []Event{Outcome{Request: "no"}, Outcome{Request: "no", Attempt: -1}, ClientDisconnected{"no"},
-		ResponseStarted{Request: "no"}, HealthChecked{Endpoint: "no"}, TimerFired{99}, Request{ID: "x", Class: 9}} {
-		if a := h.Handle(h.clock, e); len(a) != 0 {
-			t.Errorf("%#v: %+v", e, a)
+	for _, e := range []Event{
+		Outcome{Request: "unknown"},
+		Outcome{Request: "unknown", Attempt: -1},
+		ClientDisconnected{"unknown"},
+		ResponseStarted{Request: "unknown"},
+		HealthChecked{Endpoint: "unknown"},
+		TimerFired{99},
+		Request{ID: "x", Class: 9},
+	} {
+		if actions := h.Handle(h.clock, e); len(actions) != 0 {
+			t.Errorf("%#v: %+v", e, actions)
 		}
 	}
 }
--- a/logic/capacity_test.go
+++ b/logic/capacity_test.go
@@ -1,152 +1,184 @@
 package logic
 
 import (
-	"fmt"
 	"math"
+	"strconv"
 	"testing"
 	"time"
 )
 
+// endpointID is the ID of an endpoint of newHarness.
+func endpointID(i int) string { return "s" + strconv.Itoa(i) }
+
+// The figures of load reports are noisy. The capacity must follow their mean; an endpoint without a report
+// counts as the mean of the others.
 func TestCapacityFollowsNoisyReports(t *testing.T) {
 	h := newHarness(t, testSettings(), 1, 1, 1)
 	for i := range 400 {
 		h.clock += 50 * time.Millisecond
+		h.now = h.clock
 		noise := 1 + 0.2*math.Sin(float64(i)*1.7)
-		for s, c := range []float64{100, 40} {
-			h.now = h.clock
-			h.learnFromReport(h.endpoint(fmt.Sprint("s", s)), loadReport(0.5*noise, 0.5*c*(2-noise)))
+		for k, capacity := range []float64{100, 40} {
+			h.learnFromReport(h.endpoint(endpointID(k)), loadReport(0.5*noise, 0.5*capacity*(2-noise)))
 		}
 	}
 	h.updateWeights()
-	for s, want := range []float64{100, 40, 70} { // the last has no estimate: the mean of the others
-		if got := h.endpoint(fmt.Sprint("s", s)).weight; math.Abs(got-want) > 0.15*want {
-			t.Errorf("server %d: capacity %v, want about %v", s, got, want)
+	for k, want := range []float64{100, 40, 70} {
+		if got := h.endpoint(endpointID(k)).weight; math.Abs(got-want) > 0.15*want {
+			t.Errorf("endpoint %d: capacity %v, want about %v", k, got, want)
 		}
 	}
 }
 
-// Guards against the idle trap: rate over floored use called an idle server small, and so it stayed idle.
+// An idle endpoint reports next to no requests at next to no utilization. The quotient called it small, so
+// it got no requests and stayed idle. Such reports must not lower its capacity.
 func TestIdleEndpointIsNotTakenForSmall(t *testing.T) {
 	h := newHarness(t, testSettings(), 1, 1)
+	busy, idle := h.endpoint("s0"), h.endpoint("s1")
 	for range 50 {
 		h.clock += 50 * time.Millisecond
 		h.now = h.clock
-		h.learnFromReport(h.endpoint("s0"), loadReport(0.5, 50))
-		h.learnFromReport(h.endpoint("s1"), loadReport(0.01, 0.2))
+		h.learnFromReport(busy, loadReport(0.5, 50))
+		h.learnFromReport(idle, loadReport(0.01, 0.2))
 	}
 	h.updateWeights()
-	if h.endpoint("s1").weight < h.endpoint("s0").weight {
-		t.Errorf("idle server weighs %v, a busy one %v", h.endpoint("s1").weight, h.endpoint("s0").weight)
+	if idle.weight < busy.weight {
+		t.Errorf("the idle endpoint has the weight %v, the busy one %v", idle.weight, busy.weight)
 	}
 }
 
-// An own-zone server is preferred while it has room, and no longer.
+// An attempt in another zone costs more. An endpoint of the own zone is preferred while it is idle, and no
+// longer.
 func TestOwnZoneIsPreferredWhileIdle(t *testing.T) {
 	set := testSettings()
 	set.CrossZoneCost = 0.1
 	h := newHarness(t, set, 1, 1)
 	h.list(Endpoint{ID: "s1", Zone: 1})
+	own, other := h.endpoint("s0"), h.endpoint("s1")
 	h.updateWeights()
-	if h.endpoint("s0").weight < 2*h.endpoint("s1").weight {
-		t.Error("an idle server of the own zone is not preferred")
+	if own.weight < 2*other.weight {
+		t.Errorf("an idle endpoint of the own zone has the weight %v, the other %v", own.weight, other.weight)
 	}
-	h.endpoint("s0").estimate.reports.utilization = 1
+	own.estimate.reports.utilization = 1
 	h.updateWeights()
-	if h.endpoint("s0").weight != h.endpoint("s1").weight {
-		t.Error("a full server of the own zone is preferred")
+	if own.weight != other.weight {
+		t.Errorf("a full endpoint of the own zone has the weight %v, the other %v", own.weight, other.weight)
 	}
 }
 
-// Guards against a server that one costly request made look slow and that then stood idle for good, since it
-// got nothing to show better with (almaty rough-1: two of 15 servers for 30 s).
+// One costly request made an endpoint look slow. It then got nothing to show better with, and stood idle
+// for good. Its estimate must fade to the mean of the others.
 func TestOldEstimateFadesToMean(t *testing.T) {
 	h := newHarness(t, testSettings(), 1, 1, 1)
 	for range 30 {
 		id, to := h.sendRequest(cheapClass)
-		r := loadReport(0.5, 50)
+		report := loadReport(0.5, 50)
 		if to == "s0" {
-			r = loadReport(0.5, 1)
+			report = loadReport(0.5, 1)
 		}
-		h.endAttempt(id, to, 0, OK, r)
+		h.endAttempt(id, to, 0, OK, report)
 	}
 	slow := h.endpoint("s0")
 	if h.updateWeights(); slow.capacity > 10 {
-		t.Fatalf("after reports of 2 a second at most the capacity is %v", slow.capacity)
+		t.Fatalf("after reports of 2 requests a second the capacity is %v", slow.capacity)
 	}
-	late := h.clock + 3*reportFadeHorizons*h.horizon
-	for h.clock < late { // the others go on
-		for _, s := range []string{"s1", "s2"} {
-			h.learnFromReport(h.endpoint(s), loadReport(0.5, 50))
+	end := h.clock + 3*reportFadeHorizons*h.horizon
+	for h.clock < end { // the others go on to report
+		for _, id := range []string{"s1", "s2"} {
+			h.learnFromReport(h.endpoint(id), loadReport(0.5, 50))
 		}
 		h.advance(h.horizon)
 	}
 	if h.updateWeights(); slow.capacity < 80 {
-		t.Errorf("long after its last report its capacity counts as %v, want near 100 as the others", slow.capacity)
+		t.Errorf("long after its last report the capacity is %v, want near 100 as the others", slow.capacity)
 	}
 }
 
-// Where no server reports, own answers tell: the one that answers in half the time counts twice, as far as there are
-// answers enough to say so; one answer alone says little, and none leaves a server at the mean of the others.
+// Where no endpoint reports its load, latencies tell of it: one that answers in half the time counts twice,
+// as far as there are answers enough to say so. One answer says little, and none leaves an endpoint at the
+// mean of the others.
 func TestCapacityFollowsLatencyWithoutReports(t *testing.T) {
 	h := newHarness(t, testSettings(), 1, 1, 1, 1)
-	took := []time.Duration{40 * time.Millisecond, 80 * time.Millisecond}
+	latencies := []time.Duration{40 * time.Millisecond, 80 * time.Millisecond}
 	for i := range 400 {
-		h.learnFromAnswer(h.endpoint(fmt.Sprint("s", i%2)), took[i%2]+time.Duration(i%5-2)*time.Millisecond)
+		jitter := time.Duration(i%5-2) * time.Millisecond
+		h.learnFromAnswer(h.endpoint(endpointID(i%2)), latencies[i%2]+jitter)
 	}
 	h.learnFromAnswer(h.endpoint("s2"), time.Second)
 	h.updateWeights()
 	for i, want := range []float64{25, 12.5, 15.2, 18.7} { // s2: a fifth of 1 and four fifths of the mean
-		if got := h.endpoint(fmt.Sprint("s", i)).weight; math.Abs(got-want) > 0.1*want {
-			t.Errorf("server %d weighs %v, want about %v", i, got, want)
+		if got := h.endpoint(endpointID(i)).weight; math.Abs(got-want) > 0.1*want {
+			t.Errorf("endpoint %d has the weight %v, want about %v", i, got, want)
 		}
 	}
-	if known, none := h.endpoint("s0").estimate.uncertainty(h.now), h.endpoint("s3").estimate.uncertainty(h.now); known > 0.1 || none != 1 {
-		t.Errorf("doubt of %v in one that is known well and of %v in one that is not known", known, none)
+	known, unknown := &h.endpoint("s0").estimate, &h.endpoint("s3").estimate
+	if got := known.uncertainty(h.now); got > 0.1 {
+		t.Errorf("uncertainty %v after many answers", got)
+	}
+	if got := unknown.uncertainty(h.now); got != 1 {
+		t.Errorf("uncertainty %v without an answer, want 1", got)
 	}
 	h.advance(60 * h.horizon)
-	if got := h.endpoint("s0").estimate.uncertainty(h.now); got < 0.9 {
-		t.Errorf("doubt of %v long after the last answer", got)
+	if got := known.uncertainty(h.now); got < 0.9 {
+		t.Errorf("uncertainty %v long after the last answer", got)
 	}
 }
 
-// The filter's stated error holds: of many servers with noisy reports nearly all capacities lie within two standard errors,
-// also after a change, and what is stated grows with age.
+// noisyReport is the load report of an endpoint of a capacity, in requests a second: at a random
+// utilization, with errors of counting and of measuring.
+func (h *harness) noisyReport(capacity float64) LoadReport {
+	utilization := 0.4 + 0.6*h.random.Float64()
+	mean := utilization * capacity * reportCountingSeconds
+	counted := math.Round(mean * (1 + h.random.NormFloat64()/math.Sqrt(mean)))
+	measuringError := func() float64 { return 1 + 0.05*h.random.NormFloat64() }
+	return LoadReport{
+		RequestRate: max(0, counted/reportCountingSeconds*measuringError()),
+		Utilization: min(1, utilization*measuringError()),
+	}
+}
+
+// The Kalman filter states an error. With noisy reports nearly all capacities must lie within two standard
+// errors, also after a change, and the stated error must grow with age.
 func TestCheckedCapacityStaysWithinStatedError(t *testing.T) {
 	h := newHarness(t, healthCheckSettings(), 1)
-	inside, n := 0, 0
-	for k := range 400 {
-		s := &endpoint{Endpoint: Endpoint{ID: fmt.Sprint("x", k)}}
-		truth := math.Log(40)
+	within, samples := 0, 0
+	for range 400 {
+		e := &endpoint{}
+		checked := &e.estimate.checked
+		logCapacity := math.Log(40)
 		for i := range 24 {
 			if i == 12 {
-				truth -= 1 // it has become 2.7 times slower
+				logCapacity -= 1 // it has become 2.7 times slower
 			}
 			h.clock += time.Second
 			h.now = h.clock
-			util := 0.4 + 0.6*h.random.Float64()
-			counted := math.Round(util * math.Exp(truth) * reportCountingSeconds * (1 + h.random.NormFloat64()/math.Sqrt(util*math.Exp(truth)*reportCountingSeconds)))
-			noise := func() float64 { return 1 + 0.05*h.random.NormFloat64() }
-			h.learnFromHealthCheck(s, LoadReport{RequestRate: max(0, counted/reportCountingSeconds*noise()), Utilization: min(1, util*noise())})
-			if i > 4 && i < 12 || i > 18 {
-				n++
-				if math.Abs(s.estimate.checked.logCapacity-truth) < 2*math.Sqrt(s.estimate.checked.varianceAt(h.now)) {
-					inside++
-				}
+			h.learnFromHealthCheck(e, h.noisyReport(math.Exp(logCapacity)))
+			if settled := i > 4 && i < 12 || i > 18; !settled {
+				continue
+			}
+			samples++
+			if math.Abs(checked.logCapacity-logCapacity) < 2*math.Sqrt(checked.varianceAt(h.now)) {
+				within++
 			}
 		}
-		before := s.estimate.checked.varianceAt(h.now)
+		before := checked.varianceAt(h.now)
 		h.now += time.Minute
-		if s.estimate.checked.varianceAt(h.now) < 4*before {
-			t.Fatalf("the variance is %v, and %v a minute later", before, s.estimate.checked.varianceAt(h.now))
+		if after := checked.varianceAt(h.now); after < 4*before {
+			t.Fatalf("the variance is %v, and %v a minute later", before, after)
 		}
 	}
-	if part := float64(inside) / float64(n); part < 0.9 {
-		t.Errorf("%.2f of the capacities lie within two standard errors", part)
+	if fraction := float64(within) / float64(samples); fraction < 0.9 {
+		t.Errorf("%.2f of the capacities lie within two standard errors", fraction)
 	}
-	s := &endpoint{}
-	for _, bad := range []LoadReport{NoLoadReport, {Utilization: 0, RequestRate: 10}, {Utilization: 0.5, RequestRate: 0}} {
-		if h.learnFromHealthCheck(s, bad); s.estimate.checked.at != 0 {
-			t.Errorf("%+v makes a capacity of %v", bad, s.estimate.checked.logCapacity)
+}
+
+// A report without figures, or of an idle endpoint, says nothing of its capacity.
+func TestEmptyReportsGiveNoCapacity(t *testing.T) {
+	h := newHarness(t, healthCheckSettings(), 1)
+	e := &endpoint{}
+	for _, report := range []LoadReport{NoLoadReport, loadReport(0, 10), loadReport(0.5, 0)} {
+		if h.learnFromHealthCheck(e, report); e.estimate.checked.at != 0 {
+			t.Errorf("%+v gives a capacity of %v", report, e.estimate.checked.logCapacity)
 		}
 	}
 }
--- a/logic/deadline_test.go
+++ b/logic/deadline_test.go
@@ -7,65 +7,70 @@
 	"time"
 )
 
-// A request whose time is over when it comes is refused at once, and nothing is sent for it.
+// The deadline of a request has passed when it arrives. It must be rejected at once, and nothing may be sent.
 func TestExpiredRequestIsRejectedOnArrival(t *testing.T) {
 	h := newHarness(t, testSettings(), 1, 1)
-	refused := false
+	rejected := false
 	for _, a := range h.Handle(h.clock, Request{ID: "x", Deadline: h.clock}) {
-		refused = refused || a.Kind == Reject
+		rejected = rejected || a.Kind == Reject
 		if a.Kind == Send {
 			t.Error("sent after its deadline")
 		}
 	}
-	if !refused {
-		t.Error("not refused")
+	if !rejected {
+		t.Error("not rejected")
 	}
 }
 
-// Guards against a deadline that is missed, or a timer for each request: the timer for the earliest deadline stands for
-// all, also when an earlier one comes later, when its own request ends before it, and when an old timer still fires.
+// A timer for each request would wake the process for requests that have long ended. One timer serves all
+// deadlines: none may be missed, when an earlier deadline comes later, when the request of the timer ends
+// before it, and when a timer that was replaced still fires.
 func TestOneTimerServesAllDeadlines(t *testing.T) {
 	h := newHarness(t, testSettings(), 1, 1, 1)
 	h.Handle(h.clock, TimerFired{tickToken})
-	due := map[uint64]time.Duration{}
+	timers := map[uint64]time.Duration{}
 	ended := map[string]time.Duration{}
-	do := func(actions []Action) {
+	record := func(actions []Action) {
 		for _, a := range actions {
 			switch {
 			case a.Kind == SetTimer && a.Token >= deadlineToken:
-				due[a.Token] = h.clock + a.Delay
+				timers[a.Token] = h.clock + a.Delay
 			case a.Kind == Reject || a.Kind == Fail:
 				ended[a.Request] = h.clock
 			}
 		}
 	}
-	begin := h.clock
-	want := map[string]time.Duration{}
-	for i, in := range []time.Duration{900, 300, 600, 300, 1200} {
+	deadlines := map[string]time.Duration{}
+	for i, after := range []time.Duration{900, 300, 600, 300, 1200} {
 		id := strconv.Itoa(i)
-		want[id] = begin + in*time.Millisecond
-		do(h.Handle(h.clock, Request{ID: id, Deadline: want[id]}))
+		deadlines[id] = h.clock + after*time.Millisecond
+		record(h.Handle(h.clock, Request{ID: id, Deadline: deadlines[id]}))
 	}
-	if len(due) != 2 { // for 900, then for 300
-		t.Errorf("%d timers for five requests", len(due))
+	if len(timers) != 2 { // for 900, then for 300
+		t.Errorf("%d timers for five requests", len(timers))
 	}
-	do(h.Handle(h.clock, ClientDisconnected{"2"})) // no timer of its own
-	delete(want, "2")
-	for len(due) > 0 {
-		next := uint64(0)
-		for token, at := range due {
-			if next == 0 || at < due[next] || at == due[next] && token < next {
-				next = token
-			}
-		}
-		h.clock = due[next]
-		delete(due, next)
-		do(h.Handle(h.clock, TimerFired{next}))
+	record(h.Handle(h.clock, ClientDisconnected{"2"})) // it had no timer of its own
+	delete(deadlines, "2")
+	for len(timers) > 0 {
+		token := earliestTimer(timers)
+		h.clock = timers[token]
+		delete(timers, token)
+		record(h.Handle(h.clock, TimerFired{token}))
+	}
+	if !maps.Equal(ended, deadlines) {
+		t.Errorf("ended at %v, deadlines %v", ended, deadlines)
 	}
-	if !maps.Equal(ended, want) {
-		t.Errorf("ended at %v, deadlines %v", ended, want)
+	if n := len(h.deadlines.queue); n != 0 {
+		t.Errorf("%d requests are still in the queue", n)
 	}
-	if len(h.deadlines.queue) != 0 {
-		t.Errorf("%d are still open", len(h.deadlines.queue))
+}
+
+// earliestTimer returns the token of the timer that fires next; of several the lowest token.
+func earliestTimer(timers map[uint64]time.Duration) (next uint64) {
+	for token, at := range timers {
+		if next == 0 || at < timers[next] || at == timers[next] && token < next {
+			next = token
+		}
 	}
+	return next
 }
--- a/logic/endpoints_test.go
+++ b/logic/endpoints_test.go
@@ -6,11 +6,12 @@
 	"time"
 )
 
-// In a large fleet each waits for longer before it asks again, and all of them at different times.
+// After an outage of discovery a large fleet must not overload it again by its polls: each of many
+// balancers backs off for longer, within what the settings require.
 func TestPollBackoffGrowsWithFleet(t *testing.T) {
 	set := testSettings()
 	set.SubscriptionRequired, set.MaxPollInterval = true, 10*time.Second
-	mean := func(balancers int) (wait time.Duration) {
+	meanBackoff := func(balancers int) (mean time.Duration) {
 		set.Balancers = balancers
 		b, err := New(set, 1)
 		if err != nil {
@@ -18,36 +19,29 @@
 		}
 		b.Start(time.Hour)
 		for range 50 {
-			wait += b.Handle(time.Hour, DiscoveryUnavailable{})[0].Delay / 50
+			mean += b.Handle(time.Hour, DiscoveryUnavailable{})[0].Delay / 50
 			b.Handle(time.Hour, TimerFired{pollToken})
 		}
-		return wait
+		return mean
 	}
-	few, usual, many := mean(2), mean(referenceFleetSize), mean(4*referenceFleetSize)
-	if few != usual || many < 2*usual || many > 4*set.MaxPollInterval {
-		t.Errorf("%v, %v and %v", few, usual, many)
+	few, reference, many := meanBackoff(2), meanBackoff(referenceFleetSize), meanBackoff(4*referenceFleetSize)
+	if few != reference || many < 2*reference || many > 4*set.MaxPollInterval {
+		t.Errorf("the backoff is %v with few balancers, %v and %v with many", few, reference, many)
 	}
 }
 
-// A restart voids what was learnt, and is seen by the new start time.
-func TestRestartDropsEarlierEstimates(t *testing.T) {
-	h := newHarness(t, testSettings(), 1, 1)
-	h.now = h.clock
-	s := h.endpoint("s0")
-	h.learnFromReport(s, loadReport(0.5, 500))
-	s.health.failureRate = 0.9
-	h.eject(s)
-	h.list(Endpoint{ID: "s0", StartedAt: h.clock})
-	if s.estimate.requestRate != 0 || s.health.failureRate != 0 || s.health.state != healthy {
-		t.Errorf("after a restart: %+v", s)
-	}
+// failPoll fires the poll timer of a balancer, fails that poll and returns the timer of the next one.
+func failPoll(b *Balancer) Action {
+	b.Handle(0, TimerFired{pollToken})
+	return b.Handle(0, DiscoveryUnavailable{})[0]
 }
 
-// Balancers that lose the list together ask again apart, and later each time.
+// Balancers that lose discovery together must not poll together: each draws its backoff, which grows with
+// each failed poll. However many polls have failed, one timer is set.
 func TestPollBackoffGrowsWithJitterWithinBounds(t *testing.T) {
 	set := testSettings()
 	set.SubscriptionRequired = true
-	var waits []time.Duration
+	var firstDelays []time.Duration
 	for seed := range uint64(5) {
 		b, err := New(set, seed)
 		if err != nil {
@@ -55,100 +49,126 @@
 		}
 		b.Start(0)
 		first := b.Handle(0, DiscoveryUnavailable{})[0]
-		if first.Kind != SetTimer || first.Token != pollToken || slices.Contains(waits, first.Delay) {
-			t.Errorf("seed %d: %+v, earlier waits %v", seed, first, waits)
+		if first.Kind != SetTimer || first.Token != pollToken || slices.Contains(firstDelays, first.Delay) {
+			t.Errorf("seed %d: %+v, earlier delays %v", seed, first, firstDelays)
 		}
-		waits = append(waits, first.Delay)
+		firstDelays = append(firstDelays, first.Delay)
 		if a := b.Handle(first.Delay, TimerFired{pollToken}); len(a) != 1 || a[0].Kind != Subscribe {
 			t.Errorf("seed %d: %+v", seed, a)
 		}
-		fail := func(b *Balancer) Action { // asks again, then fails again
-			b.Handle(0, TimerFired{pollToken})
-			return b.Handle(0, DiscoveryUnavailable{})[0]
-		}
 		for range maxBackoffDoublings {
-			fail(b)
+			failPoll(b)
 			if a := b.Handle(0, DiscoveryUnavailable{}); len(a) != 0 {
-				t.Errorf("seed %d: a second timer to ask again: %+v", seed, a)
+				t.Errorf("seed %d: a second timer: %+v", seed, a)
 			}
 		}
-		set := set // guards against asking so late that the balancer is held to know what it has not heard
-		set.MaxPollInterval = time.Second
-		bound, _ := New(set, seed)
+		if last := failPoll(b); last.Delay <= first.Delay {
+			t.Errorf("seed %d: the backoff does not grow: %v, then %v", seed, first.Delay, last.Delay)
+		}
+	}
+}
+
+// A balancer that polls too late counts as knowing a change that it has not received. The backoff must stay
+// within the poll interval of the settings, and within that after a failed poll, however large the fleet
+// is.
+func TestPollBackoffStaysWithinSettings(t *testing.T) {
+	set := testSettings()
+	set.SubscriptionRequired, set.MaxPollInterval = true, time.Second
+	for seed := range uint64(5) {
+		b, err := New(set, seed)
+		if err != nil {
+			t.Fatal(err)
+		}
 		for range 2 * maxBackoffDoublings {
-			if a := fail(bound); a.Delay > time.Second {
-				t.Errorf("asks again after %v, must within %v", a.Delay, set.MaxPollInterval)
+			if a := failPoll(b); a.Delay > set.MaxPollInterval {
+				t.Errorf("seed %d: polls after %v, must within %v", seed, a.Delay, set.MaxPollInterval)
 			}
 		}
-		set.MaxPollRetryInterval, set.Balancers = 400*time.Millisecond, 300 // nor, however large the fleet is, by a time of its own
-		again, _ := New(set, seed)
-		var waits []time.Duration
+		large := set
+		large.MaxPollRetryInterval, large.Balancers = 400*time.Millisecond, 300
+		b, err = New(large, seed)
+		if err != nil {
+			t.Fatal(err)
+		}
+		var delays []time.Duration
 		for range 2 * maxBackoffDoublings {
-			a := fail(again)
-			if a.Delay > set.MaxPollRetryInterval || slices.Contains(waits, a.Delay) {
-				t.Errorf("asks again after %v, must within %v, and at different times: %v", a.Delay, set.MaxPollRetryInterval, waits)
+			a := failPoll(b)
+			if a.Delay > large.MaxPollRetryInterval || slices.Contains(delays, a.Delay) {
+				t.Errorf("seed %d: polls after %v, must within %v and at different times: %v",
+					seed, a.Delay, large.MaxPollRetryInterval, delays)
 			}
-			waits = append(waits, a.Delay)
-		}
-		if last := fail(b); last.Delay <= first.Delay {
-			t.Errorf("the wait does not grow: %v, then %v", first.Delay, last.Delay)
+			delays = append(delays, a.Delay)
 		}
 	}
 }
 
-// Guards against a restarted balancer that trusts its last list, which names servers that have gone since and
-// has an old start of one that is cold: what does not connect goes elsewhere, and the list counts at once.
+// An endpoint has restarted, which the list shows by a new start time. What the earlier process has shown
+// says nothing of the new one.
+func TestRestartDropsEarlierEstimates(t *testing.T) {
+	h := newHarness(t, testSettings(), 1, 1)
+	h.now = h.clock
+	e := h.endpoint("s0")
+	h.learnFromReport(e, loadReport(0.5, 500))
+	e.health.failureRate = 0.9
+	h.eject(e)
+	h.list(Endpoint{ID: "s0", StartedAt: h.clock})
+	if e.estimate.requestRate != 0 || e.health.failureRate != 0 || e.health.state != healthy {
+		t.Errorf("after a restart: %+v, %+v", e.estimate, e.health)
+	}
+}
+
+// A restarted balancer starts from its persisted list. That names an endpoint which is gone, and an old
+// start time of one that warms up. What does not connect must be served elsewhere, and the new list must
+// count at once.
 func TestStaleRestoredListIsCorrected(t *testing.T) {
-	h := newHarness(t, testSettings(), 1, 1, 1, 1) // as restored; s0 is gone, s1 has just started again
+	h := newHarness(t, testSettings(), 1, 1, 1, 1) // s0 is gone, s1 has restarted
 	for range 20 {
 		id, to := h.sendRequest(nonIdempotentClass)
-		for n := 0; to == "s0"; n++ {
-			next := h.endAttempt(id, to, n, ConnectFailed, NoLoadReport)
+		for attempt := 0; to == "s0"; attempt++ {
+			next := h.endAttempt(id, to, attempt, ConnectFailed, NoLoadReport)
 			if len(next) != 1 || next[0].Kind != Send || next[0].Endpoint == "s0" {
-				t.Fatalf("after no connection to a server that is gone: %+v", next)
+				t.Fatalf("after no connection to an endpoint that is gone: %+v", next)
 			}
 			to = next[0].Endpoint
 		}
 	}
-	h.Handle(h.clock, EndpointList{Full: true, Endpoints: []Endpoint{{ID: "s1", StartedAt: h.clock}, {ID: "s2"}, {ID: "s3"}}})
-	cold := 0
+	h.Handle(h.clock, EndpointList{Full: true, Endpoints: []Endpoint{
+		{ID: "s1", StartedAt: h.clock}, {ID: "s2"}, {ID: "s3"}}})
+	warming := 0
 	for range 200 {
 		h.overload.level = 0
 		switch _, to := h.sendRequest(nonIdempotentClass); to {
 		case "s0":
-			t.Fatal("sent to a server that the list has dropped")
+			t.Fatal("sent to an endpoint that is not listed any more")
 		case "s1":
-			cold++
+			warming++
 		}
 	}
-	if cold > 200*3/10/3+15 {
-		t.Errorf("a server that has just started got %d of 200", cold)
+	if warming > 200*3/10/3+15 {
+		t.Errorf("an endpoint that has just started got %d of 200 requests", warming)
 	}
 }
 
-// A server that is named again after it was gone starts afresh and gets requests.
+// An endpoint that was removed is listed again, and gets requests.
 func TestEndpointListedAgainGetsRequests(t *testing.T) {
 	h := newHarness(t, testSettings(), 1)
 	h.list(Endpoint{ID: "s0", State: Removed})
 	if _, to := h.sendRequest(cheapClass); to != "" {
-		t.Fatalf("sent to %s, which is gone", to)
+		t.Fatalf("sent to %s, which is removed", to)
 	}
 	h.list(Endpoint{ID: "s0", Weight: 1})
 	if _, to := h.sendRequest(cheapClass); to != "s0" {
-		t.Errorf("named again, but the request went to %q", to)
+		t.Errorf("it is listed again, but the request went to %q", to)
 	}
 }
 
-// Guards against a list that is late or old: what own traffic shows of a server's health outweighs a list
-// that calls it ready, and nothing outweighs a list that has it draining.
+// The list is late: it calls a dead endpoint ready. What this balancer has seen of its health must outweigh
+// that. A list that calls an endpoint draining must outweigh everything.
 func TestDrainingAndEjectionOutweighOldList(t *testing.T) {
 	h := newHarness(t, testSettings(), 1, 1, 1)
-	list := func(state EndpointState, id string) {
-		h.list(Endpoint{ID: id, Weight: 1, State: state})
-	}
-	h.eject(h.endpoint("s0")) // dead, and still in the list
-	list(Ready, "s0")
-	list(Draining, "s1")
+	h.eject(h.endpoint("s0"))
+	h.list(Endpoint{ID: "s0", Weight: 1, State: Ready})
+	h.list(Endpoint{ID: "s1", Weight: 1, State: Draining})
 	for range 200 {
 		id, to := h.sendRequest(cheapClass)
 		if to != "s2" {
--- a/logic/gossip_test.go
+++ b/logic/gossip_test.go
@@ -1,58 +1,58 @@
 package logic
 
-import (
-	"testing"
-)
+import "testing"
 
-// A server that other balancers see fail gets nothing, and no trial while they go on to say so; when they no longer do it is
-// in again at once. A balancer that has heard from the server lately believes itself.
+// An endpoint has died, and peers report it. It must get no request and no half-open test while they go on
+// to report it, and be healthy as soon as they no longer do. A balancer that had an answer from it lately
+// ignores them.
 func TestPeerReportsEjectWhileRepeated(t *testing.T) {
 	h := newHarness(t, testSettings(), 1, 1, 1, 1)
-	s := h.endpoint("s0")
-	s.lastSeen = h.clock
+	reported := h.endpoint("s0")
+	reported.lastSeen = h.clock
 	h.Handle(h.clock, PeerReport{Endpoint: "s0", Unhealthy: true})
-	if s.health.state != healthy {
-		t.Fatal("others' word went before an own answer")
+	if reported.health.state != healthy {
+		t.Fatal("a peer's report overruled an answer to this balancer")
 	}
 	h.clock += 2 * h.horizon
 	for range 8 {
 		h.Handle(h.clock, PeerReport{Endpoint: "s0", Unhealthy: true})
 		for range 10 {
-			if id, to := h.sendRequest(cheapClass); to == "s0" {
-				t.Fatal("a request or a trial went to a suspect")
-			} else {
-				h.endAttempt(id, to, 0, OK, NoLoadReport)
+			id, to := h.sendRequest(cheapClass)
+			if to == "s0" {
+				t.Fatal("a request went to an endpoint that peers report")
 			}
+			h.endAttempt(id, to, 0, OK, NoLoadReport)
 		}
 		h.clock += h.horizon / 2
 	}
 	h.Handle(h.clock, PeerReport{Endpoint: "s0"})
-	if s.health.state != healthy {
-		t.Error("still out when nobody suspects it")
+	if reported.health.state != healthy {
+		t.Errorf("%+v though no peer reports it any more", reported.health)
 	}
 	h.Handle(h.clock, PeerReport{Endpoint: "unknown", Unhealthy: true})
 }
 
-// Others' word leaves a server alone that this balancer has put out itself, or tries at the moment, and may not empty the fleet.
+// Peers may be wrong, or cut off themselves. Their reports must not change an ejection on this balancer's own
+// evidence, and must not leave it without endpoints.
 func TestPeerReportsOverruleNoOwnEvidence(t *testing.T) {
 	h := newHarness(t, testSettings(), 1, 1, 1, 1)
-	own := h.endpoint("s0")
-	h.eject(own)
-	until := own.health.ejectedUntil
+	e := h.endpoint("s0")
+	h.eject(e)
+	until := e.health.ejectedUntil
 	h.clock += 2 * h.horizon
 	h.Handle(h.clock, PeerReport{Endpoint: "s0", Unhealthy: true})
-	if own.health.ejectedUntil != until || own.health.state != ejected {
-		t.Error("an ejection of its own was put off")
+	if e.health.ejectedUntil != until || e.health.state != ejected {
+		t.Errorf("a peer's report extended an ejection on own evidence: %+v", e.health)
 	}
 	h.Handle(h.clock, PeerReport{Endpoint: "s0"})
-	if own.health.ejectedUntil != until {
-		t.Error("an ejection of its own was ended")
+	if e.health.ejectedUntil != until {
+		t.Errorf("a peer's report ended an ejection on own evidence: %+v", e.health)
 	}
-	for _, s := range h.endpoints.listed {
-		h.Handle(h.clock, PeerReport{Endpoint: s.ID, Unhealthy: true})
+	for _, e := range h.endpoints.listed {
+		h.Handle(h.clock, PeerReport{Endpoint: e.ID, Unhealthy: true})
 	}
 	h.updateWeights()
 	if id, to := h.sendRequest(nonIdempotentClass); to == "" {
-		t.Errorf("%s goes nowhere: others' word has emptied the fleet", id)
+		t.Errorf("%s is not sent: peers' reports have ejected all endpoints", id)
 	}
 }
--- a/logic/halfopen_test.go
+++ b/logic/halfopen_test.go
@@ -5,46 +5,39 @@
 	"time"
 )
 
-// Guards against a jam in which all of the cheapest class is refused, so that ejected servers never get the
-// cheap request that tries them and stand empty (incident if77e79).
+// In an overload all requests of the cheapest class were shed. Those are the requests that test ejected
+// endpoints, which therefore never returned and stood idle. A request that tests an endpoint must not be
+// shed.
 func TestHalfOpenRequestIsNotShed(t *testing.T) {
 	h := newHarness(t, testSettings(), 1, 1, 1)
-	s := h.endpoint("s0")
-	h.eject(s)
+	e := h.endpoint("s0")
+	h.eject(e)
 	h.setSheddingLevel(1e6)
 	if id, to := h.sendRequest(cheapClass); to != "" {
-		t.Fatalf("%s was sent to %s, not refused", id, to)
+		t.Fatalf("%s was sent to %s, not shed", id, to)
 	}
-	h.clock = s.health.ejectedUntil
+	h.clock = e.health.ejectedUntil
 	if _, to := h.sendRequest(cheapClass); to != "s0" {
-		t.Errorf("a trial went to %q", to)
+		t.Errorf("the half-open request went to %q", to)
 	}
 	if _, to := h.sendRequest(cheapClass); to != "" {
-		t.Errorf("with the trial under way a request went to %q", to)
+		t.Errorf("with a half-open request under way the next went to %q", to)
 	}
 }
 
-// A server that was ejected while it starts is tried once it is warm, not before: a trial is no part of what a cold one may get.
+// An endpoint is ejected while it warms up. A half-open request would come on top of the part of the
+// requests that it can serve, so it must be tested when it is warm and not before.
 func TestWarmingEndpointIsNotTestedHalfOpen(t *testing.T) {
 	h := newHarness(t, testSettings(), 1, 1, 1)
-	s := h.endpoint("s0")
-	s.StartedAt = h.clock
-	h.eject(s)
-	ask := func() (sent int) {
-		for range 20 {
-			id, to := h.sendRequest(cheapClass)
-			if to == s.ID {
-				sent++
-			}
-			h.endAttempt(id, to, 0, OK, NoLoadReport)
-		}
-		return sent
+	e := h.endpoint("s0")
+	e.StartedAt = h.clock
+	h.eject(e)
+	h.clock = e.health.ejectedUntil + time.Millisecond
+	if n := h.serveRequests(20, e.ID); n > 0 || !h.isEjected(e) {
+		t.Errorf("%d requests went to an ejected endpoint that warms up", n)
 	}
-	h.clock = s.health.ejectedUntil + time.Millisecond
-	if n := ask(); n > 0 || !h.isEjected(s) {
-		t.Errorf("%d requests went to an ejected server that is cold", n)
-	}
-	if h.clock += h.settings.SlowStartWindow; ask() == 0 {
-		t.Error("it is not tried when it is warm")
+	h.clock += h.settings.SlowStartWindow
+	if h.serveRequests(20, e.ID) == 0 {
+		t.Error("it is not tested when it is warm")
 	}
 }
--- a/logic/harness_test.go
+++ b/logic/harness_test.go
@@ -74,8 +74,8 @@
 	return h
 }
 
-// newLargeFleetHarness returns one of 300 balancers with 200 endpoints, of which those from firstWarming on have
-// just started.
+// newLargeFleetHarness returns one of 300 balancers with 200 endpoints, of which those from firstWarming on
+// have just started.
 func newLargeFleetHarness(t *testing.T, index, firstWarming int) *harness {
 	t.Helper()
 	h := newHarness(t, largeFleetSettings(index))
@@ -100,7 +100,8 @@
 	return h.Handle(h.clock, EndpointList{Endpoints: entries})
 }
 
-// sendRequest brings a request and returns its ID and the endpoint that it is sent to, "" where it is not sent.
+// sendRequest brings a request and returns its ID and the endpoint that it is sent to, "" where it is not
+// sent.
 func (h *harness) sendRequest(class int) (id, to string) {
 	h.sent++
 	id = fmt.Sprint("r", h.sent)
@@ -123,8 +124,8 @@
 	h.Handle(h.clock, Outcome{Request: id, Endpoint: endpoint, Latency: latency, Closed: true, LoadReport: report})
 }
 
-// serveRequests brings cheap requests one after the other, each answered at once, and counts those sent to the
-// endpoint.
+// serveRequests brings cheap requests one after the other, each answered at once, and counts those sent to
+// the endpoint.
 func (h *harness) serveRequests(n int, endpoint string) (count int) {
 	for range n {
 		id, to := h.sendRequest(cheapClass)
--- a/logic/healthcheck_test.go
+++ b/logic/healthcheck_test.go
@@ -5,38 +5,45 @@
 	"time"
 )
 
-// Guards against probes that are spread over a whole fleet, of which this balancer uses a part, and against taking all the servers that
-// it never asked for busy.
+// checked delivers a served health check.
+func (h *harness) checked(id string, report LoadReport) {
+	h.Handle(h.clock, HealthChecked{Endpoint: id, Result: OK, LoadReport: report})
+}
+
+// In a large fleet health checks were spread over all endpoints, and those that were never checked counted
+// as fully used. A balancer must check its subset only, and take the fleet's utilization from it.
 func TestHealthChecksStayInSubset(t *testing.T) {
 	h := newLargeFleetHarness(t, 2, 200)
-	probes, own := 0, map[string]bool{}
+	checks, subset := 0, map[string]bool{}
 	for range 600 {
 		id, to := h.sendRequest(cheapClass)
 		for _, id := range h.SubsetIDs() {
-			own[id] = true
+			subset[id] = true
 		}
 		h.endAttempt(id, to, 0, OK, NoLoadReport)
-		for s := range healthChecksIn(h.advance(62 * time.Millisecond)) {
-			probes++
-			if !own[s] {
-				t.Fatalf("%s is asked, which gets no requests", s)
+		for id := range healthChecksIn(h.advance(62 * time.Millisecond)) {
+			checks++
+			if !subset[id] {
+				t.Fatalf("%s is checked and was never in the subset", id)
 			}
-			h.Handle(h.clock, HealthChecked{Endpoint: s, Result: OK, LoadReport: loadReport(0.1, 5)})
+			h.checked(id, loadReport(0.1, 5))
 		}
 	}
-	if probes < 30 {
-		t.Errorf("%d probes of %d own servers in 37 s, of which each may be asked every %.0f s", probes, len(own), h.checkInterval())
+	if checks < 30 {
+		t.Errorf("%d checks of %d endpoints in 37 s, at an interval of %.0f s", checks, len(subset), h.checkInterval())
 	}
-	for id := range own {
-		h.endpoint(id).utilization.value, h.endpoint(id).utilization.at = 0.1, h.clock
+	for id := range subset {
+		h.endpoint(id).utilization = checkedUtilization{value: 0.1, at: h.clock}
 	}
-	if h.now = h.clock; h.checkedFleetUtilization() > 0.2 {
-		t.Errorf("with each own server proven to be idle, their use is taken for %.2f", h.checkedFleetUtilization())
+	h.now = h.clock
+	if u := h.checkedFleetUtilization(); u > 0.2 {
+		t.Errorf("with all of the subset at 0.1 the utilization is taken for %.2f", u)
 	}
 }
 
-// Guards against a quiet balancer that suddenly gets busy and leans on a dead server, which owes it too few answers to tell:
-// it is asked, and is out as soon as that is lost, too.
+// A balancer with few requests suddenly gets many and sends some of them to a dead endpoint, which misses
+// too few answers to be ejected. It must be checked, and ejected as soon as the check is lost too. Later a
+// lost check must extend the ejection, without the cost of a half-open request.
 func TestSilentEndpointIsCheckedAndEjected(t *testing.T) {
 	set := healthCheckSettings()
 	set.EndpointHealthCheckRate = 100
@@ -53,58 +60,63 @@
 		}
 	}
 	if dead.health.state == healthy || h.missedAnswers(dead) >= maxMissedAnswers {
-		t.Fatalf("out until %v with %.1f answers owed", dead.health.ejectedUntil, h.missedAnswers(dead))
+		t.Fatalf("%+v with %.1f missed answers", dead.health, h.missedAnswers(dead))
 	}
 	for range 50 {
-		if id, to := h.sendRequest(nonIdempotentClass); to == "s0" {
-			t.Fatal("the dead server gets more")
-		} else {
-			h.endAttempt(id, to, 0, OK, NoLoadReport)
+		id, to := h.sendRequest(nonIdempotentClass)
+		if to == "s0" {
+			t.Fatal("the dead endpoint gets more requests")
 		}
+		h.endAttempt(id, to, 0, OK, NoLoadReport)
 	}
-	// When it is due again it is asked first, and a lost probe keeps it out without the cost of a request.
 	for range 6 {
 		h.loseHealthChecks(h.advance(h.horizon))
-		if id, to := h.sendRequest(cheapClass); to == "s0" {
-			t.Fatal("a request was risked on a server that answers no probe")
-		} else {
-			h.endAttempt(id, to, 0, OK, NoLoadReport)
+		id, to := h.sendRequest(cheapClass)
+		if to == "s0" {
+			t.Fatal("a request was risked on an endpoint that answers no health check")
 		}
+		h.endAttempt(id, to, 0, OK, NoLoadReport)
 	}
 }
 
-// Guards against taking a probe's word for a request's: a server that answers probes and fails requests is avoided all the
-// same, and one that loses probes and serves requests stays in.
+// Health checks and requests can fail separately, as they take other paths in an endpoint. One that serves
+// checks and fails requests must be avoided; one that loses checks and serves requests must stay.
 func TestHealthChecksAndRequestsFailSeparately(t *testing.T) {
 	h := newHarness(t, healthCheckSettings(), 1, 1, 1)
+	failingRequests, losingChecks := h.endpoint("s0"), h.endpoint("s1")
 	failed := 0
 	for i := range 60 {
 		id, to := h.sendRequest(nonIdempotentClass)
-		if to == "s0" {
-			failed++
+		result := OK
+		if to == failingRequests.ID {
+			failed, result = failed+1, Failed
 		}
-		h.endAttempt(id, to, 0, map[bool]Result{true: Failed, false: OK}[to == "s0"], NoLoadReport)
-		h.endpoint("s0").check.inFlight, h.endpoint("s1").check.inFlight = true, true
-		h.Handle(h.clock, HealthChecked{Endpoint: "s0", Result: OK, LoadReport: loadReport(0.2, 20)})
-		h.Handle(h.clock, HealthChecked{Endpoint: "s1", Result: TimedOut, LoadReport: NoLoadReport})
+		h.endAttempt(id, to, 0, result, NoLoadReport)
+		failingRequests.check.inFlight, losingChecks.check.inFlight = true, true
+		h.checked(failingRequests.ID, loadReport(0.2, 20))
+		h.Handle(h.clock, HealthChecked{Endpoint: losingChecks.ID, Result: TimedOut, LoadReport: NoLoadReport})
 		if i%4 == 0 {
 			h.advanceTick()
 		}
 	}
-	if failed == 0 || failed > 6 || h.endpoint("s1").health.state != healthy {
-		t.Errorf("the one that fails got %d of 60 requests, the one that loses probes is out until %v", failed, h.endpoint("s1").health.ejectedUntil)
+	if failed == 0 || failed > 6 {
+		t.Errorf("the endpoint that fails requests got %d of 60", failed)
+	}
+	if losingChecks.health.state != healthy {
+		t.Errorf("the endpoint that loses checks: %+v", losingChecks.health)
 	}
 }
 
-// Guards against a new server that all balancers probe at once: together they stay near what a server is asked at most.
+// All balancers learn of a new endpoint at the same time. If each checked it at once, hundreds of checks
+// would arrive together. They must stay near the rate that the settings allow for an endpoint.
 func TestNewEndpointIsNotCheckedByAllAtOnce(t *testing.T) {
-	const fleet, seconds = 400, 5
+	const balancers, seconds = 400, 5
 	set := healthCheckSettings()
-	set.Balancers = fleet
-	probes := 0
-	for me := range fleet {
-		set.BalancerIndex = me
-		b, err := New(set, uint64(me)+1)
+	set.Balancers = balancers
+	checks := 0
+	for index := range balancers {
+		set.BalancerIndex = index
+		b, err := New(set, uint64(index)+1)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -114,42 +126,43 @@
 		for range seconds * 4 {
 			id, to := h.sendRequest(nonIdempotentClass)
 			h.endAttempt(id, to, 0, OK, NoLoadReport)
-			for s := range healthChecksIn(h.advance(250 * time.Millisecond)) {
-				probes++
-				h.Handle(h.clock, HealthChecked{Endpoint: s, Result: OK, LoadReport: loadReport(0.5, 50)})
+			for id := range healthChecksIn(h.advance(250 * time.Millisecond)) {
+				checks++
+				h.checked(id, loadReport(0.5, 50))
 			}
 		}
 	}
 	most := set.EndpointHealthCheckRate * seconds * (1 + checkIntervalSpread)
-	if float64(probes) > 1.3*most || probes == 0 {
-		t.Errorf("%d probes in %d s, at most %.0f are meant", probes, seconds, most)
+	if float64(checks) > 1.3*most || checks == 0 {
+		t.Errorf("%d checks in %d s, at most %.0f are meant", checks, seconds, most)
 	}
 }
 
-// Probes cost at most their share of the requests, and an idle balancer sends none.
+// Health checks cost at most their fraction of the requests. A balancer without requests sends none.
 func TestHealthCheckBudgetBoundsChecks(t *testing.T) {
 	h := newHarness(t, healthCheckSettings(), 1, 1, 1, 1)
-	probes := 0
 	const requests = 400
+	checks := 0
 	for range requests {
 		id, to := h.sendRequest(nonIdempotentClass)
 		h.endAttempt(id, to, 0, OK, NoLoadReport)
-		for s, n := range healthChecksIn(h.advance(h.horizon)) {
-			probes += n
-			h.Handle(h.clock, HealthChecked{Endpoint: s, Result: OK, LoadReport: NoLoadReport})
+		for id, n := range healthChecksIn(h.advance(h.horizon)) {
+			checks += n
+			h.checked(id, NoLoadReport)
 		}
 	}
-	if most := initialHealthChecks + h.settings.HealthChecksPerRequest*requests; probes == 0 || float64(probes) > most {
-		t.Errorf("%d probes, at most %.0f are allowed", probes, most)
+	most := initialHealthChecks + h.settings.HealthChecksPerRequest*requests
+	if checks == 0 || float64(checks) > most {
+		t.Errorf("%d checks, at most %.0f are allowed", checks, most)
 	}
 	h.advance(20 * h.horizon)
 	if late := healthChecksIn(h.advance(100 * h.horizon)); len(late) > 0 {
-		t.Errorf("idle, it sends %v", late)
+		t.Errorf("without requests it sends %v", late)
 	}
 	h.settings.HealthChecksPerRequest = 0
 	h.healthChecks.available = 5
 	h.sendRequest(nonIdempotentClass)
 	if got := healthChecksIn(h.advance(h.horizon)); len(got) > 0 {
-		t.Errorf("probes %v where none are allowed", got)
+		t.Errorf("checks %v where none are allowed", got)
 	}
 }
--- a/logic/hedge_test.go
+++ b/logic/hedge_test.go
@@ -5,35 +5,46 @@
 	"time"
 )
 
-// An answer that is late may never come: a second copy goes out where the class allows one and servers are not busy.
+// The answer of a request is late and may never come, as a connection has gone silent or the endpoint
+// hangs. A hedged request goes to another endpoint, where the class allows it and endpoints are not busy;
+// each costs one retry.
 func TestLateRequestIsHedgedWhereClassAndUtilizationAllow(t *testing.T) {
+	const idempotent, withKey, nonIdempotent = 0, 1, 2
+	class := func(idempotency Idempotency) Class {
+		return Class{Idempotency: idempotency, IdempotencyWindow: 3 * time.Second, LatencyObjective: time.Second,
+			Timeout: 3 * time.Second, PriorityWeight: 1}
+	}
+	set := testSettings()
+	set.HedgingAllowed = true
+	set.Classes = []Class{class(Idempotent), class(IdempotentWithKey), class(NonIdempotent)}
 	for name, c := range map[string]struct {
-		class, copies int
-		util          float64
-	}{"safe": {0, 1, 0.3}, "keyed": {1, 1, 0.3}, "unsafe": {2, 0, 0.3}, "busy": {0, 0, 0.9}} {
-		set := testSettings()
-		set.HedgingAllowed = true
-		set.Classes = []Class{{Name: "s", Idempotency: Idempotent, LatencyObjective: time.Second, Timeout: 3 * time.Second, PriorityWeight: 1},
-			{Name: "k", Idempotency: IdempotentWithKey, IdempotencyWindow: 3 * time.Second, LatencyObjective: time.Second, Timeout: 3 * time.Second, PriorityWeight: 1},
-			{Name: "u", Idempotency: NonIdempotent, LatencyObjective: time.Second, Timeout: 3 * time.Second, PriorityWeight: 1}}
+		class, hedges int
+		utilization   float64
+	}{
+		"idempotent":     {idempotent, 1, 0.3},
+		"with key":       {withKey, 1, 0.3},
+		"non-idempotent": {nonIdempotent, 0, 0.3},
+		"busy endpoints": {idempotent, 0, 0.9},
+	} {
 		h := newHarness(t, set, 1, 1, 1, 1)
 		for range 100 {
-			id, to := h.sendRequest(cheapClass)
-			h.endAttempt(id, to, 0, OK, loadReport(c.util, 50))
+			id, to := h.sendRequest(idempotent)
+			h.endAttempt(id, to, 0, OK, loadReport(c.utilization, 50))
 		}
 		h.advanceTick()
 		id, to := h.sendRequest(c.class)
-		copies, saved := 0, h.retries.available
+		hedges, before := 0, h.retries.available
 		for _, a := range h.advance(time.Duration(2 * hedgeDelayFactor * h.baseline[c.class])) {
 			if a.Kind == Send && a.Request == id {
-				copies++
+				hedges++
 				if a.Endpoint == to {
-					t.Errorf("%s: the copy went to the same server", name)
+					t.Errorf("%s: the hedged request went to the same endpoint", name)
 				}
 			}
 		}
-		if copies != c.copies || h.retries.available != saved-float64(copies) {
-			t.Errorf("%s: %d copies, %v of %v are left for more", name, copies, h.retries.available, saved)
+		if hedges != c.hedges || h.retries.available != before-float64(hedges) {
+			t.Errorf("%s: %d hedged requests, want %d; %v of %v retries are left",
+				name, hedges, c.hedges, h.retries.available, before)
 		}
 	}
 }
--- a/logic/knowledge.go
+++ b/logic/knowledge.go
@@ -69,8 +69,8 @@
 }
 
 // Restore starts from what an earlier Balancer with the same settings had learned, ago before now. It must
-// be called before Start. What concerns an endpoint is used when the list brings it with the same start
-// time. The latencies and the priority are ignored where the number of classes differs.
+// be called before the first event. What concerns an endpoint is used when the list brings it with the same
+// start time. The latencies and the priority are ignored where the number of classes differs.
 func (b *Balancer) Restore(now time.Duration, k Knowledge, ago time.Duration) {
 	if len(k.BaselineLatency) == len(b.baseline) {
 		for i, latency := range k.BaselineLatency {
--- a/logic/knowledge_test.go
+++ b/logic/knowledge_test.go
@@ -6,8 +6,10 @@
 	"time"
 )
 
-// What was learnt goes to the next process on its own clock, less the later it comes, and only to the same life of a server.
-func TestKnowledgeIsRestoredForSameIncarnation(t *testing.T) {
+// experienced returns a balancer that has learned of s0 and s1 from answers, ejected s2, and learned of s3,
+// which started a minute ago.
+func experienced(t *testing.T) *harness {
+	t.Helper()
 	h := newHarness(t, testSettings(), 1, 1, 1, 1)
 	for i := range 200 {
 		h.learnFromAnswer(h.endpoint("s0"), 20*time.Millisecond)
@@ -16,54 +18,82 @@
 	}
 	h.endpoint("s3").StartedAt = h.clock - time.Minute
 	h.eject(h.endpoint("s2"))
-	k := h.Knowledge(h.clock)
-	next := func(ago time.Duration, restarted bool) *Balancer {
-		b, err := New(testSettings(), 2)
-		if err != nil {
-			t.Fatal(err)
-		}
-		at := 3 * time.Second // another clock
-		b.Restore(at, k, ago)
-		b.Start(at)
-		started := at - ago - time.Minute
-		if restarted {
-			started = at
-		}
-		b.Handle(at, EndpointList{Full: true, Endpoints: []Endpoint{{ID: "s0"}, {ID: "s1"}, {ID: "s2"}, {ID: "s3", StartedAt: started}, {ID: "new"}}})
-		b.updateWeights()
-		return b
+	return h
+}
+
+// restored returns the next process with that knowledge, on another clock, some time later. The start of s3
+// comes by the list: a minute before the knowledge, or now where it has restarted.
+func restored(t *testing.T, k Knowledge, ago time.Duration, restarted bool) *harness {
+	t.Helper()
+	b, err := New(testSettings(), 2)
+	if err != nil {
+		t.Fatal(err)
 	}
-	b := next(100*time.Millisecond, false)
-	if x := b.endpoints.byID["s0"].weight / b.endpoints.byID["s1"].weight; math.Abs(x-4) > 0.4 {
-		t.Errorf("the faster one weighs %.2f times the slower", x)
+	h := &harness{Balancer: b, clock: 3 * time.Second}
+	h.Restore(h.clock, k, ago)
+	h.Start(h.clock)
+	startedAt := h.clock - ago - time.Minute
+	if restarted {
+		startedAt = h.clock
 	}
-	if b.endpoints.byID["s2"].health.state == healthy || b.endpoints.byID["new"].estimate.answers.samples != 0 || b.endpoints.byID["s3"].estimate.answers.samples == 0 {
-		t.Errorf("out until %v, %v answers of a new one, %v of the third", b.endpoints.byID["s2"].health.ejectedUntil, b.endpoints.byID["new"].estimate.answers.samples, b.endpoints.byID["s3"].estimate.answers.samples)
+	h.Handle(h.clock, EndpointList{Full: true, Endpoints: []Endpoint{
+		{ID: "s0"}, {ID: "s1"}, {ID: "s2"}, {ID: "s3", StartedAt: startedAt}, {ID: "new"}}})
+	h.updateWeights()
+	return h
+}
+
+// What was learned goes to the next process on its own clock, the less the later it comes, and only to the
+// same incarnation of an endpoint.
+func TestKnowledgeIsRestoredForSameIncarnation(t *testing.T) {
+	before := experienced(t)
+	k := before.Knowledge(before.clock)
+
+	h := restored(t, k, 100*time.Millisecond, false)
+	if ratio := h.endpoint("s0").weight / h.endpoint("s1").weight; math.Abs(ratio-4) > 0.4 {
+		t.Errorf("the faster endpoint has %.2f times the weight of the slower, want about 4", ratio)
 	}
-	if b := next(100*time.Millisecond, true); b.endpoints.byID["s3"].estimate.answers.samples != 0 {
-		t.Error("a server that has started anew is taken for the one before")
+	if h.endpoint("s2").health.state == healthy {
+		t.Error("an ejected endpoint is restored as healthy")
 	}
-	if b := next(time.Minute, false); b.endpoints.byID["s0"].estimate.uncertainty(b.now) < 0.9 || b.baseline[0] != h.baseline[0] {
-		t.Errorf("a minute later the doubt is %.2f", b.endpoints.byID["s0"].estimate.uncertainty(b.now))
+	if n := h.endpoint("new").estimate.answers.samples; n != 0 {
+		t.Errorf("%v answers of a new endpoint are known", n)
 	}
-	b = next(0, false) // of another number of classes
-	b.Restore(b.now, Knowledge{BaselineLatency: make([]time.Duration, 9), MeanPriority: 7}, 0)
-	if b.meanPriority == 7 {
-		t.Error("figures of other classes were taken")
+	if h.endpoint("s3").estimate.answers.samples == 0 {
+		t.Error("nothing is known of an endpoint of the same incarnation")
+	}
+
+	h = restored(t, k, 100*time.Millisecond, true)
+	if n := h.endpoint("s3").estimate.answers.samples; n != 0 {
+		t.Errorf("%v answers of an earlier incarnation are known", n)
+	}
+
+	h = restored(t, k, time.Minute, false)
+	if u := h.endpoint("s0").estimate.uncertainty(h.now); u < 0.9 || h.baseline[0] != before.baseline[0] {
+		t.Errorf("a minute later the uncertainty is %.2f, the baseline %v, before %v", u, h.baseline[0], before.baseline[0])
+	}
+}
+
+// The knowledge of a process with other classes is about other requests, and must not be taken for these.
+func TestKnowledgeOfOtherClassesIsIgnored(t *testing.T) {
+	h := newHarness(t, testSettings(), 1)
+	h.Restore(h.clock, Knowledge{BaselineLatency: make([]time.Duration, 9), MeanPriority: 7}, 0)
+	if h.meanPriority == 7 {
+		t.Error("the mean priority of other classes is restored")
 	}
 }
 
-// A server that leaves the list and comes back in the same life is known still; what is kept is bounded.
+// An endpoint leaves the list by mistake and returns in the same incarnation. What is known of it must not
+// be lost. The memory of endpoints that have left is bounded.
 func TestDelistedEndpointIsRemembered(t *testing.T) {
 	h := newHarness(t, testSettings(), 1, 1)
 	for range 50 {
 		h.learnFromAnswer(h.endpoint("s0"), 20*time.Millisecond)
 	}
-	known := h.endpoint("s0").estimate.answers.samples
+	before := h.endpoint("s0").estimate.answers.samples
 	h.list(Endpoint{ID: "s0", State: Removed})
 	h.list(Endpoint{ID: "s0", Weight: 1})
-	if got := h.endpoint("s0").estimate.answers.samples; got != known {
-		t.Errorf("%v of %v answers are known after it came back", got, known)
+	if after := h.endpoint("s0").estimate.answers.samples; after != before {
+		t.Errorf("%v of %v answers are known after it has returned", after, before)
 	}
 	for i := range 2 * maxRememberedEndpoints {
 		id := time.Duration(i).String()
@@ -71,11 +101,12 @@
 		h.list(Endpoint{ID: id, State: Removed})
 	}
 	if len(h.remembered) > maxRememberedEndpoints {
-		t.Errorf("%d servers are kept in mind", len(h.remembered))
+		t.Errorf("%d endpoints are remembered, at most %d are allowed", len(h.remembered), maxRememberedEndpoints)
 	}
 }
 
-// Where more servers have come and gone than are kept in mind, it is the latest that are known.
+// More endpoints have come and gone than are remembered, as each release replaces them all. It is the
+// latest that must be remembered: the oldest never return.
 func TestLatestDelistedEndpointsAreRemembered(t *testing.T) {
 	h := newHarness(t, testSettings(), 1)
 	id := func(i int) string { return time.Duration(i).String() }
@@ -88,7 +119,7 @@
 	for i, want := range map[int]float64{0: 0, 1: 0, 2: 0.5, maxRememberedEndpoints + 1: 0.5} {
 		h.list(Endpoint{ID: id(i), Weight: 1})
 		if got := h.endpoint(id(i)).health.failureRate; got != want {
-			t.Errorf("of server %d of %d a share of failures of %v is known", i, maxRememberedEndpoints+2, got)
+			t.Errorf("endpoint %d of %d has the failure rate %v, want %v", i, maxRememberedEndpoints+2, got, want)
 		}
 	}
 }
--- a/logic/outlier_test.go
+++ b/logic/outlier_test.go
@@ -6,165 +6,217 @@
 	"time"
 )
 
-// Guards against a server that takes requests and answers none while others answer.
+// One endpoint takes requests and answers none, while the others answer. It must be ejected; later one
+// idempotent request tests it, and its answer readmits it.
 func TestSilentEndpointIsEjectedAndReadmitted(t *testing.T) {
 	h := newHarness(t, testSettings(), 1, 1, 1, 1)
-	for h.endpoint("s0").health.state == healthy {
+	silent := h.endpoint("s0")
+	for silent.health.state == healthy {
 		id, to := h.sendRequest(cheapClass)
 		if to != "s0" {
 			h.endAttempt(id, to, 0, OK, loadReport(0.5, 50))
 		}
 		h.clock += 10 * time.Millisecond
 		if h.clock > time.Hour+3*time.Second {
-			t.Fatal("a silent server was never ejected")
+			t.Fatal("a silent endpoint is never ejected")
 		}
 		h.advanceTick()
 	}
 	for range 20 {
 		if _, to := h.sendRequest(nonIdempotentClass); to == "s0" {
-			t.Fatal("an unsafe request went to an ejected server")
+			t.Fatal("a non-idempotent request went to an ejected endpoint")
 		}
 	}
-	h.clock = h.endpoint("s0").health.ejectedUntil
-	trials, trial := 0, ""
+	h.clock = silent.health.ejectedUntil
+	tests, test := 0, ""
 	for range 20 {
-		id, to := h.sendRequest(cheapClass)
-		if to != "s0" {
-			continue
+		if id, to := h.sendRequest(cheapClass); to == "s0" {
+			tests, test = tests+1, id
 		}
-		trials, trial = trials+1, id
 	}
-	if trials != 1 {
-		t.Fatalf("%d trials at once, want 1", trials)
+	if tests != 1 {
+		t.Fatalf("%d half-open requests at a time, want 1", tests)
 	}
-	h.endAttempt(trial, "s0", 0, OK, NoLoadReport)
-	if h.endpoint("s0").health.state != healthy {
-		t.Error("an answered trial does not readmit")
+	h.endAttempt(test, "s0", 0, OK, NoLoadReport)
+	if silent.health.state != healthy {
+		t.Errorf("%+v after an answer to the half-open request", silent.health)
 	}
 }
 
-// What is avoided is a server that drains and one that is kept out as ill; most can't be ill.
+// Each transition of the health of an endpoint, one after the other.
+func TestHealthStateTransitions(t *testing.T) {
+	const until = time.Minute
+	for _, c := range []struct {
+		name    string
+		from    endpointHealth
+		change  func(*endpointHealth)
+		want    healthState
+		waiting bool // for a half-open request
+	}{
+		{"eject", endpointHealth{}, func(h *endpointHealth) { h.eject(until) }, ejected, true},
+		{"eject by gossip", endpointHealth{}, func(h *endpointHealth) { h.ejectByGossip(until) }, ejectedByGossip, true},
+		{"own evidence after gossip", endpointHealth{state: ejectedByGossip},
+			func(h *endpointHealth) { h.eject(until) }, ejected, true},
+		{"readmit", endpointHealth{state: ejected, ejectedUntil: until}, (*endpointHealth).readmit, healthy, false},
+		{"begin half-open", endpointHealth{state: ejected}, (*endpointHealth).beginHalfOpen, halfOpen, false},
+		{"fail half-open", endpointHealth{state: halfOpen, beforeHalfOpen: ejectedByGossip},
+			func(h *endpointHealth) { h.eject(until) }, ejected, true},
+		{"abandon half-open", endpointHealth{state: halfOpen, beforeHalfOpen: ejectedByGossip},
+			(*endpointHealth).abandonHalfOpen, ejectedByGossip, true},
+		{"abandon nothing", endpointHealth{}, (*endpointHealth).abandonHalfOpen, healthy, false},
+	} {
+		h := c.from
+		c.change(&h)
+		if h.state != c.want || h.awaitsTest() != c.waiting {
+			t.Errorf("%s: %+v, want state %d, awaiting a test: %v", c.name, h, c.want, c.waiting)
+		}
+		if h.state == healthy && h.ejectedUntil != 0 {
+			t.Errorf("%s: healthy and ejected until %v", c.name, h.ejectedUntil)
+		}
+	}
+}
+
+// Unavailable endpoints are those that drain and those that are ejected; ejections of most endpoints do not
+// count.
 func TestUnavailableCountsDrainingAndEjected(t *testing.T) {
 	h := newHarness(t, testSettings(), 1, 1, 1, 1)
 	h.list(Endpoint{ID: "s0", State: Draining, Weight: 1})
-	for i, want := range []int{1, 2, 1} { // none ill, one of three, two of three
+	for i, want := range []int{1, 2, 1} { // none ejected, one of three, two of three
 		if i > 0 {
 			h.eject(h.endpoint(fmt.Sprint("s", i)))
 		}
 		h.updateWeights()
 		if n := h.Unavailable(); n != want {
-			t.Errorf("%d with one draining and %d ill", n, i)
+			t.Errorf("%d unavailable with one draining and %d ejected, want %d", n, i, want)
 		}
 	}
 	h.list(Endpoint{ID: "s0", State: Removed})
 	if n := h.Unavailable(); n != 0 {
-		t.Errorf("%d when the draining one has gone", n)
+		t.Errorf("%d unavailable after the draining one was removed, want 0", n)
 	}
 }
 
-// Guards against one costly request passing for a silent server at a quiet balancer.
+// At a balancer with few requests one costly request waits for long. Its endpoint is not silent, and must
+// not be ejected.
 func TestOneLateAnswerEjectsNone(t *testing.T) {
 	h := newHarness(t, testSettings(), 1, 1)
 	_, to := h.sendRequest(nonIdempotentClass)
 	h.advance(h.horizon)
-	if s := h.endpoint(to); s.health.state != healthy {
-		t.Error("ejected for one answer that is an aim late")
+	if e := h.endpoint(to); e.health.state != healthy {
+		t.Errorf("%+v for one late answer", e.health)
 	}
 }
 
-// Guards against a server that fails fast and so looks idle.
+// An endpoint fails each request at once. It has nothing in flight and looks idle, so that selection would
+// send it ever more requests. Its weight must fall, and it must be ejected.
 func TestFastFailuresLowerWeightAndEject(t *testing.T) {
 	h := newHarness(t, testSettings(), 1, 1, 1)
-	bad := 0
+	failing := h.endpoint("s0")
+	failures := 0
 	for range 60 {
 		id, to := h.sendRequest(nonIdempotentClass)
 		result := OK
 		if to == "s0" {
-			bad, result = bad+1, Failed
+			failures, result = failures+1, Failed
 		}
 		h.endAttempt(id, to, 0, result, NoLoadReport)
 	}
-	if bad > 6 {
-		t.Errorf("a server that only fails got %d of 60", bad)
+	if failures > 6 {
+		t.Errorf("an endpoint that fails all requests got %d of 60", failures)
 	}
-	h.endpoint("s0").health.failureRate = ejectionFailureRate
+	failing.health.failureRate = ejectionFailureRate
 	id, _ := h.sendRequest(nonIdempotentClass)
-	r := h.requests[id]
-	h.learnFromOutcome(&attempt{request: r, endpoint: h.endpoint("s0")}, Outcome{Result: Failed})
-	if h.endpoint("s0").health.state == healthy {
-		t.Error("a server that fails again and again is not ejected")
+	h.learnFromOutcome(&attempt{request: h.requests[id], endpoint: failing}, Outcome{Result: Failed})
+	if failing.health.state == healthy {
+		t.Error("an endpoint that goes on to fail is not ejected")
 	}
 }
 
-// Guards against many servers that die at once before the list says so: each request that a dead one did not
-// take is served elsewhere, and soon none is sent there.
+// Several endpoints die at once, before the list says so. Each request that a dead one did not take must be
+// served by another, and soon none is sent to the dead ones.
 func TestManyEndpointsFailAtOnce(t *testing.T) {
 	h := newHarness(t, testSettings(), 1, 1, 1, 1, 1, 1)
 	dead := func(id string) bool { return id < "s2" }
 	late := 0
 	for i := range 300 {
 		id, to := h.sendRequest(cheapClass)
-		n := 0
-		for ; dead(to); n++ {
+		attempts := 0
+		for ; dead(to); attempts++ {
 			if i > 150 {
 				late++
 			}
-			next := h.endAttempt(id, to, n, ConnectFailed, NoLoadReport)
+			next := h.endAttempt(id, to, attempts, ConnectFailed, NoLoadReport)
 			if len(next) != 1 || next[0].Kind != Send || next[0].Endpoint == to {
 				t.Fatalf("after a failed connection: %+v", next)
 			}
 			to = next[0].Endpoint
-			if n == 2 {
-				t.Fatal("three attempts at dead servers")
+			if attempts == 2 {
+				t.Fatal("three attempts at dead endpoints")
 			}
 		}
-		h.endAttempt(id, to, n, OK, NoLoadReport)
+		h.endAttempt(id, to, attempts, OK, NoLoadReport)
 	}
 	if late > 2 {
-		t.Errorf("%d late attempts at dead servers", late)
+		t.Errorf("%d late attempts at dead endpoints", late)
 	}
 }
 
-// A client that waits for less than an answer may take learns nothing of a server, whatever it does and however often: its
-// time-outs eject none, bend no capacity, decide no trial and pass for no jam. Those after the aim do count.
+// A client waits for less time than an answer may take, and does so often. Its timeouts say nothing of an
+// endpoint: they must eject none, change no estimate, decide no half-open test and show no overload.
+// Timeouts after the latency objective do count.
 func TestTimeoutBeforeObjectiveBlamesNone(t *testing.T) {
-	for waited, blames := range map[time.Duration]bool{time.Millisecond: false, 599 * time.Millisecond: false, 601 * time.Millisecond: true} {
+	for _, c := range []struct {
+		waited time.Duration
+		blames bool
+	}{{time.Millisecond, false}, {599 * time.Millisecond, false}, {601 * time.Millisecond, true}} {
 		h := newHarness(t, testSettings(), 1, 1)
 		h.advance(h.horizon)
 		h.overload.rejections.fraction = 0.1
 		for range 20 {
 			id, to := h.sendRequest(nonIdempotentClass)
-			h.clock += waited
+			h.clock += c.waited
 			h.endAttempt(id, to, 0, TimedOut, NoLoadReport)
 		}
-		blamed := h.overload.latencyRatio > 0 || h.overload.rejections.fraction != 0.1 // nor do they hide that servers turn others away
-		for _, s := range h.endpoints.listed {
-			blamed = blamed || s.health.failureRate > 0 || s.health.state != healthy
+		// Nor may they hide that endpoints reject other requests.
+		blamed := h.overload.latencyRatio > 0 || h.overload.rejections.fraction != 0.1
+		for _, e := range h.endpoints.listed {
+			blamed = blamed || e.health.failureRate > 0 || e.health.state != healthy
 		}
-		if blamed != blames {
-			t.Errorf("after %v: late %.2f, servers %+v", waited, h.overload.latencyRatio, h.endpoints.listed)
+		if blamed != c.blames {
+			t.Errorf("after %v: latency ratio %.2f, blamed: %v", c.waited, h.overload.latencyRatio, blamed)
 		}
-		h = newHarness(t, testSettings(), 1, 1)
-		s := h.endpoint("s0")
-		h.eject(s)
-		due := s.health.ejectedUntil
+	}
+}
+
+// The same client's request tests an ejected endpoint. Its timeout before the objective must leave the test
+// to the next request at once; one after it must eject the endpoint again.
+func TestHalfOpenTimeoutBeforeObjectiveProvesNothing(t *testing.T) {
+	for _, c := range []struct {
+		waited time.Duration
+		ejects bool
+	}{{time.Millisecond, false}, {599 * time.Millisecond, false}, {601 * time.Millisecond, true}} {
+		h := newHarness(t, testSettings(), 1, 1)
+		e := h.endpoint("s0")
+		h.eject(e)
+		due := e.health.ejectedUntil
 		h.clock = due
 		id, to := h.sendRequest(cheapClass)
 		if to != "s0" {
-			t.Fatalf("the trial went to %s", to)
+			t.Fatalf("the half-open request went to %s", to)
 		}
-		h.clock += waited
+		h.clock += c.waited
 		h.endAttempt(id, to, 0, TimedOut, NoLoadReport)
-		if again := s.health.ejectedUntil > due; again != blames {
-			t.Errorf("after %v: a trial that ends without an answer ejects again: %v", waited, again)
+		if again := e.health.ejectedUntil > due; again != c.ejects {
+			t.Errorf("after %v: a half-open request without an answer ejects again: %v", c.waited, again)
 		}
-		if _, to := h.sendRequest(cheapClass); (to == "s0") == blames {
-			t.Errorf("after %v: the next request goes to %s", waited, to)
+		if _, to := h.sendRequest(cheapClass); (to == "s0") == c.ejects {
+			t.Errorf("after %v: the next request goes to %s", c.waited, to)
 		}
 	}
 }
 
-// What attempts on a server's earlier life come to, once its restart is known, says nothing of the present one.
+// An endpoint restarts, and attempts on its earlier incarnation end with resets. They say nothing of the
+// present one.
 func TestRestartedEndpointIsNotBlamedForEarlierAttempts(t *testing.T) {
 	h := newHarness(t, testSettings(), 1)
 	var ids []string
@@ -177,15 +229,15 @@
 	for _, id := range ids {
 		h.endAttempt(id, "s0", 0, Reset, NoLoadReport)
 	}
-	s := h.endpoint("s0")
-	if s.health.failureRate > 0 || s.health.state != healthy || len(s.inFlight) > 0 {
-		t.Errorf("%+v", s)
+	e := h.endpoint("s0")
+	if e.health.failureRate > 0 || e.health.state != healthy || len(e.inFlight) > 0 {
+		t.Errorf("%+v with %d in flight", e.health, len(e.inFlight))
 	}
-	for range 3 { // its own count
+	for range 3 { // those of the present incarnation count
 		id, _ := h.sendRequest(nonIdempotentClass)
 		h.endAttempt(id, "s0", 0, Reset, NoLoadReport)
 	}
-	if s.health.failureRate == 0 {
-		t.Error("its own failures do not count")
+	if e.health.failureRate == 0 {
+		t.Error("failures of the present incarnation do not count")
 	}
 }
--- a/logic/overload_test.go
+++ b/logic/overload_test.go
@@ -1,11 +1,10 @@
 package logic
 
-import (
-	"testing"
-)
+import "testing"
 
-// Traffic that rises at once, as when a caller returns from a drain, is no jam: what is in flight is many for the rate
-// so far, but young. The same many are one when they have been out for long.
+// Traffic rises at once, as when a client returns after a shutdown elsewhere. What is in flight is much for
+// the rate of answers so far, but young: that is no overload. The same attempts are one when they stay
+// without an answer.
 func TestRisingTrafficIsNoOverload(t *testing.T) {
 	h := newHarness(t, testSettings(), 1, 1, 1, 1)
 	for range 100 { // little traffic, answered at once
@@ -17,14 +16,15 @@
 		h.sendRequest(cheapClass)
 	}
 	if h.advance(1); h.overload.level > 0 {
-		t.Errorf("refuses by %v what has just begun to come", h.overload.level)
+		t.Errorf("shedding level %v for requests that have just arrived", h.overload.level)
 	}
 	if h.advance(h.horizon / 2); h.overload.level == 0 {
-		t.Error("refuses nothing when none is answered")
+		t.Error("nothing is shed while none is answered")
 	}
 }
 
-// Guards against ejecting the fleet in a jam, and against a backlog that leaves the ejected out.
+// In an overload no endpoint answers in time. Ejecting them all would leave the load to nobody, or to the
+// last few. None is ejected; load is shed.
 func TestOverloadShedsAndEjectsNone(t *testing.T) {
 	h := newHarness(t, testSettings(), 1, 1, 1, 1)
 	for range 200 { // an ordinary start
@@ -37,49 +37,50 @@
 	}
 	h.advance(h.horizon)
 	h.updateWeights()
-	for _, s := range h.endpoints.listed {
-		if h.isEjected(s) {
-			t.Error("a server is kept out though all are silent")
+	for _, e := range h.endpoints.listed {
+		if h.isEjected(e) {
+			t.Errorf("%s is ejected though all endpoints are silent", e.ID)
 		}
 	}
 	if h.overload.level <= 1 {
-		t.Errorf("shed level %v in a jam", h.overload.level)
+		t.Errorf("shedding level %v in an overload", h.overload.level)
 	}
-	refused := 0
+	rejected := 0
 	for range 100 {
 		if _, to := h.sendRequest(cheapClass); to == "" {
-			refused++
+			rejected++
 		}
 	}
-	if refused < 99 {
-		t.Errorf("%d of 100 cheap requests refused in a jam", refused)
+	if rejected < 99 {
+		t.Errorf("%d of 100 cheap requests are shed in an overload", rejected)
 	}
 }
 
-// Guards against a balancer with next to nothing in flight that refuses because its few requests bunch by
-// chance (arewa quiet: 18% refused in a fleet used to a third): in a fleet that is not busy it refuses none.
+// A balancer with next to nothing in flight shed a part of its requests, as the few of them clustered by
+// chance. Where the endpoints are not busy it must shed none.
 func TestQuietBalancerShedsNone(t *testing.T) {
 	set := testSettings()
 	set.Balancers = 500
 	h := newHarness(t, set, 1, 1, 1, 1)
 	for i := range 300 {
-		var ids, tos []string
-		for range 1 + 3*(i%2) { // bunched
+		var ids, endpoints []string
+		for range 1 + 3*(i%2) { // in clusters
 			id, to := h.sendRequest(cheapClass)
 			if to == "" {
-				t.Fatalf("request %d is refused", i)
+				t.Fatalf("request %d is shed", i)
 			}
-			ids, tos = append(ids, id), append(tos, to)
+			ids, endpoints = append(ids, id), append(endpoints, to)
 		}
 		h.advance(h.horizon / 2)
 		for k := range ids {
-			h.answer(ids[k], tos[k], h.horizon / 2, loadReport(0.35, 35))
+			h.answer(ids[k], endpoints[k], h.horizon/2, loadReport(0.35, 35))
 		}
 		h.advance(h.horizon)
 	}
 }
 
-// Guards against refusing too late where queues are deep: what is in flight tells before late answers do.
+// Where endpoints have long queues, late answers show an overload only when the queues are full. What is in
+// flight must show it before.
 func TestConcurrencyShowsOverloadBeforeLatency(t *testing.T) {
 	h := newHarness(t, testSettings(), 1, 1, 1, 1)
 	for range 200 {
@@ -88,18 +89,19 @@
 		h.advanceTick()
 	}
 	if h.overload.level != 0 {
-		t.Fatalf("shed level %v before the jam", h.overload.level)
+		t.Fatalf("shedding level %v before the overload", h.overload.level)
 	}
 	for range 40 {
 		h.sendRequest(nonIdempotentClass)
 	}
-	h.advance(2 * h.horizon / ticksPerHorizon) // what has just come is no jam yet
+	h.advance(2 * h.horizon / ticksPerHorizon) // attempts that have just begun show no overload
 	if h.overload.level == 0 {
-		t.Error("40 in flight of 200 sends say nothing")
+		t.Error("40 attempts in flight after 200 sends show no overload")
 	}
 }
 
-// What hangs is no jam: while servers report little use, requests that stay in flight refuse no others.
+// Some requests hang for a reason of their own, while endpoints report low utilization. To shed others
+// would not help those that hang, so it must not happen.
 func TestHangingAttemptsAreNoOverloadAtLowUtilization(t *testing.T) {
 	h := newHarness(t, testSettings(), 1, 1, 1, 1)
 	for range 200 {
@@ -112,17 +114,18 @@
 	}
 	h.advanceTick()
 	if h.overload.level != 0 {
-		t.Errorf("shed level %v with servers at three tenths", h.overload.level)
+		t.Errorf("shedding level %v with endpoints at a utilization of 0.3", h.overload.level)
 	}
 }
 
-// Also where servers are busy, what is out for longer than its aim is stuck: late answers tell of a jam by then.
+// A few attempts are older than their objective while busy endpoints answer all others. They hang, and are
+// no sign of an overload: by then late answers would show one.
 func TestAttemptsOlderThanObjectiveAreNoOverload(t *testing.T) {
 	h := newHarness(t, testSettings(), 1, 1, 1, 1)
 	for range 12 {
 		h.sendRequest(nonIdempotentClass)
 	}
-	h.advance(h.settings.Classes[1].LatencyObjective + h.horizon/ticksPerHorizon)
+	h.advance(h.settings.Classes[nonIdempotentClass].LatencyObjective + h.horizon/ticksPerHorizon)
 	for range 100 {
 		id, to := h.sendRequest(nonIdempotentClass)
 		h.endAttempt(id, to, 0, OK, loadReport(1, 50))
@@ -130,21 +133,24 @@
 	h.overload.latencyRatio = 0
 	h.advanceTick()
 	if h.overload.level != 0 {
-		t.Errorf("shed level %v with a few stuck", h.overload.level)
+		t.Errorf("shedding level %v with a few old attempts", h.overload.level)
 	}
 }
 
-// Guards against refusals that begin too late where many quiet balancers share a fleet (calm of the whole fleet, seed 5: 36% refused to
-// the end, at 2.2 tries a request): one that uses a part of the servers begins earlier than one that uses them all.
+// Many balancers with few requests each share a fleet. Each of them sees an overload late, when clients of
+// all of them retry already, and shedding that begins then did not end it. A balancer that uses a subset
+// must shed earlier than one that uses all endpoints.
 func TestSubsetBalancerShedsEarlier(t *testing.T) {
-	whole := newHarness(t, testSettings(), make([]float64, 20)...)
-	part := newLargeFleetHarness(t, 3, 200)
-	for _, h := range []*harness{whole, part} {
+	usesAll := newHarness(t, testSettings(), make([]float64, 20)...)
+	usesSubset := newLargeFleetHarness(t, 3, 200)
+	for _, h := range []*harness{usesAll, usesSubset} {
 		h.serveRequests(50, "")
-		h.overload.latencyRatio, h.overload.rejections.fraction = (sheddingLatencyRatio+subsetThresholdFactor*sheddingLatencyRatio)/2, 0
+		h.overload.latencyRatio = (sheddingLatencyRatio + subsetThresholdFactor*sheddingLatencyRatio) / 2
+		h.overload.rejections.fraction = 0
 		h.updateOverload(0)
 	}
-	if whole.overload.level > 0 || part.overload.level == 0 {
-		t.Errorf("at a mean of %.2f of the aim %.2f is refused by one that uses all servers, %.2f by one of a large fleet", whole.overload.latencyRatio, whole.overload.level, part.overload.level)
+	if usesAll.overload.level > 0 || usesSubset.overload.level == 0 {
+		t.Errorf("at a latency ratio of %.2f the shedding level is %.2f with all endpoints, %.2f with a subset",
+			usesAll.overload.latencyRatio, usesAll.overload.level, usesSubset.overload.level)
 	}
 }
--- a/logic/quota_test.go
+++ b/logic/quota_test.go
@@ -4,39 +4,52 @@
 	"fmt"
 	"math"
 	"testing"
+	"time"
 )
 
-// Guards against one tenant that sends several times its share crowding out those within theirs, and against
-// refusing more of any while all keep to their shares.
+// One tenant sends several times its quota in an overload. Its requests must be shed first, those of
+// tenants within their quotas as before. While all stay within their quotas none is shed more than another.
 func TestTenantOverQuotaIsShedFirst(t *testing.T) {
 	set := testSettings()
 	set.TenantQuotas, set.OverQuotaWeight = []float64{0.5, 0.25, 0.25}, 0.2
 	for _, burst := range []bool{false, true} {
 		h := newHarness(t, set, 1, 1)
-		asked, refused := [3]float64{}, [3]float64{}
+		requests, rejected := [3]float64{}, [3]float64{}
 		for i := range 6000 {
 			tenant := []int{0, 0, 1, 2}[i%4]
 			if burst && i%8 > 2 {
-				tenant = 1 // more than twice its share
+				tenant = 1 // more than twice its quota
 			}
 			h.overload.level = 0.3
 			sent := false
-			for _, a := range h.Handle(h.clock, Request{ID: fmt.Sprint(i), Tenant: tenant, Deadline: h.clock + 2e9}) {
-				if sent = sent || a.Kind == Send; a.Kind == Send {
+			request := Request{ID: fmt.Sprint(i), Tenant: tenant, Deadline: h.clock + 2*time.Second}
+			for _, a := range h.Handle(h.clock, request) {
+				if a.Kind == Send {
+					sent = true
 					h.endAttempt(a.Request, a.Endpoint, 0, OK, NoLoadReport)
 				}
 			}
-			asked[tenant]++
+			requests[tenant]++
 			if !sent {
-				refused[tenant]++
+				rejected[tenant]++
 			}
 		}
-		in, over := refused[0]/asked[0], refused[1]/asked[1]
-		if burst && over < 1.5*in || !burst && math.Abs(over-in) > 0.06 {
-			t.Errorf("burst %v: refused %.2f of tenant 0, %.2f of tenant 1", burst, in, over)
+		within, over := rejected[0]/requests[0], rejected[1]/requests[1]
+		if burst && over < 1.5*within || !burst && math.Abs(over-within) > 0.06 {
+			t.Errorf("burst %v: shed %.2f of tenant 0, %.2f of tenant 1", burst, within, over)
 		}
 	}
+}
+
+// A request may name a tenant that the settings do not know.
+func TestUnknownTenantHasNoQuota(t *testing.T) {
+	set := testSettings()
+	set.TenantQuotas = []float64{0.5}
 	h := newHarness(t, set, 1, 1)
-	h.Handle(h.clock, Request{ID: "x", Tenant: 7, Deadline: h.clock + 2e9}) // a tenant that settings do not name
-	h.Handle(h.clock, Request{ID: "y", Tenant: -1, Deadline: h.clock + 2e9})
+	for _, tenant := range []int{7, -1} {
+		h.Handle(h.clock, Request{ID: fmt.Sprint(tenant), Tenant: tenant, Deadline: h.clock + 2*time.Second})
+		if factor := h.quotas.factor(tenant); factor != 1 {
+			t.Errorf("tenant %d has the factor %v, want 1", tenant, factor)
+		}
+	}
 }
--- a/logic/retry_test.go
+++ b/logic/retry_test.go
@@ -5,29 +5,38 @@
 	"time"
 )
 
-// What is not held any more goes out no second time, also where that would be allowed; whether it may be refused
-// depends on whether it may have run.
+// The body of a request streamed to its endpoint and is not buffered. It can't be sent again, also where
+// its class would allow a retry. Whether it is rejected or fails depends on whether it may have been
+// executed.
 func TestNotReplayableRequestIsNotRetried(t *testing.T) {
 	for _, c := range []struct {
 		class  int
 		result Result
 		want   ActionKind
-	}{{0, Reset, Reject}, {0, ConnectFailed, Reject}, {1, ConnectFailed, Reject}, {1, NotSent, Reject}, {1, Reset, Fail}} {
+	}{
+		{cheapClass, Reset, Reject},
+		{cheapClass, ConnectFailed, Reject},
+		{nonIdempotentClass, ConnectFailed, Reject},
+		{nonIdempotentClass, NotSent, Reject},
+		{nonIdempotentClass, Reset, Fail},
+	} {
 		h := newHarness(t, testSettings(), 1, 1)
-		h.Handle(h.clock, Request{ID: "up", Class: c.class, BodyPending: true})
-		a := h.Handle(h.clock, Outcome{Request: "up", Result: c.result, NotReplayable: true, LoadReport: NoLoadReport})
-		if len(a) != 1 || a[0].Kind != c.want {
-			t.Errorf("class %d, %v: %+v", c.class, c.result, a)
+		h.Handle(h.clock, Request{ID: "consumed", Class: c.class, BodyPending: true})
+		actions := h.Handle(h.clock, Outcome{Request: "consumed", Result: c.result, NotReplayable: true, LoadReport: NoLoadReport})
+		if len(actions) != 1 || actions[0].Kind != c.want {
+			t.Errorf("class %d, result %d: %+v", c.class, c.result, actions)
 		}
-		// With nothing of it gone, it is as any other.
-		h.Handle(h.clock, Request{ID: "whole", Class: c.class, BodyPending: true})
-		if a := h.Handle(h.clock, Outcome{Request: "whole", Result: ConnectFailed, LoadReport: NoLoadReport}); len(a) != 1 || a[0].Kind != Send {
-			t.Errorf("class %d: %+v", c.class, a)
+		// One of which nothing has been consumed is retried as any other.
+		h.Handle(h.clock, Request{ID: "complete", Class: c.class, BodyPending: true})
+		actions = h.Handle(h.clock, Outcome{Request: "complete", Result: ConnectFailed, LoadReport: NoLoadReport})
+		if len(actions) != 1 || actions[0].Kind != Send {
+			t.Errorf("class %d, nothing consumed: %+v", c.class, actions)
 		}
 	}
 }
 
-// What was not sent, as the agent had no place for it, goes elsewhere and speaks against no server.
+// The agent could not send an attempt, as a limit of its own was reached. It must go to another endpoint,
+// and count against none.
 func TestNotSentIsRetriedElsewhereWithoutBlame(t *testing.T) {
 	h := newHarness(t, testSettings(), 1, 1, 1, 1)
 	id, to := h.sendRequest(nonIdempotentClass)
@@ -35,72 +44,80 @@
 	if len(actions) != 1 || actions[0].Kind != Send || actions[0].Endpoint == to {
 		t.Errorf("after %s: %+v", to, actions)
 	}
-	if s := h.endpoint(to); s.health.failureRate != 0 {
-		t.Errorf("failing %v", s.health.failureRate)
+	if rate := h.endpoint(to).health.failureRate; rate != 0 {
+		t.Errorf("the failure rate is %v", rate)
 	}
 }
 
-// Further attempts must not multiply an overload.
+// All endpoints fail all requests. Without a budget each request would be sent MaxAttempts times, and
+// multiply the load that may have made them fail.
 func TestRetryBudgetBoundsAttempts(t *testing.T) {
 	h := newHarness(t, testSettings(), 1, 1, 1)
+	const requests = 1000
 	sends := 0
-	const n = 1000
-	for range n {
+	for range requests {
 		id, to := h.sendRequest(cheapClass)
-		for try := 0; to != ""; try++ {
+		for attempt := 0; to != ""; attempt++ {
 			sends++
-			next := h.endAttempt(id, to, try, Reset, NoLoadReport) // a rejection would be a sign of a jam, and refusals would hide the rest
+			// A Rejected would count as overload, and shedding would replace the retries.
+			next := h.endAttempt(id, to, attempt, Reset, NoLoadReport)
 			to = ""
 			if len(next) == 1 && next[0].Kind == Send {
 				to = next[0].Endpoint
 			}
 		}
 	}
-	if most := n*(1+retriesPerRequest) + maxSavedRetries; float64(sends) > most || float64(sends) < most-2*maxSavedRetries {
-		t.Errorf("%d attempts for %d requests", sends, n)
+	most := requests*(1+retriesPerRequest) + maxSavedRetries
+	if float64(sends) > most || float64(sends) < most-2*maxSavedRetries {
+		t.Errorf("%d attempts for %d requests, want about %.0f", sends, requests, most)
 	}
 }
 
-// Each result says whether the request may have run, and so what may follow for one that must not run twice: another attempt, or
-// the end without a promise. A refusal tells when to come back.
+// A result says whether a non-idempotent request may have been executed, and so what may follow: a retry,
+// or a Fail.
 func TestResultDecidesRetryOrFail(t *testing.T) {
-	for result, again := range map[Result]bool{Failed: false, TimedOut: false, Reset: false, Cancelled: false,
-		Rejected: true, ConnectFailed: true, NotSent: true} {
+	for _, c := range []struct {
+		result Result
+		want   ActionKind
+	}{
+		{Failed, Fail}, {TimedOut, Fail}, {Reset, Fail}, {Cancelled, Fail},
+		{Rejected, Send}, {ConnectFailed, Send}, {NotSent, Send},
+	} {
 		h := newHarness(t, testSettings(), 1, 1)
 		id, to := h.sendRequest(nonIdempotentClass)
-		want := Fail
-		if again {
-			want = Send
-		}
-		if a := h.endAttempt(id, to, 0, result, NoLoadReport); len(a) != 1 || a[0].Kind != want {
-			t.Errorf("after result %d: %+v", result, a)
+		if next := h.endAttempt(id, to, 0, c.result, NoLoadReport); len(next) != 1 || next[0].Kind != c.want {
+			t.Errorf("after result %d: %+v, want kind %d", c.result, next, c.want)
 		}
 	}
+}
+
+// A Reject says when the client may try again, within what clients respect.
+func TestRejectCarriesRetryAfter(t *testing.T) {
 	set := testSettings()
 	set.MaxRetryAfter = 200 * time.Millisecond
-	for class, want := range []time.Duration{200 * time.Millisecond, 200 * time.Millisecond} {
-		h := newHarness(t, set) // with no server
-		var refusal Action
+	for _, class := range []int{cheapClass, nonIdempotentClass} {
+		h := newHarness(t, set) // with no endpoint
+		var reject Action
 		for _, a := range h.Handle(h.clock, Request{ID: "r", Class: class, Deadline: h.clock + time.Second}) {
 			if a.Kind == Reject {
-				refusal = a
+				reject = a
 			}
 		}
-		if refusal.Request != "r" || refusal.Delay != want {
-			t.Errorf("class %d: %+v", class, refusal)
+		if reject.Request != "r" || reject.Delay != set.MaxRetryAfter {
+			t.Errorf("class %d: %+v", class, reject)
 		}
 	}
 }
 
-// What must not be sent again costs nothing of the budget for what is.
+// Many requests fail that must not be sent again. They must not use up the budget of those that may.
 func TestUnsentRetryCostsNoBudget(t *testing.T) {
 	h := newHarness(t, testSettings(), 1, 1)
-	saved := h.retries.available
+	before := h.retries.available
 	for range 100 {
 		id, to := h.sendRequest(nonIdempotentClass)
 		h.endAttempt(id, to, 0, Reset, NoLoadReport)
 	}
-	if h.retries.available != saved {
-		t.Errorf("%v of %v are left after 100 failures that nothing follows", h.retries.available, saved)
+	if h.retries.available != before {
+		t.Errorf("%v of %v retries are left after 100 failures without a retry", h.retries.available, before)
 	}
 }
--- a/logic/settings_test.go
+++ b/logic/settings_test.go
@@ -1,26 +1,35 @@
 package logic
 
 import (
+	"errors"
 	"testing"
 )
 
+// Each setting that is out of its range must be named by the error of New.
 func TestInvalidSettingsGiveSettingsError(t *testing.T) {
-	for name, spoil := range map[string]func(*Settings){
-		"classes":  func(s *Settings) { s.Classes = nil },
-		"aim":      func(s *Settings) { s.Classes[0].LatencyObjective = 0 },
-		"window":   func(s *Settings) { s.Classes[2].IdempotencyWindow = 0 },
-		"attempts": func(s *Settings) { s.MaxAttempts = 0 },
-		"cold":     func(s *Settings) { s.SlowStartInitialFraction = 0 },
-		"shares":   func(s *Settings) { s.TenantQuotas = []float64{2} },
-		"over":     func(s *Settings) { s.OverQuotaWeight = 2 },
-		"balancer": func(s *Settings) { s.Balancers = 0 },
-		"ask":      func(s *Settings) { s.MaxPollInterval = -1 },
-		"overload": func(s *Settings) { s.SlowStartOverloadFactor = -1 },
+	for _, c := range []struct {
+		setting string
+		spoil   func(*Settings)
+	}{
+		{"Classes", func(s *Settings) { s.Classes = nil }},
+		{`Classes["cheap"].LatencyObjective`, func(s *Settings) { s.Classes[cheapClass].LatencyObjective = 0 }},
+		{`Classes["cheap"].Timeout`, func(s *Settings) { s.Classes[cheapClass].Timeout = 0 }},
+		{`Classes["keyed"].IdempotencyWindow`, func(s *Settings) { s.Classes[keyedClass].IdempotencyWindow = 0 }},
+		{"MaxAttempts", func(s *Settings) { s.MaxAttempts = 0 }},
+		{"SlowStartInitialFraction", func(s *Settings) { s.SlowStartInitialFraction = 0 }},
+		{"TenantQuotas[1]", func(s *Settings) { s.TenantQuotas = []float64{1, 2} }},
+		{"OverQuotaWeight", func(s *Settings) { s.OverQuotaWeight = 2 }},
+		{"Balancers", func(s *Settings) { s.Balancers = 0 }},
+		{"MaxPollInterval", func(s *Settings) { s.MaxPollInterval = -1 }},
+		{"MaxPollRetryInterval", func(s *Settings) { s.MaxPollRetryInterval = -1 }},
+		{"SlowStartOverloadFactor", func(s *Settings) { s.SlowStartOverloadFactor = -1 }},
 	} {
 		set := testSettings()
-		spoil(&set)
-		if _, err := New(set, 1); err == nil {
-			t.Errorf("%s: no error", name)
+		c.spoil(&set)
+		_, err := New(set, 1)
+		var invalid *SettingsError
+		if !errors.As(err, &invalid) || invalid.Setting != c.setting {
+			t.Errorf("%s: the error is %v", c.setting, err)
 		}
 	}
 }
--- a/logic/size_test.go
+++ b/logic/size_test.go
@@ -17,8 +17,9 @@
 	"doc.go": true, "settings.go": true, "event.go": true, "action.go": true,
 }
 
-// The deploy file names the files that hold decisions, for those who review a change of policy. A file that it
-// does not name would be changed unseen, and a name that is left over after a file has moved would hide that.
+// The deploy file names the files that hold decisions, for those who review a change of policy. A file that
+// it does not name would be changed unseen, and a name that is left over after a file has moved would hide
+// that.
 func TestPolicyNamesAllFilesOfDecisions(t *testing.T) {
 	policy := policyFiles(t)
 	for _, name := range moduleFiles(t) {
--- a/logic/subset_test.go
+++ b/logic/subset_test.go
@@ -5,71 +5,86 @@
 	"time"
 )
 
-// A balancer keeps to a part of a large fleet, a part of its own and the same after a restart; all together
-// use every server; a small fleet or one with few balancers is used whole.
-func TestSubsetIsStableAndCoversAllEndpoints(t *testing.T) {
-	used := func(me, balancers, servers int) map[string]int {
-		set := testSettings()
-		set.BalancerIndex, set.Balancers = me, balancers
-		h := newHarness(t, set, make([]float64, servers)...)
-		got := map[string]int{}
-		for range 60 {
-			id, to := h.sendRequest(nonIdempotentClass)
-			got[to]++
-			if balancers == 200 { // else the few servers would seem crowded
-				h.answer(id, to, time.Duration(5+h.random.IntN(10)) * time.Millisecond, NoLoadReport)
-			}
+// endpointsUsed returns the endpoints to which one of several balancers sends 60 requests.
+func endpointsUsed(t *testing.T, index, balancers, endpoints int, answered bool) map[string]int {
+	t.Helper()
+	set := testSettings()
+	set.BalancerIndex, set.Balancers = index, balancers
+	h := newHarness(t, set, make([]float64, endpoints)...)
+	used := map[string]int{}
+	for range 60 {
+		id, to := h.sendRequest(nonIdempotentClass)
+		used[to]++
+		if answered {
+			h.answer(id, to, time.Duration(5+h.random.IntN(10))*time.Millisecond, NoLoadReport)
 		}
-		return got
 	}
+	return used
+}
+
+// In a large fleet a balancer uses a subset of the endpoints, its own one and the same after a restart. All
+// balancers together use every endpoint.
+func TestSubsetIsStableAndCoversAllEndpoints(t *testing.T) {
+	const balancers, endpoints = 200, 40
 	all := map[string]int{}
-	for me := range 200 {
-		one, again := used(me, 200, 40), used(me, 200, 40)
-		if len(one) > minSubsetSize || len(again) != len(one) {
-			t.Fatalf("balancer %d uses %d servers, then %d", me, len(one), len(again))
+	for index := range balancers {
+		first := endpointsUsed(t, index, balancers, endpoints, true)
+		again := endpointsUsed(t, index, balancers, endpoints, true)
+		if len(first) > minSubsetSize || len(again) != len(first) {
+			t.Fatalf("balancer %d uses %d endpoints, after a restart %d", index, len(first), len(again))
 		}
-		for id := range one {
+		for id := range first {
 			if again[id] == 0 {
-				t.Fatalf("balancer %d uses %s, then not", me, id)
+				t.Fatalf("balancer %d uses %s, but not after a restart", index, id)
 			}
 			all[id]++
 		}
 	}
-	if len(all) != 40 {
-		t.Errorf("200 balancers use %d of 40 servers", len(all))
+	if len(all) != endpoints {
+		t.Errorf("%d balancers use %d of %d endpoints", balancers, len(all), endpoints)
 	}
-	set := testSettings() // guards against a busy caller that crowds its few servers (arewa big-2)
+}
+
+// A balancer with many requests in flight overloaded the few endpoints of its subset. The subset grows with
+// what is in flight.
+func TestSubsetGrowsWithConcurrency(t *testing.T) {
+	set := testSettings()
 	set.Balancers = 200
 	h := newHarness(t, set, make([]float64, 40)...)
-	got := map[string]bool{}
+	used := map[string]bool{}
 	for i := range 80 {
 		if _, to := h.sendRequest(nonIdempotentClass); i >= 40 {
-			got[to] = true
+			used[to] = true
 		}
 	}
-	if len(got) < 2*minSubsetSize {
-		t.Errorf("with 40 in flight %d servers are used", len(got))
+	if len(used) < 2*minSubsetSize {
+		t.Errorf("with 40 in flight %d endpoints are used, want at least %d", len(used), 2*minSubsetSize)
 	}
-	if n := len(used(0, 4, 20)); n != 20 {
-		t.Errorf("one of 4 balancers uses %d of 20 servers", n)
+}
+
+// With few balancers each uses all endpoints.
+func TestFewBalancersUseAllEndpoints(t *testing.T) {
+	if n := len(endpointsUsed(t, 0, 4, 20, false)); n != 20 {
+		t.Errorf("one of 4 balancers uses %d of 20 endpoints", n)
 	}
 }
 
-// Guards against a jam that ejects server after server of a large fleet, as the share of it that is kept out never grows: it is the
-// own servers that count, and a balancer goes no further than a few times as many.
+// An overload makes all endpoints fail. In a large fleet a balancer ejected one endpoint after the other,
+// as the ejected part of the whole fleet never grew. The subset's capacity counts, so it uses no more than
+// a few times the endpoints of its subset.
 func TestFailingLargeFleetIsNotEjectedOneByOne(t *testing.T) {
 	h := newLargeFleetHarness(t, 1, 200)
-	met := map[string]bool{}
+	used := map[string]bool{}
 	for range 2000 {
 		id, to := h.sendRequest(nonIdempotentClass)
 		if to != "" {
-			met[to] = true
+			used[to] = true
 			h.endAttempt(id, to, 0, Failed, NoLoadReport)
 		}
-		h.overload.latencyRatio = 0 // refusals aside
+		h.overload.latencyRatio = 0 // no shedding
 		h.advance(62 * time.Millisecond)
 	}
-	if n := len(met); n > 4*h.endpoints.subset.byFleet || n < h.endpoints.subset.byFleet {
-		t.Errorf("with all of %d servers failing, a balancer that spreads over %d went to %d", 200, h.endpoints.subset.byFleet, n)
+	if size := h.endpoints.subset.byFleet; len(used) > 4*size || len(used) < size {
+		t.Errorf("with all 200 endpoints failing, a balancer with a subset of %d used %d", size, len(used))
 	}
 }
