--- a/internal/httpmsg/body.go
+++ b/internal/httpmsg/body.go
@@ -2,171 +2,20 @@
 
 import (
 	"bytes"
-	"errors"
-	"fmt"
 	"io"
 	"net/http"
-	"sync"
-	"sync/atomic"
-	"time"
 
 	"ryeweir/internal/bodybuffer"
 )
 
-// UploadStallTimeout is how long a body may pause, whatever its pace.
-const UploadStallTimeout = 2200 * time.Millisecond
-
-// ErrBodyTooLarge is a body over MaxBody.
-var ErrBodyTooLarge = errors.New("the body is over 32 MiB")
-
-// Upload reads a body from a client for as long as that makes progress.
-type Upload struct {
-	Source          io.Reader
-	SetReadDeadline func(time.Time) error // sets the time by which something must come
-	StartedAt       time.Time             // when its head had come
-
-	n int64
-
-	mu          sync.Mutex // of what follows, and of setting the limit
-	whole       bool       // the end has been read
-	interrupted bool       // no read waits any more
-}
-
-func (in *Upload) Read(p []byte) (int, error) {
-	now := time.Now()
-	slowest := in.StartedAt.Add(UploadStallTimeout + time.Duration(in.n)*time.Second/MinUploadRate)
-	if stall := now.Add(UploadStallTimeout); stall.Before(slowest) {
-		slowest = stall
-	}
-	if err := in.limit(slowest); err != nil {
-		return 0, err
-	}
-	n, err := in.Source.Read(p)
-	if in.n += int64(n); in.n > MaxBodyBytes {
-		return 0, ErrBodyTooLarge
-	}
-	if err == io.EOF { // no read of the connection is late any more
-		in.mu.Lock()
-		defer in.mu.Unlock()
-		in.whole = true
-		if err := in.SetReadDeadline(time.Time{}); err != nil {
-			return n, fmt.Errorf("clearing the read deadline: %w", err)
-		}
-	}
-	return n, err
-}
-
-func (in *Upload) limit(t time.Time) error {
-	in.mu.Lock()
-	defer in.mu.Unlock()
-	if in.interrupted { // this would undo the deadline that ends it
-		return errRestClosed
-	}
-	if err := in.SetReadDeadline(t); err != nil {
-		return fmt.Errorf("setting the read deadline: %w", err)
-	}
-	return nil
-}
-
-// Body is a request's body: what is held of it and, where that is not all, what still comes from the client.
+// Body is a request's body: what is buffered of it and, where that is not all, what still comes in from the client.
 type Body struct {
 	Buffered  []byte
-	Length    int64      // of all; -1 when not known
-	Remainder *Remainder // nil when all is held
-}
-
-// Remainder is the part of a body that is not held. It can be read once.
-type Remainder struct {
-	Upload     *Upload
-	OnComplete func() // called when all has been read
-
-	stopped atomic.Bool // the server has answered before it had all
-	mu      sync.Mutex
-	spent   bool  // some of it has been read
-	err     error // why no more can be had; io.EOF at the end
-	closed  bool
+	Length    int64      // of the whole body, in bytes; -1 when it is not known
+	Remainder *Remainder // nil when all is buffered
 }
 
-var errRestClosed = errors.New("the client's request is over")
-
-func (r *Remainder) Read(p []byte) (int, error) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if r.closed || r.stopped.Load() {
-		return 0, errRestClosed
-	}
-	if r.err != nil {
-		return 0, r.err
-	}
-	r.spent = true
-	n, err := r.Upload.Read(p)
-	if err != nil && err != io.EOF && r.stopped.Load() {
-		return n, errRestClosed // the client did nothing wrong
-	}
-	if r.err = err; err == io.EOF {
-		r.OnComplete()
-	}
-	return n, err
-}
-
-// Consumed reports whether some of it has been read: it can't be sent from its beginning any more.
-func (r *Remainder) Consumed() bool {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.spent
-}
-
-// Err returns what went wrong on the client's side; nil at the body's end.
-func (r *Remainder) Err() error {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if r.err == io.EOF {
-		return nil
-	}
-	return r.err
-}
-
-// Stop ends the reading, also a read that waits: the server wants no more. Where all has been read it does nothing: net/http reads
-// on in the background from then on, and takes a deadline there for a client that has left.
-func (r *Remainder) Stop() {
-	r.Upload.mu.Lock()
-	defer r.Upload.mu.Unlock()
-	if r.Upload.whole {
-		return
-	}
-	r.stopped.Store(true)
-	r.Upload.interrupted = true
-	r.Upload.SetReadDeadline(time.Now()) // fails only where there is no connection any more
-}
-
-// Drain passes over what is left, for as long as the client sends it: one that sends all before it reads would not find its
-// answer on a connection that was closed under it.
-func (r *Remainder) Drain() {
-	r.Close()
-	r.Upload.mu.Lock()
-	r.Upload.interrupted = false
-	r.Upload.mu.Unlock()
-	io.Copy(io.Discard, r.Upload)
-}
-
-// Stopped reports whether Stop was called.
-func (r *Remainder) Stopped() bool { return r.stopped.Load() }
-
-// Complete reports whether all has been read.
-func (r *Remainder) Complete() bool {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.err == io.EOF
-}
-
-// Close lets no attempt read any more, also none that is late to notice. It waits for a read that is under way.
-func (r *Remainder) Close() {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.closed = true
-}
-
-// Reader is the whole body, for one attempt.
+// Reader returns the whole body, for one attempt.
 func (b *Body) Reader() io.Reader {
 	if b.Remainder == nil {
 		return bytes.NewReader(b.Buffered)
@@ -175,14 +24,9 @@
 }
 
 // Consumed reports whether the body can't be sent from its beginning any more.
-func (b *Body) Consumed() bool {
-	if b.Remainder == nil {
-		return false
-	}
-	return b.Remainder.Consumed()
-}
+func (b *Body) Consumed() bool { return b.Remainder != nil && b.Remainder.Consumed() }
 
-// Err is what went wrong on the client's side.
+// Err returns what went wrong on the client's side; nil when nothing has.
 func (b *Body) Err() error {
 	if b.Remainder == nil {
 		return nil
@@ -190,32 +34,37 @@
 	return b.Remainder.Err()
 }
 
-// ReceiveBody reads of a body what is held. Room for it is taken from the budget and given back by release.
-func ReceiveBody(r *http.Request, in *Upload, budget *bodybuffer.Budget) (b Body, release func(), err error) {
-	b.Length = r.ContentLength
-	if b.Length == 0 {
-		return b, func() {}, nil
-	}
-	want := MaxBufferedBytes
-	if b.Length > 0 {
-		want = int(min(b.Length, MaxBufferedBytes))
+// ReceiveBody reads a request's body as far as it is buffered. The buffer is reserved from the budget, and given back by release,
+// which must be called once unless there is an error. The error is that of the upload.
+func ReceiveBody(r *http.Request, upload *Upload, budget *bodybuffer.Budget) (body Body, release func(), err error) {
+	body.Length = r.ContentLength
+	if body.Length == 0 {
+		return body, func() {}, nil
 	}
-	grant := budget.Reserve(want)
-	release = func() { budget.Release(grant) }
-	var held bytes.Buffer
-	if b.Length > 0 {
-		held.Grow(grant)
+	granted := budget.Reserve(bufferSize(body.Length))
+	release = func() { budget.Release(granted) }
+	var buffer bytes.Buffer
+	if body.Length > 0 {
+		buffer.Grow(granted)
 	}
-	n, err := io.CopyN(&held, in, int64(grant))
-	b.Buffered = held.Bytes()
+	n, err := io.CopyN(&buffer, upload, int64(granted))
+	body.Buffered = buffer.Bytes()
 	switch {
-	case err == io.EOF && b.Length < 0, err == nil && n == b.Length:
-		b.Length = n
+	case err == io.EOF && body.Length < 0, err == nil && n == body.Length:
+		body.Length = n
 	case err == nil:
-		b.Remainder = &Remainder{Upload: in}
+		body.Remainder = &Remainder{Upload: upload}
 	default:
 		release()
-		return b, nil, err
+		return body, nil, err
+	}
+	return body, release, nil
+}
+
+// bufferSize is the size of the buffer for a body of this length, which may not be known.
+func bufferSize(length int64) int {
+	if length < 0 {
+		return MaxBufferedBytes
 	}
-	return b, release, nil
+	return int(min(length, MaxBufferedBytes))
 }
