--- a/internal/framing/framing_test.go
+++ b/internal/framing/scanner_test.go
@@ -5,8 +5,9 @@
 	"testing"
 )
 
-// Whatever pieces the bytes come in, a length beside an encoding is seen, and nothing else is taken for one.
-func TestAmbiguous(t *testing.T) {
+// A client sends a message with a length and a transfer encoding, to have two readers split it differently. It is noticed in
+// whatever pieces the bytes come, and nothing else is taken for one.
+func TestAmbiguousMessagesAreNoticed(t *testing.T) {
 	long := "POST /" + strings.Repeat("x", 500)
 	for name, c := range map[string]struct {
 		text string
@@ -43,6 +44,7 @@
 	}
 }
 
+// Pieces of any size lead to the same state.
 func FuzzScan(f *testing.F) {
 	f.Add([]byte("POST / HTTP/1.1\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\nabcde"), 3)
 	f.Fuzz(func(t *testing.T, text []byte, cut int) {
@@ -51,14 +53,14 @@
 		cut = max(0, min(cut, len(text)))
 		parts.scan(text[:cut])
 		parts.scan(text[cut:])
-		if whole.ambiguous != parts.ambiguous || whole.body != parts.body {
+		if whole.ambiguous != parts.ambiguous || whole.bodyLeft != parts.bodyLeft {
 			t.Errorf("cut at %d: %+v, whole %+v", cut, parts, whole)
 		}
 	})
 }
 
-// What can't be followed is noticed, in chunks, too: nothing behind it is to be read.
-func TestLost(t *testing.T) {
+// A message that can't be followed to its end is noticed, in chunks, too: nothing behind it may be read.
+func TestDesynchronizationIsNoticed(t *testing.T) {
 	const start = "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n"
 	for text, want := range map[string]bool{
 		start + "3\r\nabc\r\n0\r\n\r\n": false,
@@ -67,15 +69,15 @@
 		start + "\r\n":                  true,
 		start + "-1\r\n":                true,
 		start + "FFFFFFFFFFFFFFF\r\n":   true,
-		start + "3" + strings.Repeat(";", longestLine) + "\r\n":                 true,
+		start + "3" + strings.Repeat(";", maxLineBytes) + "\r\n":                true,
 		"POST / HTTP/1.1\r\nTransfer-Encoding: gzip, chunked\r\n\r\n":           true,
 		"POST / HTTP/1.1\r\nContent-Length: x\r\n\r\n":                          true,
 		"POST / HTTP/1.1\r\nContent-Length: 3\r\n\r\nabcGET / HTTP/1.1\r\n\r\n": false,
 	} {
 		var s scanner
 		s.scan([]byte(text))
-		if s.stopped != want {
-			t.Errorf("%q: %v", text, s.stopped)
+		if s.desynchronized != want {
+			t.Errorf("%q: %v", text, s.desynchronized)
 		}
 	}
 }
