--- a/internal/acceptretry/listener.go
+++ b/internal/acceptretry/listener.go
@@ -1,6 +1,8 @@
-// Package acceptretry keeps a listener accepting through failures. accept(2) fails for lack of descriptors or memory, for a client
-// that has gone again, and with errors of the network that are pending on the new connection: none of them says that the
-// listener is of no use, while http.Server ends at most of them.
+// Package acceptretry keeps a listener accepting through errors that pass.
+//
+// accept(2) fails for lack of descriptors or memory, for a client that has disconnected already, and with network errors that are
+// pending on the new connection. None of them says that the listener is of no use, but http.Server ends at most of them, and the
+// agent would serve nobody from then on. A Listener retries with backoff instead, until it is closed.
 package acceptretry
 
 import (
@@ -15,32 +17,32 @@
 	"ryeweir/internal/event"
 )
 
-// Bounds of the pause after an accept that failed. It doubles with each further one in a row.
+// Bounds of the backoff after an accept that failed. It doubles with each consecutive failure.
 const (
 	InitialBackoff = 5 * time.Millisecond
 	MaxBackoff     = 250 * time.Millisecond
 )
 
-// Listener is a listener whose Accept returns no error but that it is closed.
+// Listener is a listener whose Accept returns no error but net.ErrClosed.
 type Listener struct {
 	net.Listener
-	log    *slog.Logger
-	events *event.Recorder
-	closed chan struct{}
-	close  sync.Once
+	log       *slog.Logger
+	events    *event.Recorder
+	closed    chan struct{}
+	closeOnce sync.Once
 
-	mu     sync.Mutex
-	failed map[string]int64 // accepts that failed, by their error's name
+	mu       sync.Mutex
+	failures map[string]int64 // accepts that failed, by the name of the error
 }
 
-// New returns a listener on l. The first failure of a run is logged; all are counted. events may be nil.
-func New(l net.Listener, log *slog.Logger, events *event.Recorder) *Listener {
-	return &Listener{Listener: l, log: log, events: events, closed: make(chan struct{}), failed: map[string]int64{}}
+// New returns a listener on inner. The first of consecutive failures is logged; all are counted. events may be nil.
+func New(inner net.Listener, log *slog.Logger, events *event.Recorder) *Listener {
+	return &Listener{Listener: inner, log: log, events: events, closed: make(chan struct{}), failures: map[string]int64{}}
 }
 
-// Accept waits for the next connection. It fails only once the listener is closed.
+// Accept waits for the next connection. It fails only once the listener is closed, with net.ErrClosed.
 func (l *Listener) Accept() (net.Conn, error) {
-	pause := InitialBackoff
+	backoff := InitialBackoff
 	for {
 		c, err := l.Listener.Accept()
 		if err == nil {
@@ -49,29 +51,29 @@
 		if errors.Is(err, net.ErrClosed) || l.isClosed() {
 			return nil, net.ErrClosed
 		}
-		l.note(err, pause == InitialBackoff)
+		l.recordFailure(err, backoff == InitialBackoff)
 		select {
-		case <-time.After(pause):
+		case <-time.After(backoff):
 		case <-l.closed:
 			return nil, net.ErrClosed
 		}
-		pause = min(2*pause, MaxBackoff)
+		backoff = min(2*backoff, MaxBackoff)
 	}
 }
 
-// note counts a failure, and logs the first of a run.
-func (l *Listener) note(err error, first bool) {
+// recordFailure counts a failure, and logs the first of consecutive ones.
+func (l *Listener) recordFailure(err error, first bool) {
 	name := errorName(err)
 	l.mu.Lock()
-	l.failed[name]++
+	l.failures[name]++
 	l.mu.Unlock()
 	l.events.Record(event.Event{Kind: event.ListenerFailed, Detail: name})
 	if first {
-		l.log.Warn("accepting a connection failed, trying again; further failures in a row are not logged", "error", err)
+		l.log.Warn("accepting a connection failed, retrying; consecutive failures are not logged", "error", err)
 	}
 }
 
-// errorName is the system's name of an error, of which there are few; all else has one name.
+// errorName returns the system's text for an error, of which there are few, so that the counts stay bounded; "other" for all else.
 func errorName(err error) string {
 	if errno, ok := errors.AsType[syscall.Errno](err); ok {
 		return errno.Error()
@@ -90,13 +92,13 @@
 
 // Close closes the listener. It may be called more than once.
 func (l *Listener) Close() error {
-	l.close.Do(func() { close(l.closed) })
+	l.closeOnce.Do(func() { close(l.closed) })
 	return l.Listener.Close()
 }
 
-// MarshalJSON gives the counts of failures by their errors.
+// MarshalJSON returns the counts of failures by the name of their error.
 func (l *Listener) MarshalJSON() ([]byte, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return json.Marshal(l.failed)
+	return json.Marshal(l.failures)
 }
--- a/internal/acceptretry/listener_test.go
+++ b/internal/acceptretry/listener_test.go
@@ -14,15 +14,15 @@
 	"time"
 )
 
-// script is a listener that gives what it is told to, one after another, and then waits until it is closed.
-type script struct {
+// scriptedListener returns scripted errors and connections one after another, and then waits until it is closed.
+type scriptedListener struct {
 	net.Listener
-	next   []error
+	next   []error // nil for a connection
 	closed chan struct{}
-	times  []time.Time
+	times  []time.Time // of the calls of Accept
 }
 
-func (s *script) Accept() (net.Conn, error) {
+func (s *scriptedListener) Accept() (net.Conn, error) {
 	s.times = append(s.times, time.Now())
 	if len(s.next) == 0 {
 		<-s.closed
@@ -37,16 +37,16 @@
 	return c, nil
 }
 
-func (s *script) Close() error {
+func (s *scriptedListener) Close() error {
 	close(s.closed)
 	return nil
 }
 
-// Failures are tried again after a pause that grows within bounds, begins anew after a success, and are counted by their error;
-// the log has the first of a run.
-func TestFailuresAreTriedAgain(t *testing.T) {
+// Accepts fail for a while, for lack of descriptors or memory. They are retried with a bounded backoff that starts over after a
+// success, and are counted by their error; the log has the first of consecutive ones.
+func TestFailedAcceptsAreRetriedWithBackoff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &script{closed: make(chan struct{}), next: []error{nil, syscall.ENOBUFS, syscall.ENOBUFS, nil, syscall.EPERM, nil}}
+		s := &scriptedListener{closed: make(chan struct{}), next: []error{nil, syscall.ENOBUFS, syscall.ENOBUFS, nil, syscall.EPERM, nil}}
 		for range 12 {
 			s.next = append(s.next, syscall.EMFILE)
 		}
@@ -60,14 +60,14 @@
 		}
 		for i, want := range []time.Duration{0, InitialBackoff, 2 * InitialBackoff, 0, InitialBackoff, 0, InitialBackoff} {
 			if i+1 < len(s.times) && i != 2 && s.times[i+1].Sub(s.times[i]) != want {
-				t.Errorf("pause %d is %v, want %v", i, s.times[i+1].Sub(s.times[i]), want)
+				t.Errorf("backoff %d is %v, want %v", i, s.times[i+1].Sub(s.times[i]), want)
 			}
 		}
 		last := len(s.times) - 1
-		if pause := s.times[last].Sub(s.times[last-1]); pause != MaxBackoff {
-			t.Errorf("the longest pause is %v", pause)
+		if backoff := s.times[last].Sub(s.times[last-1]); backoff != MaxBackoff {
+			t.Errorf("the longest backoff is %v", backoff)
 		}
-		if n := strings.Count(log.String(), "trying again"); n != 3 {
+		if n := strings.Count(log.String(), "retrying"); n != 3 {
 			t.Errorf("%d lines in the log", n)
 		}
 		counts, err := json.Marshal(l)
@@ -77,10 +77,10 @@
 	})
 }
 
-// A listener that is closed ends the wait, also that after a failure, at once.
-func TestCloseEndsTheWait(t *testing.T) {
+// A close ends the backoff after a failure at once.
+func TestCloseEndsTheBackoff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &script{closed: make(chan struct{})}
+		s := &scriptedListener{closed: make(chan struct{})}
 		for range 100 {
 			s.next = append(s.next, io.ErrUnexpectedEOF)
 		}
--- a/internal/bodybuffer/pipe.go
+++ b/internal/bodybuffer/pipe.go
@@ -1,77 +1,51 @@
-// Package bodybuffer carries bodies from a reader to a writer through buffers of bounded size, which all share one budget.
 package bodybuffer
 
 import (
 	"errors"
 	"io"
 	"sync"
-	"sync/atomic"
 )
 
-// Budget is the room for buffers that all exchanges share.
-type Budget struct{ left atomic.Int64 }
-
-// least is granted also when the budget is used up, so that nothing waits for buffers that others hold.
-const least = 4 << 10
-
-// NewBudget returns a budget of so many bytes.
-func NewBudget(size int64) *Budget {
-	b := &Budget{}
-	b.left.Store(size)
-	return b
-}
-
-// Reserve grants what is wanted as far as the rest reaches, but a little always. The grant goes back with Give.
-func (b *Budget) Reserve(want int) (grant int) {
-	for {
-		left := b.left.Load()
-		grant = min(want, max(least, int(left)))
-		if b.left.CompareAndSwap(left, left-int64(grant)) {
-			return grant
-		}
-	}
-}
-
-// Release gives back a grant.
-func (b *Budget) Release(grant int) { b.left.Add(int64(grant)) }
-
-// ErrClosed says that nobody reads from the pipe any more.
+// ErrClosed says that the pipe was closed.
 var ErrClosed = errors.New("the pipe is closed")
 
-// Pipe is a buffer between one goroutine that fills it and one that empties it. Each waits for the other.
+// Pipe is a ring buffer between one goroutine that fills it and one that empties it. Each waits for the other. Its other methods may
+// be called by any goroutine.
 type Pipe struct {
 	budget *Budget
 	buf    []byte
 
-	mu          sync.Mutex
-	changed     *sync.Cond
-	start, held int   // where in buf the content begins, and how much it is
-	end         error // why no more comes; io.EOF when all has come
-	closed      bool
+	mu       sync.Mutex
+	changed  *sync.Cond
+	start    int   // index in buf of the first byte that is buffered
+	buffered int   // bytes, which may go on at the beginning of buf
+	end      error // why no more comes; io.EOF when all has come
+	closed   bool
 }
 
-// NewPipe returns a pipe that holds as much as wanted, or less where the budget does not reach. It must be closed.
+// NewPipe returns a pipe that can hold as many bytes as wanted, or fewer where the budget does not reach. It must be closed.
 func NewPipe(b *Budget, want int) *Pipe {
 	p := &Pipe{budget: b, buf: make([]byte, b.Reserve(max(want, 1)))}
 	p.changed = sync.NewCond(&p.mu)
 	return p
 }
 
-// Size is how many bytes it can hold.
+// Size returns how many bytes the pipe can hold.
 func (p *Pipe) Size() int { return len(p.buf) }
 
-// Fill reads all of r into the pipe. When it first has to wait for room it calls full, and after each piece that has come added;
-// both may be nil. The error says why all has not come; the other side gets it behind what has.
-func (p *Pipe) Fill(r io.Reader, full, added func()) error {
+// Fill reads r to its end into the pipe. It calls onFull once, before it first waits for free space, and onData after each piece
+// that was read; both may be nil. The error says why not all has come: that of r, which WriteTo returns behind what has come, or
+// ErrClosed.
+func (p *Pipe) Fill(r io.Reader, onFull, onData func()) error {
 	for {
-		free, err := p.room(full)
+		free, err := p.awaitSpace(onFull)
 		if err != nil {
 			return err
 		}
 		n, err := r.Read(free)
 		p.add(n, err)
-		if n > 0 && added != nil {
-			added()
+		if n > 0 && onData != nil {
+			onData()
 		}
 		if err == io.EOF {
 			return nil
@@ -82,15 +56,15 @@
 	}
 }
 
-// room waits for room and returns a piece of it.
-func (p *Pipe) room(full func()) ([]byte, error) {
+// awaitSpace waits for free space and returns a contiguous piece of it.
+func (p *Pipe) awaitSpace(onFull func()) ([]byte, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for p.held == len(p.buf) && !p.closed {
-		if full != nil {
+	for p.buffered == len(p.buf) && !p.closed {
+		if onFull != nil {
 			p.mu.Unlock()
-			full()
-			full = nil
+			onFull()
+			onFull = nil
 			p.mu.Lock()
 			continue
 		}
@@ -99,21 +73,24 @@
 	if p.closed {
 		return nil, ErrClosed
 	}
-	from := (p.start + p.held) % len(p.buf)
-	return p.buf[from:min(len(p.buf), from+len(p.buf)-p.held)], nil
+	from := (p.start + p.buffered) % len(p.buf)
+	to := min(len(p.buf), from+len(p.buf)-p.buffered)
+	return p.buf[from:to], nil
 }
 
 func (p *Pipe) add(n int, end error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.held, p.end = p.held+n, end
+	p.buffered += n
+	p.end = end
 	p.changed.Broadcast()
 }
 
-// WriteTo writes what comes through the pipe until all has come. It implements io.WriterTo.
+// WriteTo writes what comes through the pipe to w until all has come. It implements io.WriterTo. The error is that of w, that of
+// the reader that fills the pipe, or ErrClosed.
 func (p *Pipe) WriteTo(w io.Writer) (written int64, err error) {
 	for {
-		piece, err := p.next()
+		piece, err := p.awaitContent()
 		if len(piece) == 0 {
 			return written, err
 		}
@@ -126,18 +103,18 @@
 	}
 }
 
-// next waits for content and returns a piece of it, or none and the reason.
-func (p *Pipe) next() ([]byte, error) {
+// awaitContent waits for content and returns a contiguous piece of it. At the end it returns none and no error.
+func (p *Pipe) awaitContent() ([]byte, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for p.held == 0 && p.end == nil && !p.closed {
+	for p.buffered == 0 && p.end == nil && !p.closed {
 		p.changed.Wait()
 	}
 	switch {
 	case p.closed:
 		return nil, ErrClosed
-	case p.held > 0:
-		return p.buf[p.start:min(len(p.buf), p.start+p.held)], nil
+	case p.buffered > 0:
+		return p.buf[p.start:min(len(p.buf), p.start+p.buffered)], nil
 	case p.end == io.EOF:
 		return nil, nil
 	}
@@ -147,18 +124,19 @@
 func (p *Pipe) remove(n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.start, p.held = (p.start+n)%len(p.buf), p.held-n
+	p.start = (p.start + n) % len(p.buf)
+	p.buffered -= n
 	p.changed.Broadcast()
 }
 
-// Complete reports whether all has come, and how much of it is in the pipe.
-func (p *Pipe) Complete() (length int, whole bool) {
+// Complete reports whether all content has come, and how many bytes of it are buffered.
+func (p *Pipe) Complete() (buffered int, complete bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.held, p.end == io.EOF
+	return p.buffered, p.end == io.EOF
 }
 
-// Close ends both sides and gives the buffer back. It may be called more than once, and by anybody.
+// Close ends both sides and gives the buffer back to the budget. It may be called more than once.
 func (p *Pipe) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/bodybuffer/pipe_test.go
+++ b/internal/bodybuffer/pipe_test.go
@@ -11,6 +11,7 @@
 	"testing/synctest"
 )
 
+// noise returns n bytes without a pattern, the same each time.
 func noise(n int) []byte {
 	rng := rand.New(rand.NewPCG(1, 2))
 	b := make([]byte, n)
@@ -20,8 +21,8 @@
 	return b
 }
 
-// What goes in comes out, whole and in order, in pieces of any size, through a buffer that is far smaller.
-func TestPipeCarriesAll(t *testing.T) {
+// What goes in comes out, complete and in order, in pieces of any size, through a buffer that is far smaller.
+func TestPipeDeliversAllInOrder(t *testing.T) {
 	budget := NewBudget(1 << 20)
 	for _, size := range []int{0, 1, 99, 100, 101, 64 << 10, 1 << 20} {
 		for name, in := range map[string]func(io.Reader) io.Reader{"whole": func(r io.Reader) io.Reader { return r },
@@ -48,7 +49,7 @@
 	}
 }
 
-// A full pipe says so once, reads no further until there is room, and has its end by the last byte.
+// A full pipe reports that once, and reads no further until there is free space.
 func TestFullPipeStopsReading(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		in := bytes.NewReader(noise(300))
@@ -57,10 +58,10 @@
 		go func() { done <- p.Fill(in, func() { full++ }, nil) }()
 		synctest.Wait()
 		if in.Len() != 200 || full != 1 {
-			t.Errorf("%d unread, said to be full %d times", in.Len(), full)
+			t.Errorf("%d unread, reported full %d times", in.Len(), full)
 		}
-		if n, whole := p.Complete(); n != 100 || whole {
-			t.Errorf("holds %d, whole: %v", n, whole)
+		if n, complete := p.Complete(); n != 100 || complete {
+			t.Errorf("%d buffered, complete: %v", n, complete)
 		}
 		p.Close()
 		if err := <-done; !errors.Is(err, ErrClosed) {
@@ -69,18 +70,19 @@
 	})
 }
 
-func TestExactFitIsWhole(t *testing.T) {
+// Content that fits exactly, and comes with its end, is complete without a wait for free space.
+func TestExactFitIsComplete(t *testing.T) {
 	p := NewPipe(NewBudget(1<<20), 100)
 	if err := p.Fill(iotest.DataErrReader(bytes.NewReader(noise(100))), func() { t.Error("waited") }, nil); err != nil {
 		t.Error(err)
 	}
-	if n, whole := p.Complete(); n != 100 || !whole {
-		t.Errorf("%d, %v", n, whole)
+	if n, complete := p.Complete(); n != 100 || !complete {
+		t.Errorf("%d buffered, complete: %v", n, complete)
 	}
 }
 
-// What breaks off does so behind what has come: it must not look whole.
-func TestBreakShows(t *testing.T) {
+// A body breaks off. The writer gets what has come and then the error, so that it can't take the part for the whole.
+func TestWriterGetsTheReadersError(t *testing.T) {
 	broke := errors.New("broke")
 	p := NewPipe(NewBudget(1<<20), 100)
 	if err := p.Fill(io.MultiReader(bytes.NewReader(noise(10)), iotest.ErrReader(broke)), nil, nil); err != broke {
@@ -92,8 +94,8 @@
 	}
 }
 
-// The writer's error ends its side, and a close frees a reader that waits.
-func TestClosedEnds(t *testing.T) {
+// A close ends a writer that waits for content, and a second close does no harm.
+func TestCloseEndsAWaitingWriter(t *testing.T) {
 	p := NewPipe(NewBudget(1<<20), 100)
 	done := make(chan error)
 	go func() { _, err := p.WriteTo(io.Discard); done <- err }()
@@ -103,18 +105,3 @@
 		t.Error(err)
 	}
 }
-
-// A budget that is used up still grants a little, and takes back what it gave.
-func TestBudget(t *testing.T) {
-	b := NewBudget(100 << 10)
-	if got := []int{b.Reserve(64 << 10), b.Reserve(64 << 10), b.Reserve(64 << 10), b.Reserve(10)}; got[0] != 64<<10 || got[1] != 36<<10 ||
-		got[2] != least || got[3] != 10 {
-		t.Errorf("granted %v", got)
-	}
-	for _, n := range []int{64 << 10, 36 << 10, least, 10} {
-		b.Release(n)
-	}
-	if b.left.Load() != 100<<10 {
-		t.Errorf("%d left", b.left.Load())
-	}
-}
--- a/internal/socket/socket.go
+++ b/internal/socket/socket.go
@@ -8,30 +8,38 @@
 	"syscall"
 )
 
-// Peek looks at what waits to be read on a connection, one byte at the most, and does not wait: 0 without an error says that the far
-// side has closed, EAGAIN that it is quiet. Unlike Read it does not mind a deadline that has passed. What has no socket is an error.
+// Peek looks at what waits to be read on a connection, one byte at the most, and does not wait: 0 without an error says that the
+// peer has closed, syscall.EAGAIN that nothing waits. Unlike Read it passes over a deadline. It looks below connections that wrap
+// another and say so by a method NetConn. For one without a socket it returns errors.ErrUnsupported.
 func Peek(c net.Conn) (n int, err error) {
-	for inner, ok := c.(interface{ NetConn() net.Conn }); ok; inner, ok = c.(interface{ NetConn() net.Conn }) {
-		c = inner.NetConn()
-	}
-	sc, ok := c.(syscall.Conn)
+	systemConn, ok := innermost(c).(syscall.Conn)
 	if !ok {
 		return 0, errors.ErrUnsupported
 	}
-	raw, err := sc.SyscallConn()
+	raw, err := systemConn.SyscallConn()
 	if err != nil {
 		return 0, err
 	}
-	var peeked error
+	var peekErr error
 	err = raw.Control(func(fd uintptr) {
 		var one [1]byte
-		n, _, peeked = syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+		n, _, peekErr = syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 	})
-	return n, errors.Join(err, peeked)
+	return n, errors.Join(err, peekErr)
+}
+
+// innermost returns the connection below all that wrap it.
+func innermost(c net.Conn) net.Conn {
+	for {
+		wrapper, ok := c.(interface{ NetConn() net.Conn })
+		if !ok {
+			return c
+		}
+		c = wrapper.NetConn()
+	}
 }
 
-// SetBufferSizes asks the kernel for buffers of so many bytes each way, where the connection has some; 0 leaves them as they are.
-// What they hold is outside any Budget.
+// SetBufferSizes sets the kernel's buffers to this many bytes each way, where the connection has some; 0 leaves them as they are.
 func SetBufferSizes(c net.Conn, bytes int) error {
 	sized, ok := c.(interface {
 		SetReadBuffer(int) error
@@ -43,13 +51,14 @@
 	return errors.Join(sized.SetReadBuffer(bytes), sized.SetWriteBuffer(bytes))
 }
 
-// Listener is a listener whose connections have sized sockets.
+// Listener is a listener that sets the buffer sizes of its connections.
 type Listener struct {
 	net.Listener
-	BufferBytes int // each way; 0: as the kernel has them
+	BufferBytes int // each way; 0 leaves the kernel's default
 }
 
-// Accept takes a connection. One whose socket can't be sized has gone already, and is left to fail at its first use.
+// Accept returns the next connection. One whose buffers can't be sized has been closed by its client already, and fails at its first
+// use.
 func (l Listener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err == nil {
--- a/internal/socket/socket_test.go
+++ b/internal/socket/socket_test.go
@@ -6,34 +6,37 @@
 	"testing"
 )
 
-// sized is a connection that notes what it is asked for.
-type sized struct {
+// sizedConn records the sizes that are set.
+type sizedConn struct {
 	net.Conn
 	read, write int
 	err         error
 }
 
-func (s *sized) SetReadBuffer(n int) error  { s.read = n; return s.err }
-func (s *sized) SetWriteBuffer(n int) error { s.write = n; return s.err }
+func (s *sizedConn) SetReadBuffer(n int) error  { s.read = n; return s.err }
+func (s *sizedConn) SetWriteBuffer(n int) error { s.write = n; return s.err }
 
-type one struct {
+// singleListener accepts the same connection each time.
+type singleListener struct {
 	net.Listener
 	conn net.Conn
 }
 
-func (o one) Accept() (net.Conn, error) { return o.conn, nil }
+func (l singleListener) Accept() (net.Conn, error) { return l.conn, nil }
 
-func TestSizeSocket(t *testing.T) {
-	gone := errors.New("gone")
+// Sizes are set both ways, where there is a socket. A connection whose sizes can't be set is accepted all the same: it has been
+// closed by its client.
+func TestBufferSizesAreSetWhereThereIsASocket(t *testing.T) {
+	closed := errors.New("closed")
 	for _, c := range []struct {
 		bytes int
 		err   error
-	}{{8192, nil}, {0, nil}, {8192, gone}} {
-		s := &sized{err: c.err}
+	}{{8192, nil}, {0, nil}, {8192, closed}} {
+		s := &sizedConn{err: c.err}
 		if err := SetBufferSizes(s, c.bytes); !errors.Is(err, c.err) || s.read != c.bytes || s.write != c.bytes {
 			t.Errorf("%d bytes: %d and %d, %v", c.bytes, s.read, s.write, err)
 		}
-		if got, err := (Listener{Listener: one{conn: s}, BufferBytes: c.bytes}).Accept(); got != s || err != nil {
+		if got, err := (Listener{Listener: singleListener{conn: s}, BufferBytes: c.bytes}).Accept(); got != s || err != nil {
 			t.Errorf("accepted %v, %v", got, err)
 		}
 	}
