--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -140,19 +140,19 @@
 // between the times that the platform states: 0.4 s and 0.7 s past the longest deadline.
 func TestLimitsOfThePlatform(t *testing.T) {
 	for _, limit := range []int{256, 1024, 4096} {
-		share := shareSockets(limit, Environment{})
-		if to, from := share.toBackends, share.fromClients; to < 1 || from < 1 || to+from > limit-spareSockets {
+		share := limitConnections(limit, Environment{})
+		if to, from := share.toEndpoints, share.fromClients; to < 1 || from < 1 || to+from > limit-reservedDescriptors {
 			t.Errorf("of %d: %d to backends, %d from clients", limit, to, from)
 		} else if third := limit / 3; to < third || float64(from)*fronthttp.MaxInFlightFraction < float64(third) {
 			t.Errorf("of %d: usual clients can't hold the third that is theirs", limit)
 		}
 		control := testkit.Listen(t)
-		alone, both := shareSockets(limit, Environment{Control: control}), shareSockets(limit, Environment{Control: control, Inherited: true})
-		if alone.fromClients+alone.toBackends > share.fromClients+share.toBackends-8 {
+		alone, both := limitConnections(limit, Environment{Control: control}), limitConnections(limit, Environment{Control: control, Inherited: true})
+		if alone.fromClients+alone.toEndpoints > share.fromClients+share.toEndpoints-8 {
 			t.Errorf("of %d: nothing is kept back for operators", limit)
 		}
 		// Of two processes that share the limit, the clients' places are taken once.
-		if both.fromClients+2*both.toBackends+2*spareSockets > limit {
+		if both.fromClients+2*both.toEndpoints+2*reservedDescriptors > limit {
 			t.Errorf("of %d: two processes may hold %+v", limit, both)
 		}
 	}
--- /dev/null
+++ b/internal/agent/build.go
@@ -0,0 +1,256 @@
+package agent
+
+import (
+	"fmt"
+	"log/slog"
+	"sync"
+	"time"
+
+	"ryeweir/internal/bodybuffer"
+	"ryeweir/internal/config/operator"
+	"ryeweir/internal/config/platform"
+	"ryeweir/internal/core"
+	"ryeweir/internal/discovery"
+	"ryeweir/internal/event"
+	fronthttp "ryeweir/internal/front/http"
+	"ryeweir/internal/healthcheck"
+	"ryeweir/internal/httpmsg"
+	"ryeweir/internal/invariant"
+	"ryeweir/internal/metrics"
+	"ryeweir/internal/pool"
+	upstreamhttp "ryeweir/internal/upstream/http"
+	"ryeweir/logic"
+)
+
+// bodyMemoryFraction is the fraction of the agent's memory that the bodies of requests and answers may fill together.
+const bodyMemoryFraction = 0.2
+
+// newAgent builds all subsystems and starts none, except that peers begin to listen. See the package comment for the order.
+func newAgent(cfg platform.Config, operators operator.File, env Environment, log *slog.Logger) (*agent, error) {
+	if env.TimeOfDay == nil {
+		env.TimeOfDay = time.Now
+	}
+	a := &agent{
+		config:      cfg,
+		operators:   operators,
+		env:         env,
+		log:         log,
+		clock:       core.NewClockWith(env.TimeOfDay),
+		events:      event.NewRecorder(log),
+		monitor:     invariant.NewMonitor(log),
+		metrics:     metrics.New(classNames(cfg)),
+		connections: limitConnections(cfg.Sockets, env),
+		bodies:      bodybuffer.NewBudget(bodyMemory(cfg, env)),
+	}
+	stages := []func() error{
+		a.buildBalancer,
+		a.buildUpstream,
+		a.buildBudget,
+		a.buildPeers,
+		a.buildCore,
+		a.buildDiscovery,
+		a.buildFront,
+	}
+	for _, build := range stages {
+		if err := build(); err != nil {
+			return nil, err
+		}
+	}
+	a.registerMetrics()
+	return a, nil
+}
+
+// buildBalancer makes the decision module, with what the process before this one learned.
+func (a *agent) buildBalancer() error {
+	settings := a.config.Site.Logic
+	a.operators.HealthChecks.Apply(&settings)
+	settings.ExternalAdmission = a.operators.Overload.Enabled
+	balancer, err := logic.New(settings, a.config.Seed)
+	if err != nil {
+		return fmt.Errorf("settings: %w", err)
+	}
+	a.balancer = balancer
+	a.snapshots, a.saveSnapshots = snapshotFile(a.config, a.operators.Snapshot)
+	a.snapshots.Disk = a.env.Disk
+	if a.saveSnapshots {
+		a.restoreKnowledge()
+	}
+	return nil
+}
+
+// buildUpstream makes the connection pool and what sends on its connections.
+func (a *agent) buildUpstream() error {
+	var err error
+	a.pool, err = pool.New(pool.Config{
+		Settings:          a.poolSettings(a.operators),
+		SocketBufferBytes: a.operators.Connections.SocketBufferBytes,
+		ConnectTimeout:    a.config.Site.ConnectTimeout,
+		Seed:              a.config.Seed,
+		Clock:             a.clock,
+		Dial:              a.env.Dial,
+		NewState:          upstreamhttp.NewConnState,
+		Events:            a.events,
+	})
+	if err != nil {
+		return err
+	}
+	a.upstream = &upstreamhttp.Upstream{
+		Pool:              a.pool,
+		Clock:             a.clock,
+		Budget:            a.bodies,
+		LoadReportFields:  a.config.Site.LoadReportFields,
+		OnRequestWritten:  a.metrics.AttemptWritten,
+		OnMalformedReport: logFirstMalformedReport(a.log),
+		Events:            a.events,
+		Monitor:           a.monitor,
+	}
+	a.healthChecker = healthcheck.New(healthcheck.Config{
+		Settings:    a.operators.HealthChecks.Settings(),
+		LoadReports: len(a.config.Site.LoadReportFields) > 0,
+		Clock:       a.clock,
+		Transport:   a.upstream,
+		Log:         a.log,
+	})
+	return nil
+}
+
+// buildBudget makes this agent's part of the fleet's budgets, if they are enabled.
+func (a *agent) buildBudget() error {
+	var err error
+	a.budget, a.priorities, err = a.operators.Overload.Budget(a.config.Site.Logic, a.config.Site.MaxRetryAfter, a.config.Seed)
+	return err
+}
+
+// buildPeers makes the exchange with other agents, if it is enabled. It begins to listen for them.
+func (a *agent) buildPeers() error {
+	if !a.operators.Peers.Enabled {
+		return nil
+	}
+	var err error
+	a.peers, err = newPeers(a.config.Name, a.operators.Peers, a.clock, a.log)
+	return err
+}
+
+// buildCore makes the core, which owns the decision module from then on.
+func (a *agent) buildCore() error {
+	cfg := core.Config{
+		Balancer:         a.balancer,
+		Clock:            a.clock,
+		Upstream:         a.upstream,
+		Log:              a.log,
+		UploadTimeout:    httpmsg.MaxUploadDuration,
+		HealthChecker:    a.healthChecker,
+		Subscribe:        func() { a.discovery.Subscribe() }, // built later, and before the core runs
+		OnEndpointCounts: a.metrics.SetEndpointCounts,
+		Budget:           a.budget,
+		PriorityOrder:    a.priorities,
+		Events:           a.events,
+		Monitor:          a.monitor,
+	}
+	if a.peers != nil {
+		cfg.OnAttemptOutcome = a.peers.recordOutcome
+	}
+	a.core = core.New(cfg)
+	if a.peers != nil {
+		a.peers.core = a.core
+	}
+	return nil
+}
+
+// buildDiscovery makes the source of endpoint lists. With peers, the lists pass through them to the core.
+func (a *agent) buildDiscovery() error {
+	var sink discovery.Sink = a.core
+	if a.peers != nil {
+		sink = a.peers
+	}
+	a.discovery = discovery.New(discovery.Config{
+		Addr:                 a.config.Discovery,
+		Agents:               a.config.Site.Logic.Balancers,
+		SubscriptionRequired: a.config.Site.Logic.SubscriptionRequired,
+		Zones:                a.config.Site.Zones,
+		CachedList:           a.config.Known,
+		Seed:                 a.config.Seed,
+		Clock:                a.clock,
+		Dial:                 a.env.Dial,
+		Sink:                 sink,
+		Log:                  a.log,
+		Events:               a.events,
+	})
+	return nil
+}
+
+// buildFront makes the server for clients.
+func (a *agent) buildFront() error {
+	a.front = fronthttp.New(fronthttp.Config{
+		Site:              a.config.Site,
+		Core:              a.core,
+		Clock:             a.clock,
+		Metrics:           a.metrics,
+		BodyBudget:        a.bodies,
+		MaxConnections:    a.connections.fromClients,
+		AcceptWindow:      a.config.AcceptFor,
+		DrainTimeout:      a.operators.Drain.MaxDuration.D(),
+		SocketBufferBytes: a.operators.Connections.SocketBufferBytes,
+		Log:               a.log,
+		Events:            a.events,
+		Monitor:           a.monitor,
+	})
+	return nil
+}
+
+// registerMetrics adds the figures of the subsystems to those of the front. The names are part of the operators' interface.
+func (a *agent) registerMetrics() {
+	a.metrics.Register("events", func() any { return a.events })
+	a.metrics.Register("invariants", func() any { return a.monitor })
+	a.metrics.Register("connections", func() any { return a.pool.Stats() })
+	a.metrics.Register("probes", func() any { return a.healthChecker.Stats() })
+	a.metrics.Register("border", func() any { return a.core.BoundaryViolations() })
+	if a.budget != nil {
+		a.metrics.Register("overload", func() any { return a.core.BudgetStats() })
+	}
+	if a.peers != nil {
+		a.metrics.Register("peers", func() any { return a.peers.stats() })
+	}
+}
+
+// poolSettings returns the settings of the pool: the operators' where they set them, then those that follow from the platform's
+// settings and from the limits of the process.
+func (a *agent) poolSettings(operators operator.File) pool.Settings {
+	settings := pool.DefaultSettings(a.connections.toEndpoints)
+	settings.ServerIdleTimeout = a.config.Site.IdleTimeout
+	settings.AcquireTimeout = a.config.Site.ConnectTimeout
+	settings.Agents = a.config.Site.Logic.Balancers
+	settings.SlowStartInitialFraction = a.config.Site.Logic.SlowStartInitialFraction
+	settings.SlowStartWindow = a.config.Site.Logic.SlowStartWindow
+	return operators.Connections.Settings(settings)
+}
+
+// logFirstMalformedReport returns a function that logs the first malformed load report and ignores further ones: an endpoint
+// that sends one sends one with each answer.
+func logFirstMalformedReport(log *slog.Logger) func(error) {
+	var first sync.Once
+	return func(err error) {
+		first.Do(func() { log.Warn("malformed load report ignored; further ones are not logged", "error", err) })
+	}
+}
+
+// classNames returns the names of the platform's request classes, by index.
+func classNames(cfg platform.Config) []string {
+	var names []string
+	for _, class := range cfg.Site.Logic.Classes {
+		names = append(names, class.Name)
+	}
+	return names
+}
+
+// memoryLimit returns the memory that the platform gives an agent, in bytes.
+func memoryLimit(cfg platform.Config) int64 { return int64(cfg.MemoryMB) << 20 }
+
+// bodyMemory returns how many bytes of bodies an agent may hold. During a handover two processes share the memory.
+func bodyMemory(cfg platform.Config, env Environment) int64 {
+	memory := bodyMemoryFraction * float64(memoryLimit(cfg))
+	if env.Inherited {
+		memory /= 2
+	}
+	return int64(memory)
+}
--- a/internal/agent/clients_test.go
+++ b/internal/agent/clients_test.go
@@ -42,9 +42,9 @@
 func TestSilentClientsMakeRoom(t *testing.T) {
 	b := testkit.NewBackend(t, testkit.Says(testkit.ServedText))
 	a := startWith(t, testkit.NewDiscovery(t, 1, testkit.EntryText("s-1", b.Addr().String(), "Ready", 0)), 0, func(cfg *platform.Config) {
-		cfg.Sockets = leastSockets
+		cfg.Sockets = minDescriptors
 	})
-	places := shareSockets(leastSockets, Environment{}).fromClients
+	places := limitConnections(minDescriptors, Environment{}).fromClients
 	for i := range 4 * places {
 		c := a.dial(t)
 		if i%2 == 0 {
@@ -65,12 +65,12 @@
 func TestCrowdedConnectionsClose(t *testing.T) {
 	b := testkit.NewBackend(t, testkit.Says(testkit.ServedText))
 	a := startWith(t, testkit.NewDiscovery(t, 1, testkit.EntryText("s-1", b.Addr().String(), "Ready", 0)), 0, func(cfg *platform.Config) {
-		cfg.Sockets = leastSockets
+		cfg.Sockets = minDescriptors
 	})
 	if got := send(t, a.newRequest(t, http.MethodGet, "/form-check", "")); got.close {
 		t.Error("closed with hardly any open")
 	}
-	places := shareSockets(leastSockets, Environment{}).fromClients
+	places := limitConnections(minDescriptors, Environment{}).fromClients
 	for range places / 2 {
 		a.dial(t)
 	}
--- /dev/null
+++ b/internal/agent/knowledge.go
@@ -0,0 +1,36 @@
+package agent
+
+import (
+	"errors"
+	"os"
+	"time"
+
+	"ryeweir/internal/config/operator"
+	"ryeweir/internal/config/platform"
+	"ryeweir/internal/snapshot"
+)
+
+// snapshotFile returns the file in which the agent saves what it has learned, and whether it does. Without a directory in the
+// operators' file it is in the one for temporary files, which the platform gives to both processes of a handover.
+func snapshotFile(cfg platform.Config, settings operator.Snapshot) (file snapshot.File, enabled bool) {
+	dir := settings.Dir
+	if dir == "" {
+		dir = os.Getenv("TMPDIR")
+	}
+	enabled = settings.Interval > 0 && dir != "" && cfg.Name != ""
+	return snapshot.FileIn(dir, cfg.Name, classNames(cfg)), enabled
+}
+
+// restoreKnowledge starts the decision module from the snapshot, if there is one that is valid. The agent starts without it
+// otherwise: a snapshot saves relearning and is never required.
+func (a *agent) restoreKnowledge() {
+	knowledge, age, err := a.snapshots.Load(a.env.TimeOfDay(), a.operators.Snapshot.MaxAge.D())
+	switch {
+	case errors.Is(err, snapshot.ErrNotFound):
+	case err != nil:
+		a.log.Info("snapshot not restored", "reason", err)
+	default:
+		a.balancer.Restore(a.clock.Now(), knowledge, age)
+		a.log.Info("snapshot restored", "servers", len(knowledge.Endpoints), "ago", age.Round(time.Millisecond))
+	}
+}
--- a/internal/agent/peers_test.go
+++ b/internal/agent/peers_test.go
@@ -17,18 +17,19 @@
 	"ryeweir/logic"
 )
 
-// startAs runs an agent with an operators' file, and returns where its operators reach it.
-func startAs(t *testing.T, d *testkit.Discovery, ops operator.File) (control string) {
+// startWithOperators runs an agent with an operators' file until the test ends, and returns the URL for its clients and the one for
+// its operators.
+func startWithOperators(t *testing.T, d *testkit.Discovery, operators operator.File) (clientURL, controlURL string) {
 	t.Helper()
 	cfg, err := platform.Parse(testkit.ConfigText(d.Addr().String(), "null"), testkit.NoEnv)
 	if err != nil {
 		t.Fatal(err)
 	}
-	clients, operators := testkit.Listen(t), testkit.Listen(t)
+	env := Environment{Clients: testkit.Listen(t), Control: testkit.Listen(t)}
 	ctx, stop := context.WithCancel(context.Background())
 	finished := make(chan error, 1)
 	go func() {
-		finished <- Run(ctx, cfg, ops, ReloadConfig{}, Environment{Clients: clients, Control: operators}, slog.New(slog.DiscardHandler))
+		finished <- Run(ctx, cfg, operators, ReloadConfig{}, env, slog.New(slog.DiscardHandler))
 	}()
 	t.Cleanup(func() {
 		stop()
@@ -36,15 +37,15 @@
 			t.Error(err)
 		}
 	})
-	return "http://" + operators.Addr().String()
+	return "http://" + env.Clients.Addr().String(), "http://" + env.Control.Addr().String()
 }
 
-// figure reads one of the operators' figures.
-func figure[T any](t *testing.T, control, name string) (out T) {
+// readMetrics reads GET /v1/metrics; nil while the agent does not listen yet.
+func readMetrics(t *testing.T, controlURL string) map[string]json.RawMessage {
 	t.Helper()
-	resp, err := http.Get(control + "/v1/metrics")
+	resp, err := http.Get(controlURL + "/v1/metrics")
 	if err != nil {
-		return out // not up yet
+		return nil
 	}
 	defer resp.Body.Close()
 	text, err := io.ReadAll(resp.Body)
@@ -55,45 +56,51 @@
 	if err := json.Unmarshal(text, &all); err != nil {
 		t.Fatal(err)
 	}
-	if all[name] != nil {
-		if err := json.Unmarshal(all[name], &out); err != nil {
-			t.Fatal(err)
-		}
-	}
-	return out
+	return all
 }
 
-// An agent that is over its own limits takes the fleet's level down; one that is not does not.
-func TestOwnLoadPressesTheLevel(t *testing.T) {
+// An agent over its own memory limit can't carry what it admits. It lowers the fleet's admission level; an agent within its limits
+// does not.
+func TestOverloadedAgentLowersTheAdmissionLevel(t *testing.T) {
 	b := testkit.NewBackend(t, testkit.Says("here"))
 	d := testkit.NewDiscovery(t, 1, testkit.EntryText("s-1", b.Addr().String(), "Ready", 0))
-	type figures struct{ Pressed int64 }
-	ops := operator.Default()
-	ops.Overload.Enabled = true
-	idle := startAs(t, d, ops)
-	ops.Overload.SelfLimits.Memory = 0.0001
-	over := startAs(t, d, ops)
-	testkit.Eventually(t, "the level is pressed", func() bool { return figure[figures](t, over, "overload").Pressed > 0 })
-	if n := figure[figures](t, idle, "overload").Pressed; n > 0 {
-		t.Errorf("pressed %d times while idle", n)
+	pressed := func(controlURL string) int64 {
+		t.Helper()
+		var overload struct{ Pressed int64 }
+		if data := readMetrics(t, controlURL)["overload"]; data != nil {
+			if err := json.Unmarshal(data, &overload); err != nil {
+				t.Fatal(err)
+			}
+		}
+		return overload.Pressed
+	}
+	operators := operator.Default()
+	operators.Overload.Enabled = true
+	_, idle := startWithOperators(t, d, operators)
+	operators.Overload.SelfLimits.Memory = 0.0001
+	_, overloaded := startWithOperators(t, d, operators)
+	testkit.Eventually(t, "the level is lowered", func() bool { return pressed(overloaded) > 0 })
+	if n := pressed(idle); n > 0 {
+		t.Errorf("an idle agent lowered the level %d times", n)
 	}
 }
 
-// carrier is an upstream that carries nothing and notes the state of each server that it is told of.
-type carrier struct{ told chan core.EndpointList }
+// listUpstream is an upstream that carries out nothing and passes on each endpoint list that it receives.
+type listUpstream struct{ lists chan core.EndpointList }
 
-func (c carrier) UpdateEndpoints(l core.EndpointList) (int, int) {
-	c.told <- l
-	return len(l.Endpoints), len(l.Endpoints)
+func (u listUpstream) UpdateEndpoints(list core.EndpointList) (int, int) {
+	u.lists <- list
+	return len(list.Endpoints), len(list.Endpoints)
 }
-func (carrier) Bind(string) any                            { return nil }
-func (carrier) Execute(_ context.Context, _ *core.Attempt) {}
+func (listUpstream) Bind(string) any                            { return nil }
+func (listUpstream) Execute(_ context.Context, _ *core.Attempt) {}
 
-// talking is the peers' side of an agent with a core that carries nothing.
-func talking(t *testing.T) (*peers, chan core.EndpointList) {
+// runPeers runs the peers of an agent called "me" with a core, and returns them with the endpoint lists that the core receives.
+func runPeers(t *testing.T) (*peers, <-chan core.EndpointList) {
 	t.Helper()
 	clock := core.NewClock()
-	p, err := newPeers("me", operator.Peers{Enabled: true, Bind: "127.0.0.1:0", ShareFacts: true}, clock, slog.New(slog.DiscardHandler))
+	log := slog.New(slog.DiscardHandler)
+	p, err := newPeers("me", operator.Peers{Enabled: true, Bind: "127.0.0.1:0", ShareFacts: true}, clock, log)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -101,85 +108,123 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	told := make(chan core.EndpointList, 16)
-	p.core = core.New(core.Config{Balancer: balancer, Clock: clock, Upstream: carrier{told}, OnEndpointCounts: func(int, int) {}, Log: slog.New(slog.DiscardHandler)})
+	lists := make(chan core.EndpointList, 16)
+	p.core = core.New(core.Config{Balancer: balancer, Clock: clock, Upstream: listUpstream{lists}, Log: log})
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan struct{}, 2)
-	go func() { p.core.Run(ctx); ended <- struct{}{} }()
-	go func() { p.run(ctx); ended <- struct{}{} }()
-	t.Cleanup(func() { stop(); <-ended; <-ended })
-	return p, told
+	go func() {
+		p.core.Run(ctx)
+		ended <- struct{}{}
+	}()
+	go func() {
+		p.run(ctx)
+		ended <- struct{}{}
+	}()
+	t.Cleanup(func() {
+		stop()
+		<-ended
+		<-ended
+	})
+	return p, lists
 }
 
-// ready is a server that started at a time of day, in milliseconds.
-func (p *peers) ready(id string, started int64) core.Endpoint {
-	return core.Endpoint{Endpoint: logic.Endpoint{ID: id, State: logic.Ready, StartedAt: p.clock.FromUnix(started)}, Addr: "127.0.0.1:1", StartedUnixMilli: started}
+// readyEndpoint is an endpoint that started at a time of day, in Unix milliseconds.
+func (p *peers) readyEndpoint(id string, startedUnixMilli int64) core.Endpoint {
+	return core.Endpoint{
+		Endpoint:         logic.Endpoint{ID: id, State: logic.Ready, StartedAt: p.clock.FromUnix(startedUnixMilli)},
+		Addr:             "127.0.0.1:1",
+		StartedUnixMilli: startedUnixMilli,
+	}
 }
 
-func states(l core.EndpointList) map[string]logic.EndpointState {
-	out := map[string]logic.EndpointState{}
-	for _, m := range l.Endpoints {
-		out[m.ID] = m.State
+// statesByID returns the states in a list by endpoint.
+func statesByID(list core.EndpointList) map[string]logic.EndpointState {
+	states := map[string]logic.EndpointState{}
+	for _, endpoint := range list.Endpoints {
+		states[endpoint.ID] = endpoint.State
 	}
-	return out
+	return states
 }
 
-// A drain that a peer was told of goes to the core at once, as a change of the own list; a notice of another life of the
-// server, or of all servers at once, changes nothing; what this agent is told itself it tells its peers.
-func TestPeersWordGoesBeforeTheOwnList(t *testing.T) {
-	p, told := talking(t)
-	p.UpdateEndpoints(core.EndpointList{Full: true, Endpoints: []core.Endpoint{p.ready("a", 7), p.ready("b", 8), p.ready("c", 9)}})
-	if s := states(<-told); s["a"] != logic.Ready {
-		t.Fatalf("%v", s)
-	}
-	notice := func(by, server string, life int64) fleetstate.Fact {
-		other := fleetstate.NewReplica(fleetstate.DefaultLimits())
-		f, _ := other.Put(time.Now(), fleetstate.Key{Kind: fleetstate.Notice, Server: server, Started: life, Origin: by}, fleetstate.Draining, by)
-		return f
-	}
-	p.MergeFacts([]fleetstate.Fact{notice("x", "b", 8)}) // of one agent alone: what the core is told next says nothing of b
-	if fresh := p.MergeFacts([]fleetstate.Fact{notice("x", "a", 6), notice("y", "a", 6), notice("x", "a", 7), notice("y", "a", 7)}); len(fresh) != 4 {
-		t.Fatalf("told on: %v", fresh)
-	}
-	if s := states(<-told); len(s) != 1 || s["a"] != logic.Draining {
-		t.Errorf("told of %v", s)
-	}
-	// The own list says again that it is ready, and it is held back all the same.
-	p.UpdateEndpoints(core.EndpointList{Endpoints: []core.Endpoint{p.ready("a", 7)}})
-	if s := states(<-told); s["a"] != logic.Draining {
-		t.Errorf("told of %v", s)
-	}
-	// With b there would be two of three out: nobody is believed any more.
-	p.MergeFacts([]fleetstate.Fact{notice("y", "b", 8)})
-	if s := states(<-told); s["a"] != logic.Ready {
-		t.Errorf("told of %v", s)
-	}
-	// A server that was started anew: whoever is not told would take the cold process for the one before.
-	p.UpdateEndpoints(core.EndpointList{Endpoints: []core.Endpoint{p.ready("c", 90)}})
-	<-told
-	says := func(server string, life int64) (value int64) {
-		for _, f := range p.Facts() {
-			if f.Server == server && f.Started == life && f.Reporter == "me" {
-				value = f.Value
-			}
+// drainNotice is a notice by a peer that an endpoint's incarnation drains.
+func drainNotice(by, endpoint string, started int64) fleetstate.Fact {
+	replica := fleetstate.NewReplica(fleetstate.DefaultLimits())
+	key := fleetstate.Key{Kind: fleetstate.Notice, Server: endpoint, Started: started, Origin: by}
+	fact, _ := replica.Put(time.Now(), key, fleetstate.Draining, by)
+	return fact
+}
+
+// ownNotice returns the state that this agent's own notices give an endpoint's incarnation; 0 without one.
+func (p *peers) ownNotice(endpoint string, started int64) (state int64) {
+	for _, fact := range p.Facts() {
+		if fact.Server == endpoint && fact.Started == started && fact.Reporter == p.name {
+			state = fact.Value
 		}
-		return value
 	}
-	if says("c", 9) != fleetstate.Removed || says("c", 90) != 0 {
-		t.Errorf("of a restart is told %v", p.Facts())
+	return state
+}
+
+// Two peers are notified that an endpoint drains before this agent's own discovery says so. The core sees the drain at once, and
+// goes on seeing it when the own list repeats that the endpoint is ready. A notice by a single peer, of another incarnation, or
+// one that would drain most endpoints is not believed.
+func TestDrainReportedByPeersOverridesTheOwnList(t *testing.T) {
+	p, lists := runPeers(t)
+	p.UpdateEndpoints(core.EndpointList{Full: true, Endpoints: []core.Endpoint{p.readyEndpoint("a", 7), p.readyEndpoint("b", 8), p.readyEndpoint("c", 9)}})
+	if states := statesByID(<-lists); states["a"] != logic.Ready {
+		t.Fatalf("%v", states)
+	}
+	p.MergeFacts([]fleetstate.Fact{drainNotice("x", "b", 8)}) // of one peer alone: the next list says nothing of b
+	fresh := p.MergeFacts([]fleetstate.Fact{drainNotice("x", "a", 6), drainNotice("y", "a", 6), drainNotice("x", "a", 7), drainNotice("y", "a", 7)})
+	if len(fresh) != 4 {
+		t.Fatalf("new facts: %v", fresh)
+	}
+	if states := statesByID(<-lists); len(states) != 1 || states["a"] != logic.Draining {
+		t.Errorf("after the notices: %v", states)
+	}
+	p.UpdateEndpoints(core.EndpointList{Endpoints: []core.Endpoint{p.readyEndpoint("a", 7)}})
+	if states := statesByID(<-lists); states["a"] != logic.Draining {
+		t.Errorf("after the own list: %v", states)
+	}
+	p.MergeFacts([]fleetstate.Fact{drainNotice("y", "b", 8)}) // with b, two of three would drain
+	if states := statesByID(<-lists); states["a"] != logic.Ready {
+		t.Errorf("after a notice too many: %v", states)
+	}
+	if p.stats().DrainedEarly == 0 {
+		t.Error("no drain is counted as early")
 	}
-	draining := p.ready("c", 90)
+}
+
+// Peers may receive endpoint lists later than this agent. One that does not know of a restart would take the new process, which is
+// in slow start, for the one before: the incarnation before is therefore noticed as removed. A drain is noticed too.
+func TestRestartAndDrainInTheOwnListAreNoticed(t *testing.T) {
+	p, lists := runPeers(t)
+	p.UpdateEndpoints(core.EndpointList{Full: true, Endpoints: []core.Endpoint{p.readyEndpoint("c", 9)}})
+	<-lists
+	p.UpdateEndpoints(core.EndpointList{Endpoints: []core.Endpoint{p.readyEndpoint("c", 90)}})
+	<-lists
+	if p.ownNotice("c", 9) != fleetstate.Removed || p.ownNotice("c", 90) != 0 {
+		t.Errorf("after a restart: %v", p.Facts())
+	}
+	draining := p.readyEndpoint("c", 90)
 	draining.State = logic.Draining
 	p.UpdateEndpoints(core.EndpointList{Endpoints: []core.Endpoint{draining}})
-	<-told
-	if says("c", 90) != fleetstate.Draining {
-		t.Errorf("what the own list says is not told: %v", p.Facts())
-	}
-	// What comes in this agent's name and is not so is taken back.
-	forged := fleetstate.NewReplica(fleetstate.DefaultLimits())
-	lie, _ := forged.Put(time.Now().Add(fleetstate.MaxClockSkew/2), fleetstate.Key{Kind: fleetstate.Suspicion, Server: "b", Started: 8, Origin: "me"}, 9, "me")
-	p.MergeFacts([]fleetstate.Fact{lie, {Key: fleetstate.Key{Kind: 77, Server: "a"}}})
-	if f := p.figures().(peerFigures); f.Facts.Rejected != 1 || f.HeldBack == 0 || f.Forged != 1 || says("b", 8) != 0 {
-		t.Errorf("%+v", f)
+	<-lists
+	if p.ownNotice("c", 90) != fleetstate.Draining {
+		t.Errorf("after a drain: %v", p.Facts())
+	}
+}
+
+// A peer sends a suspicion under this agent's name, which this agent does not have. It would count as this agent's own until it
+// expires; it is replaced by what this agent says. A malformed fact is refused.
+func TestForgedSuspicionIsCorrected(t *testing.T) {
+	p, lists := runPeers(t)
+	p.UpdateEndpoints(core.EndpointList{Full: true, Endpoints: []core.Endpoint{p.readyEndpoint("b", 8)}})
+	<-lists
+	forger := fleetstate.NewReplica(fleetstate.DefaultLimits())
+	key := fleetstate.Key{Kind: fleetstate.Suspicion, Server: "b", Started: 8, Origin: "me"}
+	forged, _ := forger.Put(time.Now().Add(fleetstate.MaxClockSkew/2), key, 9, "me")
+	p.MergeFacts([]fleetstate.Fact{forged, {Key: fleetstate.Key{Kind: 77, Server: "a"}}})
+	if stats := p.stats(); stats.Facts.Rejected != 1 || stats.ForgedSuspicions != 1 || p.ownNotice("b", 8) != 0 {
+		t.Errorf("%+v", stats)
 	}
 }
--- a/internal/agent/reload.go
+++ b/internal/agent/reload.go
@@ -9,57 +9,103 @@
 	"ryeweir/internal/config/operator"
 	"ryeweir/internal/config/platform"
 	"ryeweir/internal/discovery"
+	"ryeweir/internal/wire"
 )
 
-// ReloadConfig says when the configuration is to be read again, and how.
+// ReloadConfig says when the configuration is read again, and how.
 type ReloadConfig struct {
-	Signals      <-chan os.Signal
-	LoadPlatform func() (platform.Config, error)
-	LoadOperator func() (operator.File, error) // nil without an operators' file
+	Signals      <-chan os.Signal                // each one reads the configuration again; nil for never
+	LoadPlatform func() (platform.Config, error) // required with Signals
+	LoadOperator func() (operator.File, error)   // nil without an operators' file
 }
 
-// run reads the configuration again at each signal and points discovery to where it says. A file that can't be
-// used changes nothing: the agent goes on with what it has.
-func (r ReloadConfig) run(ctx context.Context, cfg platform.Config, ops operator.File, d *discovery.Client, apply func(operator.File) error, log *slog.Logger) {
+// reloader applies configuration that is read again to a running agent.
+type reloader struct {
+	config    ReloadConfig
+	site      wire.Site     // at the start; stays in effect
+	operators operator.File // in effect
+	discovery *discovery.Client
+	apply     func(operator.File) error // applies what can change without a restart
+	log       *slog.Logger
+}
+
+// newReloader returns the reloader of the agent.
+func (a *agent) newReloader(config ReloadConfig) *reloader {
+	return &reloader{
+		config:    config,
+		site:      a.config.Site,
+		operators: a.operators,
+		discovery: a.discovery,
+		apply:     a.reconfigure,
+		log:       a.log,
+	}
+}
+
+// reconfigure applies what can change in an operators' file without a restart.
+func (a *agent) reconfigure(operators operator.File) error {
+	a.healthChecker.Configure(operators.HealthChecks.Settings())
+	return a.pool.Configure(a.poolSettings(operators))
+}
+
+// run reads the configuration again at each signal, until the context ends.
+func (r *reloader) run(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-r.Signals:
-		}
-		fresh, err := r.LoadPlatform()
-		if err != nil {
-			log.Error("configuration not reloaded, keeping the old one", "error", err)
-			continue
+		case <-r.config.Signals:
+			r.reload()
 		}
-		log.Info("configuration reloaded", "discovery", fresh.Discovery)
-		if !reflect.DeepEqual(fresh.Site, cfg.Site) {
-			log.Warn("settings have changed, which takes effect at the next start only")
-		}
-		d.SetAddress(fresh.Discovery)
-		ops = r.reloadOperator(ops, apply, log)
 	}
 }
 
-// reloadOperator reads the operators' file again and returns what holds from then on.
-func (r *ReloadConfig) reloadOperator(old operator.File, apply func(operator.File) error, log *slog.Logger) operator.File {
-	if r.LoadOperator == nil {
-		return old
+// reload reads the platform's file and then the operators' file. A file that can't be used changes nothing: the agent goes on
+// with what it has. If the platform's file can't be used, the operators' file is not read.
+func (r *reloader) reload() {
+	fresh, err := r.config.LoadPlatform()
+	if err != nil {
+		r.log.Error("configuration not reloaded, keeping the old one", "error", err)
+		return
+	}
+	r.log.Info("configuration reloaded", "discovery", fresh.Discovery)
+	if !reflect.DeepEqual(fresh.Site, r.site) {
+		r.log.Warn("settings changed; they take effect at the next start")
+	}
+	r.discovery.SetAddress(fresh.Discovery)
+	r.reloadOperators()
+}
+
+// reloadOperators reads the operators' file again, if there is one.
+func (r *reloader) reloadOperators() {
+	if r.config.LoadOperator == nil {
+		return
 	}
-	fresh, err := r.LoadOperator()
+	fresh, err := r.config.LoadOperator()
 	if err == nil {
-		err = apply(fresh)
+		err = r.apply(fresh)
 	}
 	if err != nil {
-		log.Error("operators' file not reloaded, keeping the old one", "error", err)
-		return old
+		r.log.Error("operators' file not reloaded, keeping the old one", "error", err)
+		return
 	}
-	log.Info("operators' file reloaded")
-	if keys := old.RestartRequired(fresh); len(keys) > 0 {
-		log.Warn("keys have changed that take effect at the next start only", "keys", keys)
-		fresh.Connections.MaxConnections, fresh.Connections.SocketBufferBytes = old.Connections.MaxConnections, old.Connections.SocketBufferBytes
-		fresh.Overload, fresh.Peers = old.Overload, old.Peers
-		fresh.Drain, fresh.Snapshot, fresh.HealthChecks.PerRequest, fresh.HealthChecks.PerEndpointRate = old.Drain, old.Snapshot, old.HealthChecks.PerRequest, old.HealthChecks.PerEndpointRate
+	r.log.Info("operators' file reloaded")
+	if keys := r.operators.RestartRequired(fresh); len(keys) > 0 {
+		r.log.Warn("operators' keys changed; they take effect at the next start", "keys", keys)
+		fresh = withoutRestart(fresh, r.operators)
 	}
+	r.operators = fresh
+}
+
+// withoutRestart returns the fresh file with the values of the one in effect for the keys that take effect at a start only, so
+// that the next reload compares with what is in effect.
+func withoutRestart(fresh, inEffect operator.File) operator.File {
+	fresh.Connections.MaxConnections = inEffect.Connections.MaxConnections
+	fresh.Connections.SocketBufferBytes = inEffect.Connections.SocketBufferBytes
+	fresh.HealthChecks.PerRequest = inEffect.HealthChecks.PerRequest
+	fresh.HealthChecks.PerEndpointRate = inEffect.HealthChecks.PerEndpointRate
+	fresh.Snapshot = inEffect.Snapshot
+	fresh.Drain = inEffect.Drain
+	fresh.Overload = inEffect.Overload
+	fresh.Peers = inEffect.Peers
 	return fresh
 }
--- a/internal/agent/reload_test.go
+++ b/internal/agent/reload_test.go
@@ -112,12 +112,13 @@
 	testkit.Eventually(t, "the old discovery is still heard", func() bool { return a.log.Count("version=2") == 1 })
 }
 
-func TestReloadEndsWithTheAgent(t *testing.T) {
+func TestReloaderEndsWithItsContext(t *testing.T) {
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan struct{})
-	r := ReloadConfig{LoadPlatform: func() (platform.Config, error) { return platform.Config{}, errors.New("never asked for") }}
+	loadNothing := func() (platform.Config, error) { return platform.Config{}, errors.New("read without a signal") }
+	r := reloader{config: ReloadConfig{LoadPlatform: loadNothing}, log: slog.New(slog.DiscardHandler)}
 	go func() {
-		r.run(ctx, platform.Config{}, operator.Default(), nil, nil, slog.New(slog.DiscardHandler))
+		r.run(ctx)
 		close(done)
 	}()
 	stop()
@@ -128,8 +129,9 @@
 	}
 }
 
-// SIGHUP reads the operators' file, too: what can change does at once, what can't is named, and a bad one changes nothing.
-func TestOperatorsReload(t *testing.T) {
+// SIGHUP reads the operators' file too. What can change takes effect at once, a key that needs a restart is named in the log, and
+// a file that can't be used changes nothing.
+func TestReloadOfOperatorsFileAppliesWhatNeedsNoRestart(t *testing.T) {
 	t.Parallel()
 	file := filepath.Join(t.TempDir(), "operator.toml")
 	write := func(text string) {
@@ -138,40 +140,50 @@
 		}
 	}
 	write("[connections]\nper_server = 3\n")
-	ops, err := operator.Load(file)
+	operators, err := operator.Load(file)
 	if err != nil {
 		t.Fatal(err)
 	}
-	var log testkit.LockedBuffer
-	var applied []operator.File
-	hup := make(chan os.Signal)
-	ctx, stop := context.WithCancel(t.Context())
-	done := make(chan struct{})
 	cfg, err := platform.Parse(testkit.ConfigText("127.0.0.1:1", "null"), testkit.NoEnv)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := ReloadConfig{Signals: hup, LoadPlatform: func() (platform.Config, error) { return cfg, nil }, LoadOperator: func() (operator.File, error) { return operator.Load(file) }}
-	d := discovery.New(discovery.Config{Addr: "127.0.0.1:1"})
-	go func() {
-		defer close(done)
-		r.run(ctx, cfg, ops, d, func(f operator.File) error {
-			applied = append(applied, f)
-			if f.Connections.MaxPerEndpoint == 9 {
+	var log testkit.LockedBuffer
+	var applied []operator.File
+	hangups := make(chan os.Signal)
+	r := reloader{
+		config: ReloadConfig{
+			Signals:      hangups,
+			LoadPlatform: func() (platform.Config, error) { return cfg, nil },
+			LoadOperator: func() (operator.File, error) { return operator.Load(file) },
+		},
+		site:      cfg.Site,
+		operators: operators,
+		discovery: discovery.New(discovery.Config{Addr: "127.0.0.1:1"}),
+		apply: func(fresh operator.File) error {
+			applied = append(applied, fresh)
+			if fresh.Connections.MaxPerEndpoint == 9 {
 				return errors.New("too many")
 			}
 			return nil
-		}, slog.New(slog.NewTextHandler(&log, nil)))
+		},
+		log: slog.New(slog.NewTextHandler(&log, nil)),
+	}
+	ctx, stop := context.WithCancel(t.Context())
+	done := make(chan struct{})
+	go func() {
+		defer close(done)
+		r.run(ctx)
 	}()
-	for _, step := range []struct{ text, says string }{
+	for _, step := range []struct{ text, logged string }{
 		{"[connections]\nper_server = 4\n", "operators' file reloaded"},
 		{"[connections]\nper_server = 4\nplaces = 50\n[drain]\nlongest = \"9s\"\n", `keys="[connections.places drain.longest]"`},
 		{"[connections]\nper_server = -4\n", "operator.toml:2: connections.per_server: must be from 0 to 65536"},
 		{"[connections]\nper_server = 9\n", "too many"},
 	} {
 		write(step.text)
-		hup <- os.Interrupt
-		testkit.Eventually(t, step.says, func() bool { return log.Count(step.says) > 0 })
+		hangups <- os.Interrupt
+		testkit.Eventually(t, step.logged, func() bool { return log.Count(step.logged) > 0 })
 	}
 	stop()
 	<-done
--- a/internal/agent/scripted_test.go
+++ b/internal/agent/scripted_test.go
@@ -136,7 +136,7 @@
 		ops.HealthChecks.PerRequest, ops.Snapshot.Dir = 0, t.TempDir()
 		var logged bytes.Buffer
 		log := slog.New(slog.NewTextHandler(&logged, nil))
-		for run, want := range []string{"", "starting with what was learnt before", "the snapshot is spoilt"} {
+		for run, want := range []string{"", "snapshot restored", "snapshot corrupt"} {
 			network := link.NewNetwork(1)
 			l, err := network.Listen("node:80")
 			if err != nil {
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,5 +1,8 @@
-// Package metrics holds the figures that operators read. They are written where the events happen and read without
-// waiting for anybody.
+// Package metrics holds the figures that operators read at GET /v1/metrics. They are atomic counters and gauges, so that code
+// that serves requests writes them, and readers read them, without waiting for anyone.
+//
+// The front and the upstream count requests and attempts here. Other subsystems register a section of their own, which is read
+// when the metrics are. The JSON keys are part of the operators' interface and must not change.
 package metrics
 
 import (
@@ -13,83 +16,108 @@
 // The results of a request.
 const (
 	Completed Result = iota // served
-	Rejected                // refused: trying again is harmless
+	Rejected                // sending it again does no harm
 	Failed                  // any other answer, and one that broke off
 	results   int    = iota
 )
 
-// Metrics are the figures of one process, from its start on.
+// Metrics are the figures of one process since its start.
 type Metrics struct {
 	classes     []string
-	downstream  [][results]atomic.Int64 // a class each
+	downstream  [][results]atomic.Int64 // final answers, by class index
 	upstream    atomic.Int64
 	pending     atomic.Int64
-	members     atomic.Int64
+	endpoints   atomic.Int64
 	unavailable atomic.Int64
-	more        map[string]func() any
+	sections    map[string]func() any
 }
 
-// New returns the figures for these classes, all at zero.
+// New returns the figures for the classes with these names, all at zero.
 func New(classes []string) *Metrics {
-	return &Metrics{classes: classes, downstream: make([][results]atomic.Int64, len(classes))}
-}
-
-// Register adds figures of another part under a name of their own. It is called before the figures are read.
-func (m *Metrics) Register(name string, figures func() any) {
-	if m.more == nil {
-		m.more = map[string]func() any{}
+	return &Metrics{
+		classes:    classes,
+		downstream: make([][results]atomic.Int64, len(classes)),
+		sections:   map[string]func() any{},
 	}
-	m.more[name] = figures
 }
 
-// RequestReceived counts a request whose last byte has come, until Released.
+// Register adds a section under a key of its own. The function is called for each read of the metrics, by any goroutine, and its
+// result is encoded as JSON. Sections must be registered before the metrics are first read.
+func (m *Metrics) Register(key string, section func() any) { m.sections[key] = section }
+
+// RequestReceived counts a request as pending from its last byte on, until RequestFinished.
 func (m *Metrics) RequestReceived() { m.pending.Add(1) }
 
-// RequestFinished says that a request which was taken is over.
+// RequestFinished ends a request that was counted by RequestReceived.
 func (m *Metrics) RequestFinished() { m.pending.Add(-1) }
 
 // RequestAnswered counts the final answer to a request of the class with that index.
-func (m *Metrics) RequestAnswered(class int, r Result) { m.downstream[class][r].Add(1) }
+func (m *Metrics) RequestAnswered(class int, result Result) { m.downstream[class][result].Add(1) }
 
-// AttemptWritten counts an attempt that was written whole to a backend.
+// AttemptWritten counts an attempt of which all bytes were written to an endpoint.
 func (m *Metrics) AttemptWritten() { m.upstream.Add(1) }
 
-// SetEndpointCounts sets how many backends are listed, and how many of them are avoided.
+// SetEndpointCounts sets how many endpoints are listed, and how many of them are avoided.
 func (m *Metrics) SetEndpointCounts(listed, avoided int) {
-	m.members.Store(int64(listed))
+	m.endpoints.Store(int64(listed))
 	m.unavailable.Store(int64(avoided))
 }
 
-type answers struct {
+// answerCounts are the final answers to the requests of a class.
+type answerCounts struct {
 	Completed int64 `json:"completed"`
 	Rejected  int64 `json:"rejected"`
 	Failed    int64 `json:"failed"`
 }
 
-// MarshalJSON gives the figures in the operators' form.
+// counters are the figures that are counted here.
+type counters struct {
+	Downstream  map[string]answerCounts `json:"downstream_requests"`
+	Upstream    int64                   `json:"upstream_requests"`
+	Pending     int64                   `json:"pending"`
+	Endpoints   int64                   `json:"members"`
+	Unavailable int64                   `json:"members_unavailable"`
+}
+
+// MarshalJSON returns one object with the counters and the registered sections.
 func (m *Metrics) MarshalJSON() ([]byte, error) {
-	downstream := make(map[string]answers, len(m.classes))
-	for i, name := range m.classes {
-		counts := &m.downstream[i]
-		downstream[name] = answers{counts[Completed].Load(), counts[Rejected].Load(), counts[Failed].Load()}
-	}
-	own, err := json.Marshal(struct {
-		Downstream  map[string]answers `json:"downstream_requests"`
-		Upstream    int64              `json:"upstream_requests"`
-		Pending     int64              `json:"pending"`
-		Members     int64              `json:"members"`
-		Unavailable int64              `json:"members_unavailable"`
-	}{downstream, m.upstream.Load(), m.pending.Load(), m.members.Load(), m.unavailable.Load()})
-	if err != nil || len(m.more) == 0 {
-		return own, err
+	data, err := json.Marshal(m.counters())
+	if err != nil || len(m.sections) == 0 {
+		return data, err
 	}
-	all := make(map[string]any, len(m.more))
-	for name, figures := range m.more {
-		all[name] = figures()
+	sections := make(map[string]any, len(m.sections))
+	for key, section := range m.sections {
+		sections[key] = section()
 	}
-	more, err := json.Marshal(all)
+	more, err := json.Marshal(sections)
 	if err != nil {
 		return nil, err
 	}
-	return append(append(own[:len(own)-1], ','), more[1:]...), nil
+	return mergeObjects(data, more), nil
+}
+
+// counters returns the present counts.
+func (m *Metrics) counters() counters {
+	downstream := make(map[string]answerCounts, len(m.classes))
+	for i, name := range m.classes {
+		counts := &m.downstream[i]
+		downstream[name] = answerCounts{
+			Completed: counts[Completed].Load(),
+			Rejected:  counts[Rejected].Load(),
+			Failed:    counts[Failed].Load(),
+		}
+	}
+	return counters{
+		Downstream:  downstream,
+		Upstream:    m.upstream.Load(),
+		Pending:     m.pending.Load(),
+		Endpoints:   m.endpoints.Load(),
+		Unavailable: m.unavailable.Load(),
+	}
+}
+
+// mergeObjects joins the texts of two JSON objects, neither of which is empty.
+func mergeObjects(first, second []byte) []byte {
+	merged := append(first[:len(first)-1], ',')
+	return append(merged, second[1:]...)
 }
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-func text(t *testing.T, m *Metrics) string {
+// marshal returns the metrics as operators read them.
+func marshal(t *testing.T, m *Metrics) string {
 	t.Helper()
 	data, err := json.Marshal(m)
 	if err != nil {
@@ -15,12 +16,12 @@
 	return string(data)
 }
 
-func TestForm(t *testing.T) {
+func TestMetricsInTheOperatorsForm(t *testing.T) {
 	m := New([]string{"read", "order"})
 	zero := `{"completed":0,"rejected":0,"failed":0}`
 	want := `{"downstream_requests":{"order":` + zero + `,"read":` + zero + `},"upstream_requests":0,"pending":0,"members":0,"members_unavailable":0}`
-	if got := text(t, m); got != want {
-		t.Errorf("at the start %s", got)
+	if got := marshal(t, m); got != want {
+		t.Errorf("at the start %s, want %s", got, want)
 	}
 	m.RequestAnswered(0, Completed)
 	m.RequestAnswered(1, Rejected)
@@ -31,33 +32,37 @@
 	m.RequestFinished()
 	m.AttemptWritten()
 	m.SetEndpointCounts(11, 2)
-	want = `{"downstream_requests":{"order":{"completed":0,"rejected":1,"failed":2},"read":{"completed":1,"rejected":0,"failed":0}},` +
-		`"upstream_requests":1,"pending":1,"members":11,"members_unavailable":2}`
-	if got := text(t, m); got != want {
-		t.Errorf("later %s", got)
+	counters := `{"downstream_requests":{"order":{"completed":0,"rejected":1,"failed":2},"read":{"completed":1,"rejected":0,"failed":0}},` +
+		`"upstream_requests":1,"pending":1,"members":11,"members_unavailable":2`
+	if got, want := marshal(t, m), counters+`}`; got != want {
+		t.Errorf("later %s, want %s", got, want)
+	}
+	m.Register("border", func() any { return map[string]int{"overdue": 3} })
+	if got, want := marshal(t, m), counters+`,"border":{"overdue":3}}`; got != want {
+		t.Errorf("with a section %s, want %s", got, want)
 	}
 }
 
-// Writers and readers do not wait for each other, and nothing is lost.
-func TestConcurrentUse(t *testing.T) {
+// Requests are counted while operators read: run with -race, this shows that neither disturbs the other and no count is lost.
+func TestConcurrentCountsAreNotLost(t *testing.T) {
 	m := New([]string{"c"})
-	var all sync.WaitGroup
+	var clients sync.WaitGroup
 	for range 8 {
-		all.Go(func() {
+		clients.Go(func() {
 			for range 1000 {
 				m.RequestReceived()
 				m.RequestAnswered(0, Completed)
 				m.RequestFinished()
-				text(t, m)
+				marshal(t, m)
 			}
 		})
 	}
-	all.Wait()
+	clients.Wait()
 	var got struct {
 		Pending    int64
-		Downstream map[string]answers `json:"downstream_requests"`
+		Downstream map[string]answerCounts `json:"downstream_requests"`
 	}
-	if err := json.Unmarshal([]byte(text(t, m)), &got); err != nil || got.Pending != 0 || got.Downstream["c"].Completed != 8000 {
+	if err := json.Unmarshal([]byte(marshal(t, m)), &got); err != nil || got.Pending != 0 || got.Downstream["c"].Completed != 8000 {
 		t.Errorf("%+v, %v", got, err)
 	}
 }
--- a/internal/snapshot/format.go
+++ b/internal/snapshot/format.go
@@ -1,17 +1,33 @@
 package snapshot
 
 import (
+	"encoding/binary"
+	"encoding/json"
+	"fmt"
+	"hash/crc32"
 	"time"
 
 	"ryeweir/logic"
 )
 
+// MaxSize is the largest file, in bytes: some thousands of endpoints.
+const MaxSize = 1 << 20
+
+// A file is the magic, the CRC-32C of the document (big-endian), and the document.
+const (
+	magic      = "RYWK\x01\n"
+	headerSize = len(magic) + 4
+)
+
+// castagnoli is the table of CRC-32C.
+var castagnoli = crc32.MakeTable(crc32.Castagnoli)
+
 // document is the JSON of a file. Its keys are those of the first release that wrote snapshots and stay as they are, so that
 // each version reads the files of the others; this file maps them to the module's names.
 type document struct {
 	Agent     string          `json:"agent"`
 	Classes   []string        `json:"classes"`
-	Taken     time.Time       `json:"taken"`
+	SavedAt   time.Time       `json:"taken"`
 	Knowledge storedKnowledge `json:"knowledge"`
 }
 
@@ -35,9 +51,9 @@
 }
 
 // toStored maps the module's knowledge to its stored form.
-func toStored(k logic.Knowledge) storedKnowledge {
-	stored := storedKnowledge{BaselineLatency: k.BaselineLatency, MeanPriority: k.MeanPriority}
-	for _, endpoint := range k.Endpoints {
+func toStored(knowledge logic.Knowledge) storedKnowledge {
+	stored := storedKnowledge{BaselineLatency: knowledge.BaselineLatency, MeanPriority: knowledge.MeanPriority}
+	for _, endpoint := range knowledge.Endpoints {
 		stored.Endpoints = append(stored.Endpoints, storedEndpoint(endpoint))
 	}
 	return stored
@@ -45,9 +61,35 @@
 
 // toKnowledge maps the stored form to the module's.
 func (s storedKnowledge) toKnowledge() logic.Knowledge {
-	k := logic.Knowledge{BaselineLatency: s.BaselineLatency, MeanPriority: s.MeanPriority}
+	knowledge := logic.Knowledge{BaselineLatency: s.BaselineLatency, MeanPriority: s.MeanPriority}
 	for _, endpoint := range s.Endpoints {
-		k.Endpoints = append(k.Endpoints, logic.EndpointKnowledge(endpoint))
+		knowledge.Endpoints = append(knowledge.Endpoints, logic.EndpointKnowledge(endpoint))
+	}
+	return knowledge
+}
+
+// encode returns the bytes of a file.
+func encode(doc document) ([]byte, error) {
+	text, err := json.Marshal(doc)
+	if err != nil {
+		return nil, err
+	}
+	data := binary.BigEndian.AppendUint32([]byte(magic), crc32.Checksum(text, castagnoli))
+	return append(data, text...), nil
+}
+
+// decode reads the bytes of a file. Its errors wrap ErrCorrupt.
+func decode(data []byte) (doc document, err error) {
+	switch {
+	case len(data) > MaxSize:
+		return doc, fmt.Errorf("%w: over %d bytes", ErrCorrupt, MaxSize)
+	case len(data) < headerSize || string(data[:len(magic)]) != magic:
+		return doc, fmt.Errorf("%w: no snapshot of this version", ErrCorrupt)
+	case binary.BigEndian.Uint32(data[len(magic):]) != crc32.Checksum(data[headerSize:], castagnoli):
+		return doc, fmt.Errorf("%w: checksum mismatch", ErrCorrupt)
+	}
+	if err := json.Unmarshal(data[headerSize:], &doc); err != nil {
+		return doc, fmt.Errorf("%w: %w", ErrCorrupt, err)
 	}
-	return k
+	return doc, nil
 }
