--- a/cmd/ryeweir/load.go
+++ b/cmd/ryeweir/load.go
@@ -72,7 +72,7 @@
 	out := command.OutOrStdout()
 	fmt.Fprintf(out, "%-8s %-12s %10s %24s %10s %9s %9s %9s\n", "through", "rate", "answers/s", "CPU us each", "memory MB", "p50 ms", "p99 ms", "p99.9 ms")
 	for i, cost := range costs {
-		fmt.Fprintf(out, "%-8s %-12s %10.0f %8.1f (%5.1f to %5.1f) %10.1f %9.2f %9.2f %9.2f\n", cost.Through, cost.Rate, cost.PerSecond, cost.CPU, cost.Low, cost.High, cost.MemoryMB,
+		fmt.Fprintf(out, "%-8s %-12s %10.0f %8.1f (%5.1f to %5.1f) %10.1f %9.2f %9.2f %9.2f\n", cost.Process, cost.Rate, cost.PerSecond, cost.CPU, cost.Low, cost.High, cost.MemoryMB,
 			cost.P50, cost.P99, cost.P999)
 		if ratio := ratios[i/2]; i%2 == 1 {
 			fmt.Fprintf(out, "the agent had %d connections open, %.2f handshakes per 1,000 answers\n", costs[i-1].Open, costs[i-1].Opened)
--- a/internal/experiment/liar.go
+++ b/internal/experiment/byzantine.go
@@ -17,8 +17,8 @@
 	"ryeweir/internal/fleetstate/membership"
 )
 
-// liar is a stand-in for a peer that is wrong about all that it tells: a member of the agents' fleet without an agent.
-type liar struct {
+// byzantinePeer is a stand-in for a peer that is wrong about all that it tells: a member of the agents' fleet without an agent.
+type byzantinePeer struct {
 	spec   emulator.ByzantinePeerSpec
 	name   string
 	w      *emulator.World
@@ -27,14 +27,14 @@
 	top    float64 // worth of the worthiest class
 }
 
-// liarName is the host of a day's liar.
-func liarName(i int) string { return fmt.Sprint("liar-", i) }
+// byzantineName is the host of a day's liar.
+func byzantineName(i int) string { return fmt.Sprint("liar-", i) }
 
 const lieEvery = 100 * time.Millisecond
 
-// newLiar lets a liar in among the peers; at are its arguments as an agent would get them.
-func newLiar(w *emulator.World, spec emulator.ByzantinePeerSpec, name string, at membership.Config, set operator.Peers) (*liar, error) {
-	l := &liar{spec: spec, name: name, w: w}
+// newByzantinePeer lets a liar in among the peers; at are its arguments as an agent would get them.
+func newByzantinePeer(w *emulator.World, spec emulator.ByzantinePeerSpec, name string, at membership.Config, set operator.Peers) (*byzantinePeer, error) {
+	l := &byzantinePeer{spec: spec, name: name, w: w}
 	for _, c := range w.Day.Classes {
 		l.top = max(l.top, c.PriorityWeight)
 	}
@@ -45,12 +45,12 @@
 }
 
 // MergeFacts, Whole and Part: it listens to nobody.
-func (l *liar) MergeFacts([]fleetstate.Fact) []fleetstate.Fact   { return nil }
-func (l *liar) Facts() []fleetstate.Fact                         { return nil }
-func (l *liar) UpdatePeerState(string, uint64, budget.PeerState) {}
+func (l *byzantinePeer) MergeFacts([]fleetstate.Fact) []fleetstate.Fact   { return nil }
+func (l *byzantinePeer) Facts() []fleetstate.Fact                         { return nil }
+func (l *byzantinePeer) UpdatePeerState(string, uint64, budget.PeerState) {}
 
 // run is among the peers and lies, each at its time, until the context ends.
-func (l *liar) run(ctx context.Context) {
+func (l *byzantinePeer) run(ctx context.Context) {
 	ended := make(chan struct{})
 	go func() { l.member.Run(ctx); close(ended) }()
 	defer func() { <-ended }()
@@ -67,10 +67,10 @@
 	<-ctx.Done()
 }
 
-func (l *liar) says(lie string) bool { return slices.Contains(l.spec.Says, lie) }
+func (l *byzantinePeer) says(lie string) bool { return slices.Contains(l.spec.Says, lie) }
 
 // lies are what it says of the servers.
-func (l *liar) lies(now time.Time) (out []fleetstate.Fact) {
+func (l *byzantinePeer) lies(now time.Time) (out []fleetstate.Fact) {
 	servers := l.w.Known(0).Servers
 	servers = slices.DeleteFunc(servers, func(e discovery.Entry) bool { return e.State != discovery.Ready })
 	for i, e := range servers {
@@ -93,7 +93,7 @@
 }
 
 // part is what it says of the fleet's level.
-func (l *liar) part() (p budget.PeerState) {
+func (l *byzantinePeer) part() (p budget.PeerState) {
 	const all = 1e6
 	if l.says(emulator.FalseDemand) {
 		p.Demand = []budget.Demand{{Priority: l.top, Rate: all}}
--- /dev/null
+++ b/internal/experiment/choosers.go
@@ -0,0 +1,105 @@
+package experiment
+
+import (
+	"fmt"
+	"sync"
+	"time"
+
+	"ryeweir/internal/emulator/callers"
+	"ryeweir/internal/emulator/discovery"
+	"ryeweir/internal/emulator/referee"
+)
+
+func (p *scenarioRun) route(c callers.Planned, tried []string) (string, *callers.Client, func(referee.End)) {
+	if p.choosers != nil {
+		return p.choosers[c.Agent].route(c, tried)
+	}
+	return p.world.Day.Agents[c.Agent], p.clients[c.Agent], func(referee.End) {}
+}
+
+// clientSideChoosers are those of the callers beside one agent's place, who choose nodes by themselves.
+type clientSideChoosers struct {
+	run       *scenarioRun
+	agent     int
+	seesTruth bool // the true state
+	mu        *sync.Mutex
+	chooser   Chooser
+	clients   map[string]*callers.Client // by address
+	own       map[string]int             // in flight, by id
+	addrs     []string
+	views     []View
+	viewedAt  time.Time
+}
+
+// viewInterval is how often the list, and for the oracle the true state, is looked at anew.
+const viewInterval = 50 * time.Millisecond
+
+func (p *scenarioRun) startChoosers() error {
+	var mu sync.Mutex // of the one who sees all there is only one
+	all := NewChooser(p.variant.Chooser, p.world.Day.Seed)
+	for i := range p.world.Day.Agents {
+		chooser := all
+		if p.variant.Chooser != Oracle {
+			chooser = NewChooser(p.variant.Chooser, p.world.Day.Seed+uint64(i))
+		}
+		c := &clientSideChoosers{run: p, agent: i, seesTruth: p.variant.Chooser == Oracle, chooser: chooser, mu: &mu,
+			clients: map[string]*callers.Client{}, own: map[string]int{}}
+		if c.chooser == nil {
+			return fmt.Errorf("arm %s: %q is no way to choose", p.variant.Name, p.variant.Chooser)
+		}
+		p.choosers = append(p.choosers, c)
+	}
+	return nil
+}
+
+func (c *clientSideChoosers) route(planned callers.Planned, tried []string) (string, *callers.Client, func(referee.End)) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.seesTruth || time.Since(c.viewedAt) > viewInterval {
+		c.refresh()
+	}
+	for i := range c.views {
+		c.views[i].Own = c.own[c.views[i].ID]
+	}
+	i := c.chooser.Choose(c.views, planned, tried)
+	if i < 0 {
+		return "", nil, nil
+	}
+	id, addr := c.views[i].ID, c.addrs[i]
+	client := c.clients[addr]
+	if client == nil {
+		client = &callers.Client{Addr: addr, Dial: c.run.world.Net.Dialer("")}
+		c.clients[addr] = client
+		c.run.mu.Lock()
+		c.run.clients = append(c.run.clients, client)
+		c.run.mu.Unlock()
+	}
+	c.own[id]++
+	return id, client, func(referee.End) {
+		c.mu.Lock()
+		defer c.mu.Unlock()
+		c.own[id]--
+	}
+}
+
+// refresh reads the list, which is late, and the true state, which is not.
+func (c *clientSideChoosers) refresh() {
+	truth := map[string]*Truth{}
+	if c.seesTruth {
+		for _, s := range c.run.world.States() {
+			if s.Up {
+				truth[s.ID] = &Truth{Capacity: s.Capacity, Cores: s.Cores, Backlog: s.Backlog, Room: s.Room, Failing: s.Failing}
+			}
+		}
+	}
+	c.addrs, c.views, c.viewedAt = c.addrs[:0], c.views[:0], time.Now()
+	for _, e := range c.run.world.Known(c.agent).Servers {
+		if t := truth[e.ID]; t != nil {
+			t.Away = c.run.world.Day.LinkTo(c.run.world.Day.AgentZone(c.agent), e.Zone).Delay
+		}
+		if e.State == discovery.Ready {
+			c.addrs = append(c.addrs, e.Addr)
+			c.views = append(c.views, View{ID: e.ID, True: truth[e.ID]})
+		}
+	}
+}
--- a/internal/experiment/levels.go
+++ b/internal/experiment/levels.go
@@ -26,7 +26,7 @@
 }
 
 // levels sums up what agents told of their budgets; nil where none told anything.
-func levels(day *emulator.Day, sights [][]glance) *Levels {
+func levels(day *emulator.Day, sights [][]peerView) *Levels {
 	end := day.Length
 	if i := surgeOf(day); i >= 0 {
 		end = day.Spec.Fleet.Shifts[i].To.D()
--- /dev/null
+++ b/internal/experiment/measured.go
@@ -0,0 +1,222 @@
+package experiment
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"net/http"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"strconv"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"syscall"
+	"time"
+
+	"ryeweir/internal/emulator"
+	"ryeweir/internal/emulator/callers"
+	"ryeweir/internal/emulator/referee"
+	"ryeweir/internal/processrig"
+)
+
+// measuredProcess is a process that is measured.
+type measuredProcess struct {
+	name      string
+	cmd       *exec.Cmd
+	ended     chan error
+	log       strings.Builder
+	client    *callers.Client
+	number    atomic.Uint64
+	control   string    // the operators' address; empty without one
+	opened    int64     // handshakes before what is measured
+	cpu       []float64 // microseconds an answer, a slice each
+	latencies []time.Duration
+	elapsed   time.Duration
+}
+
+// startMeasured starts a process and waits until it serves.
+func startMeasured(ctx context.Context, through string, cmd *exec.Cmd, addr string) (*measuredProcess, error) {
+	s := &measuredProcess{name: through, cmd: cmd, ended: make(chan error, 1), client: &callers.Client{Addr: addr, Dial: (&emulator.Loopback{}).Dialer("")}}
+	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
+	cmd.Stderr = &s.log
+	if err := cmd.Start(); err != nil {
+		return nil, err
+	}
+	go func() { s.ended <- cmd.Wait() }()
+	for end := time.Now().Add(processrig.ReadyIn); s.send(ctx).End != referee.Served; {
+		if time.Now().After(end) || ctx.Err() != nil {
+			s.stop()
+			return nil, fmt.Errorf("%s serves nothing\n%s", through, s.log.String())
+		}
+		time.Sleep(20 * time.Millisecond)
+	}
+	return s, nil
+}
+
+func (s *measuredProcess) stop() {
+	s.client.Close()
+	s.cmd.Process.Signal(syscall.SIGTERM)
+	select {
+	case <-s.ended:
+	case <-time.After(processrig.StopIn):
+		s.cmd.Process.Kill()
+		<-s.ended
+	}
+}
+
+func (s *measuredProcess) send(ctx context.Context) callers.Answer {
+	ctx, cancel := context.WithTimeout(ctx, 2*time.Second)
+	defer cancel()
+	id := fmt.Sprintf("%016x", s.number.Add(1))
+	return s.client.Send(ctx, callers.Message{ID: id, Class: "price-basket", Tenant: "kottu-run", Key: "k:" + id[12:], Timeout: 2 * time.Second,
+		Hint: 20 * time.Millisecond}, func() bool { return true })
+}
+
+// reset forgets what was measured and warms up.
+func (s *measuredProcess) reset(ctx context.Context, rate int) {
+	s.cpu, s.latencies, s.elapsed = nil, nil, 0
+	sendAtRate(ctx, rate, warmUpTime, s.send)
+	s.opened, _, _ = s.connections() // 0 without: the end says what is wrong
+}
+
+// connections are how many an agent has opened so far, and how many are open.
+func (s *measuredProcess) connections() (opened int64, open int, err error) {
+	if s.control == "" {
+		return 0, 0, nil
+	}
+	resp, err := http.Get("http://" + s.control + "/v1/metrics")
+	if err != nil {
+		return 0, 0, fmt.Errorf("figures: %w", err)
+	}
+	defer resp.Body.Close()
+	var all struct {
+		Connections struct {
+			Opened int64 `json:"opened"`
+			Open   int   `json:"open"`
+		} `json:"connections"`
+	}
+	if err := json.NewDecoder(resp.Body).Decode(&all); err != nil {
+		return 0, 0, fmt.Errorf("figures: %w", err)
+	}
+	return all.Connections.Opened, all.Connections.Open, nil
+}
+
+// measureSlice loads it for a while and returns the microseconds of processor time that an answer took.
+func (s *measuredProcess) measureSlice(ctx context.Context, rate int) (float64, error) {
+	before, err := processorTime(s.cmd.Process.Pid)
+	if err != nil {
+		return 0, err
+	}
+	latencies, failed, took := sendAtRate(ctx, rate, sliceLength, s.send)
+	after, err := processorTime(s.cmd.Process.Pid)
+	if err != nil {
+		return 0, err
+	}
+	if len(latencies) == 0 || failed > len(latencies)/100 {
+		return 0, fmt.Errorf("%d answers and %d failures\n%s", len(latencies), failed, s.log.String())
+	}
+	cpu := float64((after - before).Microseconds()) / float64(len(latencies))
+	s.cpu, s.latencies, s.elapsed = append(s.cpu, cpu), append(s.latencies, latencies...), s.elapsed+took
+	return cpu, nil
+}
+
+// cost sums up the slices.
+func (s *measuredProcess) cost(rate int) (Cost, error) {
+	memory, err := residentMB(s.cmd.Process.Pid)
+	if err != nil {
+		return Cost{}, err
+	}
+	opened, open, err := s.connections()
+	if err != nil {
+		return Cost{}, err
+	}
+	p, cpu := percentiles(s.latencies), bootstrap(s.cpu)
+	c := Cost{Process: s.name, Rate: "full speed", PerSecond: float64(len(s.latencies)) / s.elapsed.Seconds(), CPU: cpu.Mean, Low: cpu.Low, High: cpu.High,
+		MemoryMB: memory, Open: open, Opened: 1000 * float64(opened-s.opened) / float64(len(s.latencies)), P50: p.P50, P99: p.P99, P999: p.P999}
+	if rate > 0 {
+		c.Rate = fmt.Sprintf("%d/s", rate)
+	}
+	return c, nil
+}
+
+// residentMB is what a process holds of memory (the second figure of statm, in pages: proc(5)).
+func residentMB(pid int) (float64, error) {
+	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", pid))
+	if err != nil {
+		return 0, fmt.Errorf("memory: %w", err)
+	}
+	fields := strings.Fields(string(text))
+	if len(fields) < 2 {
+		return 0, fmt.Errorf("memory: statm of process %d has another form", pid)
+	}
+	pages, err := strconv.ParseFloat(fields[1], 64)
+	if err != nil {
+		return 0, fmt.Errorf("memory: %w", err)
+	}
+	return pages * float64(os.Getpagesize()) / (1 << 20), nil
+}
+
+// sendAtRate sends at a steady rate, open loop, or over so many connections as fast as answers come.
+func sendAtRate(ctx context.Context, rate int, each time.Duration, send func(context.Context) callers.Answer) (latencies []time.Duration, failed int, took time.Duration) {
+	var mu sync.Mutex
+	note := func(from time.Time, a callers.Answer) {
+		mu.Lock()
+		defer mu.Unlock()
+		if a.End == referee.Served {
+			latencies = append(latencies, time.Since(from))
+		} else {
+			failed++
+		}
+	}
+	var all sync.WaitGroup
+	began := time.Now()
+	if rate == 0 {
+		for range loadConnections {
+			all.Go(func() {
+				for time.Since(began) < each && ctx.Err() == nil {
+					at := time.Now()
+					note(at, send(ctx))
+				}
+			})
+		}
+	} else {
+		for n := 0; ; n++ {
+			at := began.Add(time.Duration(n) * time.Second / time.Duration(rate))
+			if at.Sub(began) >= each || ctx.Err() != nil {
+				break
+			}
+			time.Sleep(time.Until(at))
+			all.Go(func() { note(at, send(ctx)) })
+		}
+	}
+	all.Wait()
+	return latencies, failed, time.Since(began)
+}
+
+// processorTime is what a process's threads have used of the processor so far (the first figure of schedstat, in
+// nanoseconds: Documentation/scheduler/sched-stats.rst of Linux). A tick of proc(5)'s stat is too coarse for a quiet agent.
+func processorTime(pid int) (sum time.Duration, err error) {
+	files, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", pid))
+	if err != nil || len(files) == 0 {
+		return 0, fmt.Errorf("processor time: no schedstat of process %d", pid)
+	}
+	for _, file := range files {
+		text, err := os.ReadFile(file)
+		if errors.Is(err, os.ErrNotExist) {
+			continue // a thread that has ended meanwhile
+		}
+		if err != nil {
+			return 0, fmt.Errorf("processor time: %w", err)
+		}
+		first, _, _ := strings.Cut(string(text), " ")
+		ns, err := strconv.ParseInt(first, 10, 64)
+		if err != nil {
+			return 0, fmt.Errorf("processor time: %s has another form: %w", file, err)
+		}
+		sum += time.Duration(ns)
+	}
+	return sum, nil
+}
--- /dev/null
+++ b/internal/experiment/scenario_agents.go
@@ -0,0 +1,122 @@
+package experiment
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"sync"
+
+	"ryeweir/internal/config/operator"
+	"ryeweir/internal/emulator"
+	"ryeweir/internal/emulator/callers"
+	"ryeweir/internal/fleetstate/membership"
+	"ryeweir/internal/processrig"
+)
+
+func (p *scenarioRun) startAgents(ctx context.Context, dir string) error {
+	limits := p.variant.Limits
+	if limits == (emulator.Limits{}) {
+		limits = emulator.DefaultLimits()
+	}
+	for i := range p.world.Day.Agents {
+		a, err := processrig.Start(p.world, i, p.variant.Command, dir, limits, p.peers)
+		if err != nil {
+			return err
+		}
+		p.agents = append(p.agents, a)
+		p.clients = append(p.clients, &callers.Client{Addr: a.Addr, Dial: p.world.Net.Dialer("")})
+	}
+	for i, a := range p.agents {
+		if err := a.Ready(ctx); err != nil {
+			return fmt.Errorf("%s: %w", p.world.Day.Agents[i], err)
+		}
+	}
+	return nil
+}
+
+// startByzantinePeers lets the day's liars in among the peers, where there are any.
+func (p *scenarioRun) startByzantinePeers(set operator.Peers) (out []*byzantinePeer, err error) {
+	if p.peers == nil {
+		return nil, nil
+	}
+	for i, spec := range p.world.Day.Spec.Fleet.ByzantinePeers {
+		var at membership.Config
+		at.Bind, at.Advertise, at.Seeds = p.peers.Place(len(p.world.Day.Agents) + i)
+		l, err := newByzantinePeer(p.world, spec, byzantineName(i), at, set)
+		if err != nil {
+			return nil, err
+		}
+		out = append(out, l)
+	}
+	return out, nil
+}
+
+// faultAgent does to an agent's process what the day has for it, at its time: it kills it, ends it in order, pauses it or slows it, and
+// after the time away starts the next or lets it go on. A killed agent's requests are nobody's fault; a paused or slow one still
+// owes each of its requests an answer.
+func (p *scenarioRun) faultAgent(ctx context.Context, t emulator.AgentFault) {
+	if !callers.Sleep(ctx, t.At-p.world.Now()) {
+		return
+	}
+	a, name := p.agents[t.Agent], p.world.Day.Agents[t.Agent]
+	p.mu.Lock()
+	away := p.away[t.Agent]
+	p.away[t.Agent] = true
+	p.mu.Unlock()
+	if away {
+		return // as in simulated time: one that is away is not befallen again
+	}
+	defer func() {
+		p.mu.Lock()
+		p.away[t.Agent] = false
+		p.mu.Unlock()
+	}()
+	now := p.world.Now()
+	p.world.Note(now, now+t.Away, name, t.Kind)
+	var err error
+	switch t.Kind {
+	case emulator.AgentPause:
+		err = a.Pause()
+	case emulator.AgentSlow:
+		err = a.Slow(ctx, t.RunFraction, t.Away)
+	case emulator.AgentKill:
+		p.world.Referee.Killed(name, now, now+t.Away)
+		a.Kill()
+	default:
+		err = a.Term()
+		now = p.world.Now()
+		p.world.Referee.Killed(name, now, now+t.Away) // no process listens until the next one does
+	}
+	if err == nil && callers.Sleep(ctx, now+t.Away-p.world.Now()) {
+		if t.Survives() {
+			err = a.Resume()
+		} else if err = a.Again(!t.WithState); err == nil {
+			err = a.Ready(ctx)
+		}
+	}
+	if err != nil && ctx.Err() == nil { // one that the end of the day finds on its way back is stopped as it is
+		p.mu.Lock()
+		p.faults = append(p.faults, fmt.Errorf("%s: %w", name, err))
+		p.mu.Unlock()
+	}
+}
+
+func (p *scenarioRun) stopAgents() error {
+	var mu sync.Mutex
+	var errs []error
+	var all sync.WaitGroup
+	for i, a := range p.agents {
+		all.Go(func() {
+			cpu, err := a.Stop()
+			mu.Lock()
+			defer mu.Unlock()
+			p.cpu += cpu
+			if err != nil {
+				errs = append(errs, fmt.Errorf("%s: %w", p.world.Day.Agents[i], err))
+			}
+		})
+	}
+	all.Wait()
+	p.agents = nil
+	return errors.Join(errs...)
+}
--- /dev/null
+++ b/internal/experiment/scenario_watch.go
@@ -0,0 +1,71 @@
+package experiment
+
+import (
+	"context"
+	"time"
+
+	"ryeweir/internal/emulator"
+	"ryeweir/internal/emulator/backend"
+	"ryeweir/internal/emulator/callers"
+	"ryeweir/internal/emulator/referee"
+)
+
+// Live is what a run has come to, for those who watch it.
+type Live struct {
+	At      time.Duration // since the day began
+	Account referee.Account
+	Calls   []referee.Call // that ended since the last look
+	States  []backend.State
+	Marks   []emulator.Mark
+}
+
+func (p *scenarioRun) callEnded(c referee.Call) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if len(p.ended) < callers.DefaultMost {
+		p.ended = append(p.ended, c)
+	}
+}
+
+// addMisbehaving adds up what rude clients got.
+func (p *scenarioRun) addMisbehaving(f callers.MisbehavingFigures) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.misbehaving.Clients += f.Clients
+	p.misbehaving.Served += f.Served
+	p.misbehaving.Ignored += f.Ignored
+}
+
+// watch notes the nodes' load each second, and shows what has come of the day.
+func (p *scenarioRun) watch(ctx context.Context, show func(Live)) {
+	began := time.Now()
+	last, done := began, time.Duration(0)
+	tick := time.NewTicker(time.Second)
+	defer tick.Stop()
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-tick.C:
+		}
+		states := p.world.States()
+		row := make([]float64, len(states))
+		for i, s := range states {
+			row[i] = float64(s.InFlight)
+		}
+		p.load = append(p.load, row)
+		useful, now := time.Duration(0), time.Now()
+		for _, s := range states {
+			useful += s.Figures.Work - s.Figures.Wasted
+		}
+		p.goodput = append(p.goodput, (useful-done).Seconds()/(p.world.Day.Capacity*now.Sub(last).Seconds()))
+		last, done = now, useful
+		p.mu.Lock()
+		fresh := p.ended
+		p.ended = nil
+		p.mu.Unlock()
+		if show != nil {
+			show(Live{At: time.Since(began), Account: p.world.Referee.Account(), Calls: fresh, States: states, Marks: p.world.Marks()})
+		}
+	}
+}
--- a/internal/experiment/views.go
+++ b/internal/experiment/views.go
@@ -42,8 +42,8 @@
 	Least  int     `json:"least"` // fewest peers that an agent saw in the fault and since the one before had ended
 }
 
-// glance is what an agent told of its peers.
-type glance struct {
+// peerView is what an agent told of its peers.
+type peerView struct {
 	at    time.Duration // of the day
 	names []string
 	bytes int64
@@ -74,11 +74,11 @@
 	lookFor     = 200 * time.Millisecond // at one agent: a paused one does not answer
 )
 
-// look asks each agent for its view again and again, until the context ends.
-func (p *play) look(ctx context.Context) {
+// samplePeers asks each agent for its view again and again, until the context ends.
+func (p *scenarioRun) samplePeers(ctx context.Context) {
 	client := &http.Client{Timeout: lookFor, Transport: &http.Transport{MaxIdleConnsPerHost: 1}}
 	defer client.CloseIdleConnections()
-	p.sights = make([][]glance, len(p.agents))
+	p.peerViews = make([][]peerView, len(p.agents))
 	began := time.Now()
 	var all sync.WaitGroup
 	defer all.Wait()
@@ -89,7 +89,7 @@
 			for {
 				if s, err := seen(ctx, client, a.Control); err == nil {
 					s.at = time.Since(began)
-					p.sights[i] = append(p.sights[i], s)
+					p.peerViews[i] = append(p.peerViews[i], s)
 				}
 				select {
 				case <-ctx.Done():
@@ -101,7 +101,7 @@
 	}
 }
 
-func seen(ctx context.Context, client *http.Client, control string) (s glance, err error) {
+func seen(ctx context.Context, client *http.Client, control string) (s peerView, err error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+control+"/v1/metrics", nil)
 	if err != nil {
 		return s, err
@@ -150,10 +150,10 @@
 
 // views sums up what the agents saw. All agents are there after each ending, but for those that a later fault has away: the
 // time until the next fault's beginning counts.
-func views(day *emulator.Day, sights [][]glance) *Views {
+func views(day *emulator.Day, sights [][]peerView) *Views {
 	v := &Views{Agents: len(day.Agents)}
 	all := len(day.Agents) + len(day.Spec.Fleet.ByzantinePeers)
-	whole := func(s glance) bool { return len(s.names) == all-1 }
+	whole := func(s peerView) bool { return len(s.names) == all-1 }
 	ends := endings(day)
 	for i, e := range ends {
 		limit := day.Length
@@ -172,7 +172,7 @@
 					h.Least = min(h.Least, len(s.names))
 				}
 			}
-			k := slices.IndexFunc(each, func(s glance) bool { return s.at >= e.at && s.at < limit && whole(s) })
+			k := slices.IndexFunc(each, func(s peerView) bool { return s.at >= e.at && s.at < limit && whole(s) })
 			if k < 0 {
 				h.Never++
 				continue
@@ -220,7 +220,7 @@
 
 // copies is how many different copies of what is known of servers' ends the agents held, at the look with the most of them and at the
 // last that all took.
-func copies(sights [][]glance) (most, last int) {
+func copies(sights [][]peerView) (most, last int) {
 	looks := map[int]map[string]int{}
 	for _, each := range sights {
 		for _, s := range each {
