--- /dev/null
+++ b/internal/discovery/apply.go
@@ -0,0 +1,131 @@
+package discovery
+
+import (
+	"errors"
+	"fmt"
+	"strconv"
+	"strings"
+	"time"
+
+	"ryeweir/internal/core"
+	"ryeweir/internal/event"
+	"ryeweir/logic"
+)
+
+// noVersion says that no version is known, so that a full snapshot is needed.
+const noVersion = -1
+
+// endpointSet is the last known list.
+type endpointSet struct {
+	version    int64 // or noVersion
+	endpoints  map[string]core.Endpoint
+	receivedAt time.Duration // when discovery last answered, on the agent's clock; 0: not yet
+}
+
+func newEndpointSet() endpointSet {
+	return endpointSet{version: noVersion, endpoints: map[string]core.Endpoint{}}
+}
+
+func (s *endpointSet) hasVersion() bool { return s.version >= 0 }
+
+// forgetVersion makes the set older than whatever is received next.
+func (s *endpointSet) forgetVersion() {
+	s.version, s.receivedAt = noVersion, 0
+}
+
+// store takes over decoded endpoints.
+func (s *endpointSet) store(endpoints []core.Endpoint, full bool) {
+	if full {
+		clear(s.endpoints)
+	}
+	for _, endpoint := range endpoints {
+		s.endpoints[endpoint.ID] = endpoint
+		if endpoint.State == logic.Removed {
+			delete(s.endpoints, endpoint.ID)
+		}
+	}
+}
+
+// errNotFull says that discovery answered the request for a full snapshot with a watch event.
+var errNotFull = errors.New("discovery answered the request for a full snapshot with a watch event")
+
+// versionError says that discovery counts versions anew. What has changed since a version of the old count says nothing.
+type versionError struct {
+	known, received int64
+}
+
+func (e *versionError) Error() string {
+	return fmt.Sprintf("discovery went back from version %d to %d", e.known, e.received)
+}
+
+// apply passes a received list to the sink unless a newer one is known. wantFull says that a full snapshot was requested.
+func (c *Client) apply(list EndpointList, wantFull bool) error {
+	if wantFull && !list.Full {
+		return errNotFull
+	}
+	if list.Version < c.known.version && !wantFull {
+		err := &versionError{known: c.known.version, received: list.Version}
+		c.known.version = noVersion
+		return err
+	}
+	c.backoff.failures = 0
+	hasNews := list.Version > c.known.version || list.Version == c.known.version && list.Full
+	c.endOutage(list)
+	if !hasNews {
+		c.known.receivedAt = c.cfg.Clock.Now()
+		return nil
+	}
+	endpoints := c.decode(list)
+	c.known.version, c.known.receivedAt = list.Version, c.cfg.Clock.Now()
+	c.recordUpdate(list, endpoints)
+	c.cfg.Sink.UpdateEndpoints(core.EndpointList{Full: list.Full, Endpoints: endpoints})
+	return nil
+}
+
+// endOutage notifies the sink if discovery was unavailable and is back without a change: the balancer counts failed polls and must
+// know that the list is followed again.
+func (c *Client) endOutage(list EndpointList) {
+	if !c.unavailable {
+		return
+	}
+	c.unavailable = false
+	c.cfg.Log.Info("discovery available again", "version", list.Version)
+	if list.Version == c.known.version && !list.Full {
+		c.cfg.Sink.UpdateEndpoints(core.EndpointList{})
+	}
+}
+
+// applyCached passes the cached list to the sink as a full snapshot. Whatever discovery says next is newer, also where it counts from a
+// lower version by then.
+func (c *Client) applyCached() {
+	list := c.cfg.CachedList
+	list.Full = true
+	c.cfg.Sink.UpdateEndpoints(core.EndpointList{Full: true, Endpoints: c.decode(list)})
+}
+
+// recordUpdate records and logs that a list was applied.
+func (c *Client) recordUpdate(list EndpointList, endpoints []core.Endpoint) {
+	applied := event.Event{Kind: event.EndpointsUpdated}
+	if c.cfg.Events.Verbose() {
+		applied.Detail = fmt.Sprintf("version %d, full %v: %s", list.Version, list.Full, summary(endpoints))
+	}
+	c.cfg.Events.Record(applied)
+	c.cfg.Log.Info("endpoint list updated", "version", list.Version, "full", list.Full, "entries", len(list.Endpoints))
+}
+
+// summary names the endpoints that are not ready and counts the others.
+func summary(endpoints []core.Endpoint) string {
+	ready := 0
+	var notReady strings.Builder
+	for _, endpoint := range endpoints {
+		switch endpoint.State {
+		case logic.Ready:
+			ready++
+		case logic.Draining:
+			notReady.WriteString(" draining " + endpoint.ID)
+		case logic.Removed:
+			notReady.WriteString(" gone " + endpoint.ID)
+		}
+	}
+	return strconv.Itoa(ready) + " ready" + notReady.String()
+}
--- /dev/null
+++ b/internal/discovery/apply_test.go
@@ -0,0 +1,146 @@
+package discovery
+
+import (
+	"errors"
+	"io"
+	"net/http"
+	"net/http/httptest"
+	"strings"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"ryeweir/internal/testkit"
+)
+
+// A list arrives that is older than the known one, as a late answer or after a restore from a newer one. It changes nothing.
+func TestOlderListsAreIgnored(t *testing.T) {
+	client, sink := newClient(t, testkit.Refusing(t), 1, noCache, io.Discard)
+	ready := testkit.EntryText("s-1", "127.0.0.1:1", "Ready", 0)
+	for _, step := range []struct {
+		text     string
+		wantFull bool
+		fails    bool
+		updates  int
+	}{
+		{testkit.ListText(7, true, ready), true, false, 1},
+		{testkit.ListText(6, true, ready), true, false, 0},
+		{testkit.ListText(7, false, ready), false, false, 0},
+		{testkit.ListText(6, false, ready), false, true, 0},
+		{testkit.ListText(9, false, ready), true, true, 0},
+		{testkit.ListText(9, false, ready), false, false, 1},
+	} {
+		if err := client.apply(parseList(t, step.text), step.wantFull); (err != nil) != step.fails {
+			t.Errorf("%s: %v", step.text, err)
+		}
+		if len(sink) != step.updates {
+			t.Errorf("%s: %d updates", step.text, len(sink))
+		}
+		for len(sink) > 0 {
+			<-sink
+		}
+	}
+	if client.known.version != 9 {
+		t.Errorf("version %d", client.known.version)
+	}
+}
+
+// Discovery restarts and counts its versions anew. A full snapshot is requested: what has changed since a version of the old count says
+// nothing.
+func TestLowerVersionNeedsAFullSnapshot(t *testing.T) {
+	cached := testkit.ListText(41, true, testkit.EntryText("s-1", "127.0.0.1:1", "Ready", 0))
+	client, sink := newSubscribedClient(t, "127.0.0.1:1", 12, cached)
+	err := client.apply(EndpointList{Version: 7}, false)
+	var lower *versionError
+	if !errors.As(err, &lower) || lower.known != 41 || lower.received != 7 || client.known.hasVersion() {
+		t.Errorf("%v, version %d", err, client.known.version)
+	}
+	if err := client.apply(EndpointList{Version: 7, Full: true}, true); err != nil || !nextList(t, sink).Full {
+		t.Error(err)
+	}
+}
+
+// Discovery restarts, counts anew and answers a watch with a full snapshot of a lower version. The list is applied before long: else
+// nothing of that discovery would ever be received.
+func TestLowerVersionInAFullSnapshotIsRecovered(t *testing.T) {
+	var restarted atomic.Bool
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		since := r.URL.Query().Get("since")
+		switch {
+		case !restarted.Load() && since == "":
+			io.WriteString(w, testkit.ListText(41, true, testkit.EntryText("s-1", "127.0.0.1:1", "Ready", 0)))
+		case restarted.Load() && since != "3":
+			io.WriteString(w, testkit.ListText(3, true, testkit.EntryText("s-2", "127.0.0.1:2", "Ready", 0)))
+		default:
+			time.Sleep(20 * time.Millisecond)
+			io.WriteString(w, testkit.ListText(41, false))
+		}
+	}))
+	t.Cleanup(server.Close)
+	client, sink := newClient(t, strings.TrimPrefix(server.URL, "http://"), 1, noCache, io.Discard)
+	run(t, client)
+	nextList(t, sink)
+	restarted.Store(true)
+	if list := nextList(t, sink); !list.Full || len(list.Endpoints) != 1 || list.Endpoints[0].ID != "s-2" {
+		t.Errorf("%+v", list)
+	}
+}
+
+// Discovery is back after an outage in which nothing changed. The sink is notified once: the balancer counts failed polls and must know
+// that they have ended.
+func TestSinkIsNotifiedWhenDiscoveryIsBackWithoutChange(t *testing.T) {
+	client, sink := newSubscribedClient(t, "127.0.0.1:1", 1, noCache)
+	client.known.version, client.unavailable, client.backoff.failures = 41, true, 3
+	if err := client.apply(EndpointList{Version: 41}, false); err != nil || client.unavailable || client.backoff.failures != 0 {
+		t.Error(err, client.unavailable, client.backoff.failures)
+	}
+	if list := nextList(t, sink); list.Full || len(list.Endpoints) != 0 {
+		t.Errorf("%+v", list)
+	}
+	client.apply(EndpointList{Version: 41}, false)
+	if len(sink) > 0 {
+		t.Error("notified twice")
+	}
+}
+
+// Discovery sends malformed entries in a full snapshot. They spoil neither the list nor remove their endpoints, and are logged once.
+func TestMalformedEntryKeepsTheLastKnownState(t *testing.T) {
+	var log testkit.LockedBuffer
+	client, sink := newClient(t, testkit.Refusing(t), 1, noCache, &log)
+	for version, entries := range [][]string{
+		{testkit.EntryText("s-1", "127.0.0.1:1", "Ready", 0), testkit.EntryText("s-2", "127.0.0.1:2", "Ready", 0)},
+		{testkit.EntryText("s-1", "127.0.0.1:1", "Asleep", 0), testkit.EntryText("s-3", "no address", "Ready", 0), `{"id":9}`, `"x"`,
+			testkit.EntryText("s-4", "127.0.0.1:4", "Ready", 0)},
+	} {
+		if err := client.apply(parseList(t, testkit.ListText(version, true, entries...)), true); err != nil {
+			t.Fatal(err)
+		}
+	}
+	<-sink
+	var ids []string
+	for _, endpoint := range nextList(t, sink).Endpoints {
+		ids = append(ids, endpoint.ID)
+	}
+	if got := strings.Join(ids, " "); got != "s-1 s-4" {
+		t.Errorf("the list is %q", got)
+	}
+	if n := log.Count("malformed"); n != 1 {
+		t.Errorf("%d lines in the log", n)
+	}
+}
+
+// Discovery sends a list that is too long to be read. The error says so, the last list stays in force, and a shorter one is applied.
+func TestListOverTheLimitIsAnError(t *testing.T) {
+	server := testkit.NewDiscovery(t, 1, testkit.EntryText("s-1", "127.0.0.1:1", "Ready", 0))
+	var log testkit.LockedBuffer
+	client, sink := newClient(t, server.Addr().String(), 1, noCache, &log)
+	run(t, client)
+	nextList(t, sink)
+	entry := testkit.EntryText("s-2", "127.0.0.1:2", "Ready", 0)
+	server.Set(2, true, entry, testkit.EntryText(strings.Repeat("s", maxListBytes), "127.0.0.1:3", "Ready", 0))
+	testkit.Eventually(t, "the log says why", func() bool { return log.Count("is over") > 0 })
+	server.Set(3, true, entry)
+	if list := nextList(t, sink); len(list.Endpoints) != 1 || list.Endpoints[0].ID != "s-2" {
+		t.Errorf("%d endpoints", len(list.Endpoints))
+	}
+}
