--- a/internal/control/control_test.go
+++ b/internal/control/server_test.go
@@ -17,18 +17,18 @@
 	"ryeweir/internal/emulator/link"
 )
 
-// fakeAgent is steered and asked.
-type fakeAgent struct{ draining, ending atomic.Bool }
+// fakeAgent is an agent whose phase is two flags.
+type fakeAgent struct{ draining, shuttingDown atomic.Bool }
 
 func (a *fakeAgent) Ready() bool { return !a.draining.Load() }
 
-func (a *fakeAgent) Drain() error { return a.steer(true) }
+func (a *fakeAgent) Drain() error { return a.changePhase(true) }
 
-func (a *fakeAgent) Activate() error { return a.steer(false) }
+func (a *fakeAgent) Activate() error { return a.changePhase(false) }
 
-func (a *fakeAgent) steer(drain bool) error {
-	if a.ending.Load() {
-		return errors.New("ending")
+func (a *fakeAgent) changePhase(drain bool) error {
+	if a.shuttingDown.Load() {
+		return errors.New("shutting down")
 	}
 	a.draining.Store(drain)
 	return nil
@@ -54,6 +54,7 @@
 	return a, l.Addr().String()
 }
 
+// call makes a call on a connection of its own, which the answer must close.
 func call(t *testing.T, addr, text string) *http.Response {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
@@ -73,7 +74,8 @@
 	return resp
 }
 
-func TestCalls(t *testing.T) {
+// Each call has its status; readiness follows the phase, and a phase can't be changed any more at the end.
+func TestCallsAndTheirStatus(t *testing.T) {
 	a, addr := start(t)
 	for _, c := range []struct {
 		line string
@@ -98,17 +100,17 @@
 	if body, err := io.ReadAll(resp.Body); err != nil || string(body) != `{"pending":3}` {
 		t.Errorf("figures %q, %v", body, err)
 	}
-	a.ending.Store(true)
+	a.shuttingDown.Store(true)
 	if resp := call(t, addr, "POST /v1/agent/activate HTTP/1.1\r\nHost: x\r\n\r\n"); resp.StatusCode != http.StatusConflict {
-		t.Errorf("activate at the end: %d", resp.StatusCode)
+		t.Errorf("activate while shutting down: %d", resp.StatusCode)
 	}
 }
 
-// Callers that hold connections with no whole call, more than there are places, keep no true one out: it is answered
-// while theirs would still be waited for.
-func TestHeldConnectionsKeepNobodyOut(t *testing.T) {
+// Callers hold more connections than there may be, with no call or a part of one. An operator's call is answered all the same, long
+// before theirs time out.
+func TestSilentConnectionsLockNobodyOut(t *testing.T) {
 	_, addr := start(t)
-	for i := range 3 * mostConns {
+	for i := range 3 * maxConnections {
 		c, err := net.Dial("tcp", addr)
 		if err != nil {
 			t.Fatal(err)
@@ -123,8 +125,8 @@
 	}
 }
 
-// A caller that begins a call and does not go on is let go of, also while places are free.
-func TestHalfACallEnds(t *testing.T) {
+// A caller begins a call and does not go on. Its connection is closed, also while places are free.
+func TestPartialCallTimesOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network := link.NewNetwork(1)
 		l, err := network.Listen("agent:90")
@@ -145,7 +147,7 @@
 			began := time.Now()
 			io.Copy(io.Discard, c)
 			if took := time.Since(began); took > callTimeout+time.Second {
-				t.Errorf("%q: held for %v", text, took)
+				t.Errorf("%q: open for %v", text, took)
 			}
 			c.Close()
 		}
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -8,74 +8,76 @@
 	"time"
 )
 
-func env(fd string) func(string) string {
+// environment is one that names a descriptor; an empty one for none.
+func environment(fd string) func(string) string {
 	return func(name string) string {
-		if name == "PROXY_ACCEPT_FD" {
+		if name == descriptorVariable {
 			return fd
 		}
 		return ""
 	}
 }
 
-// Two processes accept from one inherited socket. When the one lets go of it, what comes is accepted by the other.
+// Two processes accept from one inherited socket. When the old one closes it, what comes is accepted by the new one.
 func TestInheritedSocketOutlivesAProcess(t *testing.T) {
-	held, err := net.Listen("tcp", "127.0.0.1:0")
+	platform, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer held.Close()
+	defer platform.Close()
 	inherit := func() net.Listener {
 		t.Helper()
-		file, err := held.(*net.TCPListener).File()
+		file, err := platform.(*net.TCPListener).File()
 		if err != nil {
 			t.Fatal(err)
 		}
-		l, inherited, err := Listen(env(strconv.Itoa(int(file.Fd()))), "127.0.0.1:1")
+		l, inherited, err := Listen(environment(strconv.Itoa(int(file.Fd()))), "127.0.0.1:1")
 		if err != nil || !inherited {
 			t.Fatal(inherited, err)
 		}
 		return l
 	}
-	old, fresh := inherit(), inherit()
-	defer fresh.Close()
+	old, next := inherit(), inherit()
+	defer next.Close()
 	old.Close()
-	c, err := net.Dial("tcp", held.Addr().String())
+	client, err := net.Dial("tcp", platform.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
-	near, err := fresh.Accept()
+	defer client.Close()
+	accepted, err := next.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer near.Close()
-	io.WriteString(c, "x")
-	if n, err := near.Read(make([]byte, 1)); n != 1 {
+	defer accepted.Close()
+	io.WriteString(client, "x")
+	if n, err := accepted.Read(make([]byte, 1)); n != 1 {
 		t.Error(err)
 	}
 }
 
-func TestBindsWithoutOne(t *testing.T) {
-	l, inherited, err := Listen(env(""), "127.0.0.1:0")
+// Without a socket in the environment the agent binds one of its own.
+func TestListensOnTheAddressWithoutAnInheritedSocket(t *testing.T) {
+	l, inherited, err := Listen(environment(""), "127.0.0.1:0")
 	if err != nil || inherited {
 		t.Fatal(inherited, err)
 	}
 	l.Close()
 }
 
-// A descriptor that is none, or no socket, is an error in words and no crash.
-func TestBadDescriptor(t *testing.T) {
+// A descriptor that is none, or no socket, is an error and no crash.
+func TestUnusableDescriptorIsAnError(t *testing.T) {
 	for _, fd := range []string{"x", "-1", "99999999", "65000"} {
-		if l, _, err := Listen(env(fd), "127.0.0.1:0"); err == nil {
+		if l, _, err := Listen(environment(fd), "127.0.0.1:0"); err == nil {
 			l.Close()
 			t.Errorf("%q gives a listener", fd)
 		}
 	}
 }
 
-// A socket that can't be had for a moment, or an address that the process before still holds, keeps no agent from starting: it is tried
-// again for a while. What never comes is an error that says why.
-func TestListensOnceItCan(t *testing.T) {
+// The process before still holds the address for a moment. The agent retries and starts. An address that can't be parsed is an error
+// at once: there is nothing to wait for.
+func TestListenIsRetriedWhileTheAddressIsInUse(t *testing.T) {
 	holder, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -91,9 +93,9 @@
 	began := time.Now()
 	if l, _, err := Listen(none, "127.0.0.1:no-port"); err == nil {
 		l.Close()
-		t.Error("it listens nowhere")
+		t.Error("no error for an address without a port")
 	}
-	if took := time.Since(began); took > time.Second { // no system call has failed: there is nothing to wait for
-		t.Errorf("it took %v to say so", took)
+	if took := time.Since(began); took > time.Second {
+		t.Errorf("the error took %v", took)
 	}
 }
--- a/internal/logwriter/logwriter.go
+++ b/internal/logwriter/logwriter.go
@@ -1,5 +1,7 @@
-// Package logwriter keeps the log from holding up those who write it: lines wait in a bounded queue for one goroutine that
-// writes them. When nobody reads the log, further lines are dropped and counted.
+// Package logwriter keeps the log from blocking those who write it.
+//
+// A log whose reader hangs blocks each write, and so the owner of all calls: the agent would stand still. A Writer queues lines for
+// one goroutine that writes them. When the queue is full it drops further lines, and says later how many.
 package logwriter
 
 import (
@@ -10,58 +12,68 @@
 )
 
 const (
-	// queueLength is how many lines may wait.
-	queueLength = 4096
-	// closePatience is how long Close waits for what is queued.
-	closePatience = 300 * time.Millisecond
+	// maxQueuedLines is how many lines may wait to be written.
+	maxQueuedLines = 4096
+	// closeTimeout is how long Close waits for the queued lines.
+	closeTimeout = 300 * time.Millisecond
 )
 
-// Writer is an io.Writer that never waits. Each Write is a line.
+// Writer is an io.Writer that never blocks. Each Write is a line. It may be used by any goroutine.
 type Writer struct {
-	to    io.Writer
+	out   io.Writer
 	lines chan []byte
-	ended chan struct{}
+	ended chan struct{} // closed when the goroutine has ended
 
 	mu      sync.Mutex
 	closed  bool
-	dropped int // since the latest line that was queued
+	dropped int // lines, since the last one that was queued
 }
 
-// New returns a writer to another, and begins its goroutine. It must be closed.
-func New(to io.Writer) *Writer {
-	w := &Writer{to: to, lines: make(chan []byte, queueLength), ended: make(chan struct{})}
+// New returns a writer to out, and starts its goroutine. It must be closed.
+func New(out io.Writer) *Writer {
+	w := &Writer{out: out, lines: make(chan []byte, maxQueuedLines), ended: make(chan struct{})}
 	go w.run()
 	return w
 }
 
-// run writes what is queued. An error of the writer below is nobody's to hear: its reader may come back.
+// run writes the queued lines. It passes over errors of the writer below: there is no other log for them, and the reader may come
+// back.
 func (w *Writer) run() {
 	defer close(w.ended)
 	for line := range w.lines {
-		w.to.Write(line)
+		w.out.Write(line)
 	}
 }
 
-// Write queues a line, or drops it where too many wait. It always succeeds.
+// Write queues a copy of the line, or drops it when the queue is full or the writer closed. It always succeeds.
 func (w *Writer) Write(line []byte) (int, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.closed {
 		return len(line), nil
 	}
-	if w.dropped > 0 && !w.queue(fmt.Appendf(nil, "level=WARN msg=\"lines of the log were dropped, as nobody read it\" lines=%d\n", w.dropped)) {
-		w.dropped++
-		return len(line), nil
-	}
-	w.dropped = 0
-	if !w.queue(append([]byte(nil), line...)) {
+	if !w.reportDropped() || !w.enqueue(append([]byte(nil), line...)) {
 		w.dropped++
 	}
 	return len(line), nil
 }
 
-// queue reports whether there was room for a line. The lock is held.
-func (w *Writer) queue(line []byte) bool {
+// reportDropped queues a line about the lines that were dropped, if there are any. It reports false when the queue is still full.
+// The lock is held.
+func (w *Writer) reportDropped() bool {
+	if w.dropped == 0 {
+		return true
+	}
+	report := fmt.Appendf(nil, "level=WARN msg=\"log lines were dropped, as the log was not read\" lines=%d\n", w.dropped)
+	if !w.enqueue(report) {
+		return false
+	}
+	w.dropped = 0
+	return true
+}
+
+// enqueue reports whether the queue had space for a line. The lock is held.
+func (w *Writer) enqueue(line []byte) bool {
 	select {
 	case w.lines <- line:
 		return true
@@ -70,7 +82,8 @@
 	}
 }
 
-// Close ends the writer and waits a moment for what is queued. Lines that come later are dropped.
+// Close ends the writer, and waits up to closeTimeout until the queued lines are written. Lines that come later are dropped. It may
+// be called more than once, and returns nil.
 func (w *Writer) Close() error {
 	w.mu.Lock()
 	if w.closed {
@@ -82,7 +95,7 @@
 	w.mu.Unlock()
 	select {
 	case <-w.ended:
-	case <-time.After(closePatience):
+	case <-time.After(closeTimeout):
 	}
 	return nil
 }
--- a/internal/logwriter/logwriter_test.go
+++ b/internal/logwriter/logwriter_test.go
@@ -10,25 +10,25 @@
 	"time"
 )
 
-// gate is a reader that hangs until it is opened.
-type gate struct {
+// blockedLog is a log that blocks until its reader is there.
+type blockedLog struct {
 	mu   sync.Mutex
-	open chan struct{}
+	open chan struct{} // closed when the reader is there
 	text bytes.Buffer
 }
 
-func (g *gate) Write(p []byte) (int, error) {
-	<-g.open
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return g.text.Write(p)
+func (b *blockedLog) Write(p []byte) (int, error) {
+	<-b.open
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.text.Write(p)
 }
 
-// Lines go through in order, and all that is queued is out when the writer has closed.
-func TestLinesInOrder(t *testing.T) {
-	g := &gate{open: make(chan struct{})}
-	close(g.open)
-	w := New(g)
+// Lines are written in order, and all that were queued are written when Close returns.
+func TestLinesAreWrittenInOrder(t *testing.T) {
+	log := &blockedLog{open: make(chan struct{})}
+	close(log.open)
+	w := New(log)
 	want := ""
 	for n := range 100 {
 		fmt.Fprintf(w, "line %d\n", n)
@@ -37,30 +37,31 @@
 	w.Close()
 	w.Close()
 	fmt.Fprintln(w, "after the close")
-	if g.text.String() != want {
-		t.Errorf("%q", g.text.String())
+	if log.text.String() != want {
+		t.Errorf("%q", log.text.String())
 	}
 }
 
-// While nobody reads, a write takes no time, the queue is bounded, and what was dropped is counted in a line once there is room.
-func TestNobodyReads(t *testing.T) {
+// Nobody reads the log for a while. Writes return at once, the queue is bounded, and a line says how many were dropped once there is
+// space for it.
+func TestUnreadLogDropsAndCountsLines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g := &gate{open: make(chan struct{})}
-		w := New(g)
+		log := &blockedLog{open: make(chan struct{})}
+		w := New(log)
 		began := time.Now()
-		for n := range 3 * queueLength {
+		for n := range 3 * maxQueuedLines {
 			fmt.Fprintf(w, "line %d\n", n)
 		}
 		synctest.Wait()
 		if time.Since(began) > 0 {
 			t.Errorf("writing took %v", time.Since(began))
 		}
-		close(g.open)
+		close(log.open)
 		synctest.Wait()
 		fmt.Fprintln(w, "the last")
 		w.Close()
-		lines := strings.Split(strings.TrimSpace(g.text.String()), "\n")
-		if n := len(lines); n < queueLength || n > queueLength+3 {
+		lines := strings.Split(strings.TrimSpace(log.text.String()), "\n")
+		if n := len(lines); n < maxQueuedLines || n > maxQueuedLines+3 {
 			t.Errorf("%d lines came through", n)
 		}
 		if note := lines[len(lines)-2]; !strings.Contains(note, "were dropped") || lines[len(lines)-1] != "the last" {
@@ -69,17 +70,17 @@
 	})
 }
 
-// A close waits for a reader that hangs no longer than a moment.
-func TestCloseWithoutAReader(t *testing.T) {
+// The log's reader hangs for good. Close returns after its timeout.
+func TestCloseOfAnUnreadLogTimesOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g := &gate{open: make(chan struct{})}
-		w := New(g)
+		log := &blockedLog{open: make(chan struct{})}
+		w := New(log)
 		fmt.Fprintln(w, "a line")
 		began := time.Now()
 		w.Close()
-		if took := time.Since(began); took != closePatience {
+		if took := time.Since(began); took != closeTimeout {
 			t.Errorf("it took %v", took)
 		}
-		close(g.open)
+		close(log.open)
 	})
 }
