--- a/cmd/ryeweir/describe.go
+++ b/cmd/ryeweir/describe.go
@@ -23,7 +23,7 @@
 		if err := config.TOML(file, data, &s); err != nil {
 			return "", err
 		}
-		return fmt.Sprintf("experiment %s: %d days with %d arms, %d repeats", s.Name, len(s.Days), len(s.Arms), s.Repeats), nil
+		return fmt.Sprintf("experiment %s: %d days with %d arms, %d repeats", s.Name, len(s.Days), len(s.Variants), s.Repeats), nil
 	case "drill":
 		var s experiment.DrillSpec
 		if err := config.TOML(file, data, &s); err != nil {
@@ -35,7 +35,7 @@
 		if err := config.TOML(file, data, &s); err != nil {
 			return "", err
 		}
-		return fmt.Sprintf("model %s: %d agents and %d servers with %d arms, %d repeats", s.Name, s.Agents, s.Servers, len(s.Arms), s.Repeats), nil
+		return fmt.Sprintf("model %s: %d agents and %d servers with %d arms, %d repeats", s.Name, s.Agents, s.Servers, len(s.Variants), s.Repeats), nil
 	case "operator":
 		f, err := operator.Parse(file, data)
 		if err != nil {
@@ -66,5 +66,5 @@
 		return "", err
 	}
 	return fmt.Sprintf("%s: day %s of %v, %d nodes, %d agents, %.0f requests a second, clients retry %d times, %d troubles", what, spec.Name,
-		day.Length, len(day.Nodes), len(day.Agents), day.Rate, day.Habits.Retries, len(day.Troubles)), nil
+		day.Length, len(day.Nodes), len(day.Agents), day.Rate, day.Clients.Retries, len(day.Faults)), nil
 }
--- a/internal/experiment/fleet_days_test.go
+++ b/internal/experiment/fleet_days_test.go
@@ -21,14 +21,14 @@
 		"discovery away for 60 s while nodes are replaced": {func(s *emulator.DaySpec) {
 			s.Agents, s.Length = 20, d(75)
 			s.Outages = []emulator.OutageSpec{{From: d(5), To: d(65)}}
-			s.Troubles = []emulator.TroubleSpec{{Kind: "replace", Nodes: 3, From: d(10), To: d(13)}}
+			s.Faults = []emulator.FaultSpec{{Kind: "replace", Nodes: 3, From: d(10), To: d(13)}}
 		}, 0.85},
 		"the others' traffic comes and goes": {func(s *emulator.DaySpec) {
 			s.Agents, s.AgentSkew, s.Load, s.Shape, s.Swing, s.Period = 20, 20, 0.6, "wave", 0.6, d(6)
 		}, 0.9},
 		"a quiet fleet beside a dead node": {func(s *emulator.DaySpec) {
 			s.Agents, s.Load = 200, 0.4
-			s.Troubles = []emulator.TroubleSpec{{Kind: "vanish", Nodes: 2, From: d(4), To: d(18)}}
+			s.Faults = []emulator.FaultSpec{{Kind: "vanish", Nodes: 2, From: d(4), To: d(18)}}
 		}, 0.9},
 		"an overload that would choke all": {func(s *emulator.DaySpec) { s.Agents, s.Load = 4, 1.3 }, 0.8},
 	} {
@@ -44,17 +44,17 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			o, err := Simulate(day, Arm{Name: "agent", Command: []string{"agent"}})
+			o, err := Simulate(day, Variant{Name: "agent", Command: []string{"agent"}})
 			if err != nil {
 				t.Fatal(err)
 			}
 			if !o.Account.Held() {
 				t.Errorf("rules broke: %v", o.Breaches)
 			}
-			if o.Whole < c.least || o.ProbeWork > 0.01 {
-				t.Errorf("service %.3f, probes took %.4f of the nodes' work", o.Whole, o.ProbeWork)
+			if o.Whole < c.least || o.HealthCheckWork > 0.01 {
+				t.Errorf("service %.3f, probes took %.4f of the nodes' work", o.Whole, o.HealthCheckWork)
 			}
-			if again, err := Simulate(day, Arm{Name: "agent", Command: []string{"agent"}}); err != nil || fmt.Sprint(again.Whole, again.Truths) != fmt.Sprint(o.Whole, o.Truths) {
+			if again, err := Simulate(day, Variant{Name: "agent", Command: []string{"agent"}}); err != nil || fmt.Sprint(again.Whole, again.Truths) != fmt.Sprint(o.Whole, o.Truths) {
 				t.Errorf("played again: %v, %v", again.Whole, err)
 			}
 		})
@@ -84,7 +84,7 @@
 `
 	first, second := t.TempDir(), t.TempDir()
 	f, err := Run(t.Context(), readSpec(t, text), "", first, "", writer(func(string) {}))
-	if err != nil || len(f.Rows) != 2 || f.Rows[0].Probes == 0 || f.Rows[1].Probes != 0 {
+	if err != nil || len(f.Rows) != 2 || f.Rows[0].HealthChecks == 0 || f.Rows[1].HealthChecks != 0 {
 		t.Fatalf("%+v, %v", f.Rows, err)
 	}
 	f, err = Run(t.Context(), readSpec(t, text), "", second, first, writer(func(string) {}))
@@ -93,7 +93,7 @@
 	}
 	same := 0
 	for _, d := range f.Differences {
-		if d.Than == d.Arm+" before" && d.N == 3 && d.Low == 0 && d.High == 0 {
+		if d.Baseline == d.Variant+" before" && d.N == 3 && d.Low == 0 && d.High == 0 {
 			same++
 		}
 	}
