--- a/internal/bodybuffer/pipe.go
+++ b/internal/bodybuffer/pipe.go
@@ -34,7 +34,7 @@
 func (p *Pipe) Size() int { return len(p.buf) }
 
 // Fill reads r to its end into the pipe. It calls onFull once, before it first waits for free space, and onData after each piece
-// that was read; both may be nil. The error says why not all has come: that of r, which WriteTo returns behind what has come, or
+// that was read; both may be nil. The error says why not all has come: that of r, which WriteTo returns after what has come, or
 // ErrClosed.
 func (p *Pipe) Fill(r io.Reader, onFull, onData func()) error {
 	for {
--- a/internal/bodybuffer/pipe_test.go
+++ b/internal/bodybuffer/pipe_test.go
@@ -81,7 +81,7 @@
 	}
 }
 
-// A body breaks off. The writer gets what has come and then the error, so that it can't take the part for the whole.
+// A body breaks off. The writer gets what has come and then the error, so that it can't take a part for the complete body.
 func TestWriterGetsTheReadersError(t *testing.T) {
 	broke := errors.New("broke")
 	p := NewPipe(NewBudget(1<<20), 100)
--- a/internal/connlimit/close.go
+++ b/internal/connlimit/close.go
@@ -26,7 +26,7 @@
 	c.listener.capacityFreed.Signal() // another has to be evicted
 }
 
-// Close ends the connection. It returns at once; the place is free when the connection below has closed. Where an answer was given
+// Close ends the connection. It returns at once; the slot is free when the underlying connection has closed. Where an answer was given
 // that is by a lingering close: closed over unread bytes the connection would be reset, and its client might never see that
 // answer. What comes meanwhile is dropped; none of it was read as a request.
 func (c *Conn) Close() error {
@@ -92,7 +92,7 @@
 	c.release()
 }
 
-// release closes the connection below and frees its place. The lock is held.
+// release closes the underlying connection and frees its slot. The lock is held.
 func (c *Conn) release() error {
 	if _, open := c.listener.conns[c]; !open {
 		return nil
--- a/internal/connlimit/close_test.go
+++ b/internal/connlimit/close_test.go
@@ -95,7 +95,7 @@
 	}
 }
 
-// A request arrives after a close has begun, and is never read. Its client sees the whole last answer and then the end, not a
+// A request arrives after a close has begun, and is never read. Its client sees the complete last answer and then the end, not a
 // reset: so it knows that it may send the request again.
 func TestRequestBehindACloseSeesTheEndNotAReset(t *testing.T) {
 	l := New(testkit.Listen(t), 9)
@@ -112,13 +112,13 @@
 		t.Errorf("%q, %v", got, err)
 	}
 	if !l.isOpen(c) {
-		t.Error("its place was free during the lingering close")
+		t.Error("its slot was free during the lingering close")
 	}
 	client.Close()
 	testkit.Eventually(t, "it ends with its client", func() bool { return l.Len() == 0 })
 }
 
-// A lingering close is bounded in time and bytes and ends early when its place is needed. There is none where nothing was answered
+// A lingering close is bounded in time and bytes and ends early when its slot is needed. There is none where nothing was answered
 // or the answer broke off.
 func TestLingeringCloseIsBounded(t *testing.T) {
 	l := New(testkit.Listen(t), 1)
@@ -133,7 +133,7 @@
 	for what, steps := range map[string]struct{ before, after func(*Conn) }{
 		"nothing was answered": {nothing, nothing},
 		"the answer broke off": {func(c *Conn) { c.setActivity(requestInFlight); c.answerAborted = true }, nothing},
-		"its place is needed":  {func(c *Conn) { c.setActivity(requestInFlight) }, func(*Conn) { acceptPair(t, l) }},
+		"its slot is needed":   {func(c *Conn) { c.setActivity(requestInFlight) }, func(*Conn) { acceptPair(t, l) }},
 		"its time has run out": {func(c *Conn) { c.setActivity(requestInFlight) }, nothing},
 	} {
 		l = New(testkit.Listen(t), 1)
--- a/internal/connlimit/closereason_test.go
+++ b/internal/connlimit/closereason_test.go
@@ -48,7 +48,7 @@
 	}
 }
 
-// A request in flight is answered while bytes behind it are read ahead. The end of that read says nothing of the client: a close
+// A request in flight is answered while bytes that follow it are read ahead. The end of that read says nothing of the client: a close
 // after the next answer is no idle timeout.
 func TestCloseReasonAfterReadAheadWasStopped(t *testing.T) {
 	s := newBlockingServer(t)
--- a/internal/connlimit/conn.go
+++ b/internal/connlimit/conn.go
@@ -27,7 +27,7 @@
 
 	// The close.
 	closePending bool         // a close was requested; a byte that comes before it withdraws the request
-	evicting     bool         // its place is needed: no lingering close
+	evicting     bool         // its slot is needed: no lingering close
 	closing      bool         // Close was called
 	closeReason  event.Reason // None while it is not known
 }
@@ -49,7 +49,7 @@
 	return !deadline.IsZero() && deadline.Before(aLongTimeAgo.Add(time.Second))
 }
 
-// NetConn returns the connection below.
+// NetConn returns the underlying connection.
 func (c *Conn) NetConn() net.Conn { return c.Conn }
 
 // SetReadDeadline sets the time by which something must be read. While a close is pending only an abort takes effect: any other
@@ -64,8 +64,8 @@
 	return c.Conn.SetReadDeadline(deadline)
 }
 
-// Read reads what was read ahead, then from the connection below. It marks the connection as reading a request: net/http reports
-// one only when its whole head is there.
+// Read reads what was read ahead, then from the underlying connection. It marks the connection as reading a request: net/http reports
+// one only when its head is complete.
 func (c *Conn) Read(p []byte) (int, error) {
 	l := c.listener
 	l.mu.Lock()
@@ -85,7 +85,7 @@
 	return n, err
 }
 
-// readSocket reads from the connection below. The lock is held, but released while it waits.
+// readSocket reads from the underlying connection. The lock is held, but released while it waits.
 func (c *Conn) readSocket(p []byte) (n int, err error) {
 	for {
 		c.listener.mu.Unlock()
--- a/internal/connlimit/disconnect.go
+++ b/internal/connlimit/disconnect.go
@@ -10,7 +10,7 @@
 )
 
 // OnDisconnect has notify called, at most once, when the client of a request that has been read completely disconnects: also when
-// bytes had followed the request, behind which net/http does not look. It returns true, and arranges nothing, when the client has
+// bytes followed the request, where net/http does not look. It returns true, and arranges nothing, when the client has
 // disconnected already. The watch ends with the request.
 func OnDisconnect(ctx context.Context, notify func()) (disconnected bool) {
 	c, ok := fromContext(ctx)
--- a/internal/connlimit/disconnect_test.go
+++ b/internal/connlimit/disconnect_test.go
@@ -21,7 +21,7 @@
 	l            *Listener
 	began        chan context.Context
 	release      chan struct{}
-	disconnected chan bool // whether the client was gone from the beginning
+	disconnected chan bool // whether the client had disconnected from the beginning
 }
 
 func newBlockingServer(t *testing.T) *blockingServer {
@@ -48,16 +48,16 @@
 	return s
 }
 
-// A client disconnects while its request waits. However it does that, and whatever it sent behind the request, the handler is
-// notified: else attempts would go on for a client that is gone.
+// A client disconnects while its request waits. However it does that, and whatever it sent after the request, the handler is
+// notified: else attempts would go on for a client that has disconnected.
 func TestDisconnectIsNoticedBehindAnyBytes(t *testing.T) {
 	for how, disconnect := range map[string]func(*net.TCPConn){
 		"closes":      func(c *net.TCPConn) { c.Close() },
 		"half-closes": func(c *net.TCPConn) { c.CloseWrite() },
 		"resets":      func(c *net.TCPConn) { c.SetLinger(0); c.Close() },
 	} {
-		for behind, text := range map[string]string{"nothing": "", "an empty line": "\r\n", "a next request": get("/b"), "more than a buffer": strings.Repeat(get("/b"), 200)} {
-			t.Run(how+" behind "+behind, func(t *testing.T) {
+		for after, text := range map[string]string{"nothing": "", "an empty line": "\r\n", "a next request": get("/b"), "more than a buffer": strings.Repeat(get("/b"), 200)} {
+			t.Run(how+" after "+after, func(t *testing.T) {
 				t.Parallel()
 				s := newBlockingServer(t)
 				c := dial(t, s.l)
@@ -84,7 +84,7 @@
 	client.Close()
 	testkit.Eventually(t, "the client's close arrives", func() bool { return closedByPeer(c) })
 	if !c.watchDisconnect(func() {}) {
-		t.Error("the watch began for a client that is gone")
+		t.Error("the watch began for a client that has disconnected")
 	}
 }
 
--- a/internal/connlimit/doc.go
+++ b/internal/connlimit/doc.go
@@ -1,6 +1,6 @@
 // Package connlimit bounds the number of connections of an HTTP server and knows, for each of them, whether it may be closed.
 //
-// A Listener wraps another net.Listener. While fewer than its maximum are open it accepts freely. When all places are taken it
+// A Listener wraps another net.Listener. While fewer than its maximum are open it accepts freely. When all slots are taken it
 // evicts the connection of least use (see Listener.evictionCandidate), so that clients which connect and send nothing can't lock
 // out the others. A connection with a request in flight is never evicted.
 //
@@ -25,7 +25,7 @@
 //
 // # Clients that disconnect
 //
-// net/http notices a client that leaves only until a first byte follows the request. From there on the package reads ahead itself,
+// net/http notices that a client disconnects only until a first byte follows the request. From there on the package reads ahead itself,
 // within a bound, and hands these bytes to the server later: see readAhead and OnDisconnect.
 //
 // One lock, the Listener's, guards the state of all its connections. No method holds it while it waits for the network.
--- a/internal/connlimit/eviction.go
+++ b/internal/connlimit/eviction.go
@@ -6,12 +6,12 @@
 	"ryeweir/internal/event"
 )
 
-// Eviction decides which connection is closed for a new one when all places are taken.
+// Eviction decides which connection is closed for a new one when all slots are taken.
 //
 // Rule: silent connections go first, then idle ones, then those whose request is still being read; within a rank the one with the
 // oldest activity. A connection with a request in flight is never evicted.
 // Inputs: each connection's activity, whether it ever brought a valid request, and the time since its last activity.
-// Guards against: clients that hold all places without sending a request, which shows as new clients that get no connection.
+// Guards against: clients that hold all slots without sending a request, which shows as new clients that get no connection.
 
 // firstRequestGrace is how long a connection without a valid request so far may send nothing before it counts as silent.
 const firstRequestGrace = 250 * time.Millisecond
@@ -26,7 +26,7 @@
 	rankReading                     // a request is being read, or the connection is new
 )
 
-// awaitCapacity waits until a place is free, evicting connections for it. It reports false when the listener was closed before
+// awaitCapacity waits until a slot is free, evicting connections for it. It reports false when the listener was closed before
 // there was one. The lock is held, but released while it waits.
 func (l *Listener) awaitCapacity() bool {
 	for len(l.conns) >= l.maxConnections && !l.closed {
@@ -79,17 +79,17 @@
 	return rankReading
 }
 
-// evict requests the close of a connection whose place is needed. The lock is held.
+// evict requests the close of a connection whose slot is needed. The lock is held.
 func (c *Conn) evict() {
 	c.evicting = true
 	c.requestClose(event.CapacityNeeded)
 }
 
-// nearLimitFraction of the places taken is near the limit. Answers close their connections from there on: clients that keep theirs
-// open for good would otherwise leave no places to those who can't connect any more.
+// nearLimitFraction of the slots taken is near the limit. Answers close their connections from there on: clients that keep theirs
+// open for good would otherwise leave no slots to those who can't connect any more.
 const nearLimitFraction = 0.4
 
-// NearLimit reports whether so many places are taken that answers should close their connections.
+// NearLimit reports whether so many slots are taken that answers should close their connections.
 func (l *Listener) NearLimit() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/connlimit/eviction_test.go
+++ b/internal/connlimit/eviction_test.go
@@ -12,7 +12,7 @@
 	"ryeweir/internal/testkit"
 )
 
-// With all places taken, each new connection evicts the one of least use: the silent one, then the idle one, then the one whose
+// With all slots taken, each new connection evicts the one of least use: the silent one, then the idle one, then the one whose
 // request is being read. One with a request in flight stays, and the limit holds.
 func TestEvictionOrder(t *testing.T) {
 	l := New(testkit.Listen(t), 4)
@@ -21,17 +21,17 @@
 		c, _ := acceptPair(t, l)
 		return c
 	}
-	busy, kept, silent := accept(), accept(), accept()
+	busy, between, silent := accept(), accept(), accept()
 	silent.lastActivity = silent.lastActivity.Add(-2 * firstRequestGrace)
 	busy.setActivity(requestInFlight)
-	kept.setActivity(requestInFlight)
-	ConnState(kept, http.StateIdle)
+	between.setActivity(requestInFlight)
+	ConnState(between, http.StateIdle)
 	reader := accept()
 	ConnState(reader, http.StateActive)
-	for _, c := range []*Conn{busy, kept, silent, reader} {
+	for _, c := range []*Conn{busy, between, silent, reader} {
 		readUntilError(c)
 	}
-	for i, want := range []*Conn{silent, kept, reader} {
+	for i, want := range []*Conn{silent, between, reader} {
 		if !l.isOpen(want) {
 			t.Errorf("connection %d was evicted too early", i)
 		}
@@ -89,7 +89,7 @@
 	}
 }
 
-// A place is needed in the instant in which a request has been read, before a handler reports it. The request goes on: the close
+// A slot is needed in the instant in which a request has been read, before a handler reports it. The request goes on: the close
 // that was requested, and what it does to the connection's next read, must not pass for a client that disconnects.
 func TestEvictionDoesNotCancelARequestThatJustBegan(t *testing.T) {
 	l := New(testkit.Listen(t), 1)
@@ -116,7 +116,7 @@
 	c := dial(t, l)
 	io.WriteString(c, get("/a"))
 	<-began
-	dial(t, l) // needs the place
+	dial(t, l) // needs the slot
 	testkit.Eventually(t, "an eviction is under way", func() bool {
 		return l.anyConn(func(c *Conn) bool { return c.evicting })
 	})
--- a/internal/connlimit/helpers_test.go
+++ b/internal/connlimit/helpers_test.go
@@ -84,7 +84,7 @@
 	}
 }
 
-// isOpen reports whether a connection has its place.
+// isOpen reports whether a connection has its slot.
 func (l *Listener) isOpen(c *Conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/connlimit/listener.go
+++ b/internal/connlimit/listener.go
@@ -37,8 +37,8 @@
 	return l
 }
 
-// Accept returns the next connection, a *Conn. When all places are taken it evicts one first, and waits until that has closed. It
-// returns net.ErrClosed once the listener is closed and no place is free.
+// Accept returns the next connection, a *Conn. When all slots are taken it evicts one first, and waits until that has closed. It
+// returns net.ErrClosed once the listener is closed and no slot is free.
 func (l *Listener) Accept() (net.Conn, error) {
 	raw, err := l.Listener.Accept()
 	if err != nil {
--- a/internal/connlimit/readahead.go
+++ b/internal/connlimit/readahead.go
@@ -1,18 +1,18 @@
 package connlimit
 
-// maxReadAhead is how many bytes are read ahead on a connection. A client that sends more behind its request, and disconnects
+// maxReadAhead is how many bytes are read ahead on a connection. A client that sends more after its request, and disconnects
 // then, is noticed only when the answer is written.
 const maxReadAhead = 16 << 10
 
-// readAhead holds what a client sent behind its request in flight: the next request, or an empty line.
+// readAhead holds what a client sent after its request in flight: the next request, or an empty line.
 //
-// Guards against: a client that disconnects behind such bytes. net/http's background read ends at the first of them, so that the
-// disconnect would go unnoticed, and attempts would be sent for a client that is gone.
+// Guards against: a client that disconnects after such bytes. net/http's background read ends at the first of them, so that the
+// disconnect would go unnoticed, and attempts would be sent for a client that has disconnected.
 //
 // The reading goroutine and the server take turns: Conn.Read stops the goroutine, and waits for its end, before it reads. So bytes
 // stay in order and none is lost. The Listener's lock guards the fields.
 type readAhead struct {
-	onDisconnect   func()        // called when the client disconnects; nil while no request in flight has asked for it
+	onDisconnect   func()        // called when the client disconnects; nil while no request in flight watches for it
 	serverReading  bool          // the server is in Conn.Read
 	backgroundByte bool          // the server's latest read was its background read, and brought a byte: it reads no further
 	running        chan struct{} // closed when the goroutine has ended; nil without one
--- a/internal/connlimit/readahead_test.go
+++ b/internal/connlimit/readahead_test.go
@@ -10,7 +10,7 @@
 	"ryeweir/internal/testkit"
 )
 
-// Bytes that came behind a request, in any pieces, are read as the next requests: complete and in order.
+// Bytes that came after a request, in any pieces, are read as the next requests: complete and in order.
 func TestReadAheadKeepsPipelinedRequestsInOrder(t *testing.T) {
 	s := newBlockingServer(t)
 	c := dial(t, s.l)
@@ -34,7 +34,7 @@
 	}
 }
 
-// A client floods the connection behind its request. What is read ahead of that is bounded, and the request is answered.
+// A client floods the connection after its request. What is read ahead of that is bounded, and the request is answered.
 func TestReadAheadIsBounded(t *testing.T) {
 	s := newBlockingServer(t)
 	c := dial(t, s.l)
--- a/internal/connlimit/request.go
+++ b/internal/connlimit/request.go
@@ -6,7 +6,7 @@
 	"net/http"
 )
 
-// ConnState is the http.Server's ConnState: it takes in what net/http reports of a connection.
+// ConnState is the http.Server's ConnState: it tracks what net/http reports of a connection.
 func ConnState(raw net.Conn, state http.ConnState) {
 	c, ok := raw.(*Conn)
 	if !ok {
--- a/internal/control/server_test.go
+++ b/internal/control/server_test.go
@@ -125,7 +125,7 @@
 	}
 }
 
-// A caller begins a call and does not go on. Its connection is closed, also while places are free.
+// A caller begins a call and does not go on. Its connection is closed, also while slots are free.
 func TestPartialCallTimesOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network := link.NewNetwork(1)
--- a/internal/framing/conn.go
+++ b/internal/framing/conn.go
@@ -41,10 +41,10 @@
 	return n, err
 }
 
-// NetConn returns the connection below.
+// NetConn returns the underlying connection.
 func (c *Conn) NetConn() net.Conn { return c.Conn }
 
-// CloseWrite closes the sending side, where the connection below can. net/http ends an answer so when the client still sends, so
+// CloseWrite closes the sending side, where the underlying connection can. net/http ends an answer so when the client still sends, so
 // that it can read the answer.
 func (c *Conn) CloseWrite() error {
 	if half, ok := c.Conn.(interface{ CloseWrite() error }); ok {
@@ -82,7 +82,7 @@
 	return ok && c.ambiguous.Load()
 }
 
-// Desynchronized reports whether the messages of the connection could not be followed any more: nothing behind the present request
+// Desynchronized reports whether the messages of the connection could not be followed any more: nothing after the present request
 // may be read from it.
 func Desynchronized(ctx context.Context) bool {
 	c, ok := fromContext(ctx)
--- a/internal/framing/scanner.go
+++ b/internal/framing/scanner.go
@@ -7,11 +7,11 @@
 
 // scanner follows the messages of a connection, from head to head, past bodies with a length or in chunks (RFC 9112, section 7.1).
 //
-// Inputs: the bytes of the connection, in pieces of any size. Of each line it keeps only maxLineBytes.
+// Inputs: the bytes of the connection, in pieces of any size. Of each line it stores only maxLineBytes.
 // Guards against: a message that has a length and a transfer encoding. One reader goes by the one, another by the other, and what
 // the first takes for the body the second takes for a request that nobody checked.
 //
-// It stops, desynchronized, at what it can't read. Behind that no message may be read from the connection; the server sees to that
+// It stops, desynchronized, at what it can't read. After that no message may be read from the connection; the server sees to that
 // by closing it.
 type scanner struct {
 	state          state
@@ -35,18 +35,18 @@
 const (
 	inHead      state = iota
 	inChunkSize       // in the line before a chunk
-	inChunkEnd        // in the end of the line behind it
+	inChunkEnd        // in the end of the line after it
 	inTrailers
 )
 
 const (
-	// maxLineBytes is kept of a line: enough for the names and the numbers that matter.
+	// maxLineBytes is stored of a line: enough for the names and the numbers that matter.
 	maxLineBytes = 64
 	// maxChunkBytes is far more than any body may have.
 	maxChunkBytes = 1 << 40
 )
 
-// scan takes in the next bytes of the connection.
+// scan processes the next bytes of the connection.
 func (s *scanner) scan(p []byte) {
 	for len(p) > 0 && !s.desynchronized {
 		if s.bodyLeft > 0 {
@@ -66,7 +66,7 @@
 	}
 }
 
-// appendToLine takes in a part of a line. Its beginning is kept, but of a request line the end, which names the version.
+// appendToLine adds a part of a line. It stores the beginning of the line, but of a request line the end, which names the version.
 func (s *scanner) appendToLine(part []byte) {
 	if s.requestLineDone {
 		s.line = append(s.line, part[:min(len(part), maxLineBytes-len(s.line))]...)
@@ -92,7 +92,7 @@
 	}
 }
 
-// header takes in a header line.
+// header processes a header line.
 func (s *scanner) header(line []byte) {
 	name, value, _ := bytes.Cut(line, []byte(":"))
 	value = bytes.TrimSpace(value)
@@ -119,12 +119,12 @@
 		next.desynchronized = s.desynchronized || s.ambiguous || !s.chunked
 		next.bodyLeft = 0
 		next.state = inChunkSize
-		next.requestLineDone = true // of all lines of chunks the beginning is kept
+		next.requestLineDone = true // of all lines of chunks the beginning is stored
 	}
 	*s = next
 }
 
-// chunkLine takes in a line of a body in chunks.
+// chunkLine processes a line of a body in chunks.
 func (s *scanner) chunkLine(line []byte) {
 	switch s.state {
 	case inChunkSize:
@@ -139,7 +139,7 @@
 	}
 }
 
-// chunkSize takes in the line that gives a chunk's size. A line that was cut can't be trusted.
+// chunkSize processes the line that gives a chunk's size. A line that was cut can't be trusted.
 func (s *scanner) chunkSize(line []byte) {
 	digits, _, _ := bytes.Cut(line, []byte(";"))
 	size, err := strconv.ParseUint(string(bytes.TrimSpace(digits)), 16, 63)
--- a/internal/framing/scanner_test.go
+++ b/internal/framing/scanner_test.go
@@ -13,22 +13,22 @@
 		text string
 		want bool
 	}{
-		"length":              {"POST / HTTP/1.1\r\nContent-Length: 5\r\n\r\nTrans", false},
-		"chunks":              {"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", false},
-		"both":                {"POST / HTTP/1.1\r\nContent-Length: 5\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", true},
-		"both, turned round":  {"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\nContent-Length: 5\r\n\r\n0\r\n\r\n", true},
-		"in other letters":    {"POST / HTTP/1.1\ncontent-LENGTH:5\ntransfer-ENCODING:x\n\n", true},
-		"in HTTP/1.0":         {long + " HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n", true},
-		"a long line":         {long + " HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n", false},
-		"in the second":       {"GET / HTTP/1.1\r\n\r\nPOST / HTTP/1.1\r\nContent-Length: 0\r\nTransfer-Encoding: chunked\r\n\r\n", true},
-		"behind a body":       {"POST / HTTP/1.1\r\nContent-Length: 3\r\n\r\nabcPOST / HTTP/1.1\r\nContent-Length: 5\r\nTransfer-Encoding: x\r\n\r\n", true},
-		"in two heads":        {"POST / HTTP/1.1\r\nContent-Length: 3\r\n\r\nabcPOST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n", false},
-		"in a body":           {"POST / HTTP/1.1\r\nContent-Length: 61\r\n\r\nP / HTTP/1.1\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n", false},
-		"in a value":          {"GET / HTTP/1.1\r\nX: Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n", false},
-		"names that go on":    {"GET / HTTP/1.1\r\nContent-Length-X: 5\r\nX-Transfer-Encoding: chunked\r\n\r\n", false},
-		"behind chunks":       {"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n3;x=y\r\nabc\r\nB\r\n0\r\n\r\nGET / \r\n0\r\nT: v\r\n\r\nPOST / HTTP/1.1\r\nContent-Length: 5\r\nTransfer-Encoding: x\r\n\r\n", true},
-		"in a chunk":          {"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n3A\r\nP / HTTP/1.1\r\nContent-Length: 5\r\nTransfer-Encoding: x\r\n\r\n\r\n0\r\n\r\nGET / HTTP/1.1\r\n\r\n", false},
-		"behind a long value": {"GET / HTTP/1.1\r\nX: " + strings.Repeat("x", 5000) + "\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n", true},
+		"length":             {"POST / HTTP/1.1\r\nContent-Length: 5\r\n\r\nTrans", false},
+		"chunks":             {"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", false},
+		"both":               {"POST / HTTP/1.1\r\nContent-Length: 5\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", true},
+		"both, turned round": {"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\nContent-Length: 5\r\n\r\n0\r\n\r\n", true},
+		"in other letters":   {"POST / HTTP/1.1\ncontent-LENGTH:5\ntransfer-ENCODING:x\n\n", true},
+		"in HTTP/1.0":        {long + " HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n", true},
+		"a long line":        {long + " HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n", false},
+		"in the second":      {"GET / HTTP/1.1\r\n\r\nPOST / HTTP/1.1\r\nContent-Length: 0\r\nTransfer-Encoding: chunked\r\n\r\n", true},
+		"after a body":       {"POST / HTTP/1.1\r\nContent-Length: 3\r\n\r\nabcPOST / HTTP/1.1\r\nContent-Length: 5\r\nTransfer-Encoding: x\r\n\r\n", true},
+		"in two heads":       {"POST / HTTP/1.1\r\nContent-Length: 3\r\n\r\nabcPOST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n", false},
+		"in a body":          {"POST / HTTP/1.1\r\nContent-Length: 61\r\n\r\nP / HTTP/1.1\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n", false},
+		"in a value":         {"GET / HTTP/1.1\r\nX: Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n", false},
+		"names that go on":   {"GET / HTTP/1.1\r\nContent-Length-X: 5\r\nX-Transfer-Encoding: chunked\r\n\r\n", false},
+		"after chunks":       {"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n3;x=y\r\nabc\r\nB\r\n0\r\n\r\nGET / \r\n0\r\nT: v\r\n\r\nPOST / HTTP/1.1\r\nContent-Length: 5\r\nTransfer-Encoding: x\r\n\r\n", true},
+		"in a chunk":         {"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n3A\r\nP / HTTP/1.1\r\nContent-Length: 5\r\nTransfer-Encoding: x\r\n\r\n\r\n0\r\n\r\nGET / HTTP/1.1\r\n\r\n", false},
+		"after a long value": {"GET / HTTP/1.1\r\nX: " + strings.Repeat("x", 5000) + "\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n", true},
 	} {
 		for size := 1; size <= len(c.text); size = size*2 + 1 {
 			var s scanner
@@ -59,7 +59,7 @@
 	})
 }
 
-// A message that can't be followed to its end is noticed, in chunks, too: nothing behind it may be read.
+// A message that can't be followed to its end is noticed, in chunks, too: nothing after it may be read.
 func TestDesynchronizationIsNoticed(t *testing.T) {
 	const start = "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n"
 	for text, want := range map[string]bool{
--- a/internal/front/http/answer.go
+++ b/internal/front/http/answer.go
@@ -72,7 +72,7 @@
 	http.NewResponseController(x.writer).EnableFullDuplex()
 }
 
-// discardUpload reads what is left of a body behind its answer. A client that sends all of it before it reads would otherwise find
+// discardUpload reads what is left of a body after its answer. A client that sends all of it before it reads would otherwise find
 // its connection closed, and not the answer.
 func (x *exchange) discardUpload(control *http.ResponseController) {
 	control.Flush()
--- a/internal/front/http/config.go
+++ b/internal/front/http/config.go
@@ -29,8 +29,8 @@
 	DrainTimeout      time.Duration      // for open requests and streams after that signal; 0 for the platform's limits
 }
 
-// MaxInFlightFraction is the fraction of clients' connections that may have a request in flight. The others can be told at once
-// that there are too many.
+// MaxInFlightFraction is the fraction of clients' connections that may have a request in flight. On the others a request is
+// shed at once.
 const MaxInFlightFraction = 0.8
 
 // DrainMargin is how long a drain may go on past the longest deadline that counts.
--- a/internal/front/http/doc.go
+++ b/internal/front/http/doc.go
@@ -3,14 +3,15 @@
 //
 // # The way of a request
 //
-// Server.ServeHTTP takes a request through named steps, each a method:
+// Server.ServeHTTP and exchange.run take a request through named steps, each a method:
 //
 //	classify   which class of the settings the path names
 //	read       check the head, receive the body as far as it is buffered; a request that is not valid gets a plain 4xx
 //	begin      from here on the request must get its one answer
 //	admit      shed it when too many requests are in flight
 //	await      submit it to the core and wait for the answer, the client's disconnect or the end of the process
-//	answer     write the answer, or abandon the request: nobody waits for it
+//	answer     write the answer
+//	abandon    in place of answer, when the client has disconnected: nobody waits for one
 //
 // An exchange holds what one request needs on that way. What a handler must not do is return without an answer for a request that
 // began: net/http would answer 200, which no endpoint said. Where nobody waits for an answer, or one broke off, it panics with
--- a/internal/front/http/exchange.go
+++ b/internal/front/http/exchange.go
@@ -25,6 +25,7 @@
 	upload      *httpmsg.Remainder // of the body; nil when all of it is buffered
 	releaseBody func()             // gives back the buffers of the body
 	receipt     receipt
+	counted     bool // in the server's count of requests in flight
 }
 
 func newExchange(s *Server, w http.ResponseWriter, r *http.Request, call *core.Call, release func()) *exchange {
@@ -41,6 +42,17 @@
 	}
 }
 
+// run takes the request from its begin to its answer.
+func (x *exchange) run() {
+	defer x.finish()
+	x.begin()
+	if !x.admit() {
+		x.shed()
+		return
+	}
+	x.await(x.submit())
+}
+
 // begin marks the request as in flight, and starts its deadline and the watch for a client that disconnects. Both wait for the end
 // of a body that is still coming in.
 //
@@ -77,14 +89,23 @@
 	}
 }
 
-// finish ends the exchange, however its handler returns.
+// finish ends the exchange, also when its handler aborts.
 func (x *exchange) finish() {
+	if x.counted {
+		x.server.inFlight.Add(-1)
+	}
 	if x.receipt.finish() {
 		x.server.Metrics.RequestFinished()
 	}
 	x.disconnect()
 }
 
+// admit counts the request as in flight. It reports false when too many are.
+func (x *exchange) admit() bool {
+	x.counted = true
+	return x.server.inFlight.Add(1) <= x.server.maxInFlight
+}
+
 // shed rejects the request as too many are in flight. No attempt has been made, so the rejection's promise holds: nothing ran.
 func (x *exchange) shed() {
 	x.releaseBody()
@@ -113,7 +134,7 @@
 	}
 }
 
-// awaitEarlyAnswer waits when the endpoint has answered before it had the whole body: the upload was stopped, and net/http ends the
+// awaitEarlyAnswer waits when the endpoint has answered before it had the complete body: the upload was stopped, and net/http ends the
 // context with the read that this interrupts. The client has not disconnected, and the answer is on its way.
 func (x *exchange) awaitEarlyAnswer(answers <-chan core.Answer) {
 	select {
--- a/internal/front/http/lifecycle.go
+++ b/internal/front/http/lifecycle.go
@@ -12,7 +12,7 @@
 
 const (
 	phaseServing      phase = iota
-	phaseDraining           // an operator wants the clients elsewhere; those that come all the same are served
+	phaseDraining           // an operator wants the clients elsewhere; those that come nevertheless are served
 	phaseShuttingDown       // the process has been signaled to terminate
 )
 
@@ -65,7 +65,7 @@
 }
 
 // Drain sends clients away without ending the process: the agent is not ready, answers close their connections, and idle
-// connections are closed. Requests that come all the same are served. It fails on an agent that shuts down.
+// connections are closed. Requests that come nevertheless are served. It fails on an agent that shuts down.
 func (s *Server) Drain() error {
 	return s.changePhase(phaseDraining, "draining on operator request")
 }
--- a/internal/front/http/server.go
+++ b/internal/front/http/server.go
@@ -67,16 +67,7 @@
 		s.answerInvalid(w, r, class, err)
 		return
 	}
-	x := newExchange(s, w, r, call, release)
-	defer x.finish()
-	x.begin()
-	// The counter falls again in any case, also when the handler aborts.
-	defer s.inFlight.Add(-1)
-	if s.inFlight.Add(1) > s.maxInFlight {
-		x.shed()
-		return
-	}
-	x.await(x.submit())
+	newExchange(s, w, r, call, release).run()
 }
 
 // closeUnwantedConnection has the answer that is about to be written close its connection, where the agent wants its clients
--- a/internal/front/http/stream.go
+++ b/internal/front/http/stream.go
@@ -17,10 +17,10 @@
 // stream writes an endpoint's answer to the client as it comes in.
 //
 // Guard: content that breaks off must not look complete. Before the first byte the request fails with a 502 instead; after it the
-// connection is cut. A client would otherwise take half an answer for the whole.
+// connection is cut. A client would otherwise take half an answer for a complete one.
 func (x *exchange) stream(content *httpmsg.Content) {
 	defer content.Pipe.Close()
-	early := x.upload != nil && !x.upload.Complete() // the endpoint did not wait for the whole body
+	early := x.upload != nil && !x.upload.Complete() // the endpoint did not wait for the complete body
 	buffered, complete := content.Pipe.Complete()
 	if complete {
 		content.Length = int64(buffered)
--- a/internal/logwriter/logwriter.go
+++ b/internal/logwriter/logwriter.go
@@ -36,7 +36,7 @@
 	return w
 }
 
-// run writes the queued lines. It passes over errors of the writer below: there is no other log for them, and the reader may come
+// run writes the queued lines. It ignores errors of the underlying writer: there is no other log for them, and the reader may come
 // back.
 func (w *Writer) run() {
 	defer close(w.ended)
--- a/internal/socket/socket.go
+++ b/internal/socket/socket.go
@@ -9,8 +9,8 @@
 )
 
 // Peek looks at what waits to be read on a connection, one byte at the most, and does not wait: 0 without an error says that the
-// peer has closed, syscall.EAGAIN that nothing waits. Unlike Read it passes over a deadline. It looks below connections that wrap
-// another and say so by a method NetConn. For one without a socket it returns errors.ErrUnsupported.
+// peer has closed, syscall.EAGAIN that nothing waits. Unlike Read it ignores a deadline. It looks below connections that wrap
+// another and have a method NetConn that returns it. For one without a socket it returns errors.ErrUnsupported.
 func Peek(c net.Conn) (n int, err error) {
 	systemConn, ok := innermost(c).(syscall.Conn)
 	if !ok {
@@ -28,7 +28,7 @@
 	return n, errors.Join(err, peekErr)
 }
 
-// innermost returns the connection below all that wrap it.
+// innermost returns the connection that the others wrap.
 func innermost(c net.Conn) net.Conn {
 	for {
 		wrapper, ok := c.(interface{ NetConn() net.Conn })
