--- a/internal/connlimit/close.go
+++ b/internal/connlimit/close.go
@@ -10,13 +10,13 @@
 )
 
 // requestClose has the connection end, unless something is read on it first: its reader is interrupted, and calls Close. The lock
-// is held.
+// must be held.
 func (c *Conn) requestClose(reason event.Reason) {
 	c.closePending, c.closeReason = true, reason
 	c.Conn.SetReadDeadline(aLongTimeAgo) // fails only where there is no connection any more
 }
 
-// cancelClose withdraws a close that was requested. The lock is held.
+// cancelClose withdraws a close that was requested. The lock must be held.
 func (c *Conn) cancelClose() {
 	if !c.closePending || c.closing {
 		return
@@ -26,9 +26,9 @@
 	c.listener.capacityFreed.Signal() // another has to be evicted
 }
 
-// Close ends the connection. It returns at once; the slot is free when the underlying connection has closed. Where an answer was given
-// that is by a lingering close: closed over unread bytes the connection would be reset, and its client might never see that
-// answer. What comes meanwhile is dropped; none of it was read as a request.
+// Close ends the connection. It does not wait for the client; the slot is free when the underlying connection has closed. Where an
+// answer was given that is by a lingering close: closed over unread bytes the connection would be reset, and its client might never
+// see that answer. What comes meanwhile is dropped; none of it was read as a request.
 func (c *Conn) Close() error {
 	c.listener.mu.Lock()
 	defer c.listener.mu.Unlock()
@@ -45,7 +45,7 @@
 	return nil
 }
 
-// checkClose passes the close through the close guard, and records it with its reason. The lock is held.
+// checkClose passes the close through the close guard, and records it with its reason. The lock must be held.
 func (c *Conn) checkClose() {
 	guard := invariant.Close{
 		RequestPending:  c.requestID != "" && !c.answerDecided,
@@ -62,7 +62,7 @@
 	c.listener.Events.Record(event.Event{Kind: event.ConnectionClosed, Reason: c.closeReason, Connection: c.number})
 }
 
-// recordAnswerWritten records that the answer of the request in flight, if there is one, is out. The lock is held.
+// recordAnswerWritten records that the answer of the request in flight, if there is one, is out. The lock must be held.
 func (c *Conn) recordAnswerWritten() {
 	if c.requestID != "" && c.answerDecided {
 		c.listener.Events.Record(event.Event{Kind: event.RequestWritten, Request: c.requestID, Connection: c.number})
@@ -92,7 +92,7 @@
 	c.release()
 }
 
-// release closes the underlying connection and frees its slot. The lock is held.
+// release closes the underlying connection and frees its slot. The lock must be held.
 func (c *Conn) release() error {
 	if _, open := c.listener.conns[c]; !open {
 		return nil
--- a/internal/connlimit/closereason.go
+++ b/internal/connlimit/closereason.go
@@ -8,7 +8,7 @@
 )
 
 // recordReadError derives from a read of the server's that failed why the connection is about to close, and whether its client has
-// disconnected. A reason that is known already stays. The lock is held.
+// disconnected. A reason that is known already stays. The lock must be held.
 //
 // A timeout counts only when the server's own deadline passed. net/http ends its background read by a deadline in the past when a
 // handler returns, and the connection may stay open or close after the answer: taken for a timeout, such a close would be logged as
--- a/internal/connlimit/conn.go
+++ b/internal/connlimit/conn.go
@@ -85,7 +85,7 @@
 	return n, err
 }
 
-// readSocket reads from the underlying connection. The lock is held, but released while it waits.
+// readSocket reads from the underlying connection. The lock must be held; it is released while waiting.
 func (c *Conn) readSocket(p []byte) (n int, err error) {
 	for {
 		c.listener.mu.Unlock()
@@ -104,13 +104,13 @@
 
 // resumesBackgroundRead reports whether net/http's background read failed by a deadline that was meant for another read: the limit
 // of a body whose last byte has just come, or a close that was requested before this request was read. net/http takes each failure
-// of that read but its own abort for a client that has disconnected, and cancels the request: so the read goes on instead. The lock
-// is held.
+// of that read but its own abort for a client that has disconnected, and cancels the request: so the read goes on instead.
+// The lock must be held.
 func (c *Conn) resumesBackgroundRead(p []byte, err error) bool {
 	return isBackgroundRead(p) && timedOut(err) && !isAbortDeadline(c.readDeadline)
 }
 
-// bytesReceived updates the state after a read that brought something. The lock is held.
+// bytesReceived updates the state after a read that brought something. The lock must be held.
 func (c *Conn) bytesReceived() {
 	c.cancelClose()
 	if c.activity == requestInFlight {
--- a/internal/connlimit/eviction.go
+++ b/internal/connlimit/eviction.go
@@ -27,7 +27,7 @@
 )
 
 // awaitCapacity waits until a slot is free, evicting connections for it. It reports false when the listener was closed before
-// there was one. The lock is held, but released while it waits.
+// there was one. The lock must be held; it is released while waiting.
 func (l *Listener) awaitCapacity() bool {
 	for len(l.conns) >= l.maxConnections && !l.closed {
 		if c := l.evictionCandidate(); c != nil {
@@ -38,7 +38,7 @@
 	return len(l.conns) < l.maxConnections
 }
 
-// evictionCandidate returns the connection to evict next, or nil when none may be. The lock is held.
+// evictionCandidate returns the connection to evict next, or nil when none may be. The lock must be held.
 func (l *Listener) evictionCandidate() (candidate *Conn) {
 	now := time.Now()
 	for c := range l.conns {
@@ -49,7 +49,7 @@
 	return candidate
 }
 
-// evictable reports whether a connection may be evicted and is not being evicted yet. The lock is held.
+// evictable reports whether a connection may be evicted and is not being evicted yet. The lock must be held.
 func (c *Conn) evictable() bool {
 	if c.evicting {
 		return false
@@ -57,7 +57,7 @@
 	return c.activity != requestInFlight || c.closing
 }
 
-// evictedBefore reports whether c is evicted before other. The lock is held.
+// evictedBefore reports whether c is evicted before other. The lock must be held.
 func (c *Conn) evictedBefore(other *Conn, now time.Time) bool {
 	rank, otherRank := c.evictionRank(now), other.evictionRank(now)
 	if rank != otherRank {
@@ -66,7 +66,7 @@
 	return c.lastActivity.Before(other.lastActivity)
 }
 
-// evictionRank is the rank of a connection that is evictable. The lock is held.
+// evictionRank is the rank of a connection that is evictable. The lock must be held.
 func (c *Conn) evictionRank(now time.Time) evictionRank {
 	switch {
 	case c.closing:
@@ -79,7 +79,7 @@
 	return rankReading
 }
 
-// evict requests the close of a connection whose slot is needed. The lock is held.
+// evict requests the close of a connection whose slot is needed. The lock must be held.
 func (c *Conn) evict() {
 	c.evicting = true
 	c.requestClose(event.CapacityNeeded)
--- a/internal/connlimit/readahead.go
+++ b/internal/connlimit/readahead.go
@@ -20,7 +20,7 @@
 	err            error // ends the bytes that are buffered
 }
 
-// startReadAhead reads ahead in a goroutine until the bound, an error, or stopReadAhead. The lock is held.
+// startReadAhead reads ahead in a goroutine until the bound, an error, or stopReadAhead. The lock must be held.
 func (c *Conn) startReadAhead() {
 	ahead := &c.readAhead
 	if ahead.running != nil || ahead.err != nil || len(ahead.buffered) >= maxReadAhead {
@@ -56,7 +56,7 @@
 	}
 }
 
-// stopReadAhead ends the goroutine, if there is one. The lock is held, but released while it waits.
+// stopReadAhead ends the goroutine, if there is one. The lock must be held; it is released while waiting.
 func (c *Conn) stopReadAhead() {
 	ahead := &c.readAhead
 	running := ahead.running
--- a/internal/logwriter/logwriter.go
+++ b/internal/logwriter/logwriter.go
@@ -59,7 +59,7 @@
 }
 
 // reportDropped queues a line about the lines that were dropped, if there are any. It reports false when the queue is still full.
-// The lock is held.
+// w.mu must be held.
 func (w *Writer) reportDropped() bool {
 	if w.dropped == 0 {
 		return true
@@ -72,7 +72,7 @@
 	return true
 }
 
-// enqueue reports whether the queue had space for a line. The lock is held.
+// enqueue reports whether the queue had space for a line. w.mu must be held.
 func (w *Writer) enqueue(line []byte) bool {
 	select {
 	case w.lines <- line:
