--- a/cmd/ryeweir/drill.go
+++ b/cmd/ryeweir/drill.go
@@ -14,7 +14,7 @@
 	var long bool
 	var plays int
 	var file string
-	c := &cobra.Command{
+	command := &cobra.Command{
 		Use:   "lab FILE",
 		Short: "Drill a fleet of real agent processes with faults of and between them; figures and a verdict",
 		Long: "Starts the agents of FILE's day as processes, with stand-in order nodes and discovery, and does to them what the day\n" +
@@ -22,15 +22,15 @@
 			"figures and what was expected and did not come; then the exit code is 1. deploy/drills has some to begin with.",
 		Example: "  ryeweir lab deploy/drills/talk.toml",
 		Args:    cobra.ExactArgs(1),
-		RunE: func(c *cobra.Command, args []string) error {
+		RunE: func(command *cobra.Command, args []string) error {
 			self, err := os.Executable()
 			if err != nil {
 				return fmt.Errorf("where this program is: %w", err)
 			}
-			ctx, stop := interruptible(c.Context())
+			ctx, stop := interruptible(command.Context())
 			defer stop()
 			for play := 1; ; play++ {
-				spec, d, err := experiment.Drill(ctx, args[0], self, long)
+				spec, d, err := experiment.RunDrill(ctx, args[0], self, long)
 				if err != nil {
 					return err
 				}
@@ -39,28 +39,28 @@
 						return err
 					}
 				}
-				printDrill(c.OutOrStdout(), spec, d)
+				printDrill(command.OutOrStdout(), spec, d)
 				switch {
 				case len(d.Wrong) == 0:
 					return nil
 				case d.Broken || play >= plays:
-					return errSaid
+					return errReported
 				}
 			}
 		},
 	}
-	c.Flags().IntVar(&plays, "plays", 1, "play it so many times at most until all is as expected; a broken rule ends it at once")
-	c.Flags().BoolVar(&long, "long", false, "play the long form")
-	c.Flags().StringVar(&file, "json", "", "write the last play's figures to this file")
-	return c
+	command.Flags().IntVar(&plays, "plays", 1, "play it so many times at most until all is as expected; a broken rule ends it at once")
+	command.Flags().BoolVar(&long, "long", false, "play the long form")
+	command.Flags().StringVar(&file, "json", "", "write the last play's figures to this file")
+	return command
 }
 
 // printDrill prints what came of a drill.
-func printDrill(out io.Writer, spec *experiment.DrillSpec, d experiment.Drilled) {
-	o := d.Outcome
+func printDrill(out io.Writer, spec *experiment.DrillSpec, drilled experiment.DrillResult) {
+	o := drilled.Outcome
 	fmt.Fprintf(out, "%s: %s\n", spec.Name, spec.Question)
 	fmt.Fprintf(out, "%+v\nservice %.3f, attempts a request %.2f, chokes %d, probe work %.4f, cold peak %.2f", o.Account, o.Whole, o.Attempts, o.Chokes,
-		o.ProbeWork, o.ColdPeak)
+		o.HealthCheckWork, o.SlowStartPeak)
 	for i, class := range spec.Day.Classes {
 		fmt.Fprintf(out, ", %s %.3f", class.Name, o.ByClass[i])
 	}
@@ -72,12 +72,12 @@
 		fmt.Fprintf(out, "budgets: an agent took %.2f of its demand in the surge (median; %.2f to %.2f), %d requests shed, %d retries withheld, over themselves at %d looks\n",
 			l.Median, l.Least, l.Most, l.Shed, l.Withheld, l.Pressed)
 	}
-	fmt.Fprintf(out, "the rig waited %.3f ms for a processor (mean), callers were up to %.0f ms late\n", o.Starved, o.Lag)
+	fmt.Fprintf(out, "the rig waited %.3f ms for a processor (mean), callers were up to %.0f ms late\n", o.ProcessorWait, o.Lag)
 	printViews(out, o)
-	for _, w := range d.Wrong {
+	for _, w := range drilled.Wrong {
 		fmt.Fprintln(out, "not as expected:", w)
 	}
-	if len(d.Wrong) == 0 {
+	if len(drilled.Wrong) == 0 {
 		fmt.Fprintln(out, "as expected")
 	}
 }
--- a/cmd/ryeweir/faults_test.go
+++ b/cmd/ryeweir/faults_test.go
@@ -50,7 +50,7 @@
 	spec.Fleet.Agents = []emulator.AgentSpec{
 		{Kind: emulator.AgentKill, Share: 0.5, From: secs(2), Away: secs(1)},
 		{Kind: emulator.AgentPause, Share: 1.0 / 6, From: secs(3.5), Away: secs(2)},
-		{Kind: emulator.AgentRestart, Share: 1.0 / 6, From: secs(5.7), Away: secs(0.5), Kept: true},
+		{Kind: emulator.AgentRestart, Share: 1.0 / 6, From: secs(5.7), Away: secs(0.5), WithState: true},
 	}
 	day, err := spec.Draw(3)
 	if err != nil {
@@ -58,12 +58,12 @@
 	}
 	before := len(children(t))
 	const peers = "../../deploy/peers.toml"
-	o, err := experiment.Play(t.Context(), day, experiment.Arm{Name: "agent", Command: []string{self, "agent", "--operator", peers}, Operator: peers}, nil)
+	o, err := experiment.RunScenario(t.Context(), day, experiment.Variant{Name: "agent", Command: []string{self, "agent", "--operator", peers}, Operator: peers}, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	a := o.Account
-	if !a.Balanced() || !a.Held() || a.Strangers > 0 || a.Completed < 500 {
+	if !a.Balanced() || !a.Held() || a.UnknownRequests > 0 || a.Completed < 500 {
 		t.Errorf("%+v %v", a, o.Breaches)
 	}
 	t.Logf("%+v; attempts a request %.2f", a, o.Attempts)
@@ -105,7 +105,7 @@
 				o := d.Outcome
 				t.Logf("%+v; attempts a request %.2f, chokes %d, by class %.3f, surge %+v, budgets %+v, views %+v", o.Account, o.Attempts, o.Chokes, o.ByClass, o.Surge, o.Levels, o.Views)
 				if d.Busy {
-					t.Logf("the machine was too busy to judge more than the rules: %.2f ms for a processor, callers %.0f ms late", o.Starved, o.Lag)
+					t.Logf("the machine was too busy to judge more than the rules: %.2f ms for a processor, callers %.0f ms late", o.ProcessorWait, o.Lag)
 				}
 				for _, w := range d.Wrong {
 					t.Error("not as expected:", w)
@@ -119,7 +119,7 @@
 }
 
 // drill plays a drill's file with a program. Its exit says no more than what it tells.
-func drill(t *testing.T, program, file string) (d experiment.Drilled) {
+func drill(t *testing.T, program, file string) (d experiment.DrillResult) {
 	t.Helper()
 	result := filepath.Join(t.TempDir(), "result.json")
 	args := []string{"lab", file, "--json", result, "--plays", "3"}
--- a/internal/agent/reload_test.go
+++ b/internal/agent/reload_test.go
@@ -17,21 +17,22 @@
 	"ryeweir/internal/testkit"
 )
 
-// reloading is an agent with a configuration file that a test replaces.
-type reloading struct {
-	*running
+// reloadableAgent is an agent with a configuration file that a test replaces.
+type reloadableAgent struct {
+	*testAgent
 	t    *testing.T
 	file string
 	hup  chan os.Signal
 	log  testkit.LockedBuffer
 }
 
-func startReloading(t *testing.T, discovery string) *reloading {
+// startReloadableAgent runs an agent with a configuration file until the test ends.
+func startReloadableAgent(t *testing.T, discovery string) *reloadableAgent {
 	t.Helper()
-	a := &reloading{running: &running{done: make(chan error, 1)}, t: t, file: filepath.Join(t.TempDir(), "config.json"),
+	a := &reloadableAgent{testAgent: &testAgent{done: make(chan error, 1)}, t: t, file: filepath.Join(t.TempDir(), "config.json"),
 		hup: make(chan os.Signal, 1)}
 	a.write(testkit.ConfigText(discovery, "null"))
-	// The environment names the first discovery for as long as the process lives.
+	// The environment names the first discovery for as long as the process runs.
 	env := map[string]string{"PROXY_CONFIG": a.file, "PROXY_DISCOVERY": discovery}
 	getenv := func(name string) string { return env[name] }
 	cfg, err := platform.Load(getenv)
@@ -41,30 +42,32 @@
 	l := testkit.Listen(t)
 	a.addr, a.url = l.Addr().String(), "http://"+l.Addr().String()
 	ctx, stop := context.WithCancel(context.Background())
-	reloads := Reloads{Signals: a.hup, Load: func() (platform.Config, error) { return platform.Reload(getenv) }}
+	reloads := ReloadConfig{Signals: a.hup, LoadPlatform: func() (platform.Config, error) { return platform.Reload(getenv) }}
 	go func() {
-		a.done <- Run(ctx, cfg, operator.Default(), reloads, Sockets{Clients: l}, slog.New(slog.NewTextHandler(&a.log, nil)))
+		a.done <- Run(ctx, cfg, operator.Default(), reloads, Environment{Clients: l}, slog.New(slog.NewTextHandler(&a.log, nil)))
 	}()
 	t.Cleanup(func() { stop(); <-a.done })
 	testkit.Eventually(t, "the agent is ready", func() bool { return a.status(t, "/ready") == http.StatusOK })
 	return a
 }
 
-func (a *reloading) write(text []byte) {
+// write replaces the configuration file.
+func (a *reloadableAgent) write(text []byte) {
 	a.t.Helper()
 	if err := os.WriteFile(a.file, text, 0o600); err != nil {
 		a.t.Fatal(err)
 	}
 }
 
-func (a *reloading) reload(text []byte) {
+// reload replaces the configuration file and signals the agent to read it.
+func (a *reloadableAgent) reload(text []byte) {
 	a.t.Helper()
 	a.write(text)
 	a.hup <- os.Interrupt
 }
 
-// answers sends requests until one is answered as wanted; all of them must be served.
-func (a *reloading) answers(want string) {
+// awaitAnswer sends requests until one has the wanted body; all of them must be served.
+func (a *reloadableAgent) awaitAnswer(want string) {
 	a.t.Helper()
 	testkit.Eventually(a.t, want+" answers", func() bool {
 		got := send(a.t, a.newRequest(a.t, http.MethodGet, "/form-check", ""))
@@ -75,61 +78,64 @@
 	})
 }
 
-// On SIGHUP the file's discovery is followed, though the environment still names the first one and the new one's
-// versions start lower. The old one's silence must not hold that up: its open call is dropped.
-func TestReloadMovesDiscovery(t *testing.T) {
+// SIGHUP moves the agent to another discovery, although the environment still names the first one, and the versions of the new
+// one's lists are lower. The old discovery has gone silent, and its open watch must not delay the move.
+func TestReloadFollowsNewDiscoveryAddress(t *testing.T) {
 	t.Parallel()
 	first := testkit.NewBackend(t, testkit.Says("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nold!"))
 	second := testkit.NewBackend(t, testkit.Says("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nnew!"))
 	old := testkit.NewDiscovery(t, 41, testkit.EntryText("s-1", first.Addr().String(), "Ready", 0))
-	a := startReloading(t, old.Addr().String())
-	a.answers("old!")
+	a := startReloadableAgent(t, old.Addr().String())
+	a.awaitAnswer("old!")
 	old.Silence(true)
 	fresh := testkit.NewDiscovery(t, 3, testkit.EntryText("s-2", second.Addr().String(), "Ready", 0))
 	began := time.Now()
 	a.reload(testkit.ConfigText(fresh.Addr().String(), "null"))
-	a.answers("new!")
+	a.awaitAnswer("new!")
 	if took := time.Since(began); took > 4*time.Second {
-		t.Errorf("the new discovery's list was in force after %v", took)
+		t.Errorf("the new discovery's list was in effect after %v", took)
 	}
-	a.reload(testkit.ConfigText(old.Addr().String(), "null")) // and once more, to one that says nothing: the last list stands
-	testkit.Eventually(t, "the first discovery is asked again", func() bool { wholes, _ := old.Calls(); return wholes == 2 })
-	a.answers("new!")
+	a.reload(testkit.ConfigText(old.Addr().String(), "null")) // and back to one that is silent: the last list stays in effect
+	testkit.Eventually(t, "the first discovery is requested again", func() bool { fullLists, _ := old.Calls(); return fullLists == 2 })
+	a.awaitAnswer("new!")
 }
 
-// A file that can't be used leaves all as it was and is logged in a line.
-func TestBadReloadKeepsTheOldConfiguration(t *testing.T) {
+// A reload finds a file that can't be used. It is logged in one line, and the agent goes on with the configuration it has.
+func TestInvalidReloadChangesNothing(t *testing.T) {
 	t.Parallel()
 	b := testkit.NewBackend(t, testkit.Says(testkit.ServedText))
 	d := testkit.NewDiscovery(t, 1, testkit.EntryText("s-1", b.Addr().String(), "Ready", 0))
-	a := startReloading(t, d.Addr().String())
+	a := startReloadableAgent(t, d.Addr().String())
 	for i, text := range []string{"", "{", strings.Replace(string(testkit.ConfigText("127.0.0.1:1", "null")), "by_key", "by_luck", 1)} {
 		a.reload([]byte(text))
-		testkit.Eventually(t, "the log tells of it", func() bool { return a.log.Count("not reloaded") == i+1 })
+		testkit.Eventually(t, "it is in the log", func() bool { return a.log.Count("not reloaded") == i+1 })
 	}
-	a.answers("fine")
+	a.awaitAnswer("fine")
 	d.Set(2, true, testkit.EntryText("s-1", b.Addr().String(), "Ready", 0), testkit.EntryText("s-2", b.Addr().String(), "Ready", 0))
-	testkit.Eventually(t, "the old discovery is still heard", func() bool { return a.log.Count("version=2") == 1 })
+	testkit.Eventually(t, "the old discovery is still followed", func() bool { return a.log.Count("version=2") == 1 })
 }
 
-func TestReloadEndsWithTheAgent(t *testing.T) {
+// The reloader ends with the agent, also if it was never signalled.
+func TestReloaderEndsWithItsContext(t *testing.T) {
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan struct{})
-	r := Reloads{Load: func() (platform.Config, error) { return platform.Config{}, errors.New("never asked for") }}
+	loadNothing := func() (platform.Config, error) { return platform.Config{}, errors.New("read without a signal") }
+	r := reloader{config: ReloadConfig{LoadPlatform: loadNothing}, log: slog.New(slog.DiscardHandler)}
 	go func() {
-		r.follow(ctx, platform.Config{}, operator.Default(), nil, nil, slog.New(slog.DiscardHandler))
+		r.run(ctx)
 		close(done)
 	}()
 	stop()
 	select {
 	case <-done:
 	case <-time.After(testkit.Patience):
-		t.Fatal("it goes on")
+		t.Fatal("the reloader has not ended")
 	}
 }
 
-// SIGHUP reads the operators' file, too: what can change does at once, what can't is named, and a bad one changes nothing.
-func TestOperatorsReload(t *testing.T) {
+// SIGHUP reads the operators' file too. What can change takes effect at once, a key that needs a restart is named in the log, and
+// a file that can't be used changes nothing.
+func TestReloadOfOperatorsFileAppliesWhatNeedsNoRestart(t *testing.T) {
 	t.Parallel()
 	file := filepath.Join(t.TempDir(), "operator.toml")
 	write := func(text string) {
@@ -138,40 +144,50 @@
 		}
 	}
 	write("[connections]\nper_server = 3\n")
-	ops, err := operator.Load(file)
+	operators, err := operator.Load(file)
 	if err != nil {
 		t.Fatal(err)
 	}
-	var log testkit.LockedBuffer
-	var applied []operator.File
-	hup := make(chan os.Signal)
-	ctx, stop := context.WithCancel(t.Context())
-	done := make(chan struct{})
 	cfg, err := platform.Parse(testkit.ConfigText("127.0.0.1:1", "null"), testkit.NoEnv)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := Reloads{Signals: hup, Load: func() (platform.Config, error) { return cfg, nil }, Operator: func() (operator.File, error) { return operator.Load(file) }}
-	d := discovery.New(discovery.Config{Addr: "127.0.0.1:1"})
-	go func() {
-		defer close(done)
-		r.follow(ctx, cfg, ops, d, func(f operator.File) error {
-			applied = append(applied, f)
-			if f.Connections.MaxPerEndpoint == 9 {
+	var log testkit.LockedBuffer
+	var applied []operator.File
+	hangups := make(chan os.Signal)
+	r := reloader{
+		config: ReloadConfig{
+			Signals:      hangups,
+			LoadPlatform: func() (platform.Config, error) { return cfg, nil },
+			LoadOperator: func() (operator.File, error) { return operator.Load(file) },
+		},
+		site:      cfg.Site,
+		operators: operators,
+		discovery: discovery.New(discovery.Config{Addr: "127.0.0.1:1"}),
+		apply: func(fresh operator.File) error {
+			applied = append(applied, fresh)
+			if fresh.Connections.MaxPerEndpoint == 9 {
 				return errors.New("too many")
 			}
 			return nil
-		}, slog.New(slog.NewTextHandler(&log, nil)))
+		},
+		log: slog.New(slog.NewTextHandler(&log, nil)),
+	}
+	ctx, stop := context.WithCancel(t.Context())
+	done := make(chan struct{})
+	go func() {
+		defer close(done)
+		r.run(ctx)
 	}()
-	for _, step := range []struct{ text, says string }{
+	for _, step := range []struct{ text, logged string }{
 		{"[connections]\nper_server = 4\n", "operators' file reloaded"},
 		{"[connections]\nper_server = 4\nplaces = 50\n[drain]\nlongest = \"9s\"\n", `keys="[connections.places drain.longest]"`},
 		{"[connections]\nper_server = -4\n", "operator.toml:2: connections.per_server: must be from 0 to 65536"},
 		{"[connections]\nper_server = 9\n", "too many"},
 	} {
 		write(step.text)
-		hup <- os.Interrupt
-		testkit.Eventually(t, step.says, func() bool { return log.Count(step.says) > 0 })
+		hangups <- os.Interrupt
+		testkit.Eventually(t, step.logged, func() bool { return log.Count(step.logged) > 0 })
 	}
 	stop()
 	<-done
--- a/internal/core/reasons.go
+++ b/internal/core/reasons.go
@@ -5,22 +5,22 @@
 	"ryeweir/logic"
 )
 
-// causeReasons are the module's causes as reasons of events.
-var causeReasons = [...]event.Reason{
+// decisionReasons maps the module's reasons to those of events. It has an entry for every logic.Reason.
+var decisionReasons = [...]event.Reason{
 	logic.NoReason:             event.None,
-	logic.FirstAttempt:         event.First,
-	logic.RetryAttempt:         event.Retry,
-	logic.HedgedAttempt:        event.Hedge,
-	logic.HalfOpenAttempt:      event.HalfOpen,
-	logic.Overloaded:           event.Overload,
-	logic.NoEndpointLeft:       event.NoEndpoint,
-	logic.RetryBudgetExhausted: event.RetryBudget,
+	logic.FirstAttempt:         event.FirstAttempt,
+	logic.RetryAttempt:         event.RetryAttempt,
+	logic.HedgedAttempt:        event.HedgedAttempt,
+	logic.HalfOpenAttempt:      event.HalfOpenAttempt,
+	logic.Overloaded:           event.Overloaded,
+	logic.NoEndpointLeft:       event.NoEndpointLeft,
+	logic.RetryBudgetExhausted: event.RetryBudgetExhausted,
 	logic.NotRetryable:         event.NotRetryable,
-	logic.DeadlineExceeded:     event.Deadline,
+	logic.DeadlineExceeded:     event.DeadlineExceeded,
 	logic.ShuttingDown:         event.ShuttingDown,
 }
 
-// resultReasons are the results of attempts as reasons of events.
+// resultReasons maps the results of attempts to reasons of events. It has an entry for every logic.Result.
 var resultReasons = [...]event.Reason{
 	logic.OK:            event.OK,
 	logic.Failed:        event.ServerError,
--- a/internal/experiment/views.go
+++ b/internal/experiment/views.go
@@ -16,20 +16,20 @@
 
 // Views is what the agents of a day that talk with each other saw of their peers.
 type Views struct {
-	Agents      int      `json:"agents"`
-	Healed      []Healed `json:"healed"`                // after each fault has ended
-	Whole       float64  `json:"whole_at_end"`          // share of the agents that saw all others when the day ended
-	BytesEach   float64  `json:"bytes_per_second"`      // sent by an agent, mean
-	BytesMost   float64  `json:"bytes_per_second_most"` // by the one that sent most
-	Notices     int64    `json:"notices"`               // of servers' ends that came by a peer first
-	NoticeMean  float64  `json:"notice_mean_ms"`        // from when the first agent was told until they came
-	NoticeWorst float64  `json:"notice_worst_ms"`       //
-	HeldBack    int64    `json:"held_back"`             // times that a server got nothing new on peers' word, before the own list's
-	Refused     int64    `json:"facts_refused"`         // malformed, or too many of one agent
-	Evicted     int64    `json:"facts_evicted"`         // as a replica was full
-	Facts       int      `json:"facts_most"`            // held by an agent at once
-	Copies      int      `json:"copies_most"`           // different ones of what is known of servers' ends that agents held at a look
-	CopiesLast  int      `json:"copies_at_end"`         // likewise, at the last look
+	Agents             int      `json:"agents"`
+	Healed             []Healed `json:"healed"`                // after each fault has ended
+	Whole              float64  `json:"whole_at_end"`          // share of the agents that saw all others when the day ended
+	MeanBytesPerSecond float64  `json:"bytes_per_second"`      // sent by an agent, mean
+	MaxBytesPerSecond  float64  `json:"bytes_per_second_most"` // by the one that sent most
+	Notices            int64    `json:"notices"`               // of servers' ends that came by a peer first
+	NoticeMeanMS       float64  `json:"notice_mean_ms"`        // from when the first agent was told until they came
+	NoticeMaxMS        float64  `json:"notice_worst_ms"`       //
+	Withheld           int64    `json:"held_back"`             // times that a server got nothing new on peers' word, before the own list's
+	FactsRejected      int64    `json:"facts_refused"`         // malformed, or too many of one agent
+	FactsEvicted       int64    `json:"facts_evicted"`         // as a replica was full
+	Facts              int      `json:"facts_most"`            // held by an agent at once
+	Copies             int      `json:"copies_most"`           // different ones of what is known of servers' ends that agents held at a look
+	CopiesLast         int      `json:"copies_at_end"`         // likewise, at the last look
 }
 
 // Healed is how long the agents took to see all that are there after a fault had ended.
@@ -42,8 +42,8 @@
 	Least  int     `json:"least"` // fewest peers that an agent saw in the fault and since the one before had ended
 }
 
-// glance is what an agent told of its peers.
-type glance struct {
+// peerView is what an agent told of its peers.
+type peerView struct {
 	at    time.Duration // of the day
 	names []string
 	bytes int64
@@ -74,11 +74,11 @@
 	lookFor     = 200 * time.Millisecond // at one agent: a paused one does not answer
 )
 
-// look asks each agent for its view again and again, until the context ends.
-func (p *play) look(ctx context.Context) {
+// samplePeers asks each agent for its view again and again, until the context ends.
+func (p *scenarioRun) samplePeers(ctx context.Context) {
 	client := &http.Client{Timeout: lookFor, Transport: &http.Transport{MaxIdleConnsPerHost: 1}}
 	defer client.CloseIdleConnections()
-	p.sights = make([][]glance, len(p.agents))
+	p.peerViews = make([][]peerView, len(p.agents))
 	began := time.Now()
 	var all sync.WaitGroup
 	defer all.Wait()
@@ -89,7 +89,7 @@
 			for {
 				if s, err := seen(ctx, client, a.Control); err == nil {
 					s.at = time.Since(began)
-					p.sights[i] = append(p.sights[i], s)
+					p.peerViews[i] = append(p.peerViews[i], s)
 				}
 				select {
 				case <-ctx.Done():
@@ -101,7 +101,7 @@
 	}
 }
 
-func seen(ctx context.Context, client *http.Client, control string) (s glance, err error) {
+func seen(ctx context.Context, client *http.Client, control string) (s peerView, err error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+control+"/v1/metrics", nil)
 	if err != nil {
 		return s, err
@@ -138,7 +138,7 @@
 		out = append(out, ending{p.String(), p.To.D()})
 	}
 	by := map[ending]int{}
-	for _, t := range day.AgentTroubles {
+	for _, t := range day.AgentFaults {
 		by[ending{t.Kind, t.At + t.Away}]++
 	}
 	for e, n := range by {
@@ -150,10 +150,10 @@
 
 // views sums up what the agents saw. All agents are there after each ending, but for those that a later fault has away: the
 // time until the next fault's beginning counts.
-func views(day *emulator.Day, sights [][]glance) *Views {
+func views(day *emulator.Day, sights [][]peerView) *Views {
 	v := &Views{Agents: len(day.Agents)}
-	all := len(day.Agents) + len(day.Spec.Fleet.Liars)
-	whole := func(s glance) bool { return len(s.names) == all-1 }
+	all := len(day.Agents) + len(day.Spec.Fleet.ByzantinePeers)
+	whole := func(s peerView) bool { return len(s.names) == all-1 }
 	ends := endings(day)
 	for i, e := range ends {
 		limit := day.Length
@@ -172,7 +172,7 @@
 					h.Least = min(h.Least, len(s.names))
 				}
 			}
-			k := slices.IndexFunc(each, func(s glance) bool { return s.at >= e.at && s.at < limit && whole(s) })
+			k := slices.IndexFunc(each, func(s peerView) bool { return s.at >= e.at && s.at < limit && whole(s) })
 			if k < 0 {
 				h.Never++
 				continue
@@ -200,27 +200,27 @@
 				bytes, span = bytes+float64(d), span+(each[k].at-each[k-1].at).Seconds()
 			}
 		}
-		v.BytesEach += bytes / span / float64(len(day.Agents))
-		v.BytesMost = max(v.BytesMost, bytes/span)
+		v.MeanBytesPerSecond += bytes / span / float64(len(day.Agents))
+		v.MaxBytesPerSecond = max(v.MaxBytesPerSecond, bytes/span)
 		v.Notices += last.more.Notices.Count
 		sum += last.more.Notices.Sum
-		v.NoticeWorst = max(v.NoticeWorst, float64(last.more.Notices.Most.Microseconds())/1e3)
-		v.HeldBack += last.more.HeldBack
-		v.Refused, v.Evicted = v.Refused+last.more.Facts.Refused, v.Evicted+last.more.Facts.Evicted
+		v.NoticeMaxMS = max(v.NoticeMaxMS, float64(last.more.Notices.Most.Microseconds())/1e3)
+		v.Withheld += last.more.HeldBack
+		v.FactsRejected, v.FactsEvicted = v.FactsRejected+last.more.Facts.Refused, v.FactsEvicted+last.more.Facts.Evicted
 		for _, s := range each {
 			v.Facts = max(v.Facts, s.more.Facts.Held)
 		}
 	}
 	v.Copies, v.CopiesLast = copies(sights)
 	if v.Notices > 0 {
-		v.NoticeMean = float64(sum.Microseconds()) / 1e3 / float64(v.Notices)
+		v.NoticeMeanMS = float64(sum.Microseconds()) / 1e3 / float64(v.Notices)
 	}
 	return v
 }
 
 // copies is how many different copies of what is known of servers' ends the agents held, at the look with the most of them and at the
 // last that all took.
-func copies(sights [][]glance) (most, last int) {
+func copies(sights [][]peerView) (most, last int) {
 	looks := map[int]map[string]int{}
 	for _, each := range sights {
 		for _, s := range each {
@@ -255,7 +255,7 @@
 			continue
 		}
 		n := float64(o.Views.Agents)
-		sent[n] = append(sent[n], o.Views.BytesEach)
+		sent[n] = append(sent[n], o.Views.MeanBytesPerSecond)
 		for _, h := range o.Views.Healed[1:] {
 			last[n], median[n] = append(last[n], h.Worst), append(median[n], h.Median)
 		}
--- /dev/null
+++ b/logic/invariants_test.go
@@ -0,0 +1,140 @@
+package logic
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+)
+
+// Clients, endpoints and discovery do random things, and each action must hold the rules: one final answer
+// for each request in time, nothing to an endpoint that drains, no repeat that its class does not allow, no
+// Reject of what may have been executed. When all has ended nothing may be left over.
+func TestInvariantsOverRandomEvents(t *testing.T) {
+	sends, rejects, fails := 0, 0, 0
+	for seed := range uint64(60) {
+		random := rand.New(rand.NewPCG(seed, 1))
+		s := newSimulation(randomSettings(random), seed)
+		b := s.run(t, 3000, 0.2+random.Float64()*0.7, nil)
+		for _, v := range s.violations {
+			t.Errorf("seed %d: %s", seed, v)
+		}
+		if len(b.requests) != 0 {
+			t.Errorf("seed %d: %d requests are left after all have ended", seed, len(b.requests))
+		}
+		inFlight := 0
+		for _, e := range b.endpoints.listed {
+			inFlight += len(e.inFlight)
+		}
+		if inFlight != 0 || len(b.deadlines.queue) != 0 {
+			t.Errorf("seed %d: after all have ended %d are in flight, %d wait for a deadline",
+				seed, inFlight, len(b.deadlines.queue))
+		}
+		if b.retries.available < 0 || b.retries.available > b.retries.capacity {
+			t.Errorf("seed %d: %v of at most %v retries are saved", seed, b.retries.available, b.retries.capacity)
+		}
+		sends, rejects, fails = sends+s.sends, rejects+s.rejects, fails+s.fails
+	}
+	if sends < 10000 || rejects < 100 || fails < 100 {
+		t.Errorf("too little happens: %d sends, %d rejects, %d fails", sends, rejects, fails)
+	}
+}
+
+// A failure in production is reproduced from its events, so equal settings, seeds and events must give
+// equal actions.
+func TestEqualSeedsGiveEqualActions(t *testing.T) {
+	trace := func() string {
+		var out strings.Builder
+		s := newSimulation(randomSettings(rand.New(rand.NewPCG(3, 1))), 3)
+		s.run(t, 1000, 0.5, func(actions []Action) []Action {
+			fmt.Fprint(&out, actions)
+			return actions
+		})
+		return out.String()
+	}
+	first, second := trace(), trace()
+	if first != second {
+		t.Error("two runs differ")
+	}
+}
+
+// The simulation must report a planted violation of each rule: a check that sees nothing would pass for a
+// proof.
+func TestSimulationReportsPlantedViolations(t *testing.T) {
+	for _, c := range []struct {
+		violation string
+		plant     func(s *simulation, actions []Action) []Action
+	}{
+		{"no final answer", dropFinalAnswers},
+		{"a second final answer", repeatFinalAnswer},
+		{"which drains", sendToDraining},
+		{"repeated", resendInsteadOfEnding},
+		{"is rejected", rejectInsteadOfFail},
+		{"attempts in flight", repeatSend},
+	} {
+		set := randomSettings(rand.New(rand.NewPCG(2, 1)))
+		set.HedgingAllowed, set.MaxAttempts = false, 3
+		const objective, timeout = 200 * time.Millisecond, 600 * time.Millisecond
+		set.Classes = []Class{
+			{Idempotency: NonIdempotent, LatencyObjective: objective, Timeout: timeout, PriorityWeight: 1},
+			{Idempotency: IdempotentWithKey, DedupScope: DedupCell, IdempotencyWindow: objective,
+				LatencyObjective: objective, Timeout: timeout, PriorityWeight: 1},
+		}
+		s := newSimulation(set, 5)
+		s.run(t, 3000, 0.5, func(actions []Action) []Action { return c.plant(s, slices.Clone(actions)) })
+		if !slices.ContainsFunc(s.violations, func(v string) bool { return strings.Contains(v, c.violation) }) {
+			t.Errorf("a planted violation is not reported: %s; reported: %d", c.violation, len(s.violations))
+		}
+	}
+}
+
+func isFinalAnswer(a Action) bool { return a.Kind == Fail || a.Kind == Reject }
+
+func dropFinalAnswers(_ *simulation, actions []Action) []Action {
+	return slices.DeleteFunc(actions, isFinalAnswer)
+}
+
+func repeatFinalAnswer(_ *simulation, actions []Action) []Action {
+	if i := slices.IndexFunc(actions, isFinalAnswer); i >= 0 {
+		actions = append(actions, actions[i])
+	}
+	return actions
+}
+
+func repeatSend(_ *simulation, actions []Action) []Action {
+	if i := slices.IndexFunc(actions, func(a Action) bool { return a.Kind == Send }); i >= 0 {
+		actions = append(actions, actions[i])
+	}
+	return actions
+}
+
+func sendToDraining(s *simulation, actions []Action) []Action {
+	for i := range actions {
+		for _, id := range s.ids {
+			if actions[i].Kind == Send && s.endpoints[id].downAt != 0 {
+				actions[i].Endpoint = id
+			}
+		}
+	}
+	return actions
+}
+
+func resendInsteadOfEnding(s *simulation, actions []Action) []Action {
+	for i, a := range actions {
+		if isFinalAnswer(a) && len(s.requests[a.Request].attempts) > 0 {
+			actions[i] = Action{Kind: Send, Request: a.Request, Endpoint: s.ids[0]}
+		}
+	}
+	return actions
+}
+
+func rejectInsteadOfFail(_ *simulation, actions []Action) []Action {
+	for i := range actions {
+		if actions[i].Kind == Fail {
+			actions[i].Kind = Reject
+		}
+	}
+	return actions
+}
