--- a/internal/agent/idleclose_test.go
+++ b/internal/agent/idleclose_test.go
@@ -45,7 +45,7 @@
 	if os.Getenv("RYEWEIR_LONG") != "" {
 		length = 1895
 		variants["trusting"] = func(f *operator.File) {
-			f.Connections.NonIdempotentIdleFraction, f.Connections.StaleAfterFailures, f.Connections.MinIdleLimit = 1, 0, seconds(10)
+			f.Connections.NonIdempotentIdleFraction, f.Connections.SuspectAfterFailures, f.Connections.MinIdleLimit = 1, 0, seconds(10)
 		}
 	}
 	for name, ops := range variants {
--- /dev/null
+++ b/internal/config/operator/connections.go
@@ -0,0 +1,140 @@
+package operator
+
+import (
+	"time"
+
+	"ryeweir/internal/config"
+	"ryeweir/internal/pool"
+)
+
+// Connections is how connections to endpoints are opened, reused and closed. A limit of 0 is one that the agent derives from its own.
+type Connections struct {
+	MaxConnections            int             `toml:"places"`                // takes effect at the next start
+	MaxPerEndpoint            int             `toml:"per_server"`            //
+	MaxHandshakes             int             `toml:"handshakes"`            // at a time
+	MaxHandshakesPerEndpoint  int             `toml:"handshakes_per_server"` // at a time
+	MaxWaiters                int             `toml:"waiting"`               // attempts that wait for a connection
+	AcquireTimeout            config.Duration `toml:"wait"`                  // of such an attempt; 0 for the platform's connect time-out
+	ReuseOrder                string          `toml:"reuse"`                 // a key of reuseOrders
+	MaxAge                    config.Duration `toml:"max_age"`               // of a connection; 0 for any
+	AgeJitter                 float64         `toml:"age_jitter"`            // part of MaxAge by which ages are spread
+	MaxRequests               int             `toml:"max_uses"`              // on one connection; 0 for any
+	IdleFraction              float64         `toml:"idle_part"`             // of the endpoints' idle limit, after which a connection isn't reused
+	MinIdleLimit              config.Duration `toml:"idle_least"`            // that a learnt idle limit never falls below
+	IdleLimitDoublingTime     config.Duration `toml:"idle_heal"`             // in which a learnt idle limit recovers
+	NonIdempotentIdleFraction float64         `toml:"sure_part"`             // of that limit, for requests that must not be repeated
+	SuspectAfterFailures      int             `toml:"suspect_after"`         // broken exchanges in a row; 0 for never
+	SuspectWindow             config.Duration `toml:"suspect_within"`        // in which these must come
+	SuspectAction             string          `toml:"suspect"`               // suspectTry or suspectClose
+	PreopenRate               float64         `toml:"ahead_per_second"`      // connections a second to one endpoint, by all agents; 0 for none
+	PreopenMaxIdle            int             `toml:"ahead_most"`            // of one agent to one endpoint
+	PreopenMinIdle            int             `toml:"ahead_keep"`            // of one agent to one endpoint
+	SocketBufferBytes         int             `toml:"socket_buffer_bytes"`   // each way; 0 for the kernel's; takes effect at the next start
+}
+
+// What is done with the older connections of an endpoint after broken exchanges.
+const (
+	suspectTry   = "try"   // they are tried first with requests that may be repeated
+	suspectClose = "close" // they are closed
+)
+
+var reuseOrders = map[string]pool.ReuseOrder{"newest": pool.MostRecentlyUsed, "oldest": pool.LeastRecentlyUsed, "fewest": pool.FewestRequests}
+
+const (
+	maxConnections       = 1 << 16
+	minSocketBufferBytes = 4 << 10
+	maxSocketBufferBytes = 16 << 20
+	minIdleDuration      = time.Millisecond
+)
+
+func defaultConnections() Connections {
+	defaults := pool.DefaultSettings(1)
+	return Connections{
+		ReuseOrder:                "newest",
+		AgeJitter:                 0.2,
+		IdleFraction:              defaults.IdleFraction,
+		MinIdleLimit:              config.Duration(defaults.MinIdleLimit),
+		IdleLimitDoublingTime:     config.Duration(defaults.IdleLimitDoublingTime),
+		NonIdempotentIdleFraction: defaults.NonIdempotentIdleFraction,
+		SuspectAfterFailures:      defaults.SuspectAfterFailures,
+		SuspectWindow:             config.Duration(defaults.SuspectWindow),
+		SuspectAction:             suspectClose,
+		PreopenMaxIdle:            defaults.PreopenMaxIdle,
+	}
+}
+
+func (c *Connections) check(p *problems) {
+	for key, limit := range map[string]int{
+		"places":                c.MaxConnections,
+		"per_server":            c.MaxPerEndpoint,
+		"handshakes":            c.MaxHandshakes,
+		"handshakes_per_server": c.MaxHandshakesPerEndpoint,
+		"waiting":               c.MaxWaiters,
+		"max_uses":              c.MaxRequests,
+		"suspect_after":         c.SuspectAfterFailures,
+		"ahead_most":            c.PreopenMaxIdle,
+		"ahead_keep":            c.PreopenMinIdle,
+	} {
+		p.require(limit >= 0 && limit <= maxConnections, "connections."+key, "must be from 0 to %d", maxConnections)
+	}
+	p.requireDuration("connections.wait", c.AcquireTimeout)
+	p.requireDuration("connections.max_age", c.MaxAge)
+	for key, value := range map[string]config.Duration{
+		"idle_least":     c.MinIdleLimit,
+		"idle_heal":      c.IdleLimitDoublingTime,
+		"suspect_within": c.SuspectWindow,
+	} {
+		p.require(value.D() >= minIdleDuration && value.D() <= maxDuration, "connections."+key, "must be from 1ms to %v", maxDuration)
+	}
+	p.requireRatio("connections.age_jitter", c.AgeJitter)
+	p.requireRatio("connections.sure_part", c.NonIdempotentIdleFraction)
+	p.requireRatio("connections.idle_part", c.IdleFraction)
+	p.require(c.IdleFraction != 0, "connections.idle_part", "must be above 0")
+	p.requireRate("connections.ahead_per_second", c.PreopenRate)
+	p.require(c.SocketBufferBytes == 0 || c.SocketBufferBytes >= minSocketBufferBytes && c.SocketBufferBytes <= maxSocketBufferBytes,
+		"connections.socket_buffer_bytes", "must be 0, or from %d to %d", minSocketBufferBytes, maxSocketBufferBytes)
+	_, known := reuseOrders[c.ReuseOrder]
+	p.require(known, "connections.reuse", "%q is not newest, oldest or fewest", c.ReuseOrder)
+	p.require(c.SuspectAction == suspectTry || c.SuspectAction == suspectClose, "connections.suspect", "%q is not try or close", c.SuspectAction)
+}
+
+// Settings returns the pool's settings: those that the agent has derived, with what the file sets over them.
+func (c *Connections) Settings(derived pool.Settings) pool.Settings {
+	settings := derived
+	if c.MaxConnections > 0 {
+		limit := min(settings.MaxConnections, c.MaxConnections)
+		settings.MaxConnections = limit
+		settings.MaxPerEndpoint = min(settings.MaxPerEndpoint, limit)
+		settings.MaxHandshakes = min(settings.MaxHandshakes, limit)
+		settings.MaxHandshakesPerEndpoint = min(settings.MaxHandshakesPerEndpoint, limit)
+	}
+	override(&settings.MaxPerEndpoint, c.MaxPerEndpoint)
+	override(&settings.MaxHandshakes, c.MaxHandshakes)
+	override(&settings.MaxHandshakesPerEndpoint, c.MaxHandshakesPerEndpoint)
+	override(&settings.MaxWaiters, c.MaxWaiters)
+	if c.AcquireTimeout > 0 {
+		settings.AcquireTimeout = c.AcquireTimeout.D()
+	}
+	settings.ReuseOrder = reuseOrders[c.ReuseOrder]
+	settings.MaxAge = c.MaxAge.D()
+	settings.AgeJitter = c.AgeJitter
+	settings.MaxRequests = c.MaxRequests
+	settings.IdleFraction = c.IdleFraction
+	settings.MinIdleLimit = c.MinIdleLimit.D()
+	settings.IdleLimitDoublingTime = c.IdleLimitDoublingTime.D()
+	settings.NonIdempotentIdleFraction = c.NonIdempotentIdleFraction
+	settings.SuspectAfterFailures = c.SuspectAfterFailures
+	settings.SuspectWindow = c.SuspectWindow.D()
+	settings.CloseSuspect = c.SuspectAction == suspectClose
+	settings.PreopenRate = c.PreopenRate
+	settings.PreopenMaxIdle = c.PreopenMaxIdle
+	settings.PreopenMinIdle = c.PreopenMinIdle
+	return settings
+}
+
+// override sets a limit where the file has one.
+func override(limit *int, fromFile int) {
+	if fromFile > 0 {
+		*limit = fromFile
+	}
+}
--- a/internal/config/operator/operator_test.go
+++ b/internal/config/operator/operator_test.go
@@ -9,7 +9,7 @@
 	"ryeweir/internal/pool"
 )
 
-// The file that is delivered says what holds without one.
+// The delivered file lists all defaults for operators: it must mean what holds without a file.
 func TestDeliveredFileIsTheDefault(t *testing.T) {
 	data, err := os.ReadFile("../../../deploy/operator.toml")
 	if err != nil {
@@ -28,6 +28,7 @@
 	}
 }
 
+// Operators find what is wrong with a file by its line and key.
 func TestErrorsNameFileLineAndKey(t *testing.T) {
 	for text, want := range map[string]string{
 		"[connections]\nreuse = \"best\"":                  "op.toml:2: connections.reuse: \"best\" is not newest, oldest or fewest",
@@ -47,7 +48,8 @@
 	}
 }
 
-func TestWhatIsSetGoesFirst(t *testing.T) {
+// A file overrides what the agent derives, and a reload names the keys that need a restart.
+func TestFileOverridesDerivedSettings(t *testing.T) {
 	f, err := Parse("op.toml", []byte("[connections]\nplaces = 10\nhandshakes_per_server = 3\nreuse = \"oldest\"\nsuspect = \"close\"\nwait = \"40ms\""))
 	if err != nil {
 		t.Fatal(err)
