--- a/cmd/ryeweir/soak.go
+++ b/cmd/ryeweir/soak.go
@@ -108,7 +108,7 @@
 		return false, err
 	}
 	fmt.Fprintf(out, "seed %d: %d processes, %d requests, %d answered, %d served, %d attempts, %d troubles, latest by %v, %d MB at most, %d violations\n", plan.Seed,
-		r.Processes, r.Requests, r.Answered, r.Served, r.Attempts, len(plan.Faults), r.Lag.Round(time.Millisecond), r.MostRSS>>20, len(r.Violations))
+		r.Processes, r.Requests, r.Answered, r.Served, r.Attempts, len(plan.Faults), r.Lag.Round(time.Millisecond), r.MaxRSS>>20, len(r.Violations))
 	if len(r.Violations) == 0 {
 		if flags.dir == "" {
 			err = os.RemoveAll(dir)
--- /dev/null
+++ b/internal/soak/client_send.go
@@ -0,0 +1,187 @@
+package soak
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"os"
+	"strings"
+	"sync"
+	"time"
+)
+
+// noAnswerInTime is the error of a request that no answer came for.
+const noAnswerInTime = "no answer in time"
+
+// answerOvertime is for how long past its time a request's answer is waited for.
+const answerOvertime = 1500 * time.Millisecond
+
+// render is the head of a request and its body.
+func (c *clients) render(request *Request, requestClass class) (head, body string) {
+	method := "POST"
+	if requestClass.effect == idempotent {
+		method = "GET"
+	}
+	size := 40
+	if request.Behavior == longBody || request.Behavior == closesInLongBody {
+		size = 70<<10 + int(c.randomDuration(0, 150<<10))
+	}
+	head = fmt.Sprintf("%s /%s HTTP/1.1\r\nHost: soak\r\nX-Request-ID: %s\r\nX-Timeout: %dm\r\n", method, requestClass.name, request.ID, request.Timeout.Milliseconds())
+	if requestClass.effect == idempotentWithKey {
+		head += "Idempotency-Key: key-" + request.ID + "\r\n"
+	}
+	if request.Behavior == malformed {
+		head += "X-Timeout: soon\r\n"
+	}
+	if method == "POST" {
+		body = strings.Repeat("b", size)
+		head += fmt.Sprintf("Content-Length: %d\r\n", size)
+	}
+	return head + "\r\n", body
+}
+
+// exchange sends a request on a connection and takes its answer.
+func (c *clients) exchange(conn *clientConn, request *Request, requestClass class) {
+	head, body := c.render(request, requestClass)
+	reusable := false
+	defer func() {
+		if request.EndedAt == 0 {
+			request.EndedAt = monotonic()
+		}
+		if !reusable {
+			conn.Close()
+			return
+		}
+		c.mu.Lock()
+		defer c.mu.Unlock()
+		c.idle = append(c.idle, conn)
+	}()
+	conn.SetDeadline(time.Now().Add(request.Timeout + 8*time.Second))
+	if !c.send(conn, request, head, body) {
+		return
+	}
+	stop := c.scheduleClose(conn, request)
+	if request.SentAt > 0 {
+		conn.SetReadDeadline(time.Now().Add(request.Timeout + answerOvertime))
+	} else {
+		conn.SetReadDeadline(time.Now().Add(6 * time.Second))
+	}
+	resp, err := http.ReadResponse(conn.in, nil)
+	if err != nil {
+		stop()
+		request.fail(err)
+		return
+	}
+	request.AnswerStartedAt = monotonic()
+	text, err := io.ReadAll(resp.Body)
+	stop()
+	request.BodyBytes = 1 + len(text)
+	request.Status, request.EndedAt = resp.StatusCode, monotonic()
+	request.Body, _, _ = strings.Cut(string(text), ".....")
+	if err != nil {
+		request.fail(err)
+		return
+	}
+	request.Complete = true
+	conn.uses++
+	conn.lastAnswerAt = time.Now()
+	reusable = !resp.Close && request.ClosedAt == 0 && request.StoppedAt == 0 && request.Behavior != leavesTrailingBytes
+	conn.SetDeadline(time.Time{})
+}
+
+func (r *Request) fail(err error) {
+	r.Err, r.EndedAt = err.Error(), monotonic()
+	if errors.Is(err, os.ErrDeadlineExceeded) {
+		r.Err = noAnswerInTime
+	}
+}
+
+// send writes a request by its client's behavior, and reports whether an answer is to be read.
+func (c *clients) send(conn *clientConn, request *Request, head, body string) bool {
+	write := func(parts ...string) bool {
+		for _, part := range parts {
+			if _, err := io.WriteString(conn, part); err != nil {
+				if request.Behavior == longBody || request.Behavior == closesInLongBody || request.Behavior == slowWriter || request.Behavior == timeoutEdgeWriter {
+					return true // it may have been answered before its end
+				}
+				request.Err = err.Error()
+				return false
+			}
+		}
+		return true
+	}
+	switch request.Behavior {
+	case slowWriter:
+		for _, part := range []string{head[:10], head[10:], body[:7], body[7:]} {
+			if !write(part) {
+				return false
+			}
+			time.Sleep(c.randomDuration(0, 700*time.Millisecond))
+		}
+	case timeoutEdgeWriter:
+		if !write(head, body[:len(body)-1]) {
+			return false
+		}
+		time.Sleep(2200*time.Millisecond - c.randomDuration(-2*time.Millisecond, 6*time.Millisecond))
+		if !write(body[len(body)-1:]) {
+			return false
+		}
+	case stopsMidway:
+		whole := head + body
+		if !write(whole[:len(whole)-1-int(c.randomDuration(0, 60))]) {
+			return false
+		}
+		request.StoppedAt = monotonic()
+		return true
+	case closesInLongBody:
+		write(head, body[:len(body)/2])
+		time.Sleep(c.randomDuration(0, 60*time.Millisecond))
+		conn.Close()
+		request.ClosedAt = monotonic()
+		return false
+	case leavesTrailingBytes:
+		if !write(head+body, "GET /", c.classes[0].name) {
+			return false
+		}
+	default:
+		if !write(head + body) {
+			return false
+		}
+	}
+	request.SentAt = monotonic()
+	return true
+}
+
+// scheduleClose closes the client's side a little later where that is its behavior, unless stop is called before.
+func (c *clients) scheduleClose(conn *clientConn, request *Request) (stop func()) {
+	var closeSide func()
+	raw := conn.Conn.(*net.TCPConn)
+	switch request.Behavior {
+	case closesEarly, leavesTrailingBytes:
+		closeSide = func() { raw.Close() }
+	case resets:
+		closeSide = func() { raw.SetLinger(0); raw.Close() }
+	case halfCloses:
+		closeSide = func() { raw.CloseWrite() }
+	default:
+		return func() {}
+	}
+	var mu sync.Mutex
+	over := false
+	timer := time.AfterFunc(c.randomDuration(0, 60*time.Millisecond), func() {
+		mu.Lock()
+		defer mu.Unlock()
+		if !over {
+			closeSide()
+			request.ClosedAt = monotonic()
+		}
+	})
+	return func() {
+		timer.Stop()
+		mu.Lock()
+		defer mu.Unlock()
+		over = true
+	}
+}
--- a/internal/soak/plan_test.go
+++ b/internal/soak/plan_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// A seed draws the same plan each time, another seed another one; two or three troubles overlap at least once in each.
+// A seed draws the same plan each time, another seed another one; faults overlap in each.
 func TestPlanFollowsFromTheSeed(t *testing.T) {
 	plans := map[string]bool{}
 	for seed := range uint64(50) {
@@ -18,7 +18,7 @@
 		overlap := 0
 		for i, a := range p.Faults {
 			if a.Start < quietStart || a.Start > p.Length {
-				t.Errorf("seed %d: %v is outside of the play", seed, a)
+				t.Errorf("seed %d: %v is outside of the run", seed, a)
 			}
 			for _, b := range p.Faults[i+1:] {
 				if b.Start < a.Start+a.Duration {
@@ -27,7 +27,7 @@
 			}
 		}
 		if overlap < 5 {
-			t.Errorf("seed %d: %d troubles overlap", seed, overlap)
+			t.Errorf("seed %d: %d faults overlap", seed, overlap)
 		}
 	}
 	if len(plans) != 50 {
@@ -35,20 +35,20 @@
 	}
 }
 
-// Every kind of trouble is drawn by some seed, and kinds can be left out.
+// Every kind of fault is drawn by some seed, and kinds can be left out.
 func TestAllKindsAreDrawn(t *testing.T) {
 	seen := map[FaultKind]bool{}
 	for seed := range uint64(60) {
-		for _, trouble := range Draw(seed, time.Minute, nil).Faults {
-			seen[trouble.Kind] = true
+		for _, fault := range Draw(seed, time.Minute, nil).Faults {
+			seen[fault.Kind] = true
 		}
-		for _, trouble := range Draw(seed, time.Minute, FaultKinds{AgentTerm, PathCut}).Faults {
-			if trouble.Kind != AgentTerm && trouble.Kind != PathCut {
-				t.Errorf("seed %d drew %v", seed, trouble)
+		for _, fault := range Draw(seed, time.Minute, FaultKinds{AgentTerm, PathCut}).Faults {
+			if fault.Kind != AgentTerm && fault.Kind != PathCut {
+				t.Errorf("seed %d drew %v", seed, fault)
 			}
 		}
 	}
-	for _, kind := range troubleKinds {
+	for _, kind := range drawnFaultKinds {
 		if !seen[kind] {
 			t.Errorf("no seed drew %s", kind)
 		}
