--- a/logic/action.go
+++ b/logic/action.go
@@ -7,8 +7,8 @@
 
 // The kinds of actions.
 const (
-	Send        ActionKind = iota // send an attempt of Request to Endpoint
-	Reject                        // answer Request: trying again does no harm, after Delay (Retry-After)
+	Send        ActionKind = iota // send an attempt of Request to Endpoint, until the request's deadline
+	Reject                        // answer Request: trying again does no harm
 	Fail                          // answer Request: no promise about its effect
 	SetTimer                      // deliver TimerFired with Token after Delay
 	HealthCheck                   // check Endpoint
@@ -36,11 +36,11 @@
 // Action is something that the owner of a Balancer has to do. Actions take effect in order.
 type Action struct {
 	Kind     ActionKind
-	Reason   Reason
-	Request  string
-	Endpoint string
-	Delay    time.Duration
-	Token    uint64
+	Reason   Reason        // of Send, Reject and Fail
+	Request  string        // ID, of Send, Reject and Fail
+	Endpoint string        // ID, of Send and HealthCheck
+	Delay    time.Duration // of SetTimer; of Reject and Fail the Retry-After, 0 for none
+	Token    uint64        // of SetTimer
 }
 
 func (b *Balancer) emit(a Action) { b.actions = append(b.actions, a) }
--- a/logic/balancer.go
+++ b/logic/balancer.go
@@ -136,8 +136,9 @@
 	}
 }
 
-// tick does the periodic work. A timer may fire late, so the averages fade by the number of ticks that
-// passed.
+// tick does the periodic work. Ejections come first, as overload is estimated without ejected endpoints,
+// and overload before hedged requests and health checks, which depend on it. A timer may fire late, so the
+// averages fade by the number of ticks that passed.
 func (b *Balancer) tick() {
 	b.setTimer(tickToken, b.horizon/ticksPerHorizon)
 	ticks := max(1, math.Round(float64(b.now-b.lastTick)/float64(b.horizon/ticksPerHorizon)))
--- a/logic/doc.go
+++ b/logic/doc.go
@@ -51,15 +51,46 @@
 //	admission.go, quota.go   which requests are shed first, by priority and by tenant
 //	knowledge.go             what is persisted for the next process
 //
-// Balancer holds one value of the type that belongs to each rule; the state of a rule is inside its type. An
-// endpoint holds what is known of it alone.
+// # State and its owner
+//
+// Balancer holds one value of the type that belongs to each rule, and the state of a rule is inside its type:
+//
+//	endpointSet         the listed endpoints in this balancer's order, the subset and its capacity
+//	discoveryPolling    failed polls of the endpoint list, and whether the next one is scheduled
+//	rememberedEndpoints what is known of endpoints that are not listed
+//	baselineLatency     the mean latency of each class
+//	deadlineTimer       the deadlines of open requests, and the one timer for them
+//	retryBudget         the retries that may be sent
+//	healthCheckBudget   the health checks that may be sent
+//	overloadEstimator   the overload signals and the shedding level
+//	tenantQuotas        the latest requests of each tenant
+//
+// An endpoint holds what is known of it alone: endpointHealth is its state in outlier detection,
+// capacityEstimate its capacity and how certain that is, checkSchedule when it may be checked. A request
+// holds its attempts, and an attempt refers to its request and endpoint. Nothing is shared between
+// Balancers.
+//
+// # Terms
+//
+//	horizon           the longest latency objective of the classes; the unit of the module's own times
+//	tick              the periodic timer, ticksPerHorizon times in a horizon
+//	baseline latency  the mean latency of the answers of a class
+//	latency ratio     latency over the latency objective of the class
+//	subset            the endpoints over which a balancer spreads its requests in a large fleet
+//	warming           in slow start: started less than SlowStartWindow ago
+//	ejected           gets no requests, as an outlier
+//	half-open         ejected, but one request tests whether it has recovered
+//	hedged request    a second attempt while the first is in flight
+//	shed              reject a request to reduce an overload
+//	incarnation       one process of an endpoint, from its start to its end; StartedAt tells them apart
 //
 // # Times and units
 //
-// All times are time.Duration on the clock of the owner. Start times of endpoints come by the same clock,
-// so balancers and endpoints must agree on it to a small part of a latency objective. The module's own
-// times are multiples of the horizon, which is the longest latency objective of the classes. A tick comes
-// ticksPerHorizon times in a horizon; fading averages lose weight at each tick. Capacities are requests a
-// second, or relative where only latencies are known. Utilization is a fraction of an endpoint's cores, 0
-// to 1. Latency ratios are latency over the latency objective of the class.
+// Times are time.Duration on the clock of the owner, those in Knowledge are ages. Start times of endpoints
+// are on the same clock, so balancers and endpoints must agree on it to a small part of a latency
+// objective. The module has no times of its own but multiples of the horizon and of TimerResolution. What
+// fades loses weight with each tick, or with the age of a report, and a constant names the time to 1/e in
+// horizons. Capacities are requests a second, or 1/s of latency where no endpoint reports its load; only
+// their ratios matter. Utilization is a fraction of an endpoint's cores, 0 to 1. Priorities are weight over
+// baseline latency; only their ratios matter.
 package logic
--- a/logic/endpoint.go
+++ b/logic/endpoint.go
@@ -40,8 +40,9 @@
 	inSubset bool    // this balancer spreads its requests over it
 }
 
-// inFlightPerWeight is the load of the paper with the request at hand added: attempts over capacity.
-func (e *endpoint) inFlightPerWeight() float64 { return float64(len(e.inFlight)+1) / e.weight }
+// loadAfterRequest is the load in the sense of the paper, with the request at hand: attempts in flight over
+// weight.
+func (e *endpoint) loadAfterRequest() float64 { return float64(len(e.inFlight)+1) / e.weight }
 
 // restart drops what earlier incarnations have shown: a restarted process is healthy and warms up. Attempts
 // in flight and the schedule of health checks remain.
--- a/logic/gossip_test.go
+++ b/logic/gossip_test.go
@@ -41,7 +41,7 @@
 	until := e.health.ejectedUntil
 	h.clock += 2 * h.horizon
 	h.Handle(h.clock, PeerReport{Endpoint: "s0", Unhealthy: true})
-	if e.health.ejectedUntil != until || e.health.state != ejected {
+	if e.health.ejectedUntil != until || e.health.state != ejectedOnOwnEvidence {
 		t.Errorf("a peer's report extended an ejection on own evidence: %+v", e.health)
 	}
 	h.Handle(h.clock, PeerReport{Endpoint: "s0"})
--- a/logic/healthcheck.go
+++ b/logic/healthcheck.go
@@ -5,7 +5,9 @@
 	"time"
 )
 
-// Health checks: which endpoint is checked next, within a budget, and what the result says.
+// Health checks: which endpoint is checked next, and what the result says. They find out about an endpoint
+// at less than the cost of a request. Two limits bound them: a budget that each request adds to, and the
+// time between two checks of an endpoint. Endpoints with the highest priority go first.
 
 const (
 	// initialHealthChecks is the budget of a new balancer, before its first request.
@@ -18,6 +20,9 @@
 	checkMissedAnswers = 4
 	// checkUncertainty is the uncertainty of a capacity above which an endpoint is checked.
 	checkUncertainty = 0.4
+	// checkUtilizationCertainty is the certainty of a utilization below which, in what looks like an overload,
+	// an endpoint is checked.
+	checkUtilizationCertainty = 0.5
 	// checkIntervalSpread is the relative jitter of the interval between two checks of an endpoint.
 	checkIntervalSpread = 0.5
 	// checkBeforeHalfOpenTicks is how long before the end of an ejection an endpoint is checked, in ticks.
@@ -125,7 +130,7 @@
 	if b.missedAnswers(e) > checkMissedAnswers {
 		return checkForSilence
 	}
-	if certainty := b.utilizationCertainty(e); b.overload.excess > 0 && certainty < 0.5 {
+	if certainty := b.utilizationCertainty(e); b.overload.excess > 0 && certainty < checkUtilizationCertainty {
 		return checkForOverload - certainty
 	}
 	uncertainty := e.estimate.uncertainty(b.now)
--- a/logic/outlier.go
+++ b/logic/outlier.go
@@ -22,22 +22,26 @@
 
 // healthState is the state of an endpoint in outlier detection.
 //
-//	healthy         -> ejected          by failures, silence or a failed health check
-//	healthy         -> ejectedByGossip  by a peer's report
-//	ejectedByGossip -> healthy          when no peer reports it any more
-//	ejected, ejectedByGossip -> halfOpen       when one request tests it, after the ejection time
-//	halfOpen        -> healthy, ejected        by the outcome of that request
-//	halfOpen        -> the state before        when that outcome proves nothing
+//	from                  to                    when
+//	healthy               ejectedOnOwnEvidence  its failure rate is too high, or it misses too many answers
+//	healthy               ejectedByGossip       a peer reports it
+//	ejectedByGossip       healthy               no peer reports it any more
+//	either ejected state  halfOpen              the ejection time is over and a request tests it
+//	halfOpen              healthy               that request is answered
+//	halfOpen              ejectedOnOwnEvidence  that request fails, or has no answer for long
+//	halfOpen              the state before      the outcome of that request proves nothing
+//	any but healthy       ejectedOnOwnEvidence  a health check is lost
+//	any                   healthy               the process restarts
 //
-// An ejected endpoint also returns to healthy by the answers of requests that it got before the ejection, or
-// while ejections did not count. A restart of the process makes it healthy.
+// An ejected endpoint also becomes healthy by answers to requests from before the ejection, or from a time
+// when ejections did not count, once its failure rate is low enough.
 type healthState int
 
 const (
-	healthy         healthState = iota
-	ejected                     // on this balancer's own evidence
-	ejectedByGossip             // on the reports of peers alone
-	halfOpen                    // ejected, with one request under way to test it
+	healthy              healthState = iota
+	ejectedOnOwnEvidence             // by what this balancer has seen itself
+	ejectedByGossip                  // on the reports of peers alone
+	halfOpen                         // still ejected, but one request is under way to test it
 )
 
 // endpointHealth is the health of one endpoint.
@@ -48,8 +52,10 @@
 	failureRate    float64       // moving average of outcomes: 1 a failure, 0 an answer
 }
 
-// eject ejects on own evidence, also from another state.
-func (h *endpointHealth) eject(until time.Duration) { h.state, h.ejectedUntil = ejected, until }
+// eject ejects on own evidence, from any state.
+func (h *endpointHealth) eject(until time.Duration) {
+	h.state, h.ejectedUntil = ejectedOnOwnEvidence, until
+}
 
 // ejectByGossip ejects, or extends an ejection, on the reports of peers.
 func (h *endpointHealth) ejectByGossip(until time.Duration) {
@@ -60,7 +66,9 @@
 func (h *endpointHealth) readmit() { h.state, h.ejectedUntil = healthy, 0 }
 
 // awaitsTest reports whether the endpoint is ejected and no request tests it.
-func (h *endpointHealth) awaitsTest() bool { return h.state == ejected || h.state == ejectedByGossip }
+func (h *endpointHealth) awaitsTest() bool {
+	return h.state == ejectedOnOwnEvidence || h.state == ejectedByGossip
+}
 
 // beginHalfOpen marks that a request tests the endpoint.
 func (h *endpointHealth) beginHalfOpen() { h.state, h.beforeHalfOpen = halfOpen, h.state }
@@ -72,11 +80,12 @@
 	}
 }
 
+// eject ejects an endpoint on own evidence for one horizon from now.
 func (b *Balancer) eject(e *endpoint) { e.health.eject(b.now + b.horizon) }
 
-// isEjected reports whether the endpoint gets no requests. While most of the subset's capacity is ejected,
-// no ejection counts: in an overload all endpoints are late, and to eject them leaves the load to the few
-// others.
+// isEjected reports whether the endpoint gets no requests but the one that tests it. While most of the
+// subset's capacity is ejected, no ejection counts: in an overload all endpoints are late, and to eject
+// them leaves the load to the few others.
 func (b *Balancer) isEjected(e *endpoint) bool {
 	set := &b.endpoints
 	return e.health.state != healthy && set.healthyCapacity >= minHealthyFraction*set.totalCapacity
--- a/logic/outlier_test.go
+++ b/logic/outlier_test.go
@@ -53,14 +53,14 @@
 		want    healthState
 		waiting bool // for a half-open request
 	}{
-		{"eject", endpointHealth{}, func(h *endpointHealth) { h.eject(until) }, ejected, true},
+		{"eject", endpointHealth{}, func(h *endpointHealth) { h.eject(until) }, ejectedOnOwnEvidence, true},
 		{"eject by gossip", endpointHealth{}, func(h *endpointHealth) { h.ejectByGossip(until) }, ejectedByGossip, true},
 		{"own evidence after gossip", endpointHealth{state: ejectedByGossip},
-			func(h *endpointHealth) { h.eject(until) }, ejected, true},
-		{"readmit", endpointHealth{state: ejected, ejectedUntil: until}, (*endpointHealth).readmit, healthy, false},
-		{"begin half-open", endpointHealth{state: ejected}, (*endpointHealth).beginHalfOpen, halfOpen, false},
+			func(h *endpointHealth) { h.eject(until) }, ejectedOnOwnEvidence, true},
+		{"readmit", endpointHealth{state: ejectedOnOwnEvidence, ejectedUntil: until}, (*endpointHealth).readmit, healthy, false},
+		{"begin half-open", endpointHealth{state: ejectedOnOwnEvidence}, (*endpointHealth).beginHalfOpen, halfOpen, false},
 		{"fail half-open", endpointHealth{state: halfOpen, beforeHalfOpen: ejectedByGossip},
-			func(h *endpointHealth) { h.eject(until) }, ejected, true},
+			func(h *endpointHealth) { h.eject(until) }, ejectedOnOwnEvidence, true},
 		{"abandon half-open", endpointHealth{state: halfOpen, beforeHalfOpen: ejectedByGossip},
 			(*endpointHealth).abandonHalfOpen, ejectedByGossip, true},
 		{"abandon nothing", endpointHealth{}, (*endpointHealth).abandonHalfOpen, healthy, false},
--- a/logic/overload.go
+++ b/logic/overload.go
@@ -2,9 +2,18 @@
 
 import "math"
 
-// Overload: how much load must be shed so that answers come in time. Two signals compare latency with the
-// latency objective; the utilization of the endpoints says how far each of them is believed; rejections by
-// the endpoints lower the threshold at which shedding begins.
+// Overload: how much load must be shed so that answers come in time.
+//
+//	level = sheddingSlope * max(0, latency signal, concurrency signal)
+//
+// The signals take latency ratios (latency over the latency objective of the class), the utilization of the
+// endpoints (0 to 1) and the rejection rate (0 to 1). Both compare a latency ratio with the threshold:
+//
+//   - the latency signal that of answers;
+//   - the concurrency signal that of what is in flight, by Little's law.
+//
+// The utilization says how far each is believed, and the rejection rate lowers the threshold. The level is
+// the fraction of requests of mean priority to shed; admission.go decides which.
 
 const (
 	// sheddingLatencyRatio is the latency ratio above which requests of mean priority are shed.
@@ -129,8 +138,8 @@
 // latencySignal is how far the latency ratio of answers exceeds the threshold, as far as the endpoints are
 // busy. Otherwise one slow endpoint, or chance at a balancer with few requests, would pass for an overload.
 func latencySignal(latencyRatio, threshold, utilization float64) float64 {
-	belief := min(1, max(0, (utilization-busyUtilization)/(fullUtilization-busyUtilization)))
-	return belief * (latencyRatio - threshold)
+	confidence := min(1, max(0, (utilization-busyUtilization)/(fullUtilization-busyUtilization)))
+	return confidence * (latencyRatio - threshold)
 }
 
 // concurrencySignal is how far the latency ratio by Little's law exceeds the threshold, as far as the
@@ -138,8 +147,8 @@
 // help it, and as answers become fewer with each request shed, the same few in flight would look like a
 // growing overload.
 func concurrencySignal(concurrencyRatio, threshold, utilization float64) float64 {
-	belief := min(1, max(0, (utilization-idleUtilization)/(busyUtilization-idleUtilization)))
-	return belief * (concurrencyRatio - threshold)
+	confidence := min(1, max(0, (utilization-idleUtilization)/(busyUtilization-idleUtilization)))
+	return confidence * (concurrencyRatio - threshold)
 }
 
 // concurrencySample is what is in flight and younger than the latency objective of its class. An older
--- a/logic/selection.go
+++ b/logic/selection.go
@@ -112,13 +112,13 @@
 func (b *Balancer) leastLoaded(drawn []*endpoint) *endpoint {
 	lowest := math.Inf(1)
 	for _, e := range drawn {
-		lowest = min(lowest, e.inFlightPerWeight())
+		lowest = min(lowest, e.loadAfterRequest())
 	}
 	var best *endpoint
 	equal := 0
 	for _, e := range drawn {
 		switch {
-		case e.inFlightPerWeight() > lowest*(1+loadTolerance) || best != nil && e.weight < best.weight:
+		case e.loadAfterRequest() > lowest*(1+loadTolerance) || best != nil && e.weight < best.weight:
 			continue
 		case best == nil || e.weight > best.weight:
 			best, equal = e, 1
