--- a/logic/balancer_test.go
+++ b/logic/balancer_test.go
@@ -25,6 +25,31 @@
 	}
 }
 
+// A balancer is idle when no request is open or in flight and no poll is scheduled. The owner may then
+// deliver timers late; a poll that is late would leave it without a list.
+func TestIdleWithoutRequestsAndPolls(t *testing.T) {
+	set := testSettings()
+	set.SubscriptionRequired = true
+	h := newHarness(t, set, 1)
+	if !h.Idle() {
+		t.Error("not idle without requests")
+	}
+	id, to := h.sendRequest(cheapClass)
+	h.Handle(h.clock, ClientDisconnected{id})
+	if h.Idle() {
+		t.Error("idle with an attempt in flight")
+	}
+	if h.endAttempt(id, to, 0, Cancelled, NoLoadReport); !h.Idle() {
+		t.Error("not idle after its outcome")
+	}
+	if h.Handle(h.clock, DiscoveryUnavailable{}); h.Idle() {
+		t.Error("idle with a poll scheduled")
+	}
+	if h.Handle(h.clock, TimerFired{pollToken}); !h.Idle() {
+		t.Error("not idle after the poll")
+	}
+}
+
 // BenchmarkHandle measures a request and its answer with a load report.
 func BenchmarkHandle(b *testing.B) {
 	for _, size := range []int{20, 200} {
--- a/logic/deadline_test.go
+++ b/logic/deadline_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"maps"
+	"slices"
 	"strconv"
 	"testing"
 	"time"
@@ -74,3 +75,29 @@
 	}
 	return next
 }
+
+// The process shuts down with requests in flight. Each must get its final answer at once, in an order that
+// does not depend on chance, and a request that still arrives must get one too.
+func TestShutdownEndsAllRequests(t *testing.T) {
+	h := newHarness(t, testSettings(), 1, 1)
+	var open []string
+	for range 3 {
+		id, _ := h.sendRequest(nonIdempotentClass)
+		open = append(open, id)
+	}
+	actions := h.Handle(h.clock, Shutdown{})
+	var ended []string
+	for _, a := range actions {
+		if a.Kind != Fail || a.Reason != ShuttingDown {
+			t.Errorf("a request that may have been executed: %+v", a)
+		}
+		ended = append(ended, a.Request)
+	}
+	if !slices.Equal(ended, open) {
+		t.Errorf("ended %v, open were %v", ended, open)
+	}
+	actions = h.Handle(h.clock, Request{ID: "late", Deadline: h.clock + time.Second})
+	if last := actions[len(actions)-1]; last.Kind != Reject || last.Reason != ShuttingDown {
+		t.Errorf("a request after the shutdown: %+v", actions)
+	}
+}
--- a/logic/healthcheck_test.go
+++ b/logic/healthcheck_test.go
@@ -166,3 +166,22 @@
 		t.Errorf("checks %v where none are allowed", got)
 	}
 }
+
+// Answers are late, and no endpoint reports its load in them: the utilization decides whether load is shed,
+// and only health checks tell it. An endpoint whose utilization is not known must be checked before one
+// whose capacity is not.
+func TestUtilizationIsCheckedInOverload(t *testing.T) {
+	h := newHarness(t, healthCheckSettings(), 1, 1)
+	h.now = h.clock
+	h.updateWeights()
+	unknown, known := h.endpoint("s0"), h.endpoint("s1")
+	unknown.check.nextAt, known.check.nextAt = 0, 0
+	h.learnFromHealthCheck(known, loadReport(0.5, 50))
+	h.overload.excess = 0.1
+	if got := h.checkPriority(unknown); got != checkForOverload {
+		t.Errorf("the priority is %v without a known utilization, want %v", got, checkForOverload)
+	}
+	if got := h.checkPriority(known); got >= checkForOverload-1 {
+		t.Errorf("the priority is %v with a known utilization", got)
+	}
+}
--- a/logic/knowledge_test.go
+++ b/logic/knowledge_test.go
@@ -123,3 +123,22 @@
 		}
 	}
 }
+
+// The capacity that health checks have shown goes to the next process with its error, which has grown with
+// its age.
+func TestCheckedCapacityIsRestored(t *testing.T) {
+	h := newHarness(t, healthCheckSettings(), 1)
+	h.now = h.clock
+	h.learnFromHealthCheck(h.endpoint("s0"), loadReport(0.5, 50))
+	before := h.endpoint("s0").estimate.checked
+	const age = time.Second
+	next := restored(t, h.Knowledge(h.clock), age, false)
+	after := next.endpoint("s0").estimate.checked
+	if after.logCapacity != before.logCapacity {
+		t.Errorf("the logarithm of the capacity is %v, before %v", after.logCapacity, before.logCapacity)
+	}
+	want := before.variance + capacityDriftVariance*age.Seconds()
+	if got := after.varianceAt(next.clock); math.Abs(got-want) > 1e-9 {
+		t.Errorf("the variance is %v, want %v", got, want)
+	}
+}
