--- a/internal/agent/clients_test.go
+++ b/internal/agent/clients_test.go
@@ -207,7 +207,7 @@
 	defer conn.Close()
 	conn.SetDeadline(time.Now().Add(testkit.Patience))
 	in := bufio.NewReader(conn)
-	ask := func(head string) int {
+	exchange := func(head string) int {
 		io.WriteString(conn, head+"\r\n")
 		resp, err := http.ReadResponse(in, nil)
 		if err != nil {
@@ -216,12 +216,12 @@
 		io.Copy(io.Discard, resp.Body)
 		return resp.StatusCode
 	}
-	if got := ask("GET /form-check HTTP/1.1\r\nHost: o\r\nX-Request-ID: 1\r\nX-Tenant-Id: glasgow-airport\r\nX-Timeout: 2000m\r\n"); got != http.StatusServiceUnavailable {
+	if got := exchange("GET /form-check HTTP/1.1\r\nHost: o\r\nX-Request-ID: 1\r\nX-Tenant-Id: glasgow-airport\r\nX-Timeout: 2000m\r\n"); got != http.StatusServiceUnavailable {
 		t.Fatalf("status %d", got)
 	}
 	for range 2 { // the connection may rest for 2.1 s at a time, and the limit was 2 s
 		time.Sleep(1100 * time.Millisecond)
-		if got := ask("GET /ready HTTP/1.1\r\nHost: o\r\n"); got != http.StatusOK {
+		if got := exchange("GET /ready HTTP/1.1\r\nHost: o\r\n"); got != http.StatusOK {
 			t.Errorf("status %d", got)
 		}
 	}
--- a/internal/agent/lifecycle_test.go
+++ b/internal/agent/lifecycle_test.go
@@ -301,7 +301,7 @@
 					time.Sleep(10 * time.Second)
 					f := d.readFigures()
 					if n := f.Connections; f.Pending != 0 || n.Open != n.Idle || n.Opening != 0 || n.Waiting != 0 || f.Upstream != s.requestsAtEndpoint {
-						t.Errorf("left is %+v", f)
+						t.Errorf("in the end %+v", f)
 					}
 					for what, n := range f.Border {
 						if n != 0 {
@@ -369,7 +369,7 @@
 		}
 	}
 	order, basket := "/place-order", "/price-basket"
-	ask := func(method, path string, body int) string {
+	patientRequest := func(method, path string, body int) string {
 		return strings.Replace(requestHead(method, path, body), "800m", "15000m", 1)
 	}
 	slow := []peer.Step{peer.Request(), peer.Send("HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n")}
@@ -384,11 +384,11 @@
 		want   int
 		begun  int // requests that the endpoint reads
 	}{
-		"may have run":             {[]peer.Step{peer.Request(), peer.Silence()}, false, ask("POST", order, 0), false, http.StatusBadGateway, 1},
-		"may be repeated":          {[]peer.Step{peer.Request(), peer.Silence()}, false, ask("GET", basket, 0), false, http.StatusServiceUnavailable, 1},
-		"waits for a connection":   {serveAll(), true, ask("POST", order, 0), false, http.StatusServiceUnavailable, 0}, // it never ran
-		"a streamed answer":        {slow, false, ask("GET", basket, 0), false, http.StatusOK, 1},
-		"a long body half written": {[]peer.Step{peer.Silence()}, false, ask("POST", order, longBody) + strings.Repeat("x", longBody/2), true, http.StatusBadGateway, 0},
+		"may have run":             {[]peer.Step{peer.Request(), peer.Silence()}, false, patientRequest("POST", order, 0), false, http.StatusBadGateway, 1},
+		"may be repeated":          {[]peer.Step{peer.Request(), peer.Silence()}, false, patientRequest("GET", basket, 0), false, http.StatusServiceUnavailable, 1},
+		"waits for a connection":   {serveAll(), true, patientRequest("POST", order, 0), false, http.StatusServiceUnavailable, 0}, // it never ran
+		"a streamed answer":        {slow, false, patientRequest("GET", basket, 0), false, http.StatusOK, 1},
+		"a long body half written": {[]peer.Step{peer.Silence()}, false, patientRequest("POST", order, longBody) + strings.Repeat("x", longBody/2), true, http.StatusBadGateway, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -396,7 +396,7 @@
 				if c.cut {
 					d.setReachable(false)
 				}
-				half := d.connectAndWrite(ask("POST", order, 4)[:20]) // begins before the signal
+				half := d.connectAndWrite(patientRequest("POST", order, 4)[:20]) // begins before the signal
 				client := d.connectAndWrite(c.text)
 				time.Sleep(100 * time.Millisecond)
 				d.stop()
@@ -483,7 +483,7 @@
 		reads  bool                         // its answers
 		wastes func(f progressFigures) bool // reports whether it took too many connections
 	}{
-		"nobody":                    {},
+		"no other tenant":           {},
 		"short deadlines":           {func(int) string { return own + "X-Timeout: 10m\r\n" }, time.Second, true, func(f progressFigures) bool { return f.Connections.Opened > 700 }},
 		"odd deadlines":             {func(id int) string { return own + fmt.Sprintf("X-Timeout: %du\r\n", 1+id%30*1000) }, time.Second, true, nil},
 		"cancels":                   {func(int) string { return own + "X-Timeout: 800m\r\n" }, time.Millisecond, false, func(f progressFigures) bool { return f.Connections.Opened > 60 }},
--- a/internal/agent/peers.go
+++ b/internal/agent/peers.go
@@ -58,7 +58,7 @@
 	forgedSuspicions int64 // suspicions that came under this agent's name and were corrected
 	noticeDelay      delayStats
 
-	// reportedUnhealthy has the endpoints that the core was last told of as unhealthy. It is owned by run.
+	// reportedUnhealthy has the endpoints that were last reported to the core as unhealthy. It is owned by run.
 	reportedUnhealthy map[string]bool
 }
 
--- a/internal/agent/scenarios_test.go
+++ b/internal/agent/scenarios_test.go
@@ -21,9 +21,6 @@
 	"ryeweir/internal/emulator/referee"
 )
 
-// Scenes play the whole real agent in a world in memory and in fake time: sockets, discovery, nodes and callers behave as
-// the emulator has it, and minutes pass in a moment.
-
 // simulation is an emulated world with its agents. Its scenarios run real agents in memory and in fake time: connections,
 // discovery, endpoints and clients behave as the emulator has it, and minutes pass in a moment.
 type simulation struct {
--- a/internal/agent/selfload.go
+++ b/internal/agent/selfload.go
@@ -12,7 +12,7 @@
 // selfLoadInterval is how often an agent measures its own load.
 const selfLoadInterval = 250 * time.Millisecond
 
-// watchSelfLoad tells the core until the context ends whether the agent itself is overloaded. The fleet's admission level then
+// watchSelfLoad reports to the core whether the agent itself is overloaded, until the context ends. The fleet's admission level then
 // falls: what the agent can't carry is rejected at once by priority, not late and at random.
 func (a *agent) watchSelfLoad(ctx context.Context) {
 	configured := a.operators.Overload.SelfLimits
--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -21,7 +21,7 @@
 	WriteDeadline time.Duration
 
 	deadline  atomic.Int64 // time.Duration on the core's clock
-	writtenAt atomic.Int64 // when a pending body was written whole, time.Duration on the core's clock; 0 before
+	writtenAt atomic.Int64 // when the end of a pending body was written, time.Duration on the core's clock; 0 before
 	reported  atomic.Bool  // its outcome is known
 	claim     atomic.Int32 // see Begin
 
@@ -57,7 +57,7 @@
 // that ends while its attempt waits for a connection could be answered as one that did not run, and run afterwards.
 func (a *Attempt) Begin() bool { return a.claim.CompareAndSwap(unclaimed, begun) }
 
-// RequestWritten reports when a body that was pending has been written whole. The call's timeout runs from then on.
+// RequestWritten reports when the end of a pending body has been written. The call's timeout runs from then on.
 func (a *Attempt) RequestWritten(now time.Duration) {
 	a.writtenAt.Store(int64(now))
 	a.deadline.Store(int64(now + a.Call.Timeout))
--- a/internal/core/boundary.go
+++ b/internal/core/boundary.go
@@ -8,7 +8,7 @@
 	"ryeweir/logic"
 )
 
-// Limits of the checks on what fronts and upstreams owe the core.
+// Limits of the checks on fronts and upstreams.
 const (
 	boundaryCheckInterval = 500 * time.Millisecond
 	// outcomeGrace is how long after its deadline an attempt's outcome, or the end of a pending body, is overdue.
@@ -47,7 +47,7 @@
 // BoundaryViolations returns the counts, which go on changing.
 func (c *Core) BoundaryViolations() *BoundaryViolations { return &c.violations }
 
-// checkBoundary publishes the loop's figures and gives up what fronts and upstreams owe for too long.
+// checkBoundary publishes the loop's figures and gives up what fronts and upstreams have not done in time.
 func (c *Core) checkBoundary() {
 	now := c.clock.Now()
 	c.config.OnEndpointCounts(c.endpointCount, c.balancer.Unavailable())
--- a/internal/core/call.go
+++ b/internal/core/call.go
@@ -19,7 +19,8 @@
 	// longer.
 	Timeout      time.Duration
 	TimeoutSlack time.Duration
-	// Deadline is when Timeout ends, on the core's clock. It is 0 while BodyPending and until BodyReceived.
+	// Deadline is when Timeout ends, on the core's clock. It is 0 for a call with BodyPending until the loop sets it on
+	// Core.BodyReceived.
 	Deadline time.Duration
 	// LatencyObjective is how long an answer may take before its absence counts against the endpoint.
 	LatencyObjective time.Duration
--- a/internal/core/calls.go
+++ b/internal/core/calls.go
@@ -79,8 +79,8 @@
 	c.forgetCall(call)
 }
 
-// forgetCall removes a finished call once no attempt at it is in flight. Until then it stays in the table: an outcome still
-// tells the module something about its endpoint, and the id is not free.
+// forgetCall removes a finished call once no attempt at it is in flight. Until then it stays in the table: an outcome is
+// still evidence about its endpoint, and the id is not free.
 func (c *Core) forgetCall(call *Call) {
 	if call.finished.Load() && call.inFlightCount == 0 && c.calls[call.ID] == call {
 		delete(c.calls, call.ID)
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -93,7 +93,7 @@
 }
 
 // A client leaves while its request is at an endpoint, and the same id is used again. Until the outcome is known it could not
-// be told whose it is, so that the second call is a duplicate. After that the id is free. The first client gets no answer.
+// be matched to one of the two, so that the second call is a duplicate. After that the id is free. The first client gets no answer.
 func TestAbandonedCallOccupiesItsIDUntilItsAttemptEnds(t *testing.T) {
 	endpoints := map[string]*lineEndpoint{"a": {reply: replyOKAfter(100 * time.Millisecond)}}
 	withCore(t, endpoints, nil, func(t *testing.T, f *fixture) {
--- a/internal/core/doc.go
+++ b/internal/core/doc.go
@@ -13,8 +13,8 @@
 //
 // # The loop
 //
-// [Core.Run] is the only goroutine that touches the module and the table of calls. Every exported method of Core and every
-// outcome becomes a message on one bounded queue. For each message the loop
+// [Core.Run] is the only goroutine that touches the module and the table of calls. Every input, whether a method such as
+// [Core.Submit] or the outcome of an attempt, becomes a message on one bounded queue. For each message the loop
 //
 //  1. fires the timers of the module that are due,
 //  2. turns the message into an event of the module,
@@ -28,8 +28,8 @@
 //
 // A call gets one answer, unless its client abandoned it or the core ended. Of two attempts that succeed, the first answers
 // and the content of the other is discarded. A call whose answer is out keeps its place in the table until its last attempt
-// has ended, because the outcome still tells the module something about the endpoint, and because a second call under the
-// same id could not be told apart from it.
+// has ended, because its outcome is still evidence about the endpoint, and because a second call under the same id could
+// not be distinguished from it.
 //
 // The certainty that a request did not run is what allows it to be retried or rejected. [Attempt.Begin] decides it: an
 // attempt claims the right to write its first byte, and a call that finishes withdraws all claims that were not made. An
