--- a/internal/discovery/apply.go
+++ b/internal/discovery/apply.go
@@ -49,7 +49,7 @@
 // errNotFull says that discovery answered the request for a full snapshot with a watch event.
 var errNotFull = errors.New("discovery answered the request for a full snapshot with a watch event")
 
-// versionError says that discovery counts versions anew. What has changed since a version of the old count says nothing.
+// versionError says that discovery has restarted its version count. A watch since a version of the old count is meaningless.
 type versionError struct {
 	known, received int64
 }
@@ -69,9 +69,9 @@
 		return err
 	}
 	c.backoff.failures = 0
-	hasNews := list.Version > c.known.version || list.Version == c.known.version && list.Full
+	isNewer := list.Version > c.known.version || list.Version == c.known.version && list.Full
 	c.endOutage(list)
-	if !hasNews {
+	if !isNewer {
 		c.known.receivedAt = c.cfg.Clock.Now()
 		return nil
 	}
--- a/internal/discovery/doc.go
+++ b/internal/discovery/doc.go
@@ -2,7 +2,7 @@
 //
 // A [Client] polls GET /v1/endpoints. A request without a query returns a full snapshot. A request with since=VERSION&timeout_ms=T is a
 // watch: it returns a watch event with what has changed since that version, at the latest after T milliseconds. Versions grow; a
-// lower one means that discovery has lost its state and counts anew, and a full snapshot is needed.
+// lower one means that discovery has lost its state and restarted the count, and a full snapshot is needed.
 //
 // Run goes through these stages, a file each:
 //
--- a/internal/discovery/timing.go
+++ b/internal/discovery/timing.go
@@ -35,7 +35,7 @@
 	watchTimeoutPerAgent = 50 * time.Millisecond    // of the longest watch, for each agent
 	maxWatchTimeout      = time.Minute              // discovery's limit
 	watchTimeoutJitter   = 0.25                     // fraction by which a watch is shorter, at random
-	lateAnswer           = 100 * time.Millisecond   // past its timeout an answer shows that discovery is overloaded
+	overloadDelay        = 100 * time.Millisecond   // past its timeout an answer shows that discovery is overloaded
 	watchTimeoutIncrease = 2.0                      // factor after a late answer or a failure
 	watchTimeoutDecrease = 0.985                    // factor after an answer in time
 )
@@ -87,7 +87,7 @@
 	return time.Duration((1 - watchTimeoutJitter*rng.Float64()) * float64(p.timeout))
 }
 
-// adapt takes in whether discovery failed or answered late.
+// adapt changes the timeout after a watch. overloaded says that discovery failed or answered late.
 func (p *watchPacing) adapt(overloaded bool, timing FleetTiming) {
 	if overloaded {
 		p.timeout = min(timing.MaxWatchTimeout, time.Duration(watchTimeoutIncrease*float64(p.timeout)))
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -43,7 +43,7 @@
 	grace := max(notificationDeadline, timeout+watchGrace) - timeout
 	err := c.request(ctx, c.watchQuery(timeout), timeout+grace/2)
 	latency := time.Since(start)
-	c.pacing.adapt(err != nil || latency > timeout+lateAnswer, c.timing)
+	c.pacing.adapt(err != nil || latency > timeout+overloadDelay, c.timing)
 	if errors.Is(err, context.DeadlineExceeded) && ctx.Err() == nil {
 		c.recordSilence()
 		err = c.request(ctx, c.watchQuery(0), grace/2)
--- a/internal/healthcheck/checker.go
+++ b/internal/healthcheck/checker.go
@@ -11,7 +11,7 @@
 	"ryeweir/logic"
 )
 
-// The settings where the operators' file says nothing.
+// The defaults of the operators' file.
 const (
 	DefaultMaxConcurrent = 8
 	DefaultTimeout       = 120 * time.Millisecond
--- a/internal/pool/acquire.go
+++ b/internal/pool/acquire.go
@@ -131,7 +131,7 @@
 	slot.requests++
 }
 
-// DiscardStale takes in that a slot which was just granted can't be used: it was closed, or has unexpected bytes to read.
+// DiscardStale closes a slot that was just granted and can't be used: the endpoint closed it, or it has unexpected bytes to read.
 func (t *Table) DiscardStale(now time.Duration, slot *Slot) []Action {
 	t.begin()
 	slot.requests--
--- a/internal/pool/handshake.go
+++ b/internal/pool/handshake.go
@@ -82,8 +82,8 @@
 	return longest
 }
 
-// HandshakeSucceeded takes in that a slot is open. It goes to whoever waits first, which need not be the waiter that it was
-// begun for.
+// HandshakeSucceeded is the event of a handshake that succeeded. The slot goes to the first waiter, which need not be the one that the
+// handshake was begun for.
 func (t *Table) HandshakeSucceeded(now time.Duration, slot *Slot) []Action {
 	t.begin()
 	endpoint := slot.Endpoint
@@ -102,7 +102,7 @@
 	return t.actions
 }
 
-// HandshakeFailed takes in that a handshake failed. localCause says that the agent lacked a resource, which is no evidence
+// HandshakeFailed is the event of a handshake that failed. localCause says that the agent lacked a resource, which is no evidence
 // against the endpoint. The first waiter is rejected, since a failure that no waiter saw would go unnoticed by the balancer.
 func (t *Table) HandshakeFailed(now time.Duration, slot *Slot, localCause bool) []Action {
 	t.begin()
--- a/internal/pool/preopen.go
+++ b/internal/pool/preopen.go
@@ -30,7 +30,7 @@
 	return d.requestRate * math.Exp(-float64(now-d.rateAt)/float64(requestRateDecay))
 }
 
-// recordHandshake takes in how long a handshake took.
+// recordHandshake adds the duration of a handshake.
 func (d *demand) recordHandshake(seconds float64) {
 	if d.handshakeSeconds == 0 {
 		d.handshakeSeconds = seconds
--- a/internal/pool/quarantine.go
+++ b/internal/pool/quarantine.go
@@ -8,7 +8,7 @@
 // request. The guard holds because the stray bytes arrive during the quarantine: the look at the socket before the next request
 // finds them and closes the connection as stale.
 
-// inQuarantine reports whether a slot has brought an answer within the quarantine.
+// inQuarantine reports whether the last answer on a slot is less than the quarantine ago.
 func (t *Table) inQuarantine(now time.Duration, slot *Slot) bool {
 	return slot.answeredAt > 0 && now-slot.answeredAt < t.settings.Quarantine
 }
@@ -25,8 +25,8 @@
 	}
 }
 
-// QuarantineEnded takes in that the delay of a ScheduleQuarantineEnd is over. A slot that has been taken or closed since is
-// left alone.
+// QuarantineEnded is the event that the delay of a ScheduleQuarantineEnd is over. It has no effect on a slot that was granted or closed
+// meanwhile.
 func (t *Table) QuarantineEnded(now time.Duration, slot *Slot) []Action {
 	t.begin()
 	if slot.awaitedInQuarantine {
--- a/internal/pool/slot.go
+++ b/internal/pool/slot.go
@@ -17,7 +17,7 @@
 	idleSince  time.Duration
 	idleFor    time.Duration // how long it had been idle when it was last granted; 0 when it was new
 
-	answeredAt time.Duration // when it last brought an answer; 0: never
+	answeredAt time.Duration // of the last answer on it; 0: none yet
 	provenAt   time.Duration // when an exchange on it last completed, or its handshake did
 
 	// awaitedInQuarantine says that a waiter counts on it, and that a QuarantineEnded is scheduled.
--- a/internal/upstream/http/body.go
+++ b/internal/upstream/http/body.go
@@ -110,7 +110,7 @@
 	}
 }
 
-// added takes in that more of the body is there.
+// added is called when more of the body is in the pipe.
 func (s *bodyStream) added() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/upstream/http/healthcheck.go
+++ b/internal/upstream/http/healthcheck.go
@@ -24,7 +24,7 @@
 }
 
 // HealthCheck implements healthcheck.Transport over connections that requests do not need. If the endpoint closed a reused connection
-// as the health check was on its way, it is repeated once, as that says nothing of the endpoint's health.
+// as the health check was on its way, it is repeated once, as that is no evidence of its health.
 func (u *Upstream) HealthCheck(ctx context.Context, target any, kind healthcheck.RequestKind, deadline time.Time) healthcheck.Response {
 	endpoint, _ := target.(*pool.Endpoint)
 	if endpoint == nil {
