--- a/internal/pool/dial.go
+++ b/internal/pool/dial.go
@@ -15,6 +15,9 @@
 // Quiet() bool, which reports whether it is open with nothing to read.
 type DialFunc func(ctx context.Context, network, addr string) (net.Conn, error)
 
+// errPoolClosed says that a connection opened after the pool was closed.
+var errPoolClosed = errors.New("the pool is closed")
+
 // connect opens the connection of a slot and reports the result to the table.
 func (p *Pool) connect(slot *Slot) {
 	conn, err := p.dial(slot.Endpoint.Addr)
@@ -22,7 +25,7 @@
 	defer p.mu.Unlock()
 	if err == nil && p.closed {
 		conn.Close()
-		err = ErrCanceled
+		err = errPoolClosed
 	}
 	if err != nil {
 		p.recordConnectFailure(slot, err)
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -19,7 +19,7 @@
 	ErrNotReady = errors.New("the endpoint takes no new requests")
 	// ErrExhausted says that no place became free in time, or that too many requests wait.
 	ErrExhausted = errors.New("the connection pool is exhausted")
-	// ErrCanceled says that the caller's deadline passed, that its context or request ended, or that the pool is closing.
+	// ErrCanceled says that the caller's deadline passed, or that its context or request ended.
 	ErrCanceled = errors.New("the wait for a connection was canceled")
 	// ErrConnectFailed says that the endpoint's handshake failed or took too long. It is the only one that is evidence against
 	// the endpoint.
