--- a/cmd/ryeweir/demo.go
+++ b/cmd/ryeweir/demo.go
@@ -76,7 +76,7 @@
 		}
 	}
 	printOutcome(out, o)
-	if !o.Account.Held() {
+	if !o.Account.RulesHold() {
 		return errReported
 	}
 	return nil
@@ -99,7 +99,7 @@
 func printFigures(out io.Writer, outcome experiment.Outcome) {
 	a := outcome.Account
 	fmt.Fprintf(out, "requests %d  completed %d  rejected %d  failed %d  unanswered %d\n", a.Requests, a.Completed, a.Rejected, a.Failed, a.Unanswered)
-	fmt.Fprintf(out, "service %.3f  worst 10 s %.3f\n", outcome.Whole, outcome.WorstWindow)
+	fmt.Fprintf(out, "service %.3f  worst 10 s %.3f\n", outcome.Overall, outcome.WorstWindow)
 	for _, name := range slices.Sorted(maps.Keys(outcome.Latency)) {
 		p := outcome.Latency[name]
 		fmt.Fprintf(out, "%-14s p50 %.1f ms  p90 %.1f ms  p99 %.1f ms  p99.9 %.1f ms  (%d served)\n", name, p.P50, p.P90, p.P99, p.P999, p.Count)
@@ -125,7 +125,7 @@
 	if outcome.Interrupted {
 		fmt.Fprintln(out, "interrupted: the account so far")
 	}
-	if a.Held() {
+	if a.RulesHold() {
 		fmt.Fprintln(out, "verdict: all rules held")
 	} else {
 		fmt.Fprintln(out, "verdict: a rule broke")
@@ -183,12 +183,12 @@
 		switch {
 		case !n.Up:
 			state = "down"
-		case n.Toppled:
+		case n.Overloaded:
 			state = "TOPPLED"
-		case n.Choked:
+		case n.Degraded:
 			state = "choked"
-		case n.Failing > 0:
-			state = fmt.Sprintf("failing %.0f%%", 100*n.Failing)
+		case n.FailureFraction > 0:
+			state = fmt.Sprintf("failing %.0f%%", 100*n.FailureFraction)
 		}
 		fmt.Fprintf(&b, "  %-10s %-12s %5.2f cores' worth  in hand %2d %s\n", n.ID, state, n.Capacity, n.InFlight, strings.Repeat("#", min(40, n.InFlight)))
 		s.lines++
--- a/cmd/ryeweir/describe.go
+++ b/cmd/ryeweir/describe.go
@@ -60,7 +60,7 @@
 	return "", &config.Error{File: file, Err: errors.New("is neither an experiment, a model of a fleet, an operators' file, a world, load nor a deployment")}
 }
 
-func describeDay(what string, spec *emulator.DaySpec, seed uint64) (string, error) {
+func describeDay(what string, spec *emulator.ScenarioSpec, seed uint64) (string, error) {
 	day, err := spec.Draw(seed)
 	if err != nil {
 		return "", err
--- a/cmd/ryeweir/drill.go
+++ b/cmd/ryeweir/drill.go
@@ -59,7 +59,7 @@
 func printDrill(out io.Writer, spec *experiment.DrillSpec, drilled experiment.DrillResult) {
 	o := drilled.Outcome
 	fmt.Fprintf(out, "%s: %s\n", spec.Name, spec.Question)
-	fmt.Fprintf(out, "%+v\nservice %.3f, attempts a request %.2f, chokes %d, probe work %.4f, cold peak %.2f", o.Account, o.Whole, o.Attempts, o.Chokes,
+	fmt.Fprintf(out, "%+v\nservice %.3f, attempts a request %.2f, chokes %d, probe work %.4f, cold peak %.2f", o.Account, o.Overall, o.Attempts, o.Chokes,
 		o.HealthCheckWork, o.SlowStartPeak)
 	for i, class := range spec.Day.Classes {
 		fmt.Fprintf(out, ", %s %.3f", class.Name, o.ByClass[i])
--- a/cmd/ryeweir/faults_test.go
+++ b/cmd/ryeweir/faults_test.go
@@ -45,12 +45,12 @@
 		t.Fatal(err)
 	}
 	secs := func(s float64) config.Duration { return config.Duration(s * float64(time.Second)) }
-	spec := emulator.DefaultDay()
+	spec := emulator.DefaultScenario()
 	spec.Name, spec.Length, spec.Agents = "faults", config.Duration(8*time.Second), 6
-	spec.Fleet.Agents = []emulator.AgentSpec{
-		{Kind: emulator.AgentKill, Share: 0.5, From: secs(2), Away: secs(1)},
-		{Kind: emulator.AgentPause, Share: 1.0 / 6, From: secs(3.5), Away: secs(2)},
-		{Kind: emulator.AgentRestart, Share: 1.0 / 6, From: secs(5.7), Away: secs(0.5), WithState: true},
+	spec.Fleet.AgentFaults = []emulator.AgentFaultSpec{
+		{Kind: emulator.AgentKill, Share: 0.5, From: secs(2), Duration: secs(1)},
+		{Kind: emulator.AgentPause, Share: 1.0 / 6, From: secs(3.5), Duration: secs(2)},
+		{Kind: emulator.AgentRestart, Share: 1.0 / 6, From: secs(5.7), Duration: secs(0.5), WithState: true},
 	}
 	day, err := spec.Draw(3)
 	if err != nil {
@@ -63,7 +63,7 @@
 		t.Fatal(err)
 	}
 	a := o.Account
-	if !a.Balanced() || !a.Held() || a.UnknownRequests > 0 || a.Completed < 500 {
+	if !a.Balanced() || !a.RulesHold() || a.UnknownRequests > 0 || a.Completed < 500 {
 		t.Errorf("%+v %v", a, o.Breaches)
 	}
 	t.Logf("%+v; attempts a request %.2f", a, o.Attempts)
--- a/cmd/ryeweir/soak.go
+++ b/cmd/ryeweir/soak.go
@@ -139,19 +139,19 @@
 	cmd := &cobra.Command{Use: "soak-agent", Hidden: true, Args: cobra.NoArgs, Short: "An agent of a soak",
 		RunE: func(command *cobra.Command, _ []string) error {
 			machine := faultshim.New(seed)
-			if err := machine.Do("clock " + clock.String()); err != nil {
+			if err := machine.Execute("clock " + clock.String()); err != nil {
 				return usage(err)
 			}
 			for _, fault := range plant {
-				if err := machine.Do("plant " + fault); err != nil {
+				if err := machine.Execute("plant " + fault); err != nil {
 					return usage(err)
 				}
 			}
-			go machine.Follow(command.InOrStdin(), func(line string, err error) { fmt.Fprintln(command.ErrOrStderr(), "soak:", line, err) })
+			go machine.Run(command.InOrStdin(), func(line string, err error) { fmt.Fprintln(command.ErrOrStderr(), "soak:", line, err) })
 			return runAgentOn(command.Context(), log, "", peerFlags{}, command.ErrOrStderr(), func(s *agent.Environment) {
 				s.Clients = machine.Listen(s.Clients)
 				s.Dial = machine.Dial(host)
-				s.TimeOfDay = machine.Wall
+				s.TimeOfDay = machine.Now
 				s.Disk = machine
 			})
 		}}
--- a/cmd/ryeweir/world.go
+++ b/cmd/ryeweir/world.go
@@ -48,19 +48,19 @@
 	} else if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
 	}
-	world, err := emulator.Start(context.WithoutCancel(ctx), day, &emulator.Loopback{}, false)
+	world, err := emulator.Start(context.WithoutCancel(ctx), day, &emulator.LoopbackNetwork{}, false)
 	if err != nil {
 		return err
 	}
 	defer world.Close()
 	out := command.OutOrStdout()
 	for i, name := range day.Agents {
-		listen, control, err := processrig.TwoPorts("127.0.0.1", i)
+		listen, control, err := processrig.FreePortPair("127.0.0.1", i)
 		if err != nil {
 			return err
 		}
-		known := world.Known(i)
-		text, err := day.AgentConfig(i, listen, control, world.Discovery(i), emulator.DefaultLimits(), &known)
+		known := world.EndpointList(i)
+		text, err := day.AgentConfig(i, listen, control, world.DiscoveryAddr(i), emulator.DefaultLimits(), &known)
 		if err != nil {
 			return err
 		}
@@ -71,7 +71,7 @@
 		fmt.Fprintf(out, "PROXY_CONFIG=%s ryeweir agent    # clients at %s, operators at %s\n", file, listen, control)
 	}
 	fmt.Fprintf(out, "%d nodes stand; the day's troubles begin now. Ctrl-C ends it.\n", len(day.Nodes))
-	world.Play()
+	world.InjectFaults()
 	tick := time.NewTicker(5 * time.Second)
 	defer tick.Stop()
 	for {
@@ -82,7 +82,7 @@
 			return world.Err()
 		case <-tick.C:
 			line := fmt.Sprintf("%4.0fs", world.Now().Seconds())
-			for _, state := range world.States() {
+			for _, state := range world.NodeStates() {
 				line += fmt.Sprintf("  %s %d/%d", state.ID, state.InFlight, state.Figures.Served)
 			}
 			fmt.Fprintln(out, line)
--- a/internal/agent/fleet_test.go
+++ b/internal/agent/fleet_test.go
@@ -13,9 +13,9 @@
 )
 
 // drawFleetDay returns a small fleet: 24 agents before 12 endpoints.
-func drawFleetDay(t *testing.T, kind string, seed uint64) *emulator.Day {
+func drawFleetDay(t *testing.T, kind string, seed uint64) *emulator.Scenario {
 	t.Helper()
-	f := emulator.FleetDay{Kind: kind, Agents: 24, Nodes: 12}
+	f := emulator.FleetScenario{Kind: kind, Agents: 24, Nodes: 12}
 	if err := f.Check(""); err != nil {
 		t.Fatal(err)
 	}
@@ -46,8 +46,8 @@
 	if longRun() {
 		seeds = []uint64{1, 2, 3, 4, 5}
 	}
-	for kind, least := range map[string]float64{emulator.CalmDay: 0.9, emulator.RollDay: 0.75, emulator.HerdDay: 0.7, emulator.ZoneDay: 0.75,
-		emulator.SplitDay: 0.7, emulator.JoinDay: 0.75} {
+	for kind, least := range map[string]float64{emulator.CalmScenario: 0.9, emulator.RolloutScenario: 0.75, emulator.ThunderingHerdScenario: 0.7, emulator.ZoneOutageScenario: 0.75,
+		emulator.PartitionScenario: 0.7, emulator.ChurnScenario: 0.75} {
 		for _, seed := range seeds {
 			t.Run(kind, func(t *testing.T) {
 				t.Parallel()
@@ -58,10 +58,10 @@
 }
 
 // runFleetDay runs a day of a fleet and checks the rules and the least service.
-func runFleetDay(t *testing.T, day *emulator.Day, minService float64) {
+func runFleetDay(t *testing.T, day *emulator.Scenario, minService float64) {
 	t.Helper()
 	network := link.NewNetwork(day.Seed)
-	w, err := emulator.Start(t.Context(), day, emulator.Memory{Network: network}, true)
+	w, err := emulator.Start(t.Context(), day, emulator.MemoryNetwork{Network: network}, true)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -74,7 +74,7 @@
 	for i := range day.Agents {
 		f.awaitReady(i)
 	}
-	w.Play()
+	w.InjectFaults()
 	from := w.Now()
 	var faults sync.WaitGroup
 	for _, fault := range day.AgentFaults {
@@ -83,11 +83,11 @@
 			f.injectFault(fault, limits)
 		})
 	}
-	f.calls, _ = w.Call(t.Context(), f.route, false, nil)
+	f.calls, _ = w.RunCallers(t.Context(), f.route, false, nil)
 	faults.Wait()
 	f.shutDown()
 	f.checkRules(scenario{minService: minService})
-	time.Sleep(2 * emulator.IdleLimit)
+	time.Sleep(2 * emulator.ConnectionIdleTimeout)
 	synctest.Wait()
 	for _, a := range day.Agents {
 		if n := network.Open(a); n > 0 {
@@ -113,17 +113,17 @@
 	}
 	f.restarting[a.Agent] = true
 	f.mu.Unlock()
-	name := f.Day.Agents[a.Agent]
+	name := f.Scenario.Agents[a.Agent]
 	if a.Kind == emulator.AgentKill {
 		from := f.Now()
-		f.Referee.Killed(name, from, from+a.Away+time.Second) // first: callers see the closes as soon as the network makes them
+		f.Referee.AgentKilled(name, from, from+a.Duration+time.Second) // first: callers see the closes as soon as the network makes them
 		f.network.Kill(name)
 	}
 	f.stop[a.Agent]()
 	if err := <-f.finished[a.Agent]; err != nil && a.Kind != emulator.AgentKill { // one that is killed has its sockets closed under it
 		f.t.Errorf("%s: %v", name, err)
 	}
-	time.Sleep(a.Away)
+	time.Sleep(a.Duration)
 	f.start(a.Agent, limits)
 	f.awaitReady(a.Agent)
 	f.mu.Lock()
--- a/internal/agent/idleclose_test.go
+++ b/internal/agent/idleclose_test.go
@@ -23,7 +23,7 @@
 func (s *simulation) connectionStats(agent int) (c connectionFigures) {
 	s.t.Helper()
 	client := http.Client{Transport: &http.Transport{DialContext: s.network.Dialer("operator"), DisableKeepAlives: true}, Timeout: time.Second}
-	resp, err := client.Get("http://" + s.Day.Agents[agent] + ":9000/v1/metrics")
+	resp, err := client.Get("http://" + s.Scenario.Agents[agent] + ":9000/v1/metrics")
 	if err != nil {
 		s.t.Fatal(err)
 	}
@@ -54,13 +54,13 @@
 			var crossed, stale, opened, reused int64
 			closed := map[string]int64{}
 			scenario{changeOperators: ops, minService: 0.95, verify: checkNoDuplicates,
-				changeDay: func(d *emulator.DaySpec) {
+				changeDay: func(d *emulator.ScenarioSpec) {
 					d.Length = seconds(length)
 					withFaults(fault(node.IdleClose, 5, 0.5, length, 0.9))(d)
 				},
 				beside: func(s *simulation) {
 					time.Sleep(time.Duration((length - 1) * float64(time.Second)))
-					for i := range s.Day.Agents {
+					for i := range s.Scenario.Agents {
 						c := s.connectionStats(i)
 						crossed, stale = crossed+c.Closed["crossed"], stale+c.Closed["stale"]
 						opened, reused = opened+c.Opened, reused+c.Reused
--- a/internal/agent/lifecycle_test.go
+++ b/internal/agent/lifecycle_test.go
@@ -262,8 +262,8 @@
 	}
 	c := a.connectAndWrite(s.written)
 	time.Sleep(150*time.Millisecond - time.Since(began))
-	if f := a.readFigures(); len(a.endpoint.Seen()) != s.requestsAtEndpoint || f.Pending > 1 {
-		a.t.Errorf("the endpoint has read %d requests, not %d; %+v", len(a.endpoint.Seen()), s.requestsAtEndpoint, f)
+	if f := a.readFigures(); len(a.endpoint.Requests()) != s.requestsAtEndpoint || f.Pending > 1 {
+		a.t.Errorf("the endpoint has read %d requests, not %d; %+v", len(a.endpoint.Requests()), s.requestsAtEndpoint, f)
 	}
 	return c
 }
@@ -308,7 +308,7 @@
 							t.Errorf("%d %s", n, what)
 						}
 					}
-					if n := len(d.endpoint.Seen()); n != s.requestsAtEndpoint {
+					if n := len(d.endpoint.Requests()); n != s.requestsAtEndpoint {
 						t.Errorf("the endpoint has read %d requests in all, %d before", n, s.requestsAtEndpoint)
 					}
 					next := d.connectAndWrite(requestHead("POST", "/place-order", 0))
@@ -352,7 +352,7 @@
 				if name == betweenAttempts {
 					want = 2
 				}
-				if n := len(d.endpoint.Seen()); n != want {
+				if n := len(d.endpoint.Requests()); n != want {
 					t.Errorf("the endpoint has read %d requests", n)
 				}
 			})
@@ -425,7 +425,7 @@
 					t.Errorf("the answer came after %v", took)
 				}
 				<-ended
-				if n := len(d.endpoint.Seen()); n != c.begun {
+				if n := len(d.endpoint.Requests()); n != c.begun {
 					t.Errorf("the endpoint has read %d requests", n)
 				}
 				half.Close()
--- a/internal/agent/scenarios_test.go
+++ b/internal/agent/scenarios_test.go
@@ -34,13 +34,13 @@
 	clients   []*callers.Client
 	stop      []context.CancelFunc
 	finished  []chan error
-	calls     []referee.Call
+	calls     []referee.CallResult
 	operators operator.File
 }
 
 // scenario is a day of the emulator, what happens beside its clients, and what must have come of it.
 type scenario struct {
-	changeDay       func(*emulator.DaySpec)
+	changeDay       func(*emulator.ScenarioSpec)
 	beside          func(*simulation)             // beside the callers; may be nil
 	minService      float64                       // the least
 	verify          func(*testing.T, *simulation) // beyond the rules; may be nil
@@ -49,8 +49,8 @@
 }
 
 // baseDay is the day that scenarios change.
-func baseDay() emulator.DaySpec {
-	d := emulator.DefaultDay()
+func baseDay() emulator.ScenarioSpec {
+	d := emulator.DefaultScenario()
 	d.Load, d.Length = 0.35, config.Duration(12*time.Second)
 	for i := range d.Kinds {
 		d.Kinds[i].Nodes = 2 + i
@@ -78,7 +78,7 @@
 		}
 		network := link.NewNetwork(7)
 		ctx := t.Context()
-		w, err := emulator.Start(ctx, day, emulator.Memory{Network: network}, true)
+		w, err := emulator.Start(ctx, day, emulator.MemoryNetwork{Network: network}, true)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -97,7 +97,7 @@
 		for i := range day.Agents {
 			s.awaitReady(i)
 		}
-		w.Play()
+		w.InjectFaults()
 		done := make(chan struct{})
 		go func() {
 			defer close(done)
@@ -105,7 +105,7 @@
 				sc.beside(s)
 			}
 		}()
-		s.calls, _ = w.Call(ctx, s.route, false, nil)
+		s.calls, _ = w.RunCallers(ctx, s.route, false, nil)
 		<-done
 		s.shutDown()
 		s.checkRules(sc)
@@ -130,16 +130,16 @@
 func (s *simulation) checkRules(sc scenario) {
 	s.t.Helper()
 	a := s.Referee.Account()
-	for _, b := range s.Referee.Breaches() {
+	for _, b := range s.Referee.Violations() {
 		s.t.Error(b)
 	}
-	if !a.Held() || !a.Balanced() || a.UnknownRequests > 0 || s.Err() != nil {
+	if !a.RulesHold() || !a.Balanced() || a.UnknownRequests > 0 || s.Err() != nil {
 		s.t.Errorf("the account %+v, %v", a, s.Err())
 	}
-	service := referee.Serve(s.calls, time.Second, len(s.Day.Classes), len(s.Day.Tenants))
-	s.t.Logf("service %.3f worst %.3f classes %.3f of %d calls; %+v", service.Whole, service.WorstWindow, service.ByClass, len(s.calls), a)
-	if service.Whole < sc.minService {
-		s.t.Errorf("service is %.3f, under %.3f", service.Whole, sc.minService)
+	service := referee.MeasureService(s.calls, time.Second, len(s.Scenario.Classes), len(s.Scenario.Tenants))
+	s.t.Logf("service %.3f worst %.3f classes %.3f of %d calls; %+v", service.Overall, service.WorstWindow, service.ByClass, len(s.calls), a)
+	if service.Overall < sc.minService {
+		s.t.Errorf("service is %.3f, under %.3f", service.Overall, sc.minService)
 	}
 	if sc.verify != nil {
 		sc.verify(s.t, s)
@@ -149,7 +149,7 @@
 // start starts an agent's process.
 func (s *simulation) start(i int, limits emulator.Limits) {
 	s.t.Helper()
-	name := s.Day.Agents[i]
+	name := s.Scenario.Agents[i]
 	l, err := s.network.Listen(name + ":8081")
 	if err != nil {
 		s.t.Fatal(err)
@@ -158,8 +158,8 @@
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	known := s.Known(i)
-	text, err := s.Day.AgentConfig(i, "127.0.0.1:8081", "127.0.0.1:9000", s.Discovery(i), limits, &known)
+	known := s.EndpointList(i)
+	text, err := s.Scenario.AgentConfig(i, "127.0.0.1:8081", "127.0.0.1:9000", s.DiscoveryAddr(i), limits, &known)
 	if err != nil {
 		s.t.Fatal(err)
 	}
@@ -208,18 +208,18 @@
 }
 
 // route sends a planned call to its agent.
-func (s *simulation) route(p callers.Planned, _ []string) (string, *callers.Client, func(referee.End)) {
-	return s.Day.Agents[p.Agent], s.clients[p.Agent], func(referee.End) {}
+func (s *simulation) route(p callers.PlannedRequest, _ []string) (string, *callers.Client, func(referee.Outcome)) {
+	return s.Scenario.Agents[p.Agent], s.clients[p.Agent], func(referee.Outcome) {}
 }
 
 // fault is a fault of some endpoints between two times, in seconds.
-func fault(kind node.Kind, nodes int, from, to, size float64) emulator.FaultSpec {
+func fault(kind node.FaultKind, nodes int, from, to, size float64) emulator.FaultSpec {
 	return emulator.FaultSpec{Kind: string(kind), Nodes: nodes, From: seconds(from), To: seconds(to), Size: size}
 }
 
 // withFaults adds faults to a day.
-func withFaults(faults ...emulator.FaultSpec) func(*emulator.DaySpec) {
-	return func(d *emulator.DaySpec) { d.Faults = append(d.Faults, faults...) }
+func withFaults(faults ...emulator.FaultSpec) func(*emulator.ScenarioSpec) {
+	return func(d *emulator.ScenarioSpec) { d.Faults = append(d.Faults, faults...) }
 }
 
 // Endpoints, networks, discovery, clients and agents fail in one way at a time, or in several. In each scenario the rules hold,
@@ -227,7 +227,7 @@
 func TestRulesHoldInScenarios(t *testing.T) {
 	flap := fault(node.Flap, 2, 2, 9, 0)
 	flap.On, flap.Off = seconds(0.7), seconds(0.9)
-	neighbour := fault(node.Neighbour, 3, 2, 10, 0.7)
+	neighbour := fault(node.NoisyNeighbor, 3, 2, 10, 0.7)
 	neighbour.On, neighbour.Off = seconds(2), seconds(1.5)
 	bad := link.Conditions{Delay: 150 * time.Millisecond, Jitter: 20 * time.Millisecond, Loss: 0.1, Resend: 50 * time.Millisecond}
 	for name, sc := range map[string]scenario{
@@ -235,40 +235,42 @@
 		"a slow endpoint":              {changeDay: withFaults(fault(node.Slow, 1, 2, 10, 8)), minService: 0.85},
 		"fast errors":                  {changeDay: withFaults(fault(node.FastFail, 1, 2, 10, 0.9)), minService: 0.85},
 		"a neighbour":                  {changeDay: withFaults(neighbour), minService: 0.8},
-		"an endpoint vanishes":         {changeDay: withFaults(fault(node.Vanish, 1, 3, 9, 0)), minService: 0.85},
+		"an endpoint vanishes":         {changeDay: withFaults(fault(node.Blackhole, 1, 3, 9, 0)), minService: 0.85},
 		"resets":                       {changeDay: withFaults(fault(node.ResetConn, 5, 2, 10, 0.1)), minService: 0.8, verify: checkNoDuplicates},
 		"idle closes":                  {changeDay: withFaults(fault(node.IdleClose, 5, 1, 12, 1)), minService: 0.95, verify: checkNoDuplicates},
-		"corrupt answers":              {changeDay: withFaults(fault(node.Spoil, 5, 2, 10, 0.1)), minService: 0.8, verify: checkNoDuplicates},
-		"oversized answers":            {changeDay: withFaults(fault(node.Oversize, 5, 2, 10, 0.1)), minService: 0.8, verify: checkNoDuplicates},
-		"late answers":                 {changeDay: withFaults(fault(node.LateAnswers, 2, 2, 8, 1)), minService: 0.6},
+		"corrupt answers":              {changeDay: withFaults(fault(node.MalformedResponse, 5, 2, 10, 0.1)), minService: 0.8, verify: checkNoDuplicates},
+		"oversized answers":            {changeDay: withFaults(fault(node.OversizedResponse, 5, 2, 10, 0.1)), minService: 0.8, verify: checkNoDuplicates},
+		"late answers":                 {changeDay: withFaults(fault(node.DelayedResponse, 2, 2, 8, 1)), minService: 0.6},
 		"flapping":                     {changeDay: withFaults(flap), minService: 0.75},
 		"a drain":                      {changeDay: withFaults(fault(node.Drain, 2, 3, 8, 0)), minService: 0.9},
 		"a restart":                    {changeDay: withFaults(fault(node.Restart, 1, 3, 5, 0)), minService: 0.9},
 		"a replacement":                {changeDay: withFaults(fault(node.Replace, 2, 3, 4, 0)), minService: 0.85},
 		"a rolling restart":            {changeDay: withFaults(fault(node.Restart, 1, 1, 3, 0), fault(node.Restart, 1, 4, 6, 0), fault(node.Restart, 1, 7, 9, 0)), minService: 0.8},
 		"overlapping faults":           {changeDay: withFaults(fault(node.Slow, 1, 2, 10, 5), fault(node.FastFail, 1, 4, 9, 0.8), fault(node.Drain, 1, 5, 8, 0)), minService: 0.6},
-		"overload":                     {changeDay: func(d *emulator.DaySpec) { d.Load, d.Length = 2.2, seconds(6) }, minService: 0.25, verify: checkPromptRejections},
-		"a burst":                      {changeDay: func(d *emulator.DaySpec) { d.Shape, d.Swing, d.Period = "burst", 3, seconds(4) }, minService: 0.6},
-		"all in slow start":            {changeDay: func(d *emulator.DaySpec) { startAllInSlowStart(d); d.Load = 0.2 }, minService: 0.3},
-		"misbehaving and slow clients": {changeDay: func(d *emulator.DaySpec) { d.Clients.Slow = 0.2 }, beside: addMisbehavingClients, minService: 0.7},
-		"large answers":                {changeDay: func(d *emulator.DaySpec) { d.Answer, d.Load, d.Agents, d.Length = 300<<10, 0.1, 1, seconds(6) }, minService: 0.9},
-		"large requests":               {changeDay: func(d *emulator.DaySpec) { d.Body, d.Load, d.Agents = 200<<10, 0.1, 1 }, minService: 0.9},
-		"discovery is down":            {changeDay: withDiscoveryOutage(2, 9), minService: 0.95},
-		"a restart that no list reports": {changeDay: func(d *emulator.DaySpec) {
+		"overload":                     {changeDay: func(d *emulator.ScenarioSpec) { d.Load, d.Length = 2.2, seconds(6) }, minService: 0.25, verify: checkPromptRejections},
+		"a burst":                      {changeDay: func(d *emulator.ScenarioSpec) { d.Shape, d.Swing, d.Period = "burst", 3, seconds(4) }, minService: 0.6},
+		"all in slow start":            {changeDay: func(d *emulator.ScenarioSpec) { startAllInSlowStart(d); d.Load = 0.2 }, minService: 0.3},
+		"misbehaving and slow clients": {changeDay: func(d *emulator.ScenarioSpec) { d.Clients.SlowFraction = 0.2 }, beside: addMisbehavingClients, minService: 0.7},
+		"large answers": {changeDay: func(d *emulator.ScenarioSpec) {
+			d.ResponseBytes, d.Load, d.Agents, d.Length = 300<<10, 0.1, 1, seconds(6)
+		}, minService: 0.9},
+		"large requests":    {changeDay: func(d *emulator.ScenarioSpec) { d.RequestBytes, d.Load, d.Agents = 200<<10, 0.1, 1 }, minService: 0.9},
+		"discovery is down": {changeDay: withDiscoveryOutage(2, 9), minService: 0.95},
+		"a restart that no list reports": {changeDay: func(d *emulator.ScenarioSpec) {
 			withDiscoveryOutage(2, 9)(d)
 			withFaults(fault(node.Restart, 1, 3, 11, 0))(d)
 		}, minService: 0.85},
-		"discovery is slow":           {changeDay: func(d *emulator.DaySpec) { d.List.Rate = 3; withFaults(fault(node.Drain, 1, 3, 8, 0))(d) }, minService: 0.9},
+		"discovery is slow":           {changeDay: func(d *emulator.ScenarioSpec) { d.Discovery.Rate = 3; withFaults(fault(node.Drain, 1, 3, 8, 0))(d) }, minService: 0.9},
 		"nothing reaches an endpoint": {beside: func(s *simulation) { s.partitionOneWay(true) }, minService: 0.85},
 		"no answer comes back":        {beside: func(s *simulation) { s.partitionOneWay(false) }, minService: 0.85, verify: checkNoDuplicates},
 		"all connections break":       {beside: resetAllConnections, minService: 0.85, verify: checkNoDuplicates},
-		"lossy links to endpoints":    {changeDay: func(d *emulator.DaySpec) { d.Net.Loss = 0.02 }, minService: 0.5, verify: checkNoDuplicates},
-		"clients on poor links":       {changeDay: func(d *emulator.DaySpec) { d.Load = 0.1 }, beside: func(s *simulation) { s.setClientLinks(bad) }, verify: checkNoDuplicates},
+		"lossy links to endpoints":    {changeDay: func(d *emulator.ScenarioSpec) { d.Network.Loss = 0.02 }, minService: 0.5, verify: checkNoDuplicates},
+		"clients on poor links":       {changeDay: func(d *emulator.ScenarioSpec) { d.Load = 0.1 }, beside: func(s *simulation) { s.setClientLinks(bad) }, verify: checkNoDuplicates},
 		"operators drain an agent":    {beside: drainByOperator, minService: 0.9},
 		"an agent ends":               {beside: shutDownFirstAgent, verify: checkFirstAgentEnded},
 		"an agent is killed":          {beside: killFirstAgent, minService: 0.6},
 		"few descriptors":             {changeLimits: func(l *emulator.Limits) { l.Sockets = 128 }, minService: 0.9},
-		"little memory":               {changeDay: func(d *emulator.DaySpec) { d.Answer, d.Load, d.Length = 200<<10, 0.1, seconds(6) }, changeLimits: func(l *emulator.Limits) { l.MemoryMB = 20 }, minService: 0.9},
+		"little memory":               {changeDay: func(d *emulator.ScenarioSpec) { d.ResponseBytes, d.Load, d.Length = 200<<10, 0.1, seconds(6) }, changeLimits: func(l *emulator.Limits) { l.MemoryMB = 20 }, minService: 0.9},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -294,15 +296,17 @@
 }
 
 // startAllInSlowStart makes all endpoints begin in slow start.
-func startAllInSlowStart(d *emulator.DaySpec) {
+func startAllInSlowStart(d *emulator.ScenarioSpec) {
 	for i := range d.Kinds {
 		d.Kinds[i].SlowStart = true
 	}
 }
 
 // withDiscoveryOutage makes discovery unavailable between two times, in seconds.
-func withDiscoveryOutage(from, to float64) func(*emulator.DaySpec) {
-	return func(d *emulator.DaySpec) { d.Outages = []emulator.OutageSpec{{From: seconds(from), To: seconds(to)}} }
+func withDiscoveryOutage(from, to float64) func(*emulator.ScenarioSpec) {
+	return func(d *emulator.ScenarioSpec) {
+		d.Outages = []emulator.OutageSpec{{From: seconds(from), To: seconds(to)}}
+	}
 }
 
 // addMisbehavingClients adds clients that connect and send no valid requests.
@@ -319,7 +323,7 @@
 func (s *simulation) partitionOneWay(forth bool) {
 	time.Sleep(2 * time.Second)
 	for _, cut := range []bool{true, false} {
-		for _, a := range s.Day.Agents {
+		for _, a := range s.Scenario.Agents {
 			c := link.Conditions{Delay: time.Millisecond, Cut: cut}
 			if forth {
 				s.network.Set(a, "node-01", c)
@@ -335,8 +339,8 @@
 func resetAllConnections(s *simulation) {
 	for range 3 {
 		time.Sleep(2 * time.Second)
-		for _, a := range s.Day.Agents {
-			for _, n := range s.Day.Nodes {
+		for _, a := range s.Scenario.Agents {
+			for _, n := range s.Scenario.Nodes {
 				s.network.ResetBetween(a, n.ID)
 			}
 		}
@@ -345,15 +349,15 @@
 
 // setClientLinks sets the conditions between clients and agents.
 func (s *simulation) setClientLinks(c link.Conditions) {
-	for _, a := range s.Day.Agents {
-		s.network.Both("app-"+a, a, c)
+	for _, a := range s.Scenario.Agents {
+		s.network.SetBoth("app-"+a, a, c)
 	}
 }
 
 // callOperator sends a request to the operators' address and returns the status.
 func (s *simulation) callOperator(agent int, path string) int {
 	client := http.Client{Transport: &http.Transport{DialContext: s.network.Dialer("operator"), DisableKeepAlives: true}, Timeout: time.Second}
-	resp, err := client.Post("http://"+s.Day.Agents[agent]+":9000"+path, "", nil)
+	resp, err := client.Post("http://"+s.Scenario.Agents[agent]+":9000"+path, "", nil)
 	if err != nil {
 		return 0
 	}
@@ -397,8 +401,8 @@
 func killFirstAgent(s *simulation) {
 	time.Sleep(4 * time.Second)
 	from := s.Now()
-	s.Referee.Killed(s.Day.Agents[0], from, from+50*time.Millisecond) // first: callers see the closes as soon as the network makes them
-	s.network.Kill(s.Day.Agents[0])
+	s.Referee.AgentKilled(s.Scenario.Agents[0], from, from+50*time.Millisecond) // first: callers see the closes as soon as the network makes them
+	s.network.Kill(s.Scenario.Agents[0])
 	s.stop[0]()
 	<-s.finished[0]
 	s.start(0, emulator.DefaultLimits())
--- a/internal/agent/scripted_test.go
+++ b/internal/agent/scripted_test.go
@@ -55,8 +55,8 @@
 				p := peer.New(l, c.scripts...)
 				defer p.Close()
 				got, body := requestFromAgent(t, network, c.method, c.path)
-				if got != c.status || body != c.body || len(p.Seen()) != c.seen || p.AddFault() != nil {
-					t.Errorf("%d %q after %d requests, %v", got, body, len(p.Seen()), p.AddFault())
+				if got != c.status || body != c.body || len(p.Requests()) != c.seen || p.Err() != nil {
+					t.Errorf("%d %q after %d requests, %v", got, body, len(p.Requests()), p.Err())
 				}
 			})
 		})
--- a/internal/agent/soak_test.go
+++ b/internal/agent/soak_test.go
@@ -23,14 +23,14 @@
 	}
 	synctest.Test(t, func(t *testing.T) {
 		spec := baseDay()
-		spec.Agents, spec.Length, spec.Load, spec.KeepFor = 2, seconds(10), 0.2, seconds(20)
-		spec.List.Rate = 0
+		spec.Agents, spec.Length, spec.Load, spec.RetainFor = 2, seconds(10), 0.2, seconds(20)
+		spec.Discovery.Rate = 0
 		day, err := spec.Draw(5)
 		if err != nil {
 			t.Fatal(err)
 		}
 		network := link.NewNetwork(5)
-		w, err := emulator.Start(t.Context(), day, emulator.Memory{Network: network}, true)
+		w, err := emulator.Start(t.Context(), day, emulator.MemoryNetwork{Network: network}, true)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -42,13 +42,13 @@
 		for i := range day.Agents {
 			s.awaitReady(i)
 		}
-		w.Play()
+		w.InjectFaults()
 		type level struct{ heap, goroutines, connections float64 }
 		var thirds [3]level
 		served, sent := 0, 0
 		for round := range rounds {
-			plan, err := callers.Plan(callers.Spec{Classes: day.Classes, Tenants: day.Tenants, Rate: day.Rate, For: 10 * time.Second,
-				Shape: callers.Steady, Agents: []float64{3, 1}, Keys: 200, Zipf: 0.9, Hint: 0.2}, uint64(round)+1)
+			plan, err := callers.Plan(callers.Spec{Classes: day.Classes, Tenants: day.Tenants, Rate: day.Rate, Duration: 10 * time.Second,
+				Shape: callers.Steady, Agents: []float64{3, 1}, Keys: 200, Zipf: 0.9, CostHintError: 0.2}, uint64(round)+1)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -61,8 +61,8 @@
 				defer close(replaced)
 				w.Replace(round%len(day.Nodes), 2*time.Second)
 			}()
-			calls, _ := callers.Run(t.Context(), callers.Config{Plan: plan, Classes: day.Classes, Tenants: day.Tenants, Habits: day.ClientsAt,
-				Route: s.route, Referee: w.Referee, Epoch: w.Epoch, Answer: 400, Body: 200, Prefix: uint64(round) + 1})
+			calls, _ := callers.Run(t.Context(), callers.Config{Plan: plan, Classes: day.Classes, Tenants: day.Tenants, ClientProfileAt: day.ClientProfileAt,
+				Route: s.route, Referee: w.Referee, Epoch: w.Epoch, ResponseBytes: 400, RequestBytes: 200, IDPrefix: uint64(round) + 1})
 			<-replaced
 			for _, c := range calls {
 				if sent++; c.Answered {
@@ -91,8 +91,8 @@
 		if last.heap > 1.05*second.heap+0.3 || last.goroutines > 1.1*second.goroutines+3 || last.connections > 1.1*second.connections+3 {
 			t.Errorf("resources grow: %.2f", thirds)
 		}
-		if a := w.Referee.Account(); !a.Held() || served < sent*9/10 {
-			t.Errorf("%d of %d served; %+v %v", served, sent, a, w.Referee.Breaches())
+		if a := w.Referee.Account(); !a.RulesHold() || served < sent*9/10 {
+			t.Errorf("%d of %d served; %+v %v", served, sent, a, w.Referee.Violations())
 		}
 		if code := s.get(s.addrs[0], "/ready"); code != http.StatusOK {
 			t.Errorf("in the end /ready says %d", code)
--- a/internal/discovery/fleet_test.go
+++ b/internal/discovery/fleet_test.go
@@ -112,11 +112,11 @@
 	before := f.server.Figures()
 	time.Sleep(time.Minute)
 	after := f.server.Figures()
-	requests := after.Whole + after.Watches - before.Whole - before.Watches
+	requests := after.FullLists + after.Watches - before.FullLists - before.Watches
 	agents := float64(len(f.clients))
 	f.t.Logf("%v agents: %.1f requests a second, %.2f a minute of each", agents, float64(requests)/60, float64(requests)/agents)
-	if requests > max(70, 40*60) || after.Refused > before.Refused {
-		f.t.Errorf("%d requests in a quiet minute, %d rejected", requests, after.Refused-before.Refused)
+	if requests > max(70, 40*60) || after.Rejected > before.Rejected {
+		f.t.Errorf("%d requests in a quiet minute, %d rejected", requests, after.Rejected-before.Rejected)
 	}
 }
 
@@ -137,15 +137,15 @@
 // their requests are rejected on the way.
 func (f *testFleet) checkOutage() {
 	f.t.Helper()
-	f.server.Outage(true)
+	f.server.SetOutage(true)
 	time.Sleep(30 * time.Second)
 	f.set("s2", discovery.Removed)
 	f.set("s2-new", discovery.Ready)
 	time.Sleep(30 * time.Second)
-	f.server.Outage(false)
+	f.server.SetOutage(false)
 	endedAt, before := time.Now(), f.server.Figures()
 	time.Sleep(2 * time.Minute)
-	rejected := f.server.Figures().Refused - before.Refused
+	rejected := f.server.Figures().Rejected - before.Rejected
 	longest := f.lastNotified("s2-new", logic.Ready, endedAt)
 	f.t.Logf("the last agent was notified %v after the outage, %d requests were rejected in the time after it", longest, rejected)
 	// An agent that is rejected waits again, for MaxRetryInterval at most. With more agents than discovery serves in twice the
--- a/internal/emulator/backend/backend.go
+++ b/internal/emulator/backend/backend.go
@@ -19,27 +19,27 @@
 	"ryeweir/internal/emulator/node"
 )
 
-// Watcher sees what happens at a node. Its methods are called without a lock of the backend's.
-type Watcher interface {
-	Known(id string) bool // whether a caller sent such a request
-	Came(id, node string, first time.Duration)
-	Began(id, node string, at time.Duration)
-	Made(id string, sum uint64)
+// Observer sees what happens at a node. Its methods are called without a lock of the backend's.
+type Observer interface {
+	KnownRequest(id string) bool // whether a caller sent such a request
+	RequestArrived(id, node string, first time.Duration)
+	ExecutionStarted(id, node string, at time.Duration)
+	ResponseProduced(id string, sum uint64)
 	SlowStartOverloaded(node string, at time.Duration)
 }
 
 // Config is what a backend is given.
 type Config struct {
-	Listen func() (net.Listener, error) // called at each start of the process
-	Epoch  time.Time                    // when the node's time is 0
-	Watch  Watcher                      // may be nil
+	Listen   func() (net.Listener, error) // called at each start of the process
+	Epoch    time.Time                    // when the node's time is 0
+	Observer Observer                     // may be nil
 	// Unsaid says whether who sent a request had not been told of the node's life that began then; may be nil.
-	Unsaid   func(id, node string, started time.Duration) bool
-	Strict   bool          // a request that no caller sent gets 400
-	IdleFor  time.Duration // connections idle for so long are closed; 0 for never
-	Via      string        // how load is reported: piggyback, pull or silent
-	Fields   []string      // of a load report
-	MaxConns int           // connections that are served at a time; 0 for 4,096
+	Unnotified       func(id, node string, started time.Duration) bool
+	RejectUnknown    bool          // a request that no caller sent gets 400
+	IdleTimeout      time.Duration // connections idle for so long are closed; 0 for never
+	LoadReportMode   string        // how load is reported: piggyback, pull or silent
+	LoadReportFields []string      // of a load report
+	MaxConns         int           // connections that are served at a time; 0 for 4,096
 }
 
 const (
@@ -73,7 +73,7 @@
 // attempt is a request that the node has accepted.
 type attempt struct {
 	id   string
-	done chan node.Done // one place
+	done chan node.Completion // one place
 }
 
 // Start starts a backend with its node's first life.
@@ -159,18 +159,18 @@
 
 // State is what a node is at present, for reports and for those who may see everything.
 type State struct {
-	ID       string
-	Up       bool
-	InFlight int
-	Conns    int
-	Capacity float64 // work a second
-	Failing  float64 // share of what is sent that comes to nothing
-	Backlog  time.Duration
-	Cores    int
-	Room     bool // another request would find a place
-	Choked   bool
-	Toppled  bool
-	Figures  node.Figures // of all its lives
+	ID              string
+	Up              bool
+	InFlight        int
+	Conns           int
+	Capacity        float64 // work a second
+	FailureFraction float64 // share of what is sent that comes to nothing
+	Backlog         time.Duration
+	Cores           int
+	HasCapacity     bool // another request would find a place
+	Degraded        bool
+	Overloaded      bool
+	Figures         node.Figures // of all its lives
 }
 
 // State returns what the node is at present.
@@ -180,8 +180,8 @@
 	s := State{ID: b.node.ID, Up: b.listener != nil, Figures: b.past}
 	if s.Up {
 		s.InFlight, s.Conns, s.Capacity = b.node.InFlight(), b.node.Conns(), b.node.Capacity()
-		s.Choked, s.Toppled, s.Failing = b.node.Choked(), b.node.Overloaded(), b.node.Failing()
-		s.Backlog, s.Cores, s.Room = b.node.Backlog(), b.node.Cores, b.node.Room()
+		s.Degraded, s.Overloaded, s.FailureFraction = b.node.Degraded(), b.node.Overloaded(), b.node.FailureFraction()
+		s.Backlog, s.Cores, s.HasCapacity = b.node.Backlog(), b.node.Cores, b.node.HasCapacity()
 		s.Figures = s.Figures.Add(b.node.Figures())
 	}
 	return s
@@ -222,14 +222,14 @@
 		}
 		b.mu.Lock()
 		events := b.settle()
-		next := b.node.Next()
-		toppled := b.node.Blame() && !b.told // else nobody could know that it is cold
+		next := b.node.NextEvent()
+		toppled := b.node.OverloadWasAvoidable() && !b.told // else nobody could know that it is cold
 		b.told = b.told || toppled
 		id := b.node.ID
 		b.mu.Unlock()
 		events()
-		if toppled && b.cfg.Watch != nil {
-			b.cfg.Watch.SlowStartOverloaded(id, b.now())
+		if toppled && b.cfg.Observer != nil {
+			b.cfg.Observer.SlowStartOverloaded(id, b.now())
 		}
 		timer.Reset(max(0, next-b.now()))
 	}
@@ -239,7 +239,7 @@
 func (b *Backend) settle() (tell func()) {
 	now := b.now()
 	done := b.node.Advance(now)
-	began := b.node.Began()
+	began := b.node.TakeStarted()
 	id := b.node.ID
 	var started []string
 	for _, t := range began {
@@ -254,9 +254,9 @@
 		}
 	}
 	return func() {
-		if b.cfg.Watch != nil {
+		if b.cfg.Observer != nil {
 			for _, s := range started {
-				b.cfg.Watch.Began(s, id, now)
+				b.cfg.Observer.ExecutionStarted(s, id, now)
 			}
 		}
 	}
@@ -269,7 +269,7 @@
 	b.mu.Lock()
 	for c := range b.conns {
 		if since := c.idleSince; !since.IsZero() &&
-			(b.cfg.IdleFor > 0 && now.Sub(since) >= b.cfg.IdleFor || now.Sub(since) > 0 && b.node.CloseIdle(min(span, now.Sub(since)))) {
+			(b.cfg.IdleTimeout > 0 && now.Sub(since) >= b.cfg.IdleTimeout || now.Sub(since) > 0 && b.node.CloseIdle(min(span, now.Sub(since)))) {
 			old = append(old, c)
 		}
 	}
@@ -291,16 +291,16 @@
 		}
 		c := &conn{Conn: raw, backend: b, idleSince: time.Now()}
 		b.mu.Lock()
-		welcome := node.Refused
+		welcome := node.ConnRefused
 		if b.listener == l && len(b.conns) < b.cfg.MaxConns {
 			welcome = b.node.Connect(b.now())
 		}
-		if welcome != node.Refused {
-			c.node, c.full = b.node, welcome == node.Full
+		if welcome != node.ConnRefused {
+			c.node, c.full = b.node, welcome == node.ConnTableFull
 			b.conns[c] = struct{}{}
 		}
 		b.mu.Unlock()
-		if welcome == node.Refused {
+		if welcome == node.ConnRefused {
 			c.reset()
 			continue
 		}
@@ -432,7 +432,7 @@
 	if n := len(text); n > 1 {
 		if x, err := strconv.ParseFloat(text[:n-1], 64); err == nil && x > 0 {
 			unit := map[byte]time.Duration{'m': time.Millisecond, 'u': time.Microsecond}[text[n-1]]
-			w.Until = r.first + time.Duration(x*float64(unit))
+			w.Deadline = r.first + time.Duration(x*float64(unit))
 		}
 	}
 	return w, int(min(largest, figures[attrAnswer]))
@@ -448,19 +448,19 @@
 	if id == "" {
 		return c.say(http.StatusNotFound, "", "no id\n")
 	}
-	if b.cfg.Strict && b.cfg.Watch != nil && !b.cfg.Watch.Known(id) {
+	if b.cfg.RejectUnknown && b.cfg.Observer != nil && !b.cfg.Observer.KnownRequest(id) {
 		return c.say(http.StatusBadRequest, "", "nobody sent this id\n")
 	}
-	if b.cfg.Watch != nil {
-		b.cfg.Watch.Came(id, c.node.ID, r.first)
+	if b.cfg.Observer != nil {
+		b.cfg.Observer.RequestArrived(id, c.node.ID, r.first)
 	}
 	if c.full {
 		c.say(http.StatusServiceUnavailable, "X-Not-Processed: 1\r\nConnection: close\r\n", "")
 		return false
 	}
 	w, size := b.work(r)
-	w.Unnotified = b.cfg.Unsaid != nil && b.cfg.Unsaid(id, c.node.ID, c.node.Started) // c.node's ID and start do not change
-	a := &attempt{id: id, done: make(chan node.Done, 1)}
+	w.Unnotified = b.cfg.Unnotified != nil && b.cfg.Unnotified(id, c.node.ID, c.node.Started) // c.node's ID and start do not change
+	a := &attempt{id: id, done: make(chan node.Completion, 1)}
 	b.mu.Lock()
 	if c.node != b.node || b.listener == nil {
 		b.mu.Unlock()
@@ -477,18 +477,18 @@
 	b.mu.Unlock()
 	b.poke()
 	tell()
-	if ran && b.cfg.Watch != nil {
-		b.cfg.Watch.Began(id, c.node.ID, b.now())
+	if ran && b.cfg.Observer != nil {
+		b.cfg.Observer.ExecutionStarted(id, c.node.ID, b.now())
 	}
 	switch verdict {
 	case node.Rejected:
 		return c.say(http.StatusServiceUnavailable, "X-Not-Processed: 1\r\n"+c.report(), "")
 	case node.FailedFast:
 		return c.say(http.StatusInternalServerError, c.report(), "an error\n")
-	case node.Broken:
+	case node.ConnReset:
 		c.reset()
 		return false
-	case node.Ignored:
+	case node.NoResponse:
 		<-ended
 		return false
 	}
@@ -508,7 +508,7 @@
 }
 
 // finish gives the answer of work that has ended.
-func (c *conn) finish(id string, ticket uint64, size int, d node.Done, ended <-chan struct{}) bool {
+func (c *conn) finish(id string, ticket uint64, size int, d node.Completion, ended <-chan struct{}) bool {
 	b := c.backend
 	if wait := d.At - b.now(); wait > 0 {
 		t := time.NewTimer(wait)
@@ -520,7 +520,7 @@
 		}
 	}
 	b.mu.Lock()
-	silent := c.node.Silent()
+	silent := c.node.Unresponsive()
 	b.mu.Unlock()
 	switch {
 	case silent:
@@ -530,7 +530,7 @@
 		return c.say(http.StatusGatewayTimeout, "X-Not-Processed: 1\r\n"+c.report(), "")
 	case !d.OK:
 		return c.say(http.StatusInternalServerError, c.report(), "an error\n")
-	case d.Form == node.Spoilt:
+	case d.Form == node.Malformed:
 		_, err := io.WriteString(c, "HTTP/1.1 2\x00\x01 spoilt\r\nContent-Len")
 		return err == nil
 	case d.Form == node.Oversized:
@@ -538,10 +538,10 @@
 		return err == nil
 	}
 	text := body(id, c.node.ID, ticket, size)
-	if b.cfg.Watch != nil {
-		sum := NewSum()
+	if b.cfg.Observer != nil {
+		sum := NewBodyHash()
 		io.WriteString(sum, text)
-		b.cfg.Watch.Made(id, sum.Sum64())
+		b.cfg.Observer.ResponseProduced(id, sum.Sum64())
 	}
 	return c.say(http.StatusOK, c.report(), text)
 }
@@ -556,12 +556,12 @@
 	return head + strings.Repeat(line, (size-len(head))/len(line)+1)[:size-len(head)]
 }
 
-// NewSum sums up an answer's body, for callers and nodes to compare.
-func NewSum() hash.Hash64 { return fnv.New64a() }
+// NewBodyHash sums up an answer's body, for callers and nodes to compare.
+func NewBodyHash() hash.Hash64 { return fnv.New64a() }
 
 // report is the header with the load, where answers bring it.
 func (c *conn) report() string {
-	if c.backend.cfg.Via != "piggyback" {
+	if c.backend.cfg.LoadReportMode != "piggyback" {
 		return ""
 	}
 	c.backend.mu.Lock()
@@ -579,10 +579,10 @@
 	if !ok {
 		return "", false
 	}
-	values := map[string]float64{"qps": l.Rate, "util": l.Util, "inflight": float64(c.node.InFlight()), "eps": 0,
+	values := map[string]float64{"qps": l.Rate, "util": l.Utilization, "inflight": float64(c.node.InFlight()), "eps": 0,
 		"queue": float64(c.node.Waiting()), "latency_ms": 0}
 	var parts []string
-	for _, f := range c.backend.cfg.Fields {
+	for _, f := range c.backend.cfg.LoadReportFields {
 		parts = append(parts, f+"="+strconv.FormatFloat(values[f], 'g', 4, 64))
 	}
 	return strings.Join(parts, ","), true
@@ -591,12 +591,12 @@
 // probe answers a probe.
 func (c *conn) probe(r incoming) bool {
 	b := c.backend
-	if b.cfg.Via == "silent" {
+	if b.cfg.LoadReportMode == "silent" {
 		return c.say(http.StatusNotFound, "", "")
 	}
 	b.mu.Lock()
-	silent := c.node.Silent()
-	ok := c.node.Probe(b.now())
+	silent := c.node.Unresponsive()
+	ok := c.node.HealthCheck(b.now())
 	text, _ := c.load()
 	b.mu.Unlock()
 	switch {
--- a/internal/emulator/callers/client.go
+++ b/internal/emulator/callers/client.go
@@ -41,21 +41,21 @@
 	tellsMost = 10 * time.Second // come-back times beyond this are no use to anybody
 )
 
-// Message is a request on the wire.
-type Message struct {
+// Request is a request on the wire.
+type Request struct {
 	ID, Class, Tenant, Key string
-	Once                   bool
+	NonIdempotent          bool
 	Timeout                time.Duration
-	Hint, Work             time.Duration
-	Answer                 int           // bytes wanted
+	CostHint, Work         time.Duration
+	ResponseBytes          int           // bytes wanted
 	Body                   string        // of one that must not be repeated
-	Pace                   time.Duration // a slow caller: between pieces of the request
+	WriteInterval          time.Duration // a slow caller: between pieces of the request
 }
 
-func (m Message) text(host string) string {
+func (m Request) text(host string) string {
 	var b strings.Builder
 	method := http.MethodGet
-	if m.Once {
+	if m.NonIdempotent {
 		method = http.MethodPost
 	}
 	fmt.Fprintf(&b, "%s /%s HTTP/1.1\r\nHost: %s\r\nX-Request-ID: %s\r\nX-Timeout: %du\r\n", method, m.Class, host, m.ID, m.Timeout.Microseconds())
@@ -65,41 +65,41 @@
 	if m.Key != "" {
 		b.WriteString("X-Route-Key: " + m.Key + "\r\n")
 	}
-	if m.Hint > 0 {
-		b.WriteString("X-Cost: " + strconv.FormatInt(m.Hint.Microseconds(), 10) + "\r\n")
+	if m.CostHint > 0 {
+		b.WriteString("X-Cost: " + strconv.FormatInt(m.CostHint.Microseconds(), 10) + "\r\n")
 	}
 	fmt.Fprintf(&b, "X-Attrs: work=%d", m.Work.Microseconds())
-	if m.Answer > 0 {
-		fmt.Fprintf(&b, ",answer=%d", m.Answer)
+	if m.ResponseBytes > 0 {
+		fmt.Fprintf(&b, ",answer=%d", m.ResponseBytes)
 	}
 	b.WriteString("\r\n")
-	if m.Once {
+	if m.NonIdempotent {
 		fmt.Fprintf(&b, "Content-Length: %d\r\n", len(m.Body))
 	}
 	b.WriteString("\r\n")
-	if m.Once {
+	if m.NonIdempotent {
 		b.WriteString(m.Body)
 	}
 	return b.String()
 }
 
-// Answer is how a request ended.
-type Answer struct {
-	End      referee.End
-	Status   int
-	Sum      uint64 // of the body of a 200
-	Bytes    int64
-	ComeBack time.Duration
-	Sent     time.Time // when its last byte was written
+// Response is how a request ended.
+type Response struct {
+	Outcome    referee.Outcome
+	Status     int
+	BodyHash   uint64 // of the body of a 200
+	Bytes      int64
+	RetryAfter time.Duration
+	Sent       time.Time // when its last byte was written
 }
 
 // Send sends a request and waits for its answer until the context ends. sentOn is asked, where a kept connection has
 // closed with nothing said, whether the request went on to a node: then it had been read.
-func (c *Client) Send(ctx context.Context, m Message, sentOn func() bool) Answer {
+func (c *Client) Send(ctx context.Context, m Request, sentOn func() bool) Response {
 	for again := false; ; again = true {
 		conn, kept, err := c.conn(ctx, again)
 		if err != nil {
-			return Answer{End: referee.Unsent}
+			return Response{Outcome: referee.NotSent}
 		}
 		a, keep := conn.exchange(ctx, m, c.Addr)
 		if keep {
@@ -107,7 +107,7 @@
 		} else {
 			conn.Close()
 		}
-		crossed := a.End == referee.Closed || a.End == referee.Unsent
+		crossed := a.Outcome == referee.ConnectionClosed || a.Outcome == referee.NotSent
 		if !crossed || !kept || again || sentOn() || ctx.Err() != nil {
 			return a
 		}
@@ -155,57 +155,57 @@
 }
 
 // exchange sends a request and reads its answer.
-func (c *clientConn) exchange(ctx context.Context, m Message, host string) (a Answer, keep bool) {
+func (c *clientConn) exchange(ctx context.Context, m Request, host string) (a Response, keep bool) {
 	if c.SetDeadline(time.Time{}) != nil {
-		return Answer{End: referee.Unsent}, false
+		return Response{Outcome: referee.NotSent}, false
 	}
 	stop := context.AfterFunc(ctx, func() { c.SetDeadline(time.Unix(1, 0)) })
 	defer func() { keep = stop() && keep }()
 	if err := c.write(ctx, m, host); err != nil {
 		// An answer may have come before all was sent.
 		if ctx.Err() != nil {
-			return Answer{End: referee.Unsent}, false
+			return Response{Outcome: referee.NotSent}, false
 		}
 	}
 	a.Sent = time.Now()
 	if _, err := c.in.Peek(1); err != nil {
 		if errors.Is(err, os.ErrDeadlineExceeded) {
-			a.End = referee.Nothing
+			a.Outcome = referee.TimedOut
 		} else {
-			a.End = referee.Closed
+			a.Outcome = referee.ConnectionClosed
 		}
 		return a, false
 	}
 	resp, err := http.ReadResponse(c.in, nil)
 	if err != nil {
-		a.End = begun(err)
+		a.Outcome = begun(err)
 		return a, false
 	}
-	sum := backend.NewSum()
+	sum := backend.NewBodyHash()
 	a.Bytes, err = io.Copy(sum, io.LimitReader(resp.Body, mostBody))
 	a.Status = resp.StatusCode
 	if err != nil {
-		a.End = begun(err)
+		a.Outcome = begun(err)
 		return a, false
 	}
 	switch resp.StatusCode {
 	case http.StatusOK:
-		a.End, a.Sum = referee.Served, sum.Sum64()
+		a.Outcome, a.BodyHash = referee.Served, sum.Sum64()
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
-		a.End = referee.Refused
+		a.Outcome = referee.Rejected
 		if s, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64); err == nil && s > 0 {
-			a.ComeBack = time.Duration(min(s, tellsMost.Seconds()) * float64(time.Second))
+			a.RetryAfter = time.Duration(min(s, tellsMost.Seconds()) * float64(time.Second))
 		}
 	default:
-		a.End = referee.Failed
+		a.Outcome = referee.Failed
 	}
 	return a, !resp.Close
 }
 
 // begun is the end of an answer that had begun and is not whole.
-func begun(err error) referee.End {
+func begun(err error) referee.Outcome {
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		return referee.Nothing
+		return referee.TimedOut
 	}
 	return referee.Failed
 }
@@ -213,9 +213,9 @@
 // pieces is how many pieces a slow caller sends a request in.
 const pieces = 8
 
-func (c *clientConn) write(ctx context.Context, m Message, host string) error {
+func (c *clientConn) write(ctx context.Context, m Request, host string) error {
 	text := m.text(host)
-	if m.Pace == 0 {
+	if m.WriteInterval == 0 {
 		_, err := io.WriteString(c, text)
 		return err
 	}
@@ -223,7 +223,7 @@
 		if _, err := io.WriteString(c, text[len(text)*i/pieces:len(text)*(i+1)/pieces]); err != nil {
 			return err
 		}
-		if i < pieces-1 && !Sleep(ctx, m.Pace) {
+		if i < pieces-1 && !Sleep(ctx, m.WriteInterval) {
 			return ctx.Err()
 		}
 	}
--- a/internal/emulator/callers/habits.go
+++ b/internal/emulator/callers/habits.go
@@ -14,31 +14,31 @@
 	Backoff                time.Duration // before a further try
 	RetryAfterFraction     float64       // share of clients that stay away for as long as a refusal says
 	MaxRetryAfter          time.Duration // the longest come-back time that they heed
-	Impatient              float64       // share of clients that leave a try early, at a time drawn evenly
+	ImpatientFraction      float64       // share of clients that leave a try early, at a time drawn evenly
 }
 
-// Journey is a customer's request on its way through the tries of its client. It has no I/O and no clock: the runner tells
+// Call is a customer's request on its way through the tries of its client. It has no I/O and no clock: the runner tells
 // it how a try ended, and it says what comes next.
-type Journey struct {
-	Planned
+type Call struct {
+	PlannedRequest
 	Class           Class
 	profile         ClientProfile
 	rng             *rand.Rand
 	heedsRetryAfter bool
 	Attempts        int
-	result          referee.Call
+	result          referee.CallResult
 }
 
-// NewJourney begins a journey.
-func NewJourney(p Planned, c Class, h ClientProfile) *Journey {
+// NewCall begins a journey.
+func NewCall(p PlannedRequest, c Class, h ClientProfile) *Call {
 	rng := rand.New(rand.NewPCG(p.Seed, 0x68616269))
-	return &Journey{Planned: p, Class: c, profile: h, rng: rng, heedsRetryAfter: rng.Float64() < h.RetryAfterFraction,
-		result: referee.Call{At: p.At, Agent: p.Agent, Class: p.Class, Tenant: p.Tenant, PriorityWeight: p.PriorityWeight, LateWeight: c.LateWeight, LatencyObjective: c.LatencyObjective}}
+	return &Call{PlannedRequest: p, Class: c, profile: h, rng: rng, heedsRetryAfter: rng.Float64() < h.RetryAfterFraction,
+		result: referee.CallResult{At: p.At, Agent: p.Agent, Class: p.Class, Tenant: p.Tenant, PriorityWeight: p.PriorityWeight, LateWeight: c.LateWeight, LatencyObjective: c.LatencyObjective}}
 }
 
 // Attempt begins a try at a time and says how long the client waits for it, and when it leaves without a word (at the end of
 // that, or earlier where it is impatient). 0 says that there is no time for another.
-func (j *Journey) Attempt(now time.Duration) (wait, leaves time.Duration) {
+func (j *Call) Attempt(now time.Duration) (wait, leaves time.Duration) {
 	left := j.At + j.Class.Deadline - now
 	wait = min(left, time.Duration(j.profile.AttemptTimeoutFraction*float64(j.Class.Deadline)))
 	if j.profile.Retries == 0 || j.profile.AttemptTimeoutFraction == 0 {
@@ -49,20 +49,20 @@
 	}
 	j.Attempts++
 	leaves = wait
-	if j.rng.Float64() < j.profile.Impatient {
+	if j.rng.Float64() < j.profile.ImpatientFraction {
 		leaves = time.Duration(j.rng.Float64() * float64(wait))
 	}
 	return wait, leaves
 }
 
 // Ended takes the end of a try. It returns when the next one is to begin; over says that there is none.
-func (j *Journey) Ended(now time.Duration, end referee.End, comeBack time.Duration) (next time.Duration, over bool) {
+func (j *Call) Ended(now time.Duration, end referee.Outcome, comeBack time.Duration) (next time.Duration, over bool) {
 	j.result.Attempts = j.Attempts
 	switch end {
 	case referee.Served:
 		j.result.Answered, j.result.Latency = true, now-j.At
 		return 0, true
-	case referee.Refused, referee.Unsent:
+	case referee.Rejected, referee.NotSent:
 	default: // it may have run: only what is safe is asked again
 		if j.Class.NonIdempotent {
 			return 0, true
@@ -72,7 +72,7 @@
 		return 0, true
 	}
 	wait := j.profile.Backoff
-	if j.heedsRetryAfter && end == referee.Refused {
+	if j.heedsRetryAfter && end == referee.Rejected {
 		wait = max(wait, min(comeBack, j.profile.MaxRetryAfter))
 	}
 	next = now + wait
@@ -80,4 +80,4 @@
 }
 
 // Result is what came of it.
-func (j *Journey) Result() referee.Call { return j.result }
+func (j *Call) Result() referee.CallResult { return j.result }
--- a/internal/emulator/callers/plan.go
+++ b/internal/emulator/callers/plan.go
@@ -43,36 +43,36 @@
 
 // Spec says what is asked.
 type Spec struct {
-	Classes []Class
-	Tenants []Tenant
-	Rate    float64 // requests a second, for all agents
-	For     time.Duration
-	Shape   Shape
-	Swing   float64
-	Period  time.Duration
-	Agents  []float64 // the share of each agent
-	Keys    int       // distinct keys; 0 for none
-	Zipf    float64   // how much more popular the first keys are; 0 for all alike
-	Hint    float64   // relative standard deviation of the cost hint; below 0 for no hint
-	Most    int       // requests at most; 0 for 200,000
-	Shifts  []Shift   // may be empty
+	Classes       []Class
+	Tenants       []Tenant
+	Rate          float64 // requests a second, for all agents
+	Duration      time.Duration
+	Shape         Shape
+	Swing         float64
+	Period        time.Duration
+	Agents        []float64      // the share of each agent
+	Keys          int            // distinct keys; 0 for none
+	Zipf          float64        // how much more popular the first keys are; 0 for all alike
+	CostHintError float64        // relative standard deviation of the cost hint; below 0 for no hint
+	MaxRequests   int            // requests at most; 0 for 200,000
+	Shifts        []TrafficShift // may be empty
 }
 
-// Shift multiplies what is asked of each agent for a while.
-type Shift struct {
+// TrafficShift multiplies what is asked of each agent for a while.
+type TrafficShift struct {
 	From, To time.Duration
-	Times    []float64 // an agent each
+	Factors  []float64 // an agent each
 }
 
-// DefaultMost is how many requests a plan holds at most where its spec does not say.
-const DefaultMost = 200_000
+// DefaultMaxRequests is how many requests a plan holds at most where its spec does not say.
+const DefaultMaxRequests = 200_000
 
 // Check says what is wrong with a spec.
 func (s Spec) Check() error {
 	if len(s.Classes) == 0 || len(s.Agents) == 0 {
 		return errors.New("there must be a class and an agent")
 	}
-	if !(s.Rate > 0) || s.Rate > 1e6 || s.For <= 0 {
+	if !(s.Rate > 0) || s.Rate > 1e6 || s.Duration <= 0 {
 		return fmt.Errorf("the rate must be above 0 and at most 1,000,000, not %v, and last for a while", s.Rate)
 	}
 	if !slices.Contains([]Shape{Steady, Wave, Burst, Ramp}, s.Shape) {
@@ -94,8 +94,8 @@
 	return nil
 }
 
-// Planned is something to ask: a customer's request, before any try.
-type Planned struct {
+// PlannedRequest is something to ask: a customer's request, before any try.
+type PlannedRequest struct {
 	Number         int
 	At             time.Duration
 	Agent          int
@@ -103,19 +103,19 @@
 	Tenant         int // -1 without tenants
 	Key            string
 	Work           time.Duration
-	Hint           time.Duration // 0 without one
+	CostHint       time.Duration // 0 without one
 	PriorityWeight float64       // its class's, for as much work as it is
 	Seed           uint64        // for what its client draws
 }
 
 // Plan draws what is asked, in the order of time. Arrivals are a Poisson process whose rate follows the shape.
-func Plan(s Spec, seed uint64) ([]Planned, error) {
+func Plan(s Spec, seed uint64) ([]PlannedRequest, error) {
 	if err := s.Check(); err != nil {
 		return nil, err
 	}
-	most := s.Most
+	most := s.MaxRequests
 	if most == 0 {
-		most = DefaultMost
+		most = DefaultMaxRequests
 	}
 	rng := rand.New(rand.NewPCG(seed, 0x63616c6c))
 	highest := s.Rate
@@ -126,11 +126,11 @@
 	agents, times, until := s.shares(0)
 	highest *= s.mostShift()
 	keys := zipf(s.Keys, s.Zipf)
-	var out []Planned
+	var out []PlannedRequest
 	for at := 0.0; ; {
 		at += rng.ExpFloat64() / highest // thinned to the rate at that time
 		now := time.Duration(at * 1e9)
-		if now >= s.For {
+		if now >= s.Duration {
 			return out, nil
 		}
 		if now >= until {
@@ -142,7 +142,7 @@
 		if len(out) == most {
 			return nil, fmt.Errorf("more than %d requests: lower the rate or the time", most)
 		}
-		p := Planned{Number: len(out), At: now, Agent: choose(rng, agents), Class: choose(rng, classes), Tenant: -1, Seed: rng.Uint64()}
+		p := PlannedRequest{Number: len(out), At: now, Agent: choose(rng, agents), Class: choose(rng, classes), Tenant: -1, Seed: rng.Uint64()}
 		if len(tenants) > 0 {
 			p.Tenant = choose(rng, tenants)
 		}
@@ -152,8 +152,8 @@
 		c := s.Classes[p.Class]
 		p.Work = work(rng, c)
 		p.PriorityWeight = c.PriorityWeight * float64(p.Work) / float64(c.Work)
-		if s.Hint >= 0 {
-			p.Hint = max(time.Microsecond, time.Duration(float64(p.Work)*math.Exp(s.Hint*rng.NormFloat64())))
+		if s.CostHintError >= 0 {
+			p.CostHint = max(time.Microsecond, time.Duration(float64(p.Work)*math.Exp(s.CostHintError*rng.NormFloat64())))
 		}
 		out = append(out, p)
 	}
@@ -170,7 +170,7 @@
 		} else if at < shift.To {
 			until = min(until, shift.To)
 			for i := range shares {
-				shares[i] *= shift.Times[i]
+				shares[i] *= shift.Factors[i]
 			}
 		}
 	}
@@ -202,7 +202,7 @@
 			return s.Rate * (1 + s.Swing)
 		}
 	case Ramp:
-		return s.Rate * (1 + s.Swing*float64(at)/float64(s.For))
+		return s.Rate * (1 + s.Swing*float64(at)/float64(s.Duration))
 	}
 	return s.Rate
 }
--- a/internal/emulator/callers/run.go
+++ b/internal/emulator/callers/run.go
@@ -12,24 +12,24 @@
 )
 
 // Route says where a try goes. done is told how it ended.
-type Route func(p Planned, tried []string) (to string, client *Client, done func(referee.End))
+type Route func(p PlannedRequest, tried []string) (to string, client *Client, done func(referee.Outcome))
 
 // Config is what a run is given.
 type Config struct {
-	Plan    []Planned
-	Classes []Class
-	Tenants []Tenant
-	Habits  func(at time.Duration) ClientProfile // of a client whose request is planned for then
-	Route   Route
-	Referee *referee.Referee
-	Epoch   time.Time // when the plan's time is 0
-	Direct  bool      // tries go straight to nodes, past any agent
-	Most    int       // journeys open at a time; 0 for 20,000
-	Answer  int       // bytes wanted of each answer
-	Body    int       // bytes of a request that must not be repeated
-	Slow    float64   // share of clients that take their time over a request
-	Prefix  uint64    // of the ids, so that several runs against one agent don't mix them up
-	Done    func(referee.Call)
+	Plan            []PlannedRequest
+	Classes         []Class
+	Tenants         []Tenant
+	ClientProfileAt func(at time.Duration) ClientProfile // of a client whose request is planned for then
+	Route           Route
+	Referee         *referee.Referee
+	Epoch           time.Time // when the plan's time is 0
+	Direct          bool      // tries go straight to nodes, past any agent
+	MaxOpen         int       // journeys open at a time; 0 for 20,000
+	ResponseBytes   int       // bytes wanted of each answer
+	RequestBytes    int       // bytes of a request that must not be repeated
+	SlowFraction    float64   // share of clients that take their time over a request
+	IDPrefix        uint64    // of the ids, so that several runs against one agent don't mix them up
+	Done            func(referee.CallResult)
 }
 
 const (
@@ -45,11 +45,11 @@
 
 // Run sends what is planned and returns what came of it, when all is answered or given up. When the context ends it begins
 // nothing more; what is open still ends.
-func Run(ctx context.Context, cfg Config) ([]referee.Call, Figures) {
-	if cfg.Most == 0 {
-		cfg.Most = defaultMost
+func Run(ctx context.Context, cfg Config) ([]referee.CallResult, Figures) {
+	if cfg.MaxOpen == 0 {
+		cfg.MaxOpen = defaultMost
 	}
-	r := &run{Config: cfg, body: strings.Repeat("o", cfg.Body)}
+	r := &run{Config: cfg, body: strings.Repeat("o", cfg.RequestBytes)}
 	var all sync.WaitGroup
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -65,8 +65,8 @@
 		if ctx.Err() != nil {
 			break
 		}
-		j := NewJourney(p, cfg.Classes[p.Class], cfg.Habits(p.At))
-		if int(r.open.Load()) >= cfg.Most {
+		j := NewCall(p, cfg.Classes[p.Class], cfg.ClientProfileAt(p.At))
+		if int(r.open.Load()) >= cfg.MaxOpen {
 			r.skip(j)
 			continue
 		}
@@ -88,21 +88,21 @@
 	open atomic.Int64
 
 	mu      sync.Mutex
-	calls   []referee.Call
+	calls   []referee.CallResult
 	figures Figures
 }
 
 func (r *run) now() time.Duration { return time.Since(r.Epoch) }
 
 // skip ends a journey that found too many open: its client failed it, and it counts as not served.
-func (r *run) skip(j *Journey) {
+func (r *run) skip(j *Call) {
 	r.mu.Lock()
 	r.figures.Skipped++
 	r.mu.Unlock()
 	r.finish(j)
 }
 
-func (r *run) finish(j *Journey) {
+func (r *run) finish(j *Call) {
 	call := j.Result()
 	r.mu.Lock()
 	r.calls = append(r.calls, call)
@@ -113,7 +113,7 @@
 }
 
 // travel makes tries until one is the last. It outlives the run's context: a client does not vanish with the plan.
-func (r *run) travel(j *Journey) {
+func (r *run) travel(j *Call) {
 	defer r.finish(j)
 	r.mu.Lock()
 	r.figures.Lag = max(r.figures.Lag, r.now()-j.At)
@@ -124,7 +124,7 @@
 		if wait == 0 {
 			return
 		}
-		to, client, done := r.Route(j.Planned, tried)
+		to, client, done := r.Route(j.PlannedRequest, tried)
 		if client == nil { // nowhere to go
 			return
 		}
@@ -136,12 +136,12 @@
 		}
 		r.Referee.RequestSent(referee.Request{ID: m.ID, Agent: agent, NonIdempotent: j.Class.NonIdempotent, At: r.now(), Class: j.Class.Name, Tenant: m.Tenant})
 		ctx, cancel := context.WithTimeout(context.Background(), leaves)
-		a := client.Send(ctx, m, func() bool { return r.Referee.SentOn(m.ID) })
+		a := client.Send(ctx, m, func() bool { return r.Referee.Forwarded(m.ID) })
 		cancel()
 		now := r.now()
-		r.Referee.Ended(m.ID, a.End, a.Sum, now)
-		done(a.End)
-		next, over := j.Ended(now, a.End, a.ComeBack)
+		r.Referee.RequestEnded(m.ID, a.Outcome, a.BodyHash, now)
+		done(a.Outcome)
+		next, over := j.Ended(now, a.Outcome, a.RetryAfter)
 		if over {
 			return
 		}
@@ -151,19 +151,19 @@
 	}
 }
 
-func (r *run) message(j *Journey, wait time.Duration) Message {
-	m := Message{ID: ID(r.Prefix, j.Number, j.Attempts), Class: j.Class.Name, Key: j.Key, Once: j.Class.NonIdempotent,
-		Timeout: wait, Hint: j.Hint, Work: j.Work, Answer: r.Answer, Body: r.body}
+func (r *run) message(j *Call, wait time.Duration) Request {
+	m := Request{ID: RequestID(r.IDPrefix, j.Number, j.Attempts), Class: j.Class.Name, Key: j.Key, NonIdempotent: j.Class.NonIdempotent,
+		Timeout: wait, CostHint: j.CostHint, Work: j.Work, ResponseBytes: r.ResponseBytes, Body: r.body}
 	if j.Tenant >= 0 {
 		m.Tenant = r.Tenants[j.Tenant].Name
 	}
-	if float64(j.Seed>>11)/(1<<53) < r.Slow {
-		m.Pace = slowPace
+	if float64(j.Seed>>11)/(1<<53) < r.SlowFraction {
+		m.WriteInterval = slowPace
 	}
 	return m
 }
 
-// ID is the id of a try: 16 hex digits that tell nothing, and are never the same for two tries of a run.
-func ID(prefix uint64, number, try int) string {
+// RequestID is the id of a try: 16 hex digits that tell nothing, and are never the same for two tries of a run.
+func RequestID(prefix uint64, number, try int) string {
 	return fmt.Sprintf("%016x", mix(prefix<<40^uint64(number)<<8^uint64(try)))
 }
--- a/internal/emulator/day.go
+++ b/internal/emulator/day.go
@@ -15,49 +15,49 @@
 	"ryeweir/internal/emulator/node"
 )
 
-// DaySpec says in a file what a day is like. What is not stated is as DefaultDay has it.
-type DaySpec struct {
-	Name      string          `toml:"name"`
-	Length    config.Duration `toml:"length"`
-	Agents    int             `toml:"agents"`
-	AgentSkew float64         `toml:"agent_skew"` // how many times busier than the quietest the busiest agent is, less 1
-	Heavy     float64         `toml:"heavy"`      // share of the agents that see heavy_times the traffic of the others
-	HeavyMore float64         `toml:"heavy_times"`
-	Load      float64         `toml:"load"` // asked for, as a share of what the nodes can do
-	Rate      float64         `toml:"rate"` // requests a second; goes before load
-	Shape     string          `toml:"shape"`
-	Swing     float64         `toml:"swing"`
-	Period    config.Duration `toml:"period"`
-	Keys      int             `toml:"keys"`
-	Zipf      float64         `toml:"zipf"`
-	Hint      float64         `toml:"hint"` // relative error of the cost hint; below 0 for no hint
-	Answer    int             `toml:"answer_bytes"`
-	Body      int             `toml:"body_bytes"`
-	Kinds     []KindSpec      `toml:"kind"`
-	Zones     []string        `toml:"zones"`
-	Classes   []ClassSpec     `toml:"class"`
-	Tenants   []TenantSpec    `toml:"tenant"`
-	Clients   ClientSpec      `toml:"clients"`
-	Net       NetSpec         `toml:"net"`
-	List      ListSpec        `toml:"list"`
-	Faults    []FaultSpec     `toml:"trouble"`
-	Outages   []OutageSpec    `toml:"outage"`
-	Fleet     FleetSpec       `toml:"fleet"`
-	KeepFor   config.Duration `toml:"keep_for"` // how long the referee remembers a request past its end; 0 for all of the day
+// ScenarioSpec says in a file what a day is like. What is not stated is as DefaultDay has it.
+type ScenarioSpec struct {
+	Name          string          `toml:"name"`
+	Length        config.Duration `toml:"length"`
+	Agents        int             `toml:"agents"`
+	AgentSkew     float64         `toml:"agent_skew"` // how many times busier than the quietest the busiest agent is, less 1
+	HeavyFraction float64         `toml:"heavy"`      // share of the agents that see heavy_times the traffic of the others
+	HeavyFactor   float64         `toml:"heavy_times"`
+	Load          float64         `toml:"load"` // asked for, as a share of what the nodes can do
+	Rate          float64         `toml:"rate"` // requests a second; goes before load
+	Shape         string          `toml:"shape"`
+	Swing         float64         `toml:"swing"`
+	Period        config.Duration `toml:"period"`
+	Keys          int             `toml:"keys"`
+	Zipf          float64         `toml:"zipf"`
+	CostHintError float64         `toml:"hint"` // relative error of the cost hint; below 0 for no hint
+	ResponseBytes int             `toml:"answer_bytes"`
+	RequestBytes  int             `toml:"body_bytes"`
+	Kinds         []KindSpec      `toml:"kind"`
+	Zones         []string        `toml:"zones"`
+	Classes       []ClassSpec     `toml:"class"`
+	Tenants       []TenantSpec    `toml:"tenant"`
+	Clients       ClientSpec      `toml:"clients"`
+	Network       NetworkSpec     `toml:"net"`
+	Discovery     DiscoverySpec   `toml:"list"`
+	Faults        []FaultSpec     `toml:"trouble"`
+	Outages       []OutageSpec    `toml:"outage"`
+	Fleet         FleetSpec       `toml:"fleet"`
+	RetainFor     config.Duration `toml:"keep_for"` // how long the referee remembers a request past its end; 0 for all of the day
 }
 
 // KindSpec is a kind of machine.
 type KindSpec struct {
-	Name      string  `toml:"name"`
-	Nodes     int     `toml:"nodes"`
-	Cores     int     `toml:"cores"`
-	Speed     float64 `toml:"speed"`
-	Spread    float64 `toml:"spread"` // of the speeds: relative standard deviation
-	Queue     float64 `toml:"queue_per_core"`
-	SlowStart bool    `toml:"cold"`     // starts with the day
-	Chokes    bool    `toml:"chokes"`   // turns slow after a lasting overload
-	Conns     int     `toml:"conn_cap"` // connections held at most
-	Errors    float64 `toml:"error_rate"`
+	Name         string  `toml:"name"`
+	Nodes        int     `toml:"nodes"`
+	Cores        int     `toml:"cores"`
+	Speed        float64 `toml:"speed"`
+	Spread       float64 `toml:"spread"` // of the speeds: relative standard deviation
+	QueuePerCore float64 `toml:"queue_per_core"`
+	SlowStart    bool    `toml:"cold"`     // starts with the day
+	Degrades     bool    `toml:"chokes"`   // turns slow after a lasting overload
+	ConnCap      int     `toml:"conn_cap"` // connections held at most
+	ErrorRate    float64 `toml:"error_rate"`
 }
 
 // ClassSpec is a class of requests.
@@ -86,38 +86,38 @@
 	Backoff                config.Duration `toml:"backoff"`
 	RetryAfterFraction     float64         `toml:"heed"`
 	MaxRetryAfter          config.Duration `toml:"most_heed"`
-	Impatient              float64         `toml:"impatient"`
-	Slow                   float64         `toml:"slow"` // share that takes its time over sending
+	ImpatientFraction      float64         `toml:"impatient"`
+	SlowFraction           float64         `toml:"slow"` // share that takes its time over sending
 	MisbehavingRate        float64         `toml:"rude"` // rude clients a second, at each agent
 }
 
-// NetSpec is the network between agents and nodes.
-type NetSpec struct {
+// NetworkSpec is the network between agents and nodes.
+type NetworkSpec struct {
 	Same   config.Duration `toml:"same"`  // one way, in a zone
 	Cross  config.Duration `toml:"cross"` // between zones
 	Jitter config.Duration `toml:"jitter"`
 	Loss   float64         `toml:"loss"`
 }
 
-// ListSpec is how discovery behaves.
-type ListSpec struct {
-	Notice config.Duration `toml:"notice"` // until the list tells of a drain or a death
-	Add    config.Duration `toml:"add"`    // and of a start
-	Rate   float64         `toml:"rate"`   // calls a second that it can handle; 0 for no limit
+// DiscoverySpec is how discovery behaves.
+type DiscoverySpec struct {
+	RemovalDelay  config.Duration `toml:"notice"` // until the list tells of a drain or a death
+	AdditionDelay config.Duration `toml:"add"`    // and of a start
+	Rate          float64         `toml:"rate"`   // calls a second that it can handle; 0 for no limit
 }
 
 // FaultSpec is a trouble and whom it befalls: so many nodes, drawn by the day's seed, those named, or all of a zone.
 type FaultSpec struct {
-	Kind  string          `toml:"kind"`
-	Nodes int             `toml:"nodes"`
-	Names []string        `toml:"names"`
-	Zone  string          `toml:"zone"`
-	From  config.Duration `toml:"from"`
-	To    config.Duration `toml:"to"`
-	Over  config.Duration `toml:"over"` // they begin one after the other over this time, and end as much later
-	Size  float64         `toml:"size"`
-	On    config.Duration `toml:"on"`
-	Off   config.Duration `toml:"off"`
+	Kind    string          `toml:"kind"`
+	Nodes   int             `toml:"nodes"`
+	Names   []string        `toml:"names"`
+	Zone    string          `toml:"zone"`
+	From    config.Duration `toml:"from"`
+	To      config.Duration `toml:"to"`
+	Stagger config.Duration `toml:"over"` // they begin one after the other over this time, and end as much later
+	Size    float64         `toml:"size"`
+	On      config.Duration `toml:"on"`
+	Off     config.Duration `toml:"off"`
 }
 
 // OutageSpec is a time in which discovery is down.
@@ -128,23 +128,23 @@
 
 func ms(n float64) config.Duration { return config.Duration(n * float64(time.Millisecond)) }
 
-// DefaultDay is a quiet day of 20 s on ten nodes of two kinds in three zones, with two agents and about 290 requests a
+// DefaultScenario is a quiet day of 20 s on ten nodes of two kinds in three zones, with two agents and about 290 requests a
 // second.
-func DefaultDay() DaySpec {
-	return DaySpec{Name: "quiet", Length: config.Duration(20 * time.Second), Agents: 2, AgentSkew: 1, Load: 0.5, Shape: "steady",
-		Period: config.Duration(10 * time.Second), Keys: 700, Zipf: 0.95, Hint: 0.2, Answer: 400, Body: 200,
+func DefaultScenario() ScenarioSpec {
+	return ScenarioSpec{Name: "quiet", Length: config.Duration(20 * time.Second), Agents: 2, AgentSkew: 1, Load: 0.5, Shape: "steady",
+		Period: config.Duration(10 * time.Second), Keys: 700, Zipf: 0.95, CostHintError: 0.2, ResponseBytes: 400, RequestBytes: 200,
 		Kinds: DefaultKinds(), Zones: []string{"colombo", "kandy", "galle"}, Classes: DefaultClasses(), Tenants: DefaultTenants(),
-		Clients: ClientSpec{Retries: 3, AttemptTimeoutFraction: 0.42, Backoff: ms(20), RetryAfterFraction: 0.2, MaxRetryAfter: ms(2000), Impatient: 0.015},
-		Net:     NetSpec{Same: ms(0.25), Cross: ms(4.5), Jitter: ms(0.3)},
-		List:    ListSpec{Notice: ms(1000), Add: ms(800), Rate: 60},
+		Clients:   ClientSpec{Retries: 3, AttemptTimeoutFraction: 0.42, Backoff: ms(20), RetryAfterFraction: 0.2, MaxRetryAfter: ms(2000), ImpatientFraction: 0.015},
+		Network:   NetworkSpec{Same: ms(0.25), Cross: ms(4.5), Jitter: ms(0.3)},
+		Discovery: DiscoverySpec{RemovalDelay: ms(1000), AdditionDelay: ms(800), Rate: 60},
 	}
 }
 
 // DefaultKinds are the two kinds of machine.
 func DefaultKinds() []KindSpec {
 	return []KindSpec{
-		{Name: "gen-a", Nodes: 4, Cores: 2, Speed: 0.97, Spread: 0.1, Queue: 2.6, Chokes: true, Conns: 390, Errors: 0.0003},
-		{Name: "gen-b", Nodes: 6, Cores: 2, Speed: 0.75, Spread: 0.16, Queue: 2.5, Chokes: true, Conns: 390, Errors: 0.0003},
+		{Name: "gen-a", Nodes: 4, Cores: 2, Speed: 0.97, Spread: 0.1, QueuePerCore: 2.6, Degrades: true, ConnCap: 390, ErrorRate: 0.0003},
+		{Name: "gen-b", Nodes: 6, Cores: 2, Speed: 0.75, Spread: 0.16, QueuePerCore: 2.5, Degrades: true, ConnCap: 390, ErrorRate: 0.0003},
 	}
 }
 
@@ -162,9 +162,9 @@
 	return []TenantSpec{{"ranmuthu-eats", 0.56}, {"kottu-run", 0.24}, {"bath-box", 0.11}, {"sambol-go", 0.09}}
 }
 
-// Fill puts the defaults in place of what a file does not state: a table of a file starts empty.
-func (d *DaySpec) Fill() {
-	def := DefaultDay()
+// ApplyDefaults puts the defaults in place of what a file does not state: a table of a file starts empty.
+func (d *ScenarioSpec) ApplyDefaults() {
+	def := DefaultScenario()
 	fillDuration := func(p *config.Duration, v config.Duration) {
 		if *p == 0 {
 			*p = v
@@ -199,47 +199,47 @@
 	if d.Clients == (ClientSpec{}) {
 		d.Clients = def.Clients
 	}
-	if d.Net == (NetSpec{}) {
-		d.Net = def.Net
+	if d.Network == (NetworkSpec{}) {
+		d.Network = def.Network
 	}
-	if d.List == (ListSpec{}) {
-		d.List = def.List
+	if d.Discovery == (DiscoverySpec{}) {
+		d.Discovery = def.Discovery
 	}
 	if d.Keys == 0 && d.Zipf == 0 {
 		d.Keys, d.Zipf = def.Keys, def.Zipf
 	}
-	if d.Hint == 0 {
-		d.Hint = def.Hint
+	if d.CostHintError == 0 {
+		d.CostHintError = def.CostHintError
 	}
-	if d.Answer == 0 {
-		d.Answer = def.Answer
+	if d.ResponseBytes == 0 {
+		d.ResponseBytes = def.ResponseBytes
 	}
-	if d.Body == 0 {
-		d.Body = def.Body
+	if d.RequestBytes == 0 {
+		d.RequestBytes = def.RequestBytes
 	}
 }
 
-// MostProcesses is how many agents a day has at most where each is a process.
-const MostProcesses = 64
+// MaxProcesses is how many agents a day has at most where each is a process.
+const MaxProcesses = 64
 
 // Bounds of a day.
 const (
-	mostAgents = 10000
-	mostNodes  = 256
-	longestDay = time.Hour
+	maxAgents = 10000
+	maxNodes  = 256
+	maxLength = time.Hour
 	// Requests of a day: those of 300 agents before 200 nodes for a minute, with room.
-	mostPlanned = 600_000
+	maxPlannedRequests = 600_000
 )
 
 // Check says what is wrong, with keys below a prefix such as "day[0].".
-func (d *DaySpec) Check(prefix string) error {
+func (d *ScenarioSpec) Check(prefix string) error {
 	var all []error
 	wrong := func(key, format string, args ...any) { all = append(all, config.Wrong(prefix+key, format, args...)) }
-	if d.Length.D() <= 0 || d.Length.D() > longestDay {
-		wrong("length", "must be above 0 and at most %v, not %v", longestDay, d.Length.D())
+	if d.Length.D() <= 0 || d.Length.D() > maxLength {
+		wrong("length", "must be above 0 and at most %v, not %v", maxLength, d.Length.D())
 	}
-	if d.Agents < 1 || d.Agents > mostAgents {
-		wrong("agents", "must be from 1 to %d, not %d", mostAgents, d.Agents)
+	if d.Agents < 1 || d.Agents > maxAgents {
+		wrong("agents", "must be from 1 to %d, not %d", maxAgents, d.Agents)
 	}
 	if d.AgentSkew < 0 {
 		wrong("agent_skew", "must not be below 0")
@@ -247,18 +247,18 @@
 	if d.Load < 0 || d.Rate < 0 || d.Load > 20 {
 		wrong("load", "load must be from 0 to 20 and rate not below 0")
 	}
-	if d.Answer < 0 || d.Answer > 32<<20 || d.Body < 0 || d.Body > 32<<20 {
+	if d.ResponseBytes < 0 || d.ResponseBytes > 32<<20 || d.RequestBytes < 0 || d.RequestBytes > 32<<20 {
 		wrong("answer_bytes", "answers and bodies hold from 0 to 32 MiB")
 	}
 	nodes := 0
 	for i, k := range d.Kinds {
 		nodes += k.Nodes
-		if k.Nodes < 1 || k.Cores < 1 || !(k.Speed > 0) || k.Spread < 0 || k.Spread > 0.5 || k.Queue < 0 || k.Conns < 0 {
+		if k.Nodes < 1 || k.Cores < 1 || !(k.Speed > 0) || k.Spread < 0 || k.Spread > 0.5 || k.QueuePerCore < 0 || k.ConnCap < 0 {
 			wrong(fmt.Sprintf("kind[%d].name", i), "%q needs nodes, cores and a speed above 0, a spread from 0 to 0.5, and no figure below 0", k.Name)
 		}
 	}
-	if nodes > mostNodes {
-		wrong("kind", "%d nodes are more than %d", nodes, mostNodes)
+	if nodes > maxNodes {
+		wrong("kind", "%d nodes are more than %d", nodes, maxNodes)
 	}
 	for i, c := range d.Classes {
 		if c.Name == "" || c.Share <= 0 || c.Work <= 0 || c.LatencyObjective <= 0 || c.Deadline < c.LatencyObjective || c.PriorityWeight <= 0 || c.LateWeight < 0 || c.LateWeight > 1 || c.CV < 0 {
@@ -270,11 +270,11 @@
 			wrong(fmt.Sprintf("tenant[%d].share", i), "must be above 0 and at most 1, of a tenant with a name")
 		}
 	}
-	if err := (link.Conditions{Delay: d.Net.Cross.D(), Jitter: d.Net.Jitter.D(), Loss: d.Net.Loss}).Check(); err != nil || d.Net.Same < 0 {
+	if err := (link.Conditions{Delay: d.Network.Cross.D(), Jitter: d.Network.Jitter.D(), Loss: d.Network.Loss}).Check(); err != nil || d.Network.Same < 0 {
 		wrong("net.loss", "%v", errors.Join(err, errors.New("no time may be below 0")))
 	}
 	if c := d.Clients; c.Retries < 0 || c.Retries > 10 || c.AttemptTimeoutFraction < 0 || c.AttemptTimeoutFraction > 1 || c.Backoff < 0 || c.RetryAfterFraction < 0 || c.RetryAfterFraction > 1 ||
-		c.Impatient < 0 || c.Impatient > 1 || c.Slow < 0 || c.Slow > 1 || c.MisbehavingRate < 0 || c.MisbehavingRate > 1000 {
+		c.ImpatientFraction < 0 || c.ImpatientFraction > 1 || c.SlowFraction < 0 || c.SlowFraction > 1 || c.MisbehavingRate < 0 || c.MisbehavingRate > 1000 {
 		wrong("clients.retries", "retries are from 0 to 10, rude clients from 0 to 1,000 a second, shares from 0 to 1, and no time below 0")
 	}
 	for i, t := range d.Faults {
@@ -282,7 +282,7 @@
 		if err := t.fault().Check(); err != nil {
 			wrong(key, "%v", err)
 		}
-		if t.Nodes < 0 || t.Nodes > nodes || t.Nodes == 0 && len(t.Names) == 0 && t.Zone == "" || t.Over < 0 {
+		if t.Nodes < 0 || t.Nodes > nodes || t.Nodes == 0 && len(t.Names) == 0 && t.Zone == "" || t.Stagger < 0 {
 			wrong(key, "it must befall from 1 to %d nodes, some that are named, or a zone, and not begin over a time below 0", nodes)
 		}
 		if t.Zone != "" && !slices.Contains(d.Zones, t.Zone) {
@@ -295,7 +295,7 @@
 		}
 	}
 	d.Fleet.check(d.Zones, func(key, format string, args ...any) { wrong("fleet."+key, format, args...) })
-	if d.Heavy < 0 || d.Heavy > 1 || d.HeavyMore < 0 {
+	if d.HeavyFraction < 0 || d.HeavyFraction > 1 || d.HeavyFactor < 0 {
 		wrong("heavy", "must be from 0 to 1, and heavy_times not below 0")
 	}
 	if len(all) > 0 {
@@ -307,8 +307,8 @@
 	return nil
 }
 
-// Stretch multiplies all times of the day at which something begins or ends.
-func (d *DaySpec) Stretch(times float64) {
+// ScaleTimes multiplies all times of the day at which something begins or ends.
+func (d *ScenarioSpec) ScaleTimes(times float64) {
 	stretch := func(all ...*config.Duration) {
 		for _, t := range all {
 			*t = config.Duration(float64(*t) * times)
@@ -316,26 +316,26 @@
 	}
 	stretch(&d.Length)
 	for i := range d.Faults {
-		stretch(&d.Faults[i].From, &d.Faults[i].To, &d.Faults[i].Over)
+		stretch(&d.Faults[i].From, &d.Faults[i].To, &d.Faults[i].Stagger)
 	}
 	for i := range d.Outages {
 		stretch(&d.Outages[i].From, &d.Outages[i].To)
 	}
 	f := &d.Fleet
-	for i := range f.Agents {
-		stretch(&f.Agents[i].From, &f.Agents[i].To, &f.Agents[i].Away)
+	for i := range f.AgentFaults {
+		stretch(&f.AgentFaults[i].From, &f.AgentFaults[i].To, &f.AgentFaults[i].Duration)
 	}
-	for i := range f.Shifts {
-		stretch(&f.Shifts[i].From, &f.Shifts[i].To)
+	for i := range f.TrafficShifts {
+		stretch(&f.TrafficShifts[i].From, &f.TrafficShifts[i].To)
 	}
 	for i := range f.ListDelays {
 		stretch(&f.ListDelays[i].From, &f.ListDelays[i].To)
 	}
-	for i := range f.Cuts {
-		stretch(&f.Cuts[i].From, &f.Cuts[i].To)
+	for i := range f.Partitions {
+		stretch(&f.Partitions[i].From, &f.Partitions[i].To)
 	}
-	for i := range f.Storms {
-		stretch(&f.Storms[i].From, &f.Storms[i].To)
+	for i := range f.RetryStorms {
+		stretch(&f.RetryStorms[i].From, &f.RetryStorms[i].To)
 	}
 	for i := range f.Paths {
 		stretch(&f.Paths[i].From, &f.Paths[i].To)
@@ -343,27 +343,27 @@
 }
 
 func (t FaultSpec) fault() node.Fault {
-	return node.Fault{Kind: node.Kind(t.Kind), From: t.From.D(), To: t.To.D(), Size: t.Size, On: t.On.D(), Off: t.Off.D()}
+	return node.Fault{Kind: node.FaultKind(t.Kind), From: t.From.D(), To: t.To.D(), Size: t.Size, On: t.On.D(), Off: t.Off.D()}
 }
 
-// Placed is a trouble at a node.
-type Placed struct {
+// NodeFault is a trouble at a node.
+type NodeFault struct {
 	Node int
 	node.Fault
 }
 
-// Day is a day as it was drawn: equal specs and seeds draw equal days.
-type Day struct {
-	Spec    DaySpec
+// Scenario is a day as it was drawn: equal specs and seeds draw equal days.
+type Scenario struct {
+	Spec    ScenarioSpec
 	Seed    uint64
 	Length  time.Duration
 	Nodes   []node.Spec
 	Agents  []string
-	Plan    []callers.Planned
+	Plan    []callers.PlannedRequest
 	Classes []callers.Class
 	Tenants []callers.Tenant
 	Clients callers.ClientProfile
-	Faults  []Placed // in the order of their beginning
+	Faults  []NodeFault // in the order of their beginning
 	// In the order of their time.
 	AgentFaults []AgentFault
 	Rate        float64 // requests a second, on average and but for shifts
@@ -371,16 +371,16 @@
 }
 
 // Draw draws a day.
-func (d *DaySpec) Draw(seed uint64) (*Day, error) {
+func (d *ScenarioSpec) Draw(seed uint64) (*Scenario, error) {
 	rng := rand.New(rand.NewPCG(seed, 0x646179))
-	day := &Day{Spec: *d, Seed: seed, Length: d.Length.D()}
+	day := &Scenario{Spec: *d, Seed: seed, Length: d.Length.D()}
 	for _, k := range d.Kinds {
 		for range k.Nodes {
 			id := fmt.Sprintf("node-%02d", len(day.Nodes)+1)
-			s := node.Typical(id, k.Name, d.Zones[len(day.Nodes)%len(d.Zones)], k.Speed*max(0.4, 1+k.Spread*rng.NormFloat64()))
-			s.Cores, s.QueuePerCore, s.ConnCap, s.ErrorRate = k.Cores, k.Queue, k.Conns, k.Errors
-			if !k.Chokes {
-				s.Choke = node.Choke{}
+			s := node.TypicalSpec(id, k.Name, d.Zones[len(day.Nodes)%len(d.Zones)], k.Speed*max(0.4, 1+k.Spread*rng.NormFloat64()))
+			s.Cores, s.QueuePerCore, s.ConnCap, s.ErrorRate = k.Cores, k.QueuePerCore, k.ConnCap, k.ErrorRate
+			if !k.Degrades {
+				s.Degradation = node.Degradation{}
 			}
 			if k.SlowStart {
 				s.Started = 0
@@ -412,8 +412,8 @@
 		if d.Agents > 1 {
 			shareOf[i] += d.AgentSkew * float64(i) / float64(d.Agents-1)
 		}
-		if d.HeavyMore > 0 && float64(i) < d.Heavy*float64(d.Agents) {
-			shareOf[i] *= d.HeavyMore
+		if d.HeavyFactor > 0 && float64(i) < d.HeavyFraction*float64(d.Agents) {
+			shareOf[i] *= d.HeavyFactor
 		}
 	}
 	for i, p := range d.Fleet.Paths {
@@ -422,14 +422,14 @@
 		}
 	}
 	var err error
-	day.Plan, err = callers.Plan(callers.Spec{Classes: day.Classes, Tenants: day.Tenants, Rate: day.Rate, For: day.Length,
-		Shape: callers.Shape(d.Shape), Swing: d.Swing, Period: d.Period.D(), Agents: shareOf, Keys: d.Keys, Zipf: d.Zipf, Hint: d.Hint,
-		Most: mostPlanned, Shifts: day.shifts()}, seed)
+	day.Plan, err = callers.Plan(callers.Spec{Classes: day.Classes, Tenants: day.Tenants, Rate: day.Rate, Duration: day.Length,
+		Shape: callers.Shape(d.Shape), Swing: d.Swing, Period: d.Period.D(), Agents: shareOf, Keys: d.Keys, Zipf: d.Zipf, CostHintError: d.CostHintError,
+		MaxRequests: maxPlannedRequests, Shifts: day.shifts()}, seed)
 	if err != nil {
 		return nil, err
 	}
 	c := d.Clients
-	day.Clients = callers.ClientProfile{Retries: c.Retries, AttemptTimeoutFraction: c.AttemptTimeoutFraction, Backoff: c.Backoff.D(), RetryAfterFraction: c.RetryAfterFraction, MaxRetryAfter: c.MaxRetryAfter.D(), Impatient: c.Impatient}
+	day.Clients = callers.ClientProfile{Retries: c.Retries, AttemptTimeoutFraction: c.AttemptTimeoutFraction, Backoff: c.Backoff.D(), RetryAfterFraction: c.RetryAfterFraction, MaxRetryAfter: c.MaxRetryAfter.D(), ImpatientFraction: c.ImpatientFraction}
 	if err := day.place(rng); err != nil {
 		return nil, err
 	}
@@ -438,7 +438,7 @@
 }
 
 // place says which nodes the troubles befall. A node has at most one of those that end its life.
-func (day *Day) place(rng *rand.Rand) error {
+func (day *Scenario) place(rng *rand.Rand) error {
 	ends := map[int]bool{}
 	for _, t := range day.Spec.Faults {
 		trouble := t.fault()
@@ -469,19 +469,19 @@
 			ends[i] = ends[i] || ending
 			later := trouble
 			if len(at) > 1 {
-				wait := t.Over.D() * time.Duration(n) / time.Duration(len(at)-1)
+				wait := t.Stagger.D() * time.Duration(n) / time.Duration(len(at)-1)
 				later.From, later.To = later.From+wait, later.To+wait
 			}
-			day.Faults = append(day.Faults, Placed{i, later})
+			day.Faults = append(day.Faults, NodeFault{i, later})
 		}
 	}
-	slices.SortStableFunc(day.Faults, func(a, b Placed) int { return int(a.From - b.From) })
+	slices.SortStableFunc(day.Faults, func(a, b NodeFault) int { return int(a.From - b.From) })
 	return nil
 }
 
 // LinkTo is the path between two zones.
-func (day *Day) LinkTo(a, b string) link.Conditions {
-	n := day.Spec.Net
+func (day *Scenario) LinkTo(a, b string) link.Conditions {
+	n := day.Spec.Network
 	c := link.Conditions{Delay: n.Cross.D(), Jitter: n.Jitter.D(), Loss: n.Loss}
 	if a == b {
 		c.Delay = n.Same.D()
@@ -490,4 +490,4 @@
 }
 
 // AgentZone is where an agent is.
-func (day *Day) AgentZone(agent int) string { return day.Spec.Zones[agent%len(day.Spec.Zones)] }
+func (day *Scenario) AgentZone(agent int) string { return day.Spec.Zones[agent%len(day.Spec.Zones)] }
--- a/internal/emulator/discovery/discovery.go
+++ b/internal/emulator/discovery/discovery.go
@@ -46,10 +46,10 @@
 
 // Config is what the service is given.
 type Config struct {
-	Rate     float64                                   // calls handled a second; 0 for no limit
-	Patience time.Duration                             // a call that waits its turn for longer is turned away; 0 for a second
-	Rewrite  func(agent string, e Entry) Entry         // what an agent is told in its place; may be nil
-	Told     func(agent string, e Entry, at time.Time) // an agent has been written this; of one that is gone there is the id and state
+	Rate          float64                                   // calls handled a second; 0 for no limit
+	MaxQueueDelay time.Duration                             // a call that waits its turn for longer is turned away; 0 for a second
+	RewriteEntry  func(agent string, e Entry) Entry         // what an agent is told in its place; may be nil
+	OnNotified    func(agent string, e Entry, at time.Time) // an agent has been written this; of one that is gone there is the id and state
 }
 
 const (
@@ -66,7 +66,7 @@
 
 // Figures count the service's calls.
 type Figures struct {
-	Whole, Watches, Refused, Entries int
+	FullLists, Watches, Rejected, Entries int
 }
 
 // Server is the service. Each agent may have an address of its own, by which it is known.
@@ -91,8 +91,8 @@
 
 // New returns a service with an empty list.
 func New(cfg Config) *Server {
-	if cfg.Patience == 0 {
-		cfg.Patience = defaultPatience
+	if cfg.MaxQueueDelay == 0 {
+		cfg.MaxQueueDelay = defaultPatience
 	}
 	return &Server{cfg: cfg, entries: map[string]Entry{}, past: map[string]struct{}{}, wake: make(chan struct{}), outage: make(chan struct{}), late: map[*time.Timer]struct{}{}}
 }
@@ -162,8 +162,8 @@
 	s.late[t] = struct{}{}
 }
 
-// Outage ends all watches and answers nobody, until it is over.
-func (s *Server) Outage(on bool) {
+// SetOutage ends all watches and answers nobody, until it is over.
+func (s *Server) SetOutage(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.down == on {
@@ -227,14 +227,14 @@
 			s.free = now
 		}
 		wait = s.free.Add(time.Duration(float64(time.Second) / s.cfg.Rate)).Sub(now)
-		if wait <= s.cfg.Patience {
+		if wait <= s.cfg.MaxQueueDelay {
 			s.free = now.Add(wait)
 		}
 	}
-	refused := down || wait > s.cfg.Patience
+	refused := down || wait > s.cfg.MaxQueueDelay
 	if refused {
-		s.figures.Refused++
-		wait = min(wait, s.cfg.Patience)
+		s.figures.Rejected++
+		wait = min(wait, s.cfg.MaxQueueDelay)
 	}
 	s.mu.Unlock()
 	if !down && wait > 0 {
@@ -291,7 +291,7 @@
 	defer end.Stop()
 	s.mu.Lock()
 	if since < 0 {
-		s.figures.Whole++
+		s.figures.FullLists++
 	} else {
 		s.figures.Watches++
 	}
@@ -322,9 +322,9 @@
 }
 
 func (s *Server) write(w http.ResponseWriter, l List, agent string) {
-	if s.cfg.Rewrite != nil {
+	if s.cfg.RewriteEntry != nil {
 		for i, e := range l.Servers {
-			l.Servers[i] = s.cfg.Rewrite(agent, e)
+			l.Servers[i] = s.cfg.RewriteEntry(agent, e)
 		}
 	}
 	text, err := json.Marshal(l)
@@ -345,14 +345,14 @@
 		past = slices.Collect(maps.Keys(s.past))
 	}
 	s.mu.Unlock()
-	if s.cfg.Told == nil {
+	if s.cfg.OnNotified == nil {
 		return
 	}
 	now := time.Now()
 	for _, e := range l.Servers {
-		s.cfg.Told(agent, e, now)
+		s.cfg.OnNotified(agent, e, now)
 	}
 	for _, id := range past {
-		s.cfg.Told(agent, Entry{ID: id, State: Removed}, now)
+		s.cfg.OnNotified(agent, Entry{ID: id, State: Removed}, now)
 	}
 }
--- a/internal/emulator/discovery/discovery_test.go
+++ b/internal/emulator/discovery/discovery_test.go
@@ -52,7 +52,7 @@
 func TestListAndWatches(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var told []string
-		s := start(t, Config{Told: func(agent string, e Entry, _ time.Time) {
+		s := start(t, Config{OnNotified: func(agent string, e Entry, _ time.Time) {
 			told = append(told, fmt.Sprint(agent, e.ID, e.State == Ready))
 		}})
 		s.Set(entry("a", Ready), 0)
@@ -88,7 +88,7 @@
 // Calls are handled in turn; those that would wait for too long are turned away.
 func TestCapacity(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := start(t, Config{Rate: 10, Patience: time.Second})
+		s := start(t, Config{Rate: 10, MaxQueueDelay: time.Second})
 		var mu sync.Mutex
 		var all sync.WaitGroup
 		served, refused := 0, 0
@@ -105,7 +105,7 @@
 			})
 		}
 		all.Wait()
-		if served != 10 || refused != 20 || s.Figures().Refused != 20 {
+		if served != 10 || refused != 20 || s.Figures().Rejected != 20 {
 			t.Errorf("%d served, %d refused", served, refused)
 		}
 	})
@@ -116,8 +116,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := start(t, Config{})
 		s.Set(entry("a", Ready), 0)
-		time.AfterFunc(time.Second, func() { s.Outage(true) })
-		time.AfterFunc(5*time.Second, func() { s.Outage(false) })
+		time.AfterFunc(time.Second, func() { s.SetOutage(true) })
+		time.AfterFunc(5*time.Second, func() { s.SetOutage(false) })
 		began := time.Now()
 		if _, status := s.call("?since=1&timeout_ms=60000"); status != 0 || time.Since(began) != time.Second {
 			t.Errorf("the watch ended with %d after %v", status, time.Since(began))
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -33,7 +33,7 @@
 
 // pass sends a request on to a node of the list as it was at the start.
 func (a *badAgent) pass(r *http.Request, n int) (*http.Response, error) {
-	list := a.w.Known(0).Servers
+	list := a.w.EndpointList(0).Servers
 	out, err := http.NewRequestWithContext(r.Context(), r.Method, "http://"+list[n%len(list)].Addr+r.URL.Path, nil)
 	if err != nil {
 		return nil, err
@@ -79,9 +79,9 @@
 }
 
 // play plays a day of 6 s with a bad agent.
-func play(t *testing.T, vice string, change func(*emulator.DaySpec)) (a referee.Account, breaches []referee.Breach) {
+func play(t *testing.T, vice string, change func(*emulator.ScenarioSpec)) (a referee.Account, breaches []referee.Violation) {
 	synctest.Test(t, func(t *testing.T) {
-		spec := emulator.DefaultDay()
+		spec := emulator.DefaultScenario()
 		spec.Length, spec.Agents, spec.Load = config.Duration(6*time.Second), 1, 0.3
 		if change != nil {
 			change(&spec)
@@ -91,7 +91,7 @@
 			t.Fatal(err)
 		}
 		network := link.NewNetwork(3)
-		w, err := emulator.Start(t.Context(), day, emulator.Memory{Network: network}, true)
+		w, err := emulator.Start(t.Context(), day, emulator.MemoryNetwork{Network: network}, true)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -107,11 +107,11 @@
 		all.Go(func() { srv.Serve(l) })
 		// The agent must be told, as one that watches is.
 		ctx, stop := context.WithCancel(t.Context())
-		all.Go(func() { watch(ctx, network, w.Discovery(0)) })
+		all.Go(func() { watch(ctx, network, w.DiscoveryAddr(0)) })
 		client := &callers.Client{Addr: "agent-0:80", Dial: network.Dialer("app")}
-		w.Play()
-		w.Call(t.Context(), func(callers.Planned, []string) (string, *callers.Client, func(referee.End)) {
-			return "agent-0", client, func(referee.End) {}
+		w.InjectFaults()
+		w.RunCallers(t.Context(), func(callers.PlannedRequest, []string) (string, *callers.Client, func(referee.Outcome)) {
+			return "agent-0", client, func(referee.Outcome) {}
 		}, false, nil)
 		stop()
 		client.Close()
@@ -119,7 +119,7 @@
 		bad.open.Wait()
 		transport.CloseIdleConnections()
 		all.Wait()
-		a, breaches = w.Referee.Account(), w.Referee.Breaches()
+		a, breaches = w.Referee.Account(), w.Referee.Violations()
 	})
 	return a, breaches
 }
@@ -144,11 +144,11 @@
 
 // The referee finds nothing in an agent that breaks no rule, and each kind of breach in one that does, with evidence.
 func TestRefereeCatches(t *testing.T) {
-	drain := func(d *emulator.DaySpec) {
-		d.List.Notice = 0
+	drain := func(d *emulator.ScenarioSpec) {
+		d.Discovery.RemovalDelay = 0
 		d.Faults = []emulator.FaultSpec{{Kind: string(node.Drain), Names: []string{"node-01"}, From: config.Duration(time.Second), To: config.Duration(4 * time.Second)}}
 	}
-	cold := func(d *emulator.DaySpec) {
+	cold := func(d *emulator.ScenarioSpec) {
 		d.Load = 0.5
 		for i := range d.Kinds {
 			d.Kinds[i].SlowStart = true
@@ -156,7 +156,7 @@
 	}
 	for _, c := range []struct {
 		vice   string
-		day    func(*emulator.DaySpec)
+		day    func(*emulator.ScenarioSpec)
 		rule   referee.Rule
 		counts func(referee.Account) int
 		says   string
@@ -174,15 +174,15 @@
 				t.Errorf("%+v", a)
 			}
 			if c.rule == "" {
-				if !a.Held() || len(breaches) > 0 || a.Completed < a.Requests*9/10 {
+				if !a.RulesHold() || len(breaches) > 0 || a.Completed < a.Requests*9/10 {
 					t.Errorf("%+v %v", a, breaches)
 				}
 				return
 			}
-			if a.Held() || c.counts(a) == 0 {
+			if a.RulesHold() || c.counts(a) == 0 {
 				t.Fatalf("not caught: %+v", a)
 			}
-			if i := slices.IndexFunc(breaches, func(b referee.Breach) bool { return b.Rule == c.rule }); i < 0 || !strings.Contains(breaches[i].String(), c.says) {
+			if i := slices.IndexFunc(breaches, func(b referee.Violation) bool { return b.Rule == c.rule }); i < 0 || !strings.Contains(breaches[i].String(), c.says) {
 				t.Errorf("%v", breaches)
 			}
 		})
@@ -191,7 +191,7 @@
 
 // One who says nothing has lost nothing by the rules, but leaves its clients without an answer.
 func TestRefereeCountsSilence(t *testing.T) {
-	if a, _ := play(t, "says nothing", nil); a.Unanswered < 20 || !a.Held() || !a.Balanced() {
+	if a, _ := play(t, "says nothing", nil); a.Unanswered < 20 || !a.RulesHold() || !a.Balanced() {
 		t.Errorf("%+v", a)
 	}
 }
@@ -199,11 +199,11 @@
 // Callers don't wait for answers: a slow service is asked as much as a quick one, and its wait counts from when each
 // request was to be sent.
 func TestOpenLoop(t *testing.T) {
-	slow := func(d *emulator.DaySpec) {
-		d.Clients.Retries, d.Clients.Impatient = 0, 0
-		d.Faults = []emulator.FaultSpec{{Kind: string(node.LateAnswers), Nodes: 10, To: config.Duration(time.Minute), Size: 0.5}}
+	slow := func(d *emulator.ScenarioSpec) {
+		d.Clients.Retries, d.Clients.ImpatientFraction = 0, 0
+		d.Faults = []emulator.FaultSpec{{Kind: string(node.DelayedResponse), Nodes: 10, To: config.Duration(time.Minute), Size: 0.5}}
 	}
-	quick, _ := play(t, "none", func(d *emulator.DaySpec) { d.Clients.Retries, d.Clients.Impatient = 0, 0 })
+	quick, _ := play(t, "none", func(d *emulator.ScenarioSpec) { d.Clients.Retries, d.Clients.ImpatientFraction = 0, 0 })
 	late, _ := play(t, "none", slow)
 	if quick.Requests != late.Requests || late.Completed == 0 {
 		t.Errorf("%d asked of a quick service, %d of a slow one", quick.Requests, late.Requests)
@@ -212,7 +212,7 @@
 
 // Equal specs and seeds draw equal days; others don't.
 func TestDraw(t *testing.T) {
-	spec := emulator.DefaultDay()
+	spec := emulator.DefaultScenario()
 	spec.Faults = []emulator.FaultSpec{{Kind: "slow", Nodes: 3, To: config.Duration(time.Second), Size: 3}}
 	a, err := spec.Draw(5)
 	if err != nil {
@@ -233,25 +233,25 @@
 }
 
 func TestDayChecks(t *testing.T) {
-	for want, change := range map[string]func(*emulator.DaySpec){
-		"length":     func(d *emulator.DaySpec) { d.Length = -1 },
-		"agents":     func(d *emulator.DaySpec) { d.Agents = 100000 },
-		"kind[1]":    func(d *emulator.DaySpec) { d.Kinds[1].Speed = 0 },
-		"class[0]":   func(d *emulator.DaySpec) { d.Classes[0].Deadline = 1 },
-		"tenant[2]":  func(d *emulator.DaySpec) { d.Tenants[2].Share = 0 },
-		"net.loss":   func(d *emulator.DaySpec) { d.Net.Loss = 2 },
-		"clients":    func(d *emulator.DaySpec) { d.Clients.RetryAfterFraction = 2 },
-		"trouble[0]": func(d *emulator.DaySpec) { d.Faults = []emulator.FaultSpec{{Kind: "plague", Nodes: 1, To: 1}} },
-		"is no node": func(d *emulator.DaySpec) {
+	for want, change := range map[string]func(*emulator.ScenarioSpec){
+		"length":     func(d *emulator.ScenarioSpec) { d.Length = -1 },
+		"agents":     func(d *emulator.ScenarioSpec) { d.Agents = 100000 },
+		"kind[1]":    func(d *emulator.ScenarioSpec) { d.Kinds[1].Speed = 0 },
+		"class[0]":   func(d *emulator.ScenarioSpec) { d.Classes[0].Deadline = 1 },
+		"tenant[2]":  func(d *emulator.ScenarioSpec) { d.Tenants[2].Share = 0 },
+		"net.loss":   func(d *emulator.ScenarioSpec) { d.Network.Loss = 2 },
+		"clients":    func(d *emulator.ScenarioSpec) { d.Clients.RetryAfterFraction = 2 },
+		"trouble[0]": func(d *emulator.ScenarioSpec) { d.Faults = []emulator.FaultSpec{{Kind: "plague", Nodes: 1, To: 1}} },
+		"is no node": func(d *emulator.ScenarioSpec) {
 			d.Faults = []emulator.FaultSpec{{Kind: "drain", Names: []string{"x"}, To: 1}}
 		},
-		"ends its life": func(d *emulator.DaySpec) {
+		"ends its life": func(d *emulator.ScenarioSpec) {
 			d.Faults = []emulator.FaultSpec{{Kind: "drain", Names: []string{"node-01"}, To: 1}, {Kind: "restart", Names: []string{"node-01"}, To: 1}}
 		},
-		"unknown shape": func(d *emulator.DaySpec) { d.Shape = "zigzag" },
-		"outage[0]":     func(d *emulator.DaySpec) { d.Outages = []emulator.OutageSpec{{From: 2, To: 1}} },
+		"unknown shape": func(d *emulator.ScenarioSpec) { d.Shape = "zigzag" },
+		"outage[0]":     func(d *emulator.ScenarioSpec) { d.Outages = []emulator.OutageSpec{{From: 2, To: 1}} },
 	} {
-		d := emulator.DefaultDay()
+		d := emulator.DefaultScenario()
 		change(&d)
 		if err := d.Check("day."); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: %v", want, err)
@@ -261,7 +261,7 @@
 
 // Callers and load never go beyond the machine.
 func TestLoopbackOnly(t *testing.T) {
-	dial := (&emulator.Loopback{}).Dialer("")
+	dial := (&emulator.LoopbackNetwork{}).Dialer("")
 	for _, addr := range []string{"192.0.2.1:80", "example.org:80", "[2001:db8::1]:80", "nonsense"} {
 		if c, err := dial(t.Context(), "tcp", addr); err == nil {
 			c.Close()
--- a/internal/emulator/fleet.go
+++ b/internal/emulator/fleet.go
@@ -18,25 +18,25 @@
 	AgentSlow    = "slow"    // for the time away it runs for Part of each slowEvery only. Real processes only
 )
 
-// AgentSpec is something that befalls a share of the agents, drawn by the day's seed. They begin anew from the list that they
+// AgentFaultSpec is something that befalls a share of the agents, drawn by the day's seed. They begin anew from the list that they
 // had, and with nothing learnt unless Kept.
-type AgentSpec struct {
+type AgentFaultSpec struct {
 	Kind        string          `toml:"kind"`
 	Share       float64         `toml:"share"`
 	Groups      int             `toml:"groups"` // one after the other, evenly from From to To; 0 is 1
 	From        config.Duration `toml:"from"`
 	To          config.Duration `toml:"to"`
-	Away        config.Duration `toml:"away"` // until the new process takes clients, or the paused or slow one goes on as before
+	Duration    config.Duration `toml:"away"` // until the new process takes clients, or the paused or slow one goes on as before
 	WithState   bool            `toml:"kept"` // the new process begins with what the one before it had learnt
 	RunFraction float64         `toml:"part"` // of the time, in which a slow process runs: 0.05 to 0.95
 }
 
-// ShiftSpec multiplies the traffic at a zone's agents for a while, or that of all where no zone is named.
-type ShiftSpec struct {
-	Zone  string          `toml:"zone"`
-	From  config.Duration `toml:"from"`
-	To    config.Duration `toml:"to"`
-	Times float64         `toml:"times"`
+// TrafficShiftSpec multiplies the traffic at a zone's agents for a while, or that of all where no zone is named.
+type TrafficShiftSpec struct {
+	Zone   string          `toml:"zone"`
+	From   config.Duration `toml:"from"`
+	To     config.Duration `toml:"to"`
+	Factor float64         `toml:"times"`
 }
 
 // ListDelaySpec makes all that happens to the list in a while known only so much later.
@@ -46,21 +46,21 @@
 	By   config.Duration `toml:"by"`
 }
 
-// CutSpec cuts a zone off from the others for a while: nothing passes, and nothing is said.
-type CutSpec struct {
+// PartitionSpec cuts a zone off from the others for a while: nothing passes, and nothing is said.
+type PartitionSpec struct {
 	Zone string          `toml:"zone"`
 	From config.Duration `toml:"from"`
 	To   config.Duration `toml:"to"`
 }
 
-// StormSpec changes how clients go about their tries for a while.
-type StormSpec struct {
-	From      config.Duration `toml:"from"`
-	To        config.Duration `toml:"to"`
-	Retries   int             `toml:"retries"`
-	Backoff   config.Duration `toml:"backoff"`
-	TryShare  float64         `toml:"try_share"`
-	Impatient float64         `toml:"impatient"`
+// RetryStormSpec changes how clients go about their tries for a while.
+type RetryStormSpec struct {
+	From                   config.Duration `toml:"from"`
+	To                     config.Duration `toml:"to"`
+	Retries                int             `toml:"retries"`
+	Backoff                config.Duration `toml:"backoff"`
+	AttemptTimeoutFraction float64         `toml:"try_share"`
+	ImpatientFraction      float64         `toml:"impatient"`
 }
 
 // Prices are taken off a day's goal, each times its figure.
@@ -73,11 +73,11 @@
 
 // FleetSpec is what befalls a fleet as a whole.
 type FleetSpec struct {
-	Agents         []AgentSpec         `toml:"agent_trouble"`
-	Shifts         []ShiftSpec         `toml:"shift"`
+	AgentFaults    []AgentFaultSpec    `toml:"agent_trouble"`
+	TrafficShifts  []TrafficShiftSpec  `toml:"shift"`
 	ListDelays     []ListDelaySpec     `toml:"late"`
-	Cuts           []CutSpec           `toml:"cut"`
-	Storms         []StormSpec         `toml:"storm"`
+	Partitions     []PartitionSpec     `toml:"cut"`
+	RetryStorms    []RetryStormSpec    `toml:"storm"`
 	Paths          []PathSpec          `toml:"path"` // real processes only
 	ByzantinePeers []ByzantinePeerSpec `toml:"liar"` // likewise, and only where agents talk with each other
 	Prices         Prices              `toml:"prices"`
@@ -113,7 +113,7 @@
 			wrong(key+".zone", "%q is none of %v", z, zones)
 		}
 	}
-	for i, a := range f.Agents {
+	for i, a := range f.AgentFaults {
 		key := fmt.Sprintf("agent_trouble[%d]", i)
 		if kinds := []string{AgentRestart, AgentKill, AgentPause, AgentSlow}; !slices.Contains(kinds, a.Kind) {
 			wrong(key+".kind", "%q is none of %v", a.Kind, kinds)
@@ -124,16 +124,16 @@
 		if slow := a.Kind == AgentSlow; slow && !(a.RunFraction >= 0.05 && a.RunFraction <= 0.95) || !slow && a.RunFraction != 0 {
 			wrong(key+".part", "is from 0.05 to 0.95 for a slow process, and for no other")
 		}
-		if !(a.Share > 0 && a.Share <= 1) || a.Groups < 0 || a.Groups > mostAgents || a.Away < 0 {
+		if !(a.Share > 0 && a.Share <= 1) || a.Groups < 0 || a.Groups > maxAgents || a.Duration < 0 {
 			wrong(key+".share", "needs a share above 0 up to 1, and neither groups nor a time away below 0")
 		}
 		span(key, a.From, max(a.To, a.From+1))
 	}
-	for i, s := range f.Shifts {
+	for i, s := range f.TrafficShifts {
 		key := fmt.Sprintf("shift[%d]", i)
 		span(key, s.From, s.To)
 		zone(key, s.Zone, false)
-		if !(s.Times >= 0 && s.Times <= 100) {
+		if !(s.Factor >= 0 && s.Factor <= 100) {
 			wrong(key+".times", "must be from 0 to 100")
 		}
 	}
@@ -143,7 +143,7 @@
 			wrong(fmt.Sprintf("late[%d].by", i), "must be from 0 to a minute")
 		}
 	}
-	for i, c := range f.Cuts {
+	for i, c := range f.Partitions {
 		key := fmt.Sprintf("cut[%d]", i)
 		span(key, c.From, c.To)
 		zone(key, c.Zone, true)
@@ -160,10 +160,10 @@
 			wrong(key+".says", "%v is not made up of %v", l.Says, FalseReports())
 		}
 	}
-	for i, s := range f.Storms {
+	for i, s := range f.RetryStorms {
 		key := fmt.Sprintf("storm[%d]", i)
 		span(key, s.From, s.To)
-		if s.Retries < 0 || s.Retries > 10 || s.TryShare < 0 || s.TryShare > 1 || s.Backoff < 0 || s.Impatient < 0 || s.Impatient > 1 {
+		if s.Retries < 0 || s.Retries > 10 || s.AttemptTimeoutFraction < 0 || s.AttemptTimeoutFraction > 1 || s.Backoff < 0 || s.ImpatientFraction < 0 || s.ImpatientFraction > 1 {
 			wrong(key+".retries", "retries are from 0 to 10, shares from 0 to 1, and no time below 0")
 		}
 	}
@@ -177,7 +177,7 @@
 	Agent       int
 	Kind        string
 	At          time.Duration
-	Away        time.Duration
+	Duration    time.Duration
 	WithState   bool    // the next process begins with what was learnt
 	RunFraction float64 // of the time, in which a slow process runs
 }
@@ -186,8 +186,8 @@
 func (t AgentFault) Survives() bool { return t.Kind == AgentPause || t.Kind == AgentSlow }
 
 // placeAgents says which agents the troubles befall.
-func (day *Day) placeAgents(rng *rand.Rand) {
-	for _, a := range day.Spec.Fleet.Agents {
+func (day *Scenario) placeAgents(rng *rand.Rand) {
+	for _, a := range day.Spec.Fleet.AgentFaults {
 		n := max(1, int(a.Share*float64(len(day.Agents))+0.5))
 		groups := max(1, a.Groups)
 		for i, agent := range rng.Perm(len(day.Agents))[:n] {
@@ -195,20 +195,20 @@
 			if group := i * groups / n; groups > 1 {
 				at += time.Duration(group) * (a.To - a.From).D() / time.Duration(groups-1)
 			}
-			day.AgentFaults = append(day.AgentFaults, AgentFault{agent, a.Kind, at, a.Away.D(), a.WithState, a.RunFraction})
+			day.AgentFaults = append(day.AgentFaults, AgentFault{agent, a.Kind, at, a.Duration.D(), a.WithState, a.RunFraction})
 		}
 	}
 	slices.SortStableFunc(day.AgentFaults, func(a, b AgentFault) int { return int(a.At - b.At) })
 }
 
 // shifts are the day's shifts, by agent.
-func (day *Day) shifts() (out []callers.Shift) {
-	for _, s := range day.Spec.Fleet.Shifts {
-		shift := callers.Shift{From: s.From.D(), To: s.To.D(), Times: make([]float64, len(day.Agents))}
-		for i := range shift.Times {
-			shift.Times[i] = 1
+func (day *Scenario) shifts() (out []callers.TrafficShift) {
+	for _, s := range day.Spec.Fleet.TrafficShifts {
+		shift := callers.TrafficShift{From: s.From.D(), To: s.To.D(), Factors: make([]float64, len(day.Agents))}
+		for i := range shift.Factors {
+			shift.Factors[i] = 1
 			if s.Zone == "" || day.AgentZone(i) == s.Zone {
-				shift.Times[i] = s.Times
+				shift.Factors[i] = s.Factor
 			}
 		}
 		out = append(out, shift)
@@ -216,19 +216,19 @@
 	return out
 }
 
-// ClientsAt are the habits of a client whose request comes at that time.
-func (day *Day) ClientsAt(at time.Duration) callers.ClientProfile {
+// ClientProfileAt are the habits of a client whose request comes at that time.
+func (day *Scenario) ClientProfileAt(at time.Duration) callers.ClientProfile {
 	h := day.Clients
-	for _, s := range day.Spec.Fleet.Storms {
+	for _, s := range day.Spec.Fleet.RetryStorms {
 		if at >= s.From.D() && at < s.To.D() {
-			h.Retries, h.Backoff, h.AttemptTimeoutFraction, h.Impatient = s.Retries, s.Backoff.D(), s.TryShare, s.Impatient
+			h.Retries, h.Backoff, h.AttemptTimeoutFraction, h.ImpatientFraction = s.Retries, s.Backoff.D(), s.AttemptTimeoutFraction, s.ImpatientFraction
 		}
 	}
 	return h
 }
 
 // ListDelay is how much later than usual what happens at that time comes to the list.
-func (day *Day) ListDelay(at time.Duration) (late time.Duration) {
+func (day *Scenario) ListDelay(at time.Duration) (late time.Duration) {
 	for _, l := range day.Spec.Fleet.ListDelays {
 		if at >= l.From.D() && at < l.To.D() {
 			late = max(late, l.By.D())
@@ -237,9 +237,9 @@
 	return late
 }
 
-// CutOff reports whether nothing passes between two zones at that time.
-func (day *Day) CutOff(a, b string, at time.Duration) bool {
-	return a != b && slices.ContainsFunc(day.Spec.Fleet.Cuts, func(c CutSpec) bool {
+// Partitioned reports whether nothing passes between two zones at that time.
+func (day *Scenario) Partitioned(a, b string, at time.Duration) bool {
+	return a != b && slices.ContainsFunc(day.Spec.Fleet.Partitions, func(c PartitionSpec) bool {
 		return (c.Zone == a || c.Zone == b) && at >= c.From.D() && at < c.To.D()
 	})
 }
--- a/internal/emulator/link/link_test.go
+++ b/internal/emulator/link/link_test.go
@@ -42,7 +42,7 @@
 func TestDelayAndOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := NewNetwork(1)
-		n.Both("a", "b", Conditions{Delay: 100 * time.Millisecond, Jitter: 50 * time.Millisecond, Loss: 0.3})
+		n.SetBoth("a", "b", Conditions{Delay: 100 * time.Millisecond, Jitter: 50 * time.Millisecond, Loss: 0.3})
 		began := time.Now()
 		here, there := pair(t, n)
 		if up := time.Since(began); up < 200*time.Millisecond {
@@ -61,7 +61,7 @@
 func TestBandwidthAndWindow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := NewNetwork(1)
-		n.Both("a", "b", Conditions{Bandwidth: 1 << 20})
+		n.SetBoth("a", "b", Conditions{Bandwidth: 1 << 20})
 		here, there := pair(t, n)
 		here.SetWriteDeadline(time.Now().Add(time.Second))
 		sent, err := here.Write(make([]byte, 2<<20))
--- a/internal/emulator/link/network.go
+++ b/internal/emulator/link/network.go
@@ -70,8 +70,8 @@
 	}
 }
 
-// Both gives both directions between two hosts the same conditions.
-func (n *Network) Both(a, b string, c Conditions) {
+// SetBoth gives both directions between two hosts the same conditions.
+func (n *Network) SetBoth(a, b string, c Conditions) {
 	n.Set(a, b, c)
 	n.Set(b, a, c)
 }
--- a/internal/emulator/net.go
+++ b/internal/emulator/net.go
@@ -9,61 +9,65 @@
 	"ryeweir/internal/emulator/link"
 )
 
-// Memory is a Net in memory, which works inside testing/synctest. Hosts are the names of agents and nodes.
-type Memory struct{ *link.Network }
+// MemoryNetwork is a Net in memory, which works inside testing/synctest. Hosts are the names of agents and nodes.
+type MemoryNetwork struct{ *link.Network }
 
-var _ Net = Memory{}
+var _ Network = MemoryNetwork{}
 
 // Listen listens for a host at any port.
-func (m Memory) Listen(host string) (net.Listener, error) { return m.Network.Listen(host + ":0") }
+func (m MemoryNetwork) Listen(host string) (net.Listener, error) {
+	return m.Network.Listen(host + ":0")
+}
 
-// Again listens at an address that was in use before.
-func (m Memory) Again(addr string) (net.Listener, error) { return m.Network.Listen(addr) }
+// ListenAgain listens at an address that was in use before.
+func (m MemoryNetwork) ListenAgain(addr string) (net.Listener, error) { return m.Network.Listen(addr) }
 
-// Path shapes the way to a node, which all agents reach at its own address.
-func (m Memory) Path(agent, node, addr string, c link.Conditions) (string, error) {
-	m.Shape(agent, node, c, c)
+// AddPath shapes the way to a node, which all agents reach at its own address.
+func (m MemoryNetwork) AddPath(agent, node, addr string, c link.Conditions) (string, error) {
+	m.SetConditions(agent, node, c, c)
 	return addr, nil
 }
 
-// Shape changes the conditions between two hosts.
-func (m Memory) Shape(agent, other string, forth, back link.Conditions) {
+// SetConditions changes the conditions between two hosts.
+func (m MemoryNetwork) SetConditions(agent, other string, forth, back link.Conditions) {
 	m.Set(agent, other, forth)
 	m.Set(other, agent, back)
 }
 
-// Down does nothing: where no listener is, a dial is refused.
-func (Memory) Down(string, bool) error { return nil }
+// SetDown does nothing: where no listener is, a dial is refused.
+func (MemoryNetwork) SetDown(string, bool) error { return nil }
 
 // Dialer returns the dial of a host.
-func (m Memory) Dialer(host string) Dial { return m.Network.Dialer(host) }
+func (m MemoryNetwork) Dialer(host string) Dial { return m.Network.Dialer(host) }
 
 // Close does nothing: nothing outlives the connections.
-func (Memory) Close() {}
+func (MemoryNetwork) Close() {}
 
-// Loopback is a Net on sockets of 127.0.0.1 at free ports. A path with conditions is a relay.
-type Loopback struct {
-	Plain bool       // without relays: agents reach nodes at once
-	Mesh  *link.Mesh // between agents that talk with each other; nil without
+// LoopbackNetwork is a Net on sockets of 127.0.0.1 at free ports. A path with conditions is a relay.
+type LoopbackNetwork struct {
+	WithoutRelays bool       // without relays: agents reach nodes at once
+	Mesh          *link.Mesh // between agents that talk with each other; nil without
 
 	mu     sync.Mutex
 	relays map[[2]string]*link.Relay // by agent and node
 	made   uint64
 }
 
-var _ Net = (*Loopback)(nil)
+var _ Network = (*LoopbackNetwork)(nil)
 
 const anyPort = "127.0.0.1:0"
 
 // Listen listens at a free port.
-func (*Loopback) Listen(string) (net.Listener, error) { return net.Listen("tcp", anyPort) }
+func (*LoopbackNetwork) Listen(string) (net.Listener, error) { return net.Listen("tcp", anyPort) }
 
-// Again listens at a port that was in use before.
-func (*Loopback) Again(addr string) (net.Listener, error) { return net.Listen("tcp", addr) }
+// ListenAgain listens at a port that was in use before.
+func (*LoopbackNetwork) ListenAgain(addr string) (net.Listener, error) {
+	return net.Listen("tcp", addr)
+}
 
-// Path puts a relay between an agent and a node.
-func (n *Loopback) Path(agent, node, addr string, c link.Conditions) (string, error) {
-	if n.Plain {
+// AddPath puts a relay between an agent and a node.
+func (n *LoopbackNetwork) AddPath(agent, node, addr string, c link.Conditions) (string, error) {
+	if n.WithoutRelays {
 		return addr, nil
 	}
 	l, err := net.Listen("tcp", anyPort)
@@ -82,8 +86,8 @@
 	return l.Addr().String(), nil
 }
 
-// Shape changes the conditions of a relay, or of the mesh.
-func (n *Loopback) Shape(agent, other string, forth, back link.Conditions) {
+// SetConditions changes the conditions of a relay, or of the mesh.
+func (n *LoopbackNetwork) SetConditions(agent, other string, forth, back link.Conditions) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if r := n.relays[[2]string{agent, other}]; r != nil {
@@ -94,8 +98,8 @@
 	}
 }
 
-// Down lets the relays to a node refuse connections.
-func (n *Loopback) Down(node string, on bool) error {
+// SetDown lets the relays to a node refuse connections.
+func (n *LoopbackNetwork) SetDown(node string, on bool) error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	var all []error
@@ -108,7 +112,7 @@
 }
 
 // Dialer returns the machine's dial, for loopback addresses only.
-func (*Loopback) Dialer(string) Dial {
+func (*LoopbackNetwork) Dialer(string) Dial {
 	return func(ctx context.Context, network, addr string) (net.Conn, error) {
 		host, _, err := net.SplitHostPort(addr)
 		if ip := net.ParseIP(host); err != nil || ip == nil || !ip.IsLoopback() {
@@ -119,7 +123,7 @@
 }
 
 // Close ends all relays.
-func (n *Loopback) Close() {
+func (n *LoopbackNetwork) Close() {
 	n.mu.Lock()
 	relays := n.relays
 	n.relays = nil
--- a/internal/emulator/node/load.go
+++ b/internal/emulator/node/load.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// Load is a report as a probe sees it.
-type Load struct {
-	Taken time.Duration // when it was read
-	Rate  float64       // requests done a second
-	Util  float64       // share of its cores in use
+// LoadReport is a report as a probe sees it.
+type LoadReport struct {
+	Taken       time.Duration // when it was read
+	Rate        float64       // requests done a second
+	Utilization float64       // share of its cores in use
 }
 
 // look is taken at every tick: at the load, the pressure, and what is due in a report.
@@ -29,17 +29,17 @@
 // press follows a choke: pressure for long enough begins it, rest for long enough ends it. What is turned away presses,
 // too: otherwise a short queue could never choke, whatever is sent.
 func (n *Node) press() {
-	if n.Choke.At == 0 {
+	if n.Degradation.QueuePerCore == 0 {
 		return
 	}
 	waiting := float64(len(n.queue)+len(n.rejections)) / float64(n.Cores)
-	since(&n.overloadedSince, n.now, waiting >= n.Choke.At)
-	since(&n.idleSince, n.now, n.busy < n.Choke.Below)
+	since(&n.overloadedSince, n.now, waiting >= n.Degradation.QueuePerCore)
+	since(&n.idleSince, n.now, n.busy < n.Degradation.RecoveryUtilization)
 	switch {
-	case n.chokedSince < 0 && n.overloadedSince >= 0 && n.now-n.overloadedSince >= n.Choke.Over:
+	case n.chokedSince < 0 && n.overloadedSince >= 0 && n.now-n.overloadedSince >= n.Degradation.After:
 		n.chokedSince = n.now
-		n.figures.Chokes++
-	case n.chokedSince >= 0 && (n.idleSince >= 0 && n.now-n.idleSince >= n.Choke.Rest || n.now-n.chokedSince >= n.Choke.Most):
+		n.figures.Degradations++
+	case n.chokedSince >= 0 && (n.idleSince >= 0 && n.now-n.idleSince >= n.Degradation.RecoveryTime || n.now-n.chokedSince >= n.Degradation.MaxDuration):
 		n.chokedSince, n.overloadedSince = -1, -1
 	}
 }
@@ -56,7 +56,7 @@
 
 // report takes a reading when one is due, with its noise, and lets those be seen whose delay is over.
 func (n *Node) report() {
-	if n.Report.Period <= 0 {
+	if n.LoadReporting.Period <= 0 {
 		return
 	}
 	for len(n.pending) > 0 && n.pending[0].seen <= n.now {
@@ -67,26 +67,26 @@
 		last = n.pending[len(n.pending)-1].taken
 	}
 	span := n.now - last
-	if span < n.Report.Period {
+	if span < n.LoadReporting.Period {
 		return
 	}
-	noise := func() float64 { return max(0, 1+n.Report.Noise*n.rng.NormFloat64()) }
-	n.pending = append(n.pending, reading{taken: n.now, seen: n.now + n.Report.Delay,
+	noise := func() float64 { return max(0, 1+n.LoadReporting.Noise*n.rng.NormFloat64()) }
+	n.pending = append(n.pending, reading{taken: n.now, seen: n.now + n.LoadReporting.Delay,
 		rate: float64(n.completed) / span.Seconds() * noise(),
 		util: min(1, n.busyTime/span.Seconds()/float64(n.Cores)*noise())})
 	n.completed, n.busyTime = 0, 0
 }
 
 // Load is the latest report that can be seen; false when there is none yet.
-func (n *Node) Load() (Load, bool) {
-	return Load{Taken: n.reading.taken, Rate: n.reading.rate, Util: n.reading.util}, n.reading.taken > 0
+func (n *Node) Load() (LoadReport, bool) {
+	return LoadReport{Taken: n.reading.taken, Rate: n.reading.rate, Utilization: n.reading.util}, n.reading.taken > 0
 }
 
-// Probe books a probe; false: the node says nothing, or takes no more of them for now.
-func (n *Node) Probe(now time.Duration) bool {
+// HealthCheck books a probe; false: the node says nothing, or takes no more of them for now.
+func (n *Node) HealthCheck(now time.Duration) bool {
 	n.step(now)
 	n.probes = slices.DeleteFunc(n.probes, func(t time.Duration) bool { return t <= now-time.Second })
-	if n.HealthCheckRate > 0 && float64(len(n.probes)) >= n.HealthCheckRate || n.Silent() {
+	if n.HealthCheckRate > 0 && float64(len(n.probes)) >= n.HealthCheckRate || n.Unresponsive() {
 		return false
 	}
 	n.probes = append(n.probes, now)
--- a/internal/emulator/node/node.go
+++ b/internal/emulator/node/node.go
@@ -15,7 +15,7 @@
 	Ticket     uint64 // the caller's own number for it, never used twice
 	Key        string
 	Cost       time.Duration // on a core of speed 1
-	Until      time.Duration // when its client stops waiting; 0 for never
+	Deadline   time.Duration // when its client stops waiting; 0 for never
 	Unnotified bool          // who sent it had not been told that the node has started anew
 }
 
@@ -27,28 +27,28 @@
 	Accepted   Verdict = iota // Done tells how it ends
 	Rejected                  // unseen: full, draining or over
 	FailedFast                // an error at once; Ran says whether it took effect before
-	Broken                    // its connection breaks; Ran likewise
-	Ignored                   // nothing will ever be said
+	ConnReset                 // its connection breaks; Ran likewise
+	NoResponse                // nothing will ever be said
 )
 
-// Form is how an answer comes out.
-type Form int
+// ResponseForm is how an answer comes out.
+type ResponseForm int
 
 // The forms of an answer.
 const (
-	Whole     Form = iota
-	Spoilt         // can't be read
-	Oversized      // is said to be far longer than any answer may be
+	Intact    ResponseForm = iota
+	Malformed              // can't be read
+	Oversized              // is said to be far longer than any answer may be
 )
 
-// Done is the end of work that was accepted.
-type Done struct {
-	Ticket  uint64
-	At      time.Duration // when the answer goes out: later than the end of the work in a trouble
-	OK      bool          // false for an error
-	Expired bool          // its time was over before a slot was free: never ran
-	Form    Form
-	Used    time.Duration // work that went into it
+// Completion is the end of work that was accepted.
+type Completion struct {
+	Ticket   uint64
+	At       time.Duration // when the answer goes out: later than the end of the work in a trouble
+	OK       bool          // false for an error
+	Expired  bool          // its time was over before a slot was free: never ran
+	Form     ResponseForm
+	WorkDone time.Duration // work that went into it
 }
 
 // Figures count what a node has done.
@@ -56,7 +56,7 @@
 	Offered, Rejected, Failed, Served, Expired, Cancelled int
 	HealthChecks, Handshakes                              int
 	Work, Wasted                                          time.Duration // done in all; and for answers that nobody got
-	Chokes                                                int
+	Degradations                                          int
 	SlowStartPeak                                         float64 // the most that it was sent by those who knew it to be cold, of what topples it; chance aside
 }
 
@@ -64,7 +64,7 @@
 func (f Figures) Add(g Figures) Figures {
 	f.Offered, f.Rejected, f.Failed, f.Served = f.Offered+g.Offered, f.Rejected+g.Rejected, f.Failed+g.Failed, f.Served+g.Served
 	f.Expired, f.Cancelled, f.HealthChecks = f.Expired+g.Expired, f.Cancelled+g.Cancelled, f.HealthChecks+g.HealthChecks
-	f.Handshakes, f.Chokes = f.Handshakes+g.Handshakes, f.Chokes+g.Chokes
+	f.Handshakes, f.Degradations = f.Handshakes+g.Handshakes, f.Degradations+g.Degradations
 	f.Work, f.Wasted = f.Work+g.Work, f.Wasted+g.Wasted
 	f.SlowStartPeak = max(f.SlowStartPeak, g.SlowStartPeak)
 	return f
@@ -82,7 +82,7 @@
 	now     time.Duration
 	running []*item
 	queue   []*item
-	done    []Done
+	done    []Completion
 	began   []uint64
 	faults  []Fault
 	conns   int
@@ -133,14 +133,14 @@
 // Overloaded reports whether the node was pushed over while cold. It stays down.
 func (n *Node) Overloaded() bool { return n.overloaded }
 
-// Blame reports whether at least blameFrom of what pushed it over came from those who had been told that it is cold.
-func (n *Node) Blame() bool { return n.blame }
+// OverloadWasAvoidable reports whether at least blameFrom of what pushed it over came from those who had been told that it is cold.
+func (n *Node) OverloadWasAvoidable() bool { return n.blame }
 
 // blameFrom is the platform's: below it nobody could have known.
 const blameFrom = 2.0 / 3
 
-// Choked reports whether it is slow after an overload.
-func (n *Node) Choked() bool { return n.chokedSince >= 0 }
+// Degraded reports whether it is slow after an overload.
+func (n *Node) Degraded() bool { return n.chokedSince >= 0 }
 
 // InFlight is what it holds: in work and waiting.
 func (n *Node) InFlight() int { return len(n.running) + len(n.queue) }
@@ -161,16 +161,16 @@
 	return time.Duration(work / unit / float64(n.Cores) * 1e9)
 }
 
-// Room reports whether another request would find a place.
-func (n *Node) Room() bool {
+// HasCapacity reports whether another request would find a place.
+func (n *Node) HasCapacity() bool {
 	return len(n.queue) < int(float64(n.Cores)*n.QueuePerCore) || !n.slotsFull()
 }
 
 // Waiting is how many requests wait for a slot.
 func (n *Node) Waiting() int { return len(n.queue) }
 
-// Warm is the share of its capacity that a node has for its age.
-func (n *Node) Warm() float64 {
+// SlowStartFraction is the share of its capacity that a node has for its age.
+func (n *Node) SlowStartFraction() float64 {
 	age := n.now - n.Started
 	if n.Started < 0 || age >= n.SlowStartWindow {
 		return 1
@@ -186,12 +186,12 @@
 	if n.overloaded {
 		return 0
 	}
-	speed := n.Speed * n.Warm() * (1 - n.size(Neighbour)) / max(1, n.size(Slow))
+	speed := n.Speed * n.SlowStartFraction() * (1 - n.size(NoisyNeighbor)) / max(1, n.size(Slow))
 	if n.chokedSince >= 0 {
-		speed /= n.Choke.Slower
+		speed /= n.Degradation.SlowdownFactor
 	}
 	if n.ConnCap > 0 {
-		speed *= 1 - n.FullTax*float64(min(n.conns, n.ConnCap))/float64(n.ConnCap)
+		speed *= 1 - n.ConnOverhead*float64(min(n.conns, n.ConnCap))/float64(n.ConnCap)
 	}
 	return speed
 }
@@ -202,14 +202,14 @@
 		return 0
 	}
 	pace := n.unit() * min(1, float64(n.Cores)/float64(len(n.running)))
-	if held := float64(n.InFlight()) / float64(n.Cores); n.ThrashAt > 0 && held > n.ThrashAt {
-		pace *= 1 - n.Thrash*min(1, (held-n.ThrashAt)/n.ThrashAt)
+	if held := float64(n.InFlight()) / float64(n.Cores); n.ContentionThreshold > 0 && held > n.ContentionThreshold {
+		pace *= 1 - n.ContentionLoss*min(1, (held-n.ContentionThreshold)/n.ContentionThreshold)
 	}
 	return pace
 }
 
-// Next is when Advance has to be called next at the latest.
-func (n *Node) Next() time.Duration {
+// NextEvent is when Advance has to be called next at the latest.
+func (n *Node) NextEvent() time.Duration {
 	next := n.ticked + tick
 	if pace := n.pace(); pace > 0 {
 		least := math.Inf(1)
@@ -227,7 +227,7 @@
 }
 
 // Advance lets time pass and returns what has ended since the last call, in order.
-func (n *Node) Advance(now time.Duration) []Done {
+func (n *Node) Advance(now time.Duration) []Completion {
 	n.step(now)
 	out := n.done
 	n.done = nil
@@ -236,7 +236,7 @@
 
 // step lets time pass, and keeps what ends for the next Advance.
 func (n *Node) step(now time.Duration) {
-	for next := n.Next(); next <= now; next = n.Next() {
+	for next := n.NextEvent(); next <= now; next = n.NextEvent() {
 		n.pass(next)
 	}
 	if now > n.now {
@@ -244,8 +244,8 @@
 	}
 }
 
-// Began returns the tickets whose work began since the last call: from then on they may have taken effect.
-func (n *Node) Began() []uint64 {
+// TakeStarted returns the tickets whose work began since the last call: from then on they may have taken effect.
+func (n *Node) TakeStarted() []uint64 {
 	out := n.began
 	n.began = nil
 	return out
@@ -280,7 +280,7 @@
 	used := time.Duration(it.used * 1e9)
 	n.figures.Work += used
 	n.completed++
-	d := Done{Ticket: it.Ticket, At: n.now, OK: !n.chance(n.ErrorRate), Used: used}
+	d := Completion{Ticket: it.Ticket, At: n.now, OK: !n.chance(n.ErrorRate), WorkDone: used}
 	if d.OK {
 		n.figures.Served++
 	} else {
@@ -288,23 +288,23 @@
 		n.figures.Wasted += used
 	}
 	switch {
-	case n.chance(n.size(Spoil)):
-		d.Form = Spoilt
-	case n.chance(n.size(Oversize)):
+	case n.chance(n.size(MalformedResponse)):
+		d.Form = Malformed
+	case n.chance(n.size(OversizedResponse)):
 		d.Form = Oversized
 	}
-	d.At += time.Duration(n.size(LateAnswers) * 1e9)
+	d.At += time.Duration(n.size(DelayedResponse) * 1e9)
 	n.remember(it.Key)
 	n.done = append(n.done, d)
 }
 
 // remember notes that a key was met, and forgets the oldest beyond the bound.
 func (n *Node) remember(key string) {
-	if key == "" || n.Affinity.Keys == 0 {
+	if key == "" || n.Affinity.MaxKeys == 0 {
 		return
 	}
 	n.met[key] = n.now
-	if len(n.met) <= n.Affinity.Keys {
+	if len(n.met) <= n.Affinity.MaxKeys {
 		return
 	}
 	oldest, at := "", time.Duration(math.MaxInt64)
@@ -322,14 +322,14 @@
 	for len(n.running) < slots && len(n.queue) > 0 {
 		it := n.queue[0]
 		n.queue = n.queue[1:]
-		if it.Until > 0 && n.now >= it.Until && !n.KeepsExpired {
+		if it.Deadline > 0 && n.now >= it.Deadline && !n.RunsExpired {
 			n.figures.Expired++
-			n.done = append(n.done, Done{Ticket: it.Ticket, At: n.now, Expired: true})
+			n.done = append(n.done, Completion{Ticket: it.Ticket, At: n.now, Expired: true})
 			continue
 		}
 		work := it.Cost.Seconds() * max(0.05, 1+n.WorkNoise*n.rng.NormFloat64())
-		if at, ok := n.met[it.Key]; ok && it.Key != "" && n.now-at < n.Affinity.For {
-			work *= 1 - n.Affinity.Gain
+		if at, ok := n.met[it.Key]; ok && it.Key != "" && n.now-at < n.Affinity.TTL {
+			work *= 1 - n.Affinity.Saving
 		}
 		it.left = work
 		n.running = append(n.running, it)
@@ -343,9 +343,9 @@
 	n.figures.Offered++
 	n.count(w)
 	switch {
-	case n.overloaded, n.on(Vanish):
-		return Ignored, false
-	case n.on(Drain) || w.Until > 0 && now >= w.Until || !n.Room():
+	case n.overloaded, n.on(Blackhole):
+		return NoResponse, false
+	case n.on(Drain) || w.Deadline > 0 && now >= w.Deadline || !n.HasCapacity():
 		n.figures.Rejected++
 		n.rejections = append(n.rejections, now)
 		return Rejected, false
@@ -354,7 +354,7 @@
 		return FailedFast, n.chance(0.5)
 	case n.chance(n.size(ResetConn)):
 		n.figures.Failed++
-		return Broken, n.chance(0.5)
+		return ConnReset, n.chance(0.5)
 	}
 	n.queue = append(n.queue, &item{Work: w})
 	n.fill()
@@ -368,7 +368,7 @@
 // count adds what is sent to a cold node to its budget: more than Overload times its capacity over any FallFor topples it.
 // Three requests of slack stand for chance.
 func (n *Node) count(w Work) {
-	if n.SlowStartOverloadFactor == 0 || n.Warm() == 1 || n.overloaded {
+	if n.SlowStartOverloadFactor == 0 || n.SlowStartFraction() == 1 || n.overloaded {
 		n.offered = nil
 		return
 	}
@@ -383,7 +383,7 @@
 			said += o.work
 		}
 	}
-	budget := n.SlowStartOverloadFactor * float64(n.Cores) * n.Speed * n.Warm() * n.OverloadWindow.Seconds()
+	budget := n.SlowStartOverloadFactor * float64(n.Cores) * n.Speed * n.SlowStartFraction() * n.OverloadWindow.Seconds()
 	if said >= blameFrom*sum {
 		n.figures.SlowStartPeak = max(n.figures.SlowStartPeak, (sum-3*largest)/budget)
 	}
@@ -402,7 +402,7 @@
 		n.figures.Cancelled++
 		return
 	}
-	if i := slices.IndexFunc(n.running, same); i >= 0 && !n.KeepsCancelled {
+	if i := slices.IndexFunc(n.running, same); i >= 0 && !n.RunsCancelled {
 		used := time.Duration(n.running[i].used * 1e9)
 		n.figures.Work += used
 		n.figures.Wasted += used
@@ -422,29 +422,29 @@
 	}
 }
 
-// Welcome is what a node does with a new connection.
-type Welcome int
+// ConnDecision is what a node does with a new connection.
+type ConnDecision int
 
 // The welcomes.
 const (
-	Admitted Welcome = iota
-	Full             // its requests are turned away unseen
-	Refused          // it is reset at once
+	ConnAccepted  ConnDecision = iota
+	ConnTableFull              // its requests are turned away unseen
+	ConnRefused                // it is reset at once
 )
 
 // Connect brings a new connection. One that is admitted ends with Disconnect.
-func (n *Node) Connect(now time.Duration) Welcome {
+func (n *Node) Connect(now time.Duration) ConnDecision {
 	n.step(now)
 	switch {
 	case n.on(Flap):
-		return Refused
+		return ConnRefused
 	case n.ConnCap > 0 && n.conns >= n.ConnCap:
-		return Full
+		return ConnTableFull
 	}
 	n.conns++
 	n.figures.Handshakes++
-	n.overhead(n.Handshake)
-	return Admitted
+	n.overhead(n.HandshakeWork)
+	return ConnAccepted
 }
 
 // Disconnect tells that a connection has ended.
@@ -453,8 +453,8 @@
 	n.conns--
 }
 
-// Silent reports whether the node says nothing to anybody at present.
-func (n *Node) Silent() bool { return n.overloaded || n.on(Vanish) }
+// Unresponsive reports whether the node says nothing to anybody at present.
+func (n *Node) Unresponsive() bool { return n.overloaded || n.on(Blackhole) }
 
 // CloseIdle draws whether a connection that has been idle for this long since the last call is closed by the node.
 func (n *Node) CloseIdle(span time.Duration) bool {
--- a/internal/emulator/node/node_test.go
+++ b/internal/emulator/node/node_test.go
@@ -19,7 +19,7 @@
 	if v, _ := n.Offer(at, w); v != Accepted {
 		t.Fatalf("verdict %v", v)
 	}
-	for now := at; now < at+time.Minute; now = n.Next() {
+	for now := at; now < at+time.Minute; now = n.NextEvent() {
 		for _, d := range n.Advance(now) {
 			if d.Ticket == w.Ticket && d.OK {
 				return d.At - at
@@ -42,16 +42,16 @@
 		"a fast core":    {change: func(s *Spec) { s.Speed = 2 }, want: 50 * time.Millisecond},
 		"cold":           {change: func(s *Spec) { s.Started = time.Second }, want: 465 * time.Millisecond}, // a fifth, and rising
 		"slow":           {do: func(n *Node) { n.AddFault(Fault{Kind: Slow, To: time.Hour, Size: 4}) }, want: 400 * time.Millisecond},
-		"a neighbour":    {do: func(n *Node) { n.AddFault(Fault{Kind: Neighbour, To: time.Hour, Size: 0.5}) }, want: 200 * time.Millisecond},
-		"neighbour ends": {do: func(n *Node) { n.AddFault(Fault{Kind: Neighbour, To: 1050 * time.Millisecond, Size: 0.5}) }, want: 125 * time.Millisecond},
+		"a neighbour":    {do: func(n *Node) { n.AddFault(Fault{Kind: NoisyNeighbor, To: time.Hour, Size: 0.5}) }, want: 200 * time.Millisecond},
+		"neighbour ends": {do: func(n *Node) { n.AddFault(Fault{Kind: NoisyNeighbor, To: 1050 * time.Millisecond, Size: 0.5}) }, want: 125 * time.Millisecond},
 		"both": {do: func(n *Node) {
 			n.AddFault(Fault{Kind: Slow, To: time.Hour, Size: 2})
-			n.AddFault(Fault{Kind: Neighbour, To: time.Hour, Size: 0.5})
+			n.AddFault(Fault{Kind: NoisyNeighbor, To: time.Hour, Size: 0.5})
 		}, want: 400 * time.Millisecond},
-		"late":         {do: func(n *Node) { n.AddFault(Fault{Kind: LateAnswers, To: time.Hour, Size: 0.3}) }, want: 400 * time.Millisecond},
-		"a full table": {change: func(s *Spec) { s.ConnCap, s.FullTax = 1, 0.5 }, do: func(n *Node) { n.Connect(time.Second) }, want: 200 * time.Millisecond},
+		"late":         {do: func(n *Node) { n.AddFault(Fault{Kind: DelayedResponse, To: time.Hour, Size: 0.3}) }, want: 400 * time.Millisecond},
+		"a full table": {change: func(s *Spec) { s.ConnCap, s.ConnOverhead = 1, 0.5 }, do: func(n *Node) { n.Connect(time.Second) }, want: 200 * time.Millisecond},
 		"a known key":  {change: func(s *Spec) { s.Affinity = Affinity{0.5, time.Minute, 5} }, do: func(n *Node) { n.remember("k") }, want: 50 * time.Millisecond},
-		"a handshake":  {change: func(s *Spec) { s.Handshake = 30 * time.Millisecond }, do: func(n *Node) { n.Connect(time.Second) }, want: 100 * time.Millisecond},
+		"a handshake":  {change: func(s *Spec) { s.HandshakeWork = 30 * time.Millisecond }, do: func(n *Node) { n.Connect(time.Second) }, want: 100 * time.Millisecond},
 		"on and off, off": {do: func(n *Node) {
 			n.AddFault(Fault{Kind: Slow, To: time.Hour, Size: 4, On: 500 * time.Millisecond, Off: time.Second})
 		}, want: 100 * time.Millisecond},
@@ -75,11 +75,11 @@
 func TestRoom(t *testing.T) {
 	n := New(plain(), 1)
 	for i, want := range []Verdict{Accepted, Accepted, Accepted, Rejected} {
-		if v, _ := n.Offer(time.Millisecond, Work{Ticket: uint64(i), Cost: time.Second, Until: 1500 * time.Millisecond}); v != want {
+		if v, _ := n.Offer(time.Millisecond, Work{Ticket: uint64(i), Cost: time.Second, Deadline: 1500 * time.Millisecond}); v != want {
 			t.Errorf("offer %d: %v", i, v)
 		}
 	}
-	if got := n.Began(); len(got) != 1 || got[0] != 0 {
+	if got := n.TakeStarted(); len(got) != 1 || got[0] != 0 {
 		t.Errorf("began %v", got)
 	}
 	n.Cancel(2*time.Millisecond, 1)
@@ -94,7 +94,7 @@
 	if f := n.Figures(); !expired && f.Served != 2 || f.Rejected != 1 || f.Cancelled != 1 || n.InFlight() != 0 {
 		t.Errorf("%+v expired %v", f, expired)
 	}
-	if v, _ := n.Offer(5*time.Second, Work{Ticket: 9, Cost: 1, Until: 4 * time.Second}); v != Rejected {
+	if v, _ := n.Offer(5*time.Second, Work{Ticket: 9, Cost: 1, Deadline: 4 * time.Second}); v != Rejected {
 		t.Errorf("what was over got %v", v)
 	}
 }
@@ -102,7 +102,7 @@
 // A lasting overload chokes a node; rest heals it. A short one does not.
 func TestChoke(t *testing.T) {
 	s := plain()
-	s.Choke = Choke{At: 4, Over: 2 * time.Second, Slower: 3, Below: 0.3, Rest: 3 * time.Second, Most: 30 * time.Second}
+	s.Degradation = Degradation{QueuePerCore: 4, After: 2 * time.Second, SlowdownFactor: 3, RecoveryUtilization: 0.3, RecoveryTime: 3 * time.Second, MaxDuration: 30 * time.Second}
 	press := func(n *Node, from, to time.Duration) {
 		for at := from; at < to; at += 50 * time.Millisecond {
 			n.Offer(at, Work{Ticket: uint64(at), Cost: 100 * time.Millisecond})
@@ -110,14 +110,14 @@
 	}
 	n := New(s, 1)
 	press(n, 0, 1500*time.Millisecond)
-	if n.Advance(5 * time.Second); n.Choked() || n.Figures().Chokes > 0 {
+	if n.Advance(5 * time.Second); n.Degraded() || n.Figures().Degradations > 0 {
 		t.Error("it choked after a short overload")
 	}
 	press(n, 5*time.Second, 9*time.Second)
-	if !n.Choked() || math.Abs(n.Capacity()-1.0/3) > 1e-9 {
-		t.Errorf("choked %v, capacity %v", n.Choked(), n.Capacity())
+	if !n.Degraded() || math.Abs(n.Capacity()-1.0/3) > 1e-9 {
+		t.Errorf("choked %v, capacity %v", n.Degraded(), n.Capacity())
 	}
-	if n.Advance(20 * time.Second); n.Choked() {
+	if n.Advance(20 * time.Second); n.Degraded() {
 		t.Error("rest did not heal it")
 	}
 }
@@ -138,7 +138,7 @@
 		if n.Overloaded() != c.want {
 			t.Errorf("at %v times its capacity it toppled: %v", c.load, n.Overloaded())
 		}
-		if v, _ := n.Offer(5*time.Second, Work{Ticket: 1 << 50, Cost: 1}); c.want && v != Ignored {
+		if v, _ := n.Offer(5*time.Second, Work{Ticket: 1 << 50, Cost: 1}); c.want && v != NoResponse {
 			t.Errorf("a toppled node said %v", v)
 		}
 	}
@@ -153,8 +153,8 @@
 		for i := range 40 {
 			n.Offer(time.Duration(i)*10*time.Millisecond, Work{Ticket: uint64(i + 1), Cost: 100 * time.Millisecond, Unnotified: i%4 < unsaid})
 		}
-		if !n.Overloaded() || n.Blame() != (unsaid <= 1) {
-			t.Errorf("with %d of 4 sent by those who did not know: toppled %v, blame %v", unsaid, n.Overloaded(), n.Blame())
+		if !n.Overloaded() || n.OverloadWasAvoidable() != (unsaid <= 1) {
+			t.Errorf("with %d of 4 sent by those who did not know: toppled %v, blame %v", unsaid, n.Overloaded(), n.OverloadWasAvoidable())
 		}
 		if peak := n.Figures().SlowStartPeak; (peak > 1) != (unsaid <= 1) {
 			t.Errorf("with %d of 4 by those who did not know the most that it got is %.2f", unsaid, peak)
@@ -164,21 +164,21 @@
 
 func TestReportsComeLate(t *testing.T) {
 	s := plain()
-	s.Report = Report{Period: 500 * time.Millisecond, Delay: 200 * time.Millisecond}
+	s.LoadReporting = LoadReporting{Period: 500 * time.Millisecond, Delay: 200 * time.Millisecond}
 	s.HealthCheckRate = 2
 	n := New(s, 1)
 	n.Advance(10 * time.Second)
 	n.Offer(10*time.Second, Work{Ticket: 1, Cost: 5 * time.Second})
 	n.Advance(10600 * time.Millisecond)
-	if l, ok := n.Load(); !ok || l.Util > 0.01 {
+	if l, ok := n.Load(); !ok || l.Utilization > 0.01 {
 		t.Errorf("a reading was seen before its time: %+v", l)
 	}
 	n.Advance(11300 * time.Millisecond)
-	if l, _ := n.Load(); l.Util < 0.9 {
+	if l, _ := n.Load(); l.Utilization < 0.9 {
 		t.Errorf("%+v", l)
 	}
 	for i, want := range []bool{true, true, false} {
-		if n.Probe(12*time.Second) != want {
+		if n.HealthCheck(12*time.Second) != want {
 			t.Errorf("probe %d", i)
 		}
 	}
@@ -200,7 +200,7 @@
 // Whatever is offered, cancelled and goes wrong: nothing is lost or done twice, and no more is held than there is room for.
 func TestHistories(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := Typical("n", "k", "z", rapid.Float64Range(0.2, 2).Draw(t, "speed"))
+		s := TypicalSpec("n", "k", "z", rapid.Float64Range(0.2, 2).Draw(t, "speed"))
 		s.Started = rapid.SampledFrom([]time.Duration{-1, 0}).Draw(t, "started")
 		n := New(s, rapid.Uint64().Draw(t, "seed"))
 		for _, k := range rapid.SliceOfN(rapid.SampledFrom(kinds), 0, 4).Draw(t, "troubles") {
@@ -215,7 +215,7 @@
 			n.AddFault(tr)
 		}
 		open, now := map[uint64]bool{}, time.Duration(0)
-		take := func(done []Done) {
+		take := func(done []Completion) {
 			for _, d := range done {
 				if !open[d.Ticket] {
 					t.Fatalf("%d ended and was not open", d.Ticket)
@@ -230,15 +230,15 @@
 				take(n.Advance(now))
 				n.Cancel(now, uint64(rapid.IntRange(1, i).Draw(t, "which")))
 			}
-			if v, _ := n.Offer(now, Work{Ticket: ticket, Cost: time.Duration(rapid.IntRange(1, 90).Draw(t, "cost")) * time.Millisecond, Until: now + time.Second}); v == Accepted {
+			if v, _ := n.Offer(now, Work{Ticket: ticket, Cost: time.Duration(rapid.IntRange(1, 90).Draw(t, "cost")) * time.Millisecond, Deadline: now + time.Second}); v == Accepted {
 				open[ticket] = true
 			}
 			take(n.Advance(now))
 			if most := s.Cores + int(float64(s.Cores)*s.QueuePerCore); n.InFlight() > most {
 				t.Fatalf("%d held, room for %d", n.InFlight(), most)
 			}
-			if n.Next() <= n.now {
-				t.Fatalf("the next moment %v is not after %v", n.Next(), n.now)
+			if n.NextEvent() <= n.now {
+				t.Fatalf("the next moment %v is not after %v", n.NextEvent(), n.now)
 			}
 		}
 		take(n.Advance(now + time.Hour))
@@ -251,7 +251,7 @@
 
 func TestTroubleChecks(t *testing.T) {
 	for _, tr := range []Fault{{Kind: "plague", To: 1}, {Kind: Slow, From: 2, To: 1, Size: 2}, {Kind: Slow, To: 1, Size: 0.5}, {Kind: FastFail, To: 1},
-		{Kind: Neighbour, To: 1, Size: 1}, {Kind: LateAnswers, To: 1}, {Kind: Slow, To: 1, Size: 2, Off: 1}, {Kind: Vanish, From: -1, To: 1}} {
+		{Kind: NoisyNeighbor, To: 1, Size: 1}, {Kind: DelayedResponse, To: 1}, {Kind: Slow, To: 1, Size: 2, Off: 1}, {Kind: Blackhole, From: -1, To: 1}} {
 		if tr.Check() == nil {
 			t.Errorf("%+v passed", tr)
 		}
--- a/internal/emulator/node/spec.go
+++ b/internal/emulator/node/spec.go
@@ -16,46 +16,46 @@
 	Speed                    float64 // of a core: work done a second; above 0
 	SlotsPerCore             float64 // requests in work at a time
 	QueuePerCore             float64 // requests that may wait
-	Thrash                   float64 // efficiency lost when it holds twice ThrashAt a core or more, from 0 to below 1
-	ThrashAt                 float64 // requests held a core from which efficiency falls; 0 for never
+	ContentionLoss           float64 // efficiency lost when it holds twice ThrashAt a core or more, from 0 to below 1
+	ContentionThreshold      float64 // requests held a core from which efficiency falls; 0 for never
 	SlowStartInitialFraction float64 // share of its capacity at the start, above 0 to 1
 	SlowStartWindow          time.Duration
 	Started                  time.Duration // when it starts cold; below 0 for long ago
-	Choke                    Choke
+	Degradation              Degradation
 	Affinity                 Affinity
 	ConnCap                  int           // connections held at most; 0 for no limit
-	Handshake                time.Duration // work for a new connection
-	FullTax                  float64       // share of the capacity that a full table of connections takes
+	HandshakeWork            time.Duration // work for a new connection
+	ConnOverhead             float64       // share of the capacity that a full table of connections takes
 	HealthCheckWork          time.Duration // work for a probe
 	HealthCheckRate          float64       // probes answered a second; 0 for no limit
-	Report                   Report
+	LoadReporting            LoadReporting
 	ErrorRate                float64       // share of requests that fail after their work
 	WorkNoise                float64       // standard deviation of an attempt's work, as a share of it
 	SlowStartOverloadFactor  float64       // multiple of its present capacity at which a cold node topples; 0 for never
 	OverloadWindow           time.Duration // when sent for so long
-	KeepsCancelled           bool          // work goes on when its client has left
-	KeepsExpired             bool          // work goes on when its time is over
+	RunsCancelled            bool          // work goes on when its client has left
+	RunsExpired              bool          // work goes on when its time is over
 }
 
-// Choke is a slowdown after a lasting overload.
-type Choke struct {
-	At     float64       // requests waiting or turned away within a second, a core; 0 for never
-	Over   time.Duration // for so long
-	Slower float64       // how many times slower it gets
-	Below  float64       // use below which it rests
-	Rest   time.Duration // rest after which it is well again
-	Most   time.Duration // it is well again after this in any case
+// Degradation is a slowdown after a lasting overload.
+type Degradation struct {
+	QueuePerCore        float64       // requests waiting or turned away within a second, a core; 0 for never
+	After               time.Duration // for so long
+	SlowdownFactor      float64       // how many times slower it gets
+	RecoveryUtilization float64       // use below which it rests
+	RecoveryTime        time.Duration // rest after which it is well again
+	MaxDuration         time.Duration // it is well again after this in any case
 }
 
 // Affinity is the saving on a key that a node has met lately.
 type Affinity struct {
-	Gain float64 // share of the work saved, from 0 to below 1
-	For  time.Duration
-	Keys int // keys remembered at most, the latest
+	Saving  float64 // share of the work saved, from 0 to below 1
+	TTL     time.Duration
+	MaxKeys int // keys remembered at most, the latest
 }
 
-// Report is how a node tells its load.
-type Report struct {
+// LoadReporting is how a node tells its load.
+type LoadReporting struct {
 	Period time.Duration // between two readings
 	Delay  time.Duration // until a reading can be seen
 	Noise  float64       // relative standard deviation
@@ -72,11 +72,11 @@
 		return fmt.Errorf("node %s: speed must be above 0, not %v", s.ID, s.Speed)
 	case !(s.SlotsPerCore > 0) || s.QueuePerCore < 0:
 		return fmt.Errorf("node %s: slots must be above 0 and the queue not below 0", s.ID)
-	case s.Thrash < 0 || s.Thrash >= 1 || s.FullTax < 0 || s.FullTax >= 1 || s.Affinity.Gain < 0 || s.Affinity.Gain >= 1:
+	case s.ContentionLoss < 0 || s.ContentionLoss >= 1 || s.ConnOverhead < 0 || s.ConnOverhead >= 1 || s.Affinity.Saving < 0 || s.Affinity.Saving >= 1:
 		return fmt.Errorf("node %s: thrash, full tax and affinity gain must be from 0 to below 1", s.ID)
 	case !(s.SlowStartInitialFraction > 0) || s.SlowStartInitialFraction > 1 || s.SlowStartWindow < 0:
 		return fmt.Errorf("node %s: the cold share must be above 0 and at most 1", s.ID)
-	case s.Choke.At > 0 && !(s.Choke.Slower >= 1):
+	case s.Degradation.QueuePerCore > 0 && !(s.Degradation.SlowdownFactor >= 1):
 		return fmt.Errorf("node %s: a choke must make it at least 1 times slower", s.ID)
 	case s.SlowStartOverloadFactor > 0 && s.OverloadWindow <= 0:
 		return fmt.Errorf("node %s: it needs a time after which an overload topples it", s.ID)
@@ -86,13 +86,13 @@
 	return nil
 }
 
-// Typical is an order node of the usual size with nothing wrong with it.
-func Typical(id, kind, zone string, speed float64) Spec {
-	return Spec{ID: id, Kind: kind, Zone: zone, Cores: 2, Speed: speed, SlotsPerCore: 1, QueuePerCore: 3, Thrash: 0.3,
-		ThrashAt: 6, SlowStartInitialFraction: 0.2, SlowStartWindow: 16 * time.Second, Started: -1,
-		Choke:    Choke{At: 5, Over: 2 * time.Second, Slower: 2.6, Below: 0.33, Rest: 3500 * time.Millisecond, Most: 28 * time.Second},
-		Affinity: Affinity{Gain: 0.5, For: 6 * time.Second, Keys: 30}, ConnCap: 390, Handshake: 4 * time.Millisecond,
-		FullTax: 0.23, HealthCheckWork: 130 * time.Microsecond, HealthCheckRate: 12,
-		Report:    Report{Period: 800 * time.Millisecond, Delay: 250 * time.Millisecond, Noise: 0.04},
-		WorkNoise: 0.3, ErrorRate: 0.0003, SlowStartOverloadFactor: 2.5, OverloadWindow: 2 * time.Second}
+// TypicalSpec is an order node of the usual size with nothing wrong with it.
+func TypicalSpec(id, kind, zone string, speed float64) Spec {
+	return Spec{ID: id, Kind: kind, Zone: zone, Cores: 2, Speed: speed, SlotsPerCore: 1, QueuePerCore: 3, ContentionLoss: 0.3,
+		ContentionThreshold: 6, SlowStartInitialFraction: 0.2, SlowStartWindow: 16 * time.Second, Started: -1,
+		Degradation: Degradation{QueuePerCore: 5, After: 2 * time.Second, SlowdownFactor: 2.6, RecoveryUtilization: 0.33, RecoveryTime: 3500 * time.Millisecond, MaxDuration: 28 * time.Second},
+		Affinity:    Affinity{Saving: 0.5, TTL: 6 * time.Second, MaxKeys: 30}, ConnCap: 390, HandshakeWork: 4 * time.Millisecond,
+		ConnOverhead: 0.23, HealthCheckWork: 130 * time.Microsecond, HealthCheckRate: 12,
+		LoadReporting: LoadReporting{Period: 800 * time.Millisecond, Delay: 250 * time.Millisecond, Noise: 0.04},
+		WorkNoise:     0.3, ErrorRate: 0.0003, SlowStartOverloadFactor: 2.5, OverloadWindow: 2 * time.Second}
 }
--- a/internal/emulator/node/trouble.go
+++ b/internal/emulator/node/trouble.go
@@ -6,32 +6,32 @@
 	"time"
 )
 
-// Kind names a trouble.
-type Kind string
+// FaultKind names a trouble.
+type FaultKind string
 
 // The troubles. Size is what its comment says.
 const (
-	Slow        Kind = "slow"        // Size times slower
-	FastFail    Kind = "fast-errors" // Size: share of requests failed at once
-	Neighbour   Kind = "neighbour"   // Size: share of the machine taken by another program, on and off
-	Vanish      Kind = "vanish"      // says nothing to anybody; what it has goes on
-	ResetConn   Kind = "reset"       // Size: share of requests whose connection breaks after they have come
-	IdleClose   Kind = "idle-close"  // Size: idle connections closed a second, as a share of all that are idle
-	Spoil       Kind = "spoil"       // Size: share of answers that can't be read
-	Oversize    Kind = "oversize"    // Size: share of answers far longer than allowed
-	LateAnswers Kind = "late"        // Size: seconds by which answers come late, the work being done
-	Flap        Kind = "flap"        // refuses connections, on and off
-	Drain       Kind = "drain"       // discovery says that it drains; turns new work away once it has started
-	Restart     Kind = "restart"     // dies at From, back at To, cold, under its id
-	Replace     Kind = "replace"     // dies at From, back at To, cold, under a new id at the same address
+	Slow              FaultKind = "slow"        // Size times slower
+	FastFail          FaultKind = "fast-errors" // Size: share of requests failed at once
+	NoisyNeighbor     FaultKind = "neighbour"   // Size: share of the machine taken by another program, on and off
+	Blackhole         FaultKind = "vanish"      // says nothing to anybody; what it has goes on
+	ResetConn         FaultKind = "reset"       // Size: share of requests whose connection breaks after they have come
+	IdleClose         FaultKind = "idle-close"  // Size: idle connections closed a second, as a share of all that are idle
+	MalformedResponse FaultKind = "spoil"       // Size: share of answers that can't be read
+	OversizedResponse FaultKind = "oversize"    // Size: share of answers far longer than allowed
+	DelayedResponse   FaultKind = "late"        // Size: seconds by which answers come late, the work being done
+	Flap              FaultKind = "flap"        // refuses connections, on and off
+	Drain             FaultKind = "drain"       // discovery says that it drains; turns new work away once it has started
+	Restart           FaultKind = "restart"     // dies at From, back at To, cold, under its id
+	Replace           FaultKind = "replace"     // dies at From, back at To, cold, under a new id at the same address
 )
 
 // kinds are all the troubles.
-var kinds = []Kind{Slow, FastFail, Neighbour, Vanish, ResetConn, IdleClose, Spoil, Oversize, LateAnswers, Flap, Drain, Restart, Replace}
+var kinds = []FaultKind{Slow, FastFail, NoisyNeighbor, Blackhole, ResetConn, IdleClose, MalformedResponse, OversizedResponse, DelayedResponse, Flap, Drain, Restart, Replace}
 
 // Fault is something that goes wrong with a node from one time to another.
 type Fault struct {
-	Kind     Kind
+	Kind     FaultKind
 	From, To time.Duration
 	Size     float64
 	On, Off  time.Duration // of those that come and go; always on without
@@ -52,11 +52,11 @@
 	switch t.Kind {
 	case Slow:
 		wrong = t.Size < 1
-	case FastFail, ResetConn, Spoil, Oversize, IdleClose:
+	case FastFail, ResetConn, MalformedResponse, OversizedResponse, IdleClose:
 		wrong = t.Size <= 0 || t.Size > 1
-	case Neighbour:
+	case NoisyNeighbor:
 		wrong = t.Size <= 0 || t.Size >= 1
-	case LateAnswers:
+	case DelayedResponse:
 		wrong = t.Size <= 0
 	}
 	if wrong {
@@ -92,7 +92,7 @@
 }
 
 // size is the largest size of a kind of trouble that is on, or 0.
-func (n *Node) size(k Kind) (size float64) {
+func (n *Node) size(k FaultKind) (size float64) {
 	for _, t := range n.faults {
 		if t.Kind == k && t.active(n.now) {
 			size = max(size, t.Size)
@@ -102,16 +102,16 @@
 }
 
 // on reports whether a trouble of that kind is on.
-func (n *Node) on(k Kind) bool {
+func (n *Node) on(k FaultKind) bool {
 	return slices.ContainsFunc(n.faults, func(t Fault) bool { return t.Kind == k && t.active(n.now) })
 }
 
 func (n *Node) chance(share float64) bool { return share > 0 && n.rng.Float64() < share }
 
-// Failing is the share of what is sent that comes to nothing at present, as only one who sees the node's inside can know.
-func (n *Node) Failing() float64 {
-	if n.Silent() || n.on(Drain) {
+// FailureFraction is the share of what is sent that comes to nothing at present, as only one who sees the node's inside can know.
+func (n *Node) FailureFraction() float64 {
+	if n.Unresponsive() || n.on(Drain) {
 		return 1
 	}
-	return max(n.size(FastFail), n.size(ResetConn), n.size(Spoil), n.size(Oversize))
+	return max(n.size(FastFail), n.size(ResetConn), n.size(MalformedResponse), n.size(OversizedResponse))
 }
--- a/internal/emulator/paths.go
+++ b/internal/emulator/paths.go
@@ -54,7 +54,7 @@
 
 // names says what is wrong where either side names none of a day's hosts: nothing would befall anybody. A pattern of several may be
 // for a larger fleet.
-func (p PathSpec) names(key string, d *Day) error {
+func (p PathSpec) names(key string, d *Scenario) error {
 	for side, patterns := range map[string][]string{"a": p.A, "b": p.B} {
 		if len(patterns) == 0 {
 			continue
@@ -90,8 +90,8 @@
 	return matches(p.A, from) && b(to) || p.Way != Forth && matches(p.A, to) && b(from)
 }
 
-// Befallen are the agents, by number, that a trouble of their own or a worse way to a node or to discovery befalls.
-func (day *Day) Befallen() map[int]bool {
+// AffectedAgents are the agents, by number, that a trouble of their own or a worse way to a node or to discovery befalls.
+func (day *Scenario) AffectedAgents() map[int]bool {
 	out := map[int]bool{}
 	for _, t := range day.AgentFaults {
 		out[t.Agent] = true
@@ -187,7 +187,7 @@
 // unsaid says whether who sent a request had not been told of a node's present life, which began at a time of the world: nobody
 // could know then that the node is cold. Callers that choose nodes by themselves go by the list itself.
 func (w *World) unsaid(id, node string, started time.Duration) bool {
-	agent := w.Referee.Agent(id)
+	agent := w.Referee.AgentOf(id)
 	if agent == "" || started < 0 {
 		return false
 	}
@@ -211,15 +211,15 @@
 				back = worse(back, s.more)
 			}
 		}
-		w.Net.Shape(a, b, forth, back)
+		w.Network.SetConditions(a, b, forth, back)
 	}
-	for a, agent := range w.Day.Agents {
-		for _, n := range w.Day.Nodes {
-			shape(agent, n.ID, w.Day.LinkTo(w.Day.AgentZone(a), n.Zone))
+	for a, agent := range w.Scenario.Agents {
+		for _, n := range w.Scenario.Nodes {
+			shape(agent, n.ID, w.Scenario.LinkTo(w.Scenario.AgentZone(a), n.Zone))
 		}
 		shape(agent, Discovery, link.Conditions{})
-		for b, other := range w.Day.Agents[:a] {
-			shape(agent, other, w.Day.LinkTo(w.Day.AgentZone(a), w.Day.AgentZone(b)))
+		for b, other := range w.Scenario.Agents[:a] {
+			shape(agent, other, w.Scenario.LinkTo(w.Scenario.AgentZone(a), w.Scenario.AgentZone(b)))
 		}
 	}
 }
--- a/internal/emulator/peer/peer.go
+++ b/internal/emulator/peer/peer.go
@@ -32,15 +32,15 @@
 	all      sync.WaitGroup
 
 	mu      sync.Mutex
-	seen    []Seen
+	seen    []ReceivedRequest
 	trouble []error
 	conns   map[net.Conn]struct{}
 	count   int
 	closed  bool
 }
 
-// Seen is a request that a peer has read whole.
-type Seen struct {
+// ReceivedRequest is a request that a peer has read whole.
+type ReceivedRequest struct {
 	Conn   int
 	Method string
 	Path   string
@@ -106,11 +106,11 @@
 	p.all.Wait()
 }
 
-// Seen returns the requests that were read, in order.
-func (p *Peer) Seen() []Seen {
+// Requests returns the requests that were read, in order.
+func (p *Peer) Requests() []ReceivedRequest {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return append([]Seen(nil), p.seen...)
+	return append([]ReceivedRequest(nil), p.seen...)
 }
 
 // Conns is how many connections were accepted.
@@ -120,8 +120,8 @@
 	return p.count
 }
 
-// AddFault returns what kept scripts from being followed.
-func (p *Peer) AddFault() error {
+// Err returns what kept scripts from being followed.
+func (p *Peer) Err() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return errors.Join(p.trouble...)
@@ -145,7 +145,7 @@
 		}
 		s.peer.mu.Lock()
 		defer s.peer.mu.Unlock()
-		s.peer.seen = append(s.peer.seen, Seen{s.Number, r.Method, r.URL.Path, r.Header, body, time.Now()})
+		s.peer.seen = append(s.peer.seen, ReceivedRequest{s.Number, r.Method, r.URL.Path, r.Header, body, time.Now()})
 		return nil
 	}
 }
--- a/internal/emulator/referee/referee.go
+++ b/internal/emulator/referee/referee.go
@@ -11,16 +11,16 @@
 
 // Rules are the figures of the rules.
 type Rules struct {
-	DrainGrace  time.Duration // after an agent was told, something new may still reach a draining or gone node
-	Slack       time.Duration // more of that, for sockets and the way to the node
-	MaxRecorded int           // breaches that are kept with their evidence; all are counted
+	DrainGrace   time.Duration // after an agent was told, something new may still reach a draining or gone node
+	TransitSlack time.Duration // more of that, for sockets and the way to the node
+	MaxRecorded  int           // breaches that are kept with their evidence; all are counted
 	// How long a request is remembered after its end, in which a second run of it is seen; 0 for all of the run.
-	KeepFor time.Duration
+	RetainFor time.Duration
 }
 
 // DefaultRules are those of the platform on sockets.
 func DefaultRules() Rules {
-	return Rules{DrainGrace: 250 * time.Millisecond, Slack: 50 * time.Millisecond, MaxRecorded: 100}
+	return Rules{DrainGrace: 250 * time.Millisecond, TransitSlack: 50 * time.Millisecond, MaxRecorded: 100}
 }
 
 // Rule names a rule.
@@ -34,8 +34,8 @@
 	SlowStartOverload Rule = "toppled"     // a cold node was pushed over
 )
 
-// Breach is a broken rule with its evidence.
-type Breach struct {
+// Violation is a broken rule with its evidence.
+type Violation struct {
 	Rule    Rule          `json:"rule"`
 	At      time.Duration `json:"at_ns"`
 	Request string        `json:"request,omitempty"`
@@ -45,7 +45,7 @@
 }
 
 // String is a line for people.
-func (b Breach) String() string {
+func (b Violation) String() string {
 	return fmt.Sprintf("%s at %.3fs: %s", b.Rule, b.At.Seconds(), b.Text)
 }
 
@@ -75,8 +75,8 @@
 		a.AfterDrain, a.SlowStartOverloads, a.Attempts, a.Effects, a.UnknownRequests, a.Unnotified)
 }
 
-// Held reports whether all rules held.
-func (a Account) Held() bool {
+// RulesHold reports whether all rules held.
+func (a Account) RulesHold() bool {
 	return a.Lost == 0 && a.Duplicates == 0 && a.AfterDrain == 0 && a.SlowStartOverloads == 0
 }
 
@@ -117,7 +117,7 @@
 
 	mu            sync.Mutex
 	account       Account
-	breaches      []Breach
+	breaches      []Violation
 	trusts        bool // nodes are out of sight
 	requests      map[string]*requestRecord
 	notified      map[notificationKey]time.Duration // since when a node drains or is gone, as told to an agent
@@ -138,7 +138,7 @@
 	return &Referee{rules: rules, requests: map[string]*requestRecord{}, notified: map[notificationKey]time.Duration{}, firstNotified: map[string]time.Duration{}, excused: map[string][]span{}}
 }
 
-func (r *Referee) breach(b Breach) {
+func (r *Referee) breach(b Violation) {
 	switch b.Rule {
 	case Lost:
 		r.account.Lost++
@@ -162,15 +162,15 @@
 	r.account.Requests++
 }
 
-// Known reports whether a caller sent a request under that id.
-func (r *Referee) Known(id string) bool {
+// KnownRequest reports whether a caller sent a request under that id.
+func (r *Referee) KnownRequest(id string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.requests[id] != nil
 }
 
-// Agent is the agent that a request was sent to; empty where it is not known, or its caller chose a node by itself.
-func (r *Referee) Agent(id string) string {
+// AgentOf is the agent that a request was sent to; empty where it is not known, or its caller chose a node by itself.
+func (r *Referee) AgentOf(id string) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if q := r.requests[id]; q != nil {
@@ -179,8 +179,8 @@
 	return ""
 }
 
-// TrustAnswers lets each 200 count as made by a node, where nodes are out of sight.
-func (r *Referee) TrustAnswers() {
+// TrustResponses lets each 200 count as made by a node, where nodes are out of sight.
+func (r *Referee) TrustResponses() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.trusts = true
@@ -202,9 +202,9 @@
 	}
 }
 
-// Killed tells that an agent was killed and came back: what it had open then is not held against it, nor what it was
+// AgentKilled tells that an agent was killed and came back: what it had open then is not held against it, nor what it was
 // told in its earlier life.
-func (r *Referee) Killed(agent string, from, to time.Duration) {
+func (r *Referee) AgentKilled(agent string, from, to time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.excused[agent] = append(r.excused[agent], span{from, to})
@@ -215,8 +215,8 @@
 	}
 }
 
-// Came tells that a request reached a node; first is when its first byte did.
-func (r *Referee) Came(id, node string, first time.Duration) {
+// RequestArrived tells that a request reached a node; first is when its first byte did.
+func (r *Referee) RequestArrived(id, node string, first time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	q := r.requests[id]
@@ -228,17 +228,17 @@
 	q.came++
 	q.lastNode = node
 	told, drains := r.notified[notificationKey{q.Agent, node}]
-	if any, ok := r.firstNotified[node]; ok && !drains && q.Agent != "" && first-any > r.rules.DrainGrace+r.rules.Slack {
+	if any, ok := r.firstNotified[node]; ok && !drains && q.Agent != "" && first-any > r.rules.DrainGrace+r.rules.TransitSlack {
 		r.account.Unnotified++
 	}
-	if late := first - told - r.rules.DrainGrace - r.rules.Slack; drains && q.Agent != "" && late > 0 {
-		r.breach(Breach{AfterDrain, first, id, q.Agent, node, fmt.Sprintf(
+	if late := first - told - r.rules.DrainGrace - r.rules.TransitSlack; drains && q.Agent != "" && late > 0 {
+		r.breach(Violation{AfterDrain, first, id, q.Agent, node, fmt.Sprintf(
 			"%s sent %s to %s %.3fs after it was told (at %.3fs) that this takes no new work", q.Agent, id, node, (first - told).Seconds(), told.Seconds())})
 	}
 }
 
-// Began tells that a node began a request: from then on it may have taken effect there.
-func (r *Referee) Began(id, node string, at time.Duration) {
+// ExecutionStarted tells that a node began a request: from then on it may have taken effect there.
+func (r *Referee) ExecutionStarted(id, node string, at time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.account.Effects++
@@ -249,13 +249,13 @@
 	q.began = append(q.began, place{node, at})
 	if q.NonIdempotent && len(q.began) > 1 {
 		first := q.began[0]
-		r.breach(Breach{Duplicate, at, id, q.Agent, node, fmt.Sprintf(
+		r.breach(Violation{Duplicate, at, id, q.Agent, node, fmt.Sprintf(
 			"%s, which must not run twice, ran on %s at %.3fs and again on %s at %.3fs, sent by %s", id, first.node, first.at.Seconds(), node, at.Seconds(), q.Agent)})
 	}
 }
 
-// Made tells what a node answered: a sum over the body of a 200.
-func (r *Referee) Made(id string, sum uint64) {
+// ResponseProduced tells what a node answered: a sum over the body of a 200.
+func (r *Referee) ResponseProduced(id string, sum uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if q := r.requests[id]; q != nil {
@@ -267,25 +267,25 @@
 func (r *Referee) SlowStartOverloaded(node string, at time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.breach(Breach{Rule: SlowStartOverload, At: at, Node: node, Text: fmt.Sprintf("%s was cold and got more than it could bear", node)})
+	r.breach(Violation{Rule: SlowStartOverload, At: at, Node: node, Text: fmt.Sprintf("%s was cold and got more than it could bear", node)})
 }
 
-// End is how a request ended for its caller.
-type End int
+// Outcome is how a request ended for its caller.
+type Outcome int
 
 // The ends of a request.
 const (
-	Served  End = iota // a 200
-	Refused            // 429 or 503
-	Failed             // any other answer, or one that broke off so that the caller could tell
-	Nothing            // no answer when the time was up
-	Closed             // the connection ended with no answer begun
-	Unsent             // it never went out whole
+	Served           Outcome = iota // a 200
+	Rejected                        // 429 or 503
+	Failed                          // any other answer, or one that broke off so that the caller could tell
+	TimedOut                        // no answer when the time was up
+	ConnectionClosed                // the connection ended with no answer begun
+	NotSent                         // it never went out whole
 )
 
-// Ended tells how a request ended; sum is that of a served body. It returns false when the request had ended before, which
+// RequestEnded tells how a request ended; sum is that of a served body. It returns false when the request had ended before, which
 // callers must not do.
-func (r *Referee) Ended(id string, end End, sum uint64, at time.Duration) bool {
+func (r *Referee) RequestEnded(id string, end Outcome, sum uint64, at time.Duration) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	q := r.requests[id]
@@ -297,19 +297,19 @@
 	switch end {
 	case Served:
 		if !r.trusts && !slices.Contains(q.made, sum) {
-			r.breach(Breach{Lost, at, id, q.Agent, q.lastNode, fmt.Sprintf(
+			r.breach(Violation{Lost, at, id, q.Agent, q.lastNode, fmt.Sprintf(
 				"%s served %s with what no node made for it (%d attempts came to nodes)", q.Agent, id, q.came)})
 			return true
 		}
 		r.account.Completed++
-	case Refused:
+	case Rejected:
 		r.account.Rejected++
-	case Nothing:
+	case TimedOut:
 		r.account.Unanswered++
-	case Closed:
+	case ConnectionClosed:
 		// One that was passed on was taken; of one that was not, nobody can say that the agent had read it.
 		if q.came > 0 && !r.isExcused(q, at) {
-			r.breach(Breach{Lost, at, id, q.Agent, q.lastNode, fmt.Sprintf(
+			r.breach(Violation{Lost, at, id, q.Agent, q.lastNode, fmt.Sprintf(
 				"%s closed the connection of %s without an answer, after sending it on to %s", q.Agent, id, q.lastNode)})
 			return true
 		}
@@ -322,11 +322,11 @@
 
 // forget notes a request's end, and forgets those that ended too long ago.
 func (r *Referee) forget(id string, now time.Duration) {
-	if r.rules.KeepFor == 0 {
+	if r.rules.RetainFor == 0 {
 		return
 	}
 	r.ends = append(r.ends, end{id, now})
-	for r.ends[0].at < now-r.rules.KeepFor {
+	for r.ends[0].at < now-r.rules.RetainFor {
 		delete(r.requests, r.ends[0].id)
 		r.ends = r.ends[1:]
 	}
@@ -336,8 +336,8 @@
 	return slices.ContainsFunc(r.excused[q.Agent], func(s span) bool { return q.At <= s.to && at >= s.from })
 }
 
-// SentOn reports whether a request has come to a node.
-func (r *Referee) SentOn(id string) bool {
+// Forwarded reports whether a request has come to a node.
+func (r *Referee) Forwarded(id string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	q := r.requests[id]
@@ -351,8 +351,8 @@
 	return r.account
 }
 
-// Breaches returns the breaches that were kept, in the order of their discovery.
-func (r *Referee) Breaches() []Breach {
+// Violations returns the breaches that were kept, in the order of their discovery.
+func (r *Referee) Violations() []Violation {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return slices.Clone(r.breaches)
--- a/internal/emulator/referee/tally.go
+++ b/internal/emulator/referee/tally.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Call is what a customer asked for, over all the tries of its client.
-type Call struct {
+// CallResult is what a customer asked for, over all the tries of its client.
+type CallResult struct {
 	At               time.Duration // when it was to be sent, whether or not that was in time
 	Agent            int           // that its client uses
 	Class            int
@@ -20,8 +20,8 @@
 	Attempts         int
 }
 
-// Earned is what the call earned.
-func (c Call) Earned() float64 {
+// EarnedWeight is what the call earned.
+func (c CallResult) EarnedWeight() float64 {
 	switch {
 	case !c.Answered:
 		return 0
@@ -31,12 +31,12 @@
 	return c.PriorityWeight * c.LateWeight
 }
 
-// WorstSpan is the length of the window that the worst one is sought over.
-const WorstSpan = 10 * time.Second
+// WorstWindowLength is the length of the window that the worst one is sought over.
+const WorstWindowLength = 10 * time.Second
 
 // Service is the share of worth that was earned, as a whole and where it was worst.
 type Service struct {
-	Whole       float64   `json:"service"` // worth answered in time over worth asked for
+	Overall     float64   `json:"service"` // worth answered in time over worth asked for
 	WorstWindow float64   `json:"worst_window"`
 	ByClass     []float64 `json:"by_class"`
 	ByTenant    []float64 `json:"by_tenant"`
@@ -45,7 +45,7 @@
 // Goal weighs the parts as the deployment does: 35% the whole, 35% the worst 10 s, 20% the worst class and 10% the worst
 // tenant.
 func (s Service) Goal() float64 {
-	return 0.35*s.Whole + 0.35*s.WorstWindow + 0.2*lowest(s.ByClass) + 0.1*lowest(s.ByTenant)
+	return 0.35*s.Overall + 0.35*s.WorstWindow + 0.2*lowest(s.ByClass) + 0.1*lowest(s.ByTenant)
 }
 
 func lowest(xs []float64) float64 {
@@ -64,7 +64,9 @@
 // share is earned over asked; 1 where nothing was asked for.
 type share struct{ earned, offered float64 }
 
-func (s *share) add(c Call) { s.earned, s.offered = s.earned+c.Earned(), s.offered+c.PriorityWeight }
+func (s *share) add(c CallResult) {
+	s.earned, s.offered = s.earned+c.EarnedWeight(), s.offered+c.PriorityWeight
+}
 
 func (s share) value() float64 {
 	if s.offered == 0 {
@@ -73,9 +75,9 @@
 	return s.earned / s.offered
 }
 
-// Serve counts the service of calls, of which those before from are left out. Seconds, classes and tenants without a call
+// MeasureService counts the service of calls, of which those before from are left out. Seconds, classes and tenants without a call
 // count as served.
-func Serve(calls []Call, from time.Duration, classes, tenants int) Service {
+func MeasureService(calls []CallResult, from time.Duration, classes, tenants int) Service {
 	var whole share
 	byClass, byTenant := make([]share, classes), make([]share, tenants)
 	var seconds []share
@@ -96,14 +98,14 @@
 		}
 		seconds[s].add(c)
 	}
-	out := Service{Whole: whole.value(), WorstWindow: whole.value()}
+	out := Service{Overall: whole.value(), WorstWindow: whole.value()}
 	for _, s := range byClass {
 		out.ByClass = append(out.ByClass, s.value())
 	}
 	for _, s := range byTenant {
 		out.ByTenant = append(out.ByTenant, s.value())
 	}
-	span := int(WorstSpan / time.Second)
+	span := int(WorstWindowLength / time.Second)
 	for i := 0; i+span <= len(seconds); i++ {
 		var w share
 		for _, s := range seconds[i : i+span] {
@@ -115,7 +117,7 @@
 }
 
 // BySecond is the service of each second from the start; NaN where nothing was asked for.
-func BySecond(calls []Call) []float64 {
+func BySecond(calls []CallResult) []float64 {
 	var seconds []share
 	for _, c := range calls {
 		s := int(c.At / time.Second)
@@ -134,7 +136,7 @@
 }
 
 // Latencies are the latencies of the answered calls of a class (-1 for all), in rising order.
-func Latencies(calls []Call, class int) []time.Duration {
+func Latencies(calls []CallResult, class int) []time.Duration {
 	var out []time.Duration
 	for _, c := range calls {
 		if c.Answered && (class < 0 || c.Class == class) {
--- a/internal/emulator/settings.go
+++ b/internal/emulator/settings.go
@@ -19,7 +19,7 @@
 func DefaultLimits() Limits { return Limits{Cores: 1, MemoryMB: 192, Sockets: 1024} }
 
 // AgentConfig is the platform's configuration of an agent of this day, as JSON.
-func (day *Day) AgentConfig(agent int, listen, control, disco string, limits Limits, known *discovery.List) ([]byte, error) {
+func (day *Scenario) AgentConfig(agent int, listen, control, disco string, limits Limits, known *discovery.List) ([]byte, error) {
 	doc := map[string]any{"name": day.Agents[agent], "listen": listen, "discovery": disco, "seed": fmt.Sprintf("%016x", day.Seed*64+uint64(agent)+1),
 		"limits": limits, "settings": day.Settings(agent)}
 	if control != "" {
@@ -32,7 +32,7 @@
 }
 
 // Settings is the settings object of an agent, with the names and units of the platform's wire.
-func (day *Day) Settings(agent int) map[string]any {
+func (day *Scenario) Settings(agent int) map[string]any {
 	var classes, tenants []any
 	for _, c := range day.Classes {
 		effect := "repeatable"
@@ -58,7 +58,7 @@
 		"Balancers": len(day.Agents), "Me": agent, "TickNs": 5_000_000, "Family": "mesh", "Discovery": "subscribe",
 		"Blend":   map[string]any{"Whole": 0.35, "WorstWindow": 0.35, "WorstClass": 0.2, "WorstTenant": 0.1},
 		"Callers": map[string]any{"MarksRetry": false},
-		"Ceilings": map[string]any{"ConnIdleNs": IdleLimit, "ConnectTimeoutNs": ConnectTimeout, "CpuUsPerRequest": 0.0, "CpuUsPerS": 80000,
+		"Ceilings": map[string]any{"ConnIdleNs": ConnectionIdleTimeout, "ConnectTimeoutNs": ConnectTimeout, "CpuUsPerRequest": 0.0, "CpuUsPerS": 80000,
 			"MaxRetryAfterNs": day.Spec.Clients.MaxRetryAfter.D(), "MaxStreams": 1, "MayCancel": true, "MostHeld": 20000, "MostTries": 5,
 			"ParallelTries": true, "Peers": false, "Probes": true, "RetryAfter": true},
 		"Classes": classes, "Tenants": tenants, "Domain": map[string]any{"WarmKeys": true}, "OverShareWorth": 0.2,
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -18,27 +18,27 @@
 
 // What all days have alike.
 const (
-	IdleLimit      = 10 * time.Second       // nodes close connections that are idle for so long
-	ConnectTimeout = 100 * time.Millisecond // a connection that is not up by then has failed
-	ProbeTimeout   = 120 * time.Millisecond // a probe that has no answer by then has failed
-	drainSlack     = 100 * time.Millisecond // for the way through relays under load, in the rule on drains
+	ConnectionIdleTimeout = 10 * time.Second       // nodes close connections that are idle for so long
+	ConnectTimeout        = 100 * time.Millisecond // a connection that is not up by then has failed
+	HealthCheckTimeout    = 120 * time.Millisecond // a probe that has no answer by then has failed
+	drainSlack            = 100 * time.Millisecond // for the way through relays under load, in the rule on drains
 )
 
 // Dial opens a connection, as net.Dialer's DialContext does.
 type Dial func(ctx context.Context, network, addr string) (net.Conn, error)
 
-// Net is the network that a world stands on: the machine's loopback, or one in memory.
-type Net interface {
+// Network is the network that a world stands on: the machine's loopback, or one in memory.
+type Network interface {
 	// Listen listens for a host; addresses are the network's own choice.
 	Listen(host string) (net.Listener, error)
 	// Again listens at an address that has been in use before.
-	Again(addr string) (net.Listener, error)
+	ListenAgain(addr string) (net.Listener, error)
 	// Path is the address at which an agent reaches a node, under conditions that Shape changes later.
-	Path(agent, node, addr string, c link.Conditions) (string, error)
+	AddPath(agent, node, addr string, c link.Conditions) (string, error)
 	// Shape changes the conditions from an agent to a node, to discovery or to another agent, and back.
-	Shape(agent, other string, forth, back link.Conditions)
+	SetConditions(agent, other string, forth, back link.Conditions)
 	// Down says that a node's process is down, or up again: connections to it are refused.
-	Down(node string, on bool) error
+	SetDown(node string, on bool) error
 	// Dialer returns the dial of a host.
 	Dialer(host string) Dial
 	// Close gives back what the paths hold.
@@ -47,10 +47,10 @@
 
 // World is a day's emulator, running.
 type World struct {
-	Day     *Day
-	Net     Net
-	Epoch   time.Time
-	Referee *referee.Referee
+	Scenario *Scenario
+	Network  Network
+	Epoch    time.Time
+	Referee  *referee.Referee
 
 	ctx      context.Context
 	stop     context.CancelFunc
@@ -65,7 +65,7 @@
 	lives int
 	ids   []string      // of the nodes that were replaced, "" for the others
 	begin time.Duration // when the day began
-	marks []Mark
+	marks []Event
 	err   error
 	// reasons for which ways are worse than usual at present
 	strains []*strained
@@ -73,8 +73,8 @@
 	heard   map[[2]string]int64                   // by agent and node: the start of the node's life that the agent was told of last
 }
 
-// Mark is something that happened, for reports.
-type Mark struct {
+// Event is something that happened, for reports.
+type Event struct {
 	At   time.Duration `json:"at_ns"`
 	To   time.Duration `json:"to_ns"`
 	Node string        `json:"node"`
@@ -82,15 +82,15 @@
 }
 
 // Start starts a day's nodes and discovery. strict lets nodes turn away ids that no caller of this process sent.
-func Start(ctx context.Context, day *Day, on Net, strict bool) (*World, error) {
+func Start(ctx context.Context, day *Scenario, on Network, strict bool) (*World, error) {
 	rules := referee.DefaultRules()
-	rules.Slack += drainSlack
-	rules.KeepFor = day.Spec.KeepFor.D()
+	rules.TransitSlack += drainSlack
+	rules.RetainFor = day.Spec.RetainFor.D()
 	ctx, stop := context.WithCancel(ctx)
-	w := &World{Day: day, Net: on, Epoch: time.Now(), Referee: referee.New(rules), ctx: ctx, stop: stop, paths: map[[2]string]string{},
+	w := &World{Scenario: day, Network: on, Epoch: time.Now(), Referee: referee.New(rules), ctx: ctx, stop: stop, paths: map[[2]string]string{},
 		unheard: map[string]map[string]discovery.Entry{}, heard: map[[2]string]int64{}}
-	w.disco = discovery.New(discovery.Config{Rate: day.Spec.List.Rate, Rewrite: w.rewrite,
-		Told: func(agent string, e discovery.Entry, at time.Time) { w.told(agent, e, at.Sub(w.Epoch)) }})
+	w.disco = discovery.New(discovery.Config{Rate: day.Spec.Discovery.Rate, RewriteEntry: w.rewrite,
+		OnNotified: func(agent string, e discovery.Entry, at time.Time) { w.told(agent, e, at.Sub(w.Epoch)) }})
 	if err := w.start(strict); err != nil {
 		w.Close()
 		return nil, err
@@ -99,26 +99,26 @@
 }
 
 func (w *World) start(strict bool) error {
-	for i, spec := range w.Day.Nodes {
+	for i, spec := range w.Scenario.Nodes {
 		first := true
 		host := spec.ID
 		w.addrs, w.ids = append(w.addrs, ""), append(w.ids, "")
-		cfg := backend.Config{Epoch: w.Epoch, Watch: w.Referee, Unsaid: w.unsaid, Strict: strict, IdleFor: IdleLimit, Via: "pull", Fields: []string{"qps", "util"}}
+		cfg := backend.Config{Epoch: w.Epoch, Observer: w.Referee, Unnotified: w.unsaid, RejectUnknown: strict, IdleTimeout: ConnectionIdleTimeout, LoadReportMode: "pull", LoadReportFields: []string{"qps", "util"}}
 		cfg.Listen = func() (net.Listener, error) {
 			if !first {
-				return w.Net.Again(w.addrs[i])
+				return w.Network.ListenAgain(w.addrs[i])
 			}
 			first = false
-			return w.Net.Listen(host)
+			return w.Network.Listen(host)
 		}
-		b, err := backend.Start(w.ctx, cfg, spec, w.Day.Seed*1000+uint64(i))
+		b, err := backend.Start(w.ctx, cfg, spec, w.Scenario.Seed*1000+uint64(i))
 		if err != nil {
 			return err
 		}
 		w.backends = append(w.backends, b)
 		w.addrs[i] = b.Addr()
-		for a, agent := range w.Day.Agents {
-			at, err := w.Net.Path(agent, host, b.Addr(), w.Day.LinkTo(w.Day.AgentZone(a), spec.Zone))
+		for a, agent := range w.Scenario.Agents {
+			at, err := w.Network.AddPath(agent, host, b.Addr(), w.Scenario.LinkTo(w.Scenario.AgentZone(a), spec.Zone))
 			if err != nil {
 				return fmt.Errorf("the path from %s to %s: %w", agent, spec.ID, err)
 			}
@@ -126,12 +126,12 @@
 		}
 		w.disco.Set(w.entry(i, spec, discovery.Ready), 0)
 	}
-	for _, agent := range w.Day.Agents {
-		l, err := w.Net.Listen(Discovery)
+	for _, agent := range w.Scenario.Agents {
+		l, err := w.Network.Listen(Discovery)
 		if err != nil {
 			return err
 		}
-		at, err := w.Net.Path(agent, Discovery, l.Addr().String(), link.Conditions{})
+		at, err := w.Network.AddPath(agent, Discovery, l.Addr().String(), link.Conditions{})
 		if err != nil {
 			return fmt.Errorf("the path from %s to discovery: %w", agent, err)
 		}
@@ -159,14 +159,14 @@
 	return e
 }
 
-// Discovery is where an agent finds discovery.
-func (w *World) Discovery(agent int) string { return w.discoAt[agent] }
+// DiscoveryAddr is where an agent finds discovery.
+func (w *World) DiscoveryAddr(agent int) string { return w.discoAt[agent] }
 
-// Known is the list as it stands for an agent.
-func (w *World) Known(agent int) discovery.List {
+// EndpointList is the list as it stands for an agent.
+func (w *World) EndpointList(agent int) discovery.List {
 	l := w.disco.Snapshot()
 	for i, e := range l.Servers {
-		l.Servers[i] = w.rewrite(w.Day.Agents[agent], e)
+		l.Servers[i] = w.rewrite(w.Scenario.Agents[agent], e)
 	}
 	return l
 }
@@ -174,18 +174,18 @@
 // Now is the time since the day began.
 func (w *World) Now() time.Duration { return time.Since(w.Epoch) }
 
-// Play begins the day: it brings the troubles, each at its time, until they are over or the world is closed. Agents should
+// InjectFaults begins the day: it brings the troubles, each at its time, until they are over or the world is closed. Agents should
 // be ready by then.
-func (w *World) Play() {
+func (w *World) InjectFaults() {
 	begin := w.Now()
 	w.mu.Lock()
 	w.begin = begin
 	w.mu.Unlock()
-	for _, p := range w.Day.Faults {
+	for _, p := range w.Scenario.Faults {
 		p.From, p.To = p.From+begin, p.To+begin
 		w.all.Go(func() { w.befall(p) })
 	}
-	for _, c := range w.Day.Spec.Fleet.Cuts {
+	for _, c := range w.Scenario.Spec.Fleet.Partitions {
 		zone := w.zones()
 		w.all.Go(func() {
 			w.strainFor(begin+c.From.D(), begin+c.To.D(), c.Zone, "cut off", strained{func(from, to string) bool {
@@ -193,20 +193,20 @@
 			}, link.Conditions{Cut: true}})
 		})
 	}
-	for _, p := range w.Day.Spec.Fleet.Paths {
+	for _, p := range w.Scenario.Spec.Fleet.Paths {
 		w.all.Go(func() {
 			w.strainFor(begin+p.From.D(), begin+p.To.D(), "network", p.String(), strained{p.befalls, p.more()})
 		})
 	}
-	for _, o := range w.Day.Spec.Outages {
+	for _, o := range w.Scenario.Spec.Outages {
 		w.all.Go(func() {
 			if !w.until(begin + o.From.D()) {
 				return
 			}
 			w.mark(begin+o.From.D(), begin+o.To.D(), "discovery", "outage")
-			w.disco.Outage(true)
+			w.disco.SetOutage(true)
 			if w.until(begin + o.To.D()) {
-				w.disco.Outage(false)
+				w.disco.SetOutage(false)
 			}
 		})
 	}
@@ -228,14 +228,14 @@
 func (w *World) mark(from, to time.Duration, node, text string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.marks = append(w.marks, Mark{from - w.begin, to - w.begin, node, text})
+	w.marks = append(w.marks, Event{from - w.begin, to - w.begin, node, text})
 }
 
-// Note marks what befalls an agent or a node from outside the world, such as a process that the rig kills, for reports.
-func (w *World) Note(from, to time.Duration, who, text string) { w.mark(from, to, who, text) }
+// RecordEvent marks what befalls an agent or a node from outside the world, such as a process that the rig kills, for reports.
+func (w *World) RecordEvent(from, to time.Duration, who, text string) { w.mark(from, to, who, text) }
 
-// Marks are the troubles that have begun, in the order of their beginning.
-func (w *World) Marks() []Mark {
+// Events are the troubles that have begun, in the order of their beginning.
+func (w *World) Events() []Event {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return slices.Clone(w.marks)
@@ -257,11 +257,11 @@
 }
 
 // befall plays a trouble.
-func (w *World) befall(p Placed) {
-	b, spec := w.backends[p.Node], w.Day.Nodes[p.Node]
-	notice := w.Day.Spec.List.Notice.D()
+func (w *World) befall(p NodeFault) {
+	b, spec := w.backends[p.Node], w.Scenario.Nodes[p.Node]
+	notice := w.Scenario.Spec.Discovery.RemovalDelay.D()
 	switch p.Kind {
-	case node.Drain, node.Restart, node.Replace, node.Vanish:
+	case node.Drain, node.Restart, node.Replace, node.Blackhole:
 	default:
 		b.AddFault(p.Fault)
 	}
@@ -279,7 +279,7 @@
 		}
 	case node.Restart, node.Replace:
 		w.restart(p.Node, p.To, p.Kind == node.Replace)
-	case node.Vanish:
+	case node.Blackhole:
 		b.AddFault(p.Fault)
 		end := w.strain(strained{func(from, to string) bool { return from == spec.ID || to == spec.ID }, link.Conditions{Cut: true}})
 		if w.until(p.To) {
@@ -290,7 +290,7 @@
 
 // restart ends a node's process and starts it again, cold, at a time of the world: as a new node at the same address, or as itself.
 func (w *World) restart(i int, back time.Duration, renamed bool) {
-	spec, notice, add := w.Day.Nodes[i], w.Day.Spec.List.Notice.D(), w.Day.Spec.List.Add.D()
+	spec, notice, add := w.Scenario.Nodes[i], w.Scenario.Spec.Discovery.RemovalDelay.D(), w.Scenario.Spec.Discovery.AdditionDelay.D()
 	w.mu.Lock()
 	if id := w.ids[i]; id != "" {
 		spec.ID = id
@@ -306,16 +306,16 @@
 	w.mu.Lock()
 	w.lives++
 	if renamed {
-		spec.ID = fmt.Sprintf("%s-%d", w.Day.Nodes[i].ID, w.lives)
+		spec.ID = fmt.Sprintf("%s-%d", w.Scenario.Nodes[i].ID, w.lives)
 		w.ids[i] = spec.ID
 	}
 	w.mu.Unlock()
 	spec.Started = w.Now()
-	if err := w.backends[i].Restart(spec, w.Day.Seed*1000+uint64(len(w.backends)+i)); err != nil {
+	if err := w.backends[i].Restart(spec, w.Scenario.Seed*1000+uint64(len(w.backends)+i)); err != nil {
 		w.fail(err)
 		return
 	}
-	if err := w.Net.Down(w.Day.Nodes[i].ID, false); err != nil {
+	if err := w.Network.SetDown(w.Scenario.Nodes[i].ID, false); err != nil {
 		w.fail(err)
 		return
 	}
@@ -330,16 +330,16 @@
 func (w *World) late() time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.Day.ListDelay(w.Now() - w.begin)
+	return w.Scenario.ListDelay(w.Now() - w.begin)
 }
 
 // zones are those of agents and nodes, by name.
 func (w *World) zones() map[string]string {
 	out := map[string]string{}
-	for a, agent := range w.Day.Agents {
-		out[agent] = w.Day.AgentZone(a)
+	for a, agent := range w.Scenario.Agents {
+		out[agent] = w.Scenario.AgentZone(a)
 	}
-	for _, n := range w.Day.Nodes {
+	for _, n := range w.Scenario.Nodes {
 		out[n.ID] = n.Zone
 	}
 	return out
@@ -347,14 +347,14 @@
 
 // kill ends a node's process.
 func (w *World) kill(i int) {
-	if err := w.Net.Down(w.Day.Nodes[i].ID, true); err != nil {
+	if err := w.Network.SetDown(w.Scenario.Nodes[i].ID, true); err != nil {
 		w.fail(err)
 	}
 	w.backends[i].Kill()
 }
 
-// States is what the nodes are at present.
-func (w *World) States() []backend.State {
+// NodeStates is what the nodes are at present.
+func (w *World) NodeStates() []backend.State {
 	out := make([]backend.State, len(w.backends))
 	for i, b := range w.backends {
 		out[i] = b.State()
@@ -362,21 +362,21 @@
 	return out
 }
 
-// Discovered counts discovery's calls.
-func (w *World) Discovered() discovery.Figures { return w.disco.Figures() }
+// DiscoveryFigures counts discovery's calls.
+func (w *World) DiscoveryFigures() discovery.Figures { return w.disco.Figures() }
 
-// Call sends what the day has planned by a route, and returns what came of it, by the time of the day. Play comes first.
-func (w *World) Call(ctx context.Context, route callers.Route, direct bool, done func(referee.Call)) ([]referee.Call, callers.Figures) {
+// RunCallers sends what the day has planned by a route, and returns what came of it, by the time of the day. Play comes first.
+func (w *World) RunCallers(ctx context.Context, route callers.Route, direct bool, done func(referee.CallResult)) ([]referee.CallResult, callers.Figures) {
 	w.mu.Lock()
 	start := w.begin
 	w.mu.Unlock()
-	plan := slices.Clone(w.Day.Plan)
+	plan := slices.Clone(w.Scenario.Plan)
 	for i := range plan {
 		plan[i].At += start
 	}
-	calls, figures := callers.Run(ctx, callers.Config{Plan: plan, Classes: w.Day.Classes, Tenants: w.Day.Tenants, Habits: func(at time.Duration) callers.ClientProfile { return w.Day.ClientsAt(at - start) },
-		Route: route, Referee: w.Referee, Epoch: w.Epoch, Direct: direct, Answer: w.Day.Spec.Answer, Body: w.Day.Spec.Body,
-		Slow: w.Day.Spec.Clients.Slow, Prefix: w.Day.Seed, Done: done})
+	calls, figures := callers.Run(ctx, callers.Config{Plan: plan, Classes: w.Scenario.Classes, Tenants: w.Scenario.Tenants, ClientProfileAt: func(at time.Duration) callers.ClientProfile { return w.Scenario.ClientProfileAt(at - start) },
+		Route: route, Referee: w.Referee, Epoch: w.Epoch, Direct: direct, ResponseBytes: w.Scenario.Spec.ResponseBytes, RequestBytes: w.Scenario.Spec.RequestBytes,
+		SlowFraction: w.Scenario.Spec.Clients.SlowFraction, IDPrefix: w.Scenario.Seed, Done: done})
 	for i := range calls {
 		calls[i].At -= start
 	}
@@ -391,5 +391,5 @@
 	for _, b := range w.backends {
 		b.Close()
 	}
-	w.Net.Close()
+	w.Network.Close()
 }
--- a/internal/experiment/byzantine.go
+++ b/internal/experiment/byzantine.go
@@ -35,7 +35,7 @@
 // newByzantinePeer lets a liar in among the peers; at are its arguments as an agent would get them.
 func newByzantinePeer(w *emulator.World, spec emulator.ByzantinePeerSpec, name string, at membership.Config, set operator.Peers) (*byzantinePeer, error) {
 	l := &byzantinePeer{spec: spec, name: name, w: w}
-	for _, c := range w.Day.Classes {
+	for _, c := range w.Scenario.Classes {
 		l.top = max(l.top, c.PriorityWeight)
 	}
 	at.Name, at.Label, at.Timing, at.Handler, at.Logger = name, set.Label, membership.DefaultTiming(), l, slog.New(slog.DiscardHandler)
@@ -57,11 +57,11 @@
 	if !callers.Sleep(ctx, l.spec.From.D()-l.w.Now()) {
 		return
 	}
-	l.w.Note(l.spec.From.D(), l.spec.To.D(), l.name, fmt.Sprint("lies: ", l.spec.Says))
+	l.w.RecordEvent(l.spec.From.D(), l.spec.To.D(), l.name, fmt.Sprint("lies: ", l.spec.Says))
 	for l.w.Now() < l.spec.To.D() && callers.Sleep(ctx, lieEvery) {
 		l.member.Broadcast(l.lies(time.Now()))
 		if p := l.part(); p.Rate > 0 || len(p.Demand) > 0 {
-			l.member.SendPeerState(p, emulator.MostProcesses)
+			l.member.SendPeerState(p, emulator.MaxProcesses)
 		}
 	}
 	<-ctx.Done()
@@ -71,12 +71,12 @@
 
 // lies are what it says of the servers.
 func (l *byzantinePeer) lies(now time.Time) (out []fleetstate.Fact) {
-	servers := l.w.Known(0).Servers
+	servers := l.w.EndpointList(0).Servers
 	servers = slices.DeleteFunc(servers, func(e discovery.Entry) bool { return e.State != discovery.Ready })
 	for i, e := range servers {
 		key := fleetstate.Key{Server: e.ID, Started: e.StartedMS}
 		if l.says(emulator.FalseSuspicion) {
-			for _, who := range append([]string{l.name}, l.w.Day.Agents...) {
+			for _, who := range append([]string{l.name}, l.w.Scenario.Agents...) {
 				k := key
 				k.Kind, k.Origin = fleetstate.Suspicion, who
 				// As far ahead as is believed, so that what the agents say themselves sorts before it.
--- a/internal/experiment/choose.go
+++ b/internal/experiment/choose.go
@@ -31,7 +31,7 @@
 // Chooser chooses a node for a try, or -1. tried are the nodes that the request has been to. It is used by one goroutine at
 // a time.
 type Chooser interface {
-	Choose(nodes []View, p callers.Planned, tried []string) int
+	Choose(nodes []View, p callers.PlannedRequest, tried []string) int
 }
 
 // The reference arms.
@@ -76,7 +76,7 @@
 
 type random struct{ rng *rand.Rand }
 
-func (c *random) Choose(nodes []View, _ callers.Planned, tried []string) int {
+func (c *random) Choose(nodes []View, _ callers.PlannedRequest, tried []string) int {
 	among := fresh(nodes, tried)
 	if len(among) == 0 {
 		return -1
@@ -86,7 +86,7 @@
 
 type roundRobin struct{ next int }
 
-func (c *roundRobin) Choose(nodes []View, _ callers.Planned, _ []string) int {
+func (c *roundRobin) Choose(nodes []View, _ callers.PlannedRequest, _ []string) int {
 	if len(nodes) == 0 {
 		return -1
 	}
@@ -96,7 +96,7 @@
 
 type twoChoices struct{ rng *rand.Rand }
 
-func (c *twoChoices) Choose(nodes []View, _ callers.Planned, tried []string) int {
+func (c *twoChoices) Choose(nodes []View, _ callers.PlannedRequest, tried []string) int {
 	among := fresh(nodes, tried)
 	if len(among) == 0 {
 		return -1
@@ -129,7 +129,7 @@
 	cheapWait = 60 * time.Millisecond
 )
 
-func (c *oracle) Choose(nodes []View, p callers.Planned, tried []string) int {
+func (c *oracle) Choose(nodes []View, p callers.PlannedRequest, tried []string) int {
 	best, least := -1, math.Inf(1)
 	var wait time.Duration
 	for _, i := range fresh(nodes, tried) {
--- a/internal/experiment/choosers.go
+++ b/internal/experiment/choosers.go
@@ -10,11 +10,11 @@
 	"ryeweir/internal/emulator/referee"
 )
 
-func (p *scenarioRun) route(c callers.Planned, tried []string) (string, *callers.Client, func(referee.End)) {
+func (p *scenarioRun) route(c callers.PlannedRequest, tried []string) (string, *callers.Client, func(referee.Outcome)) {
 	if p.choosers != nil {
 		return p.choosers[c.Agent].route(c, tried)
 	}
-	return p.world.Day.Agents[c.Agent], p.clients[c.Agent], func(referee.End) {}
+	return p.world.Scenario.Agents[c.Agent], p.clients[c.Agent], func(referee.Outcome) {}
 }
 
 // clientSideChoosers are those of the callers beside one agent's place, who choose nodes by themselves.
@@ -36,11 +36,11 @@
 
 func (p *scenarioRun) startChoosers() error {
 	var mu sync.Mutex // of the one who sees all there is only one
-	all := NewChooser(p.variant.Chooser, p.world.Day.Seed)
-	for i := range p.world.Day.Agents {
+	all := NewChooser(p.variant.Chooser, p.world.Scenario.Seed)
+	for i := range p.world.Scenario.Agents {
 		chooser := all
 		if p.variant.Chooser != Oracle {
-			chooser = NewChooser(p.variant.Chooser, p.world.Day.Seed+uint64(i))
+			chooser = NewChooser(p.variant.Chooser, p.world.Scenario.Seed+uint64(i))
 		}
 		c := &clientSideChoosers{run: p, agent: i, seesTruth: p.variant.Chooser == Oracle, chooser: chooser, mu: &mu,
 			clients: map[string]*callers.Client{}, own: map[string]int{}}
@@ -52,7 +52,7 @@
 	return nil
 }
 
-func (c *clientSideChoosers) route(planned callers.Planned, tried []string) (string, *callers.Client, func(referee.End)) {
+func (c *clientSideChoosers) route(planned callers.PlannedRequest, tried []string) (string, *callers.Client, func(referee.Outcome)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.seesTruth || time.Since(c.viewedAt) > viewInterval {
@@ -68,14 +68,14 @@
 	id, addr := c.views[i].ID, c.addrs[i]
 	client := c.clients[addr]
 	if client == nil {
-		client = &callers.Client{Addr: addr, Dial: c.run.world.Net.Dialer("")}
+		client = &callers.Client{Addr: addr, Dial: c.run.world.Network.Dialer("")}
 		c.clients[addr] = client
 		c.run.mu.Lock()
 		c.run.clients = append(c.run.clients, client)
 		c.run.mu.Unlock()
 	}
 	c.own[id]++
-	return id, client, func(referee.End) {
+	return id, client, func(referee.Outcome) {
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		c.own[id]--
@@ -86,16 +86,16 @@
 func (c *clientSideChoosers) refresh() {
 	truth := map[string]*Truth{}
 	if c.seesTruth {
-		for _, s := range c.run.world.States() {
+		for _, s := range c.run.world.NodeStates() {
 			if s.Up {
-				truth[s.ID] = &Truth{Capacity: s.Capacity, Cores: s.Cores, Backlog: s.Backlog, Room: s.Room, Failing: s.Failing}
+				truth[s.ID] = &Truth{Capacity: s.Capacity, Cores: s.Cores, Backlog: s.Backlog, Room: s.HasCapacity, Failing: s.FailureFraction}
 			}
 		}
 	}
 	c.addrs, c.views, c.viewedAt = c.addrs[:0], c.views[:0], time.Now()
-	for _, e := range c.run.world.Known(c.agent).Servers {
+	for _, e := range c.run.world.EndpointList(c.agent).Servers {
 		if t := truth[e.ID]; t != nil {
-			t.Away = c.run.world.Day.LinkTo(c.run.world.Day.AgentZone(c.agent), e.Zone).Delay
+			t.Away = c.run.world.Scenario.LinkTo(c.run.world.Scenario.AgentZone(c.agent), e.Zone).Delay
 		}
 		if e.State == discovery.Ready {
 			c.addrs = append(c.addrs, e.Addr)
