--- a/internal/experiment/compare.go
+++ b/internal/experiment/compare.go
@@ -193,7 +193,7 @@
 // startBoth starts the agent and the plain proxy before the stand-ins. With an error it returns those that run.
 func startBoth(ctx context.Context, self, dir string, nodes *instantFleet) (both []*measuredProcess, err error) {
 	for i, name := range []string{"agent", "proxy"} {
-		listen, control, err := processrig.TwoPorts("127.0.0.1", i)
+		listen, control, err := processrig.FreePortPair("127.0.0.1", i)
 		if err != nil {
 			return both, err
 		}
@@ -217,7 +217,7 @@
 
 // agentCommand is an agent at these addresses, with the settings of the default day.
 func agentCommand(self, dir, listen, control, disco string) (*exec.Cmd, error) {
-	spec := emulator.DefaultDay()
+	spec := emulator.DefaultScenario()
 	spec.Agents = 1
 	spec.Length = config.Duration(time.Second)
 	day, err := spec.Draw(1)
--- a/internal/experiment/demo.go
+++ b/internal/experiment/demo.go
@@ -9,8 +9,8 @@
 )
 
 // DemoDay is a day on which a node turns slow, another fails fast and a third drains.
-func DemoDay(length time.Duration) emulator.DaySpec {
-	d := emulator.DefaultDay()
+func DemoDay(length time.Duration) emulator.ScenarioSpec {
+	d := emulator.DefaultScenario()
 	d.Name, d.Length = "demo", config.Duration(length)
 	at := func(share float64) config.Duration { return config.Duration(share * float64(length)) }
 	d.Faults = []emulator.FaultSpec{
--- a/internal/experiment/drill.go
+++ b/internal/experiment/drill.go
@@ -15,14 +15,14 @@
 // DrillSpec is the file of a drill: a day that a fleet of agent processes lives through, with faults of and between them, and
 // what is expected of it.
 type DrillSpec struct {
-	Name     string           `toml:"name"`
-	Question string           `toml:"question"`
-	Seed     uint64           `toml:"seed"`
-	Operator string           `toml:"operator"` // the agents' operators' file, from the drill's folder; empty for the defaults
-	Cores    float64          `toml:"cores"`    // that the platform tells the agents they may use; 0 for what it usually does
-	Long     LongSpec         `toml:"long"`
-	Expect   Expect           `toml:"expect"`
-	Day      emulator.DaySpec `toml:"day"`
+	Name     string                `toml:"name"`
+	Question string                `toml:"question"`
+	Seed     uint64                `toml:"seed"`
+	Operator string                `toml:"operator"` // the agents' operators' file, from the drill's folder; empty for the defaults
+	Cores    float64               `toml:"cores"`    // that the platform tells the agents they may use; 0 for what it usually does
+	Long     LongSpec              `toml:"long"`
+	Expect   Expect                `toml:"expect"`
+	Day      emulator.ScenarioSpec `toml:"day"`
 }
 
 // LongSpec is what a drill's long form has in place of its short one's.
@@ -59,7 +59,7 @@
 	if s.Seed == 0 {
 		s.Seed = 1
 	}
-	s.Day.Fill()
+	s.Day.ApplyDefaults()
 	all := []error{s.Day.Check("day."), checkProcesses("day.", &s.Day)}
 	wrong := func(bad bool, key, format string, args ...any) {
 		if bad {
@@ -68,7 +68,7 @@
 	}
 	wrong(s.Name == "", "name", "is missing")
 	wrong(s.Cores < 0 || s.Cores > 64, "cores", "must be from 0 to 64")
-	wrong(s.Long.Agents < 0 || s.Long.Agents > emulator.MostProcesses, "long.agents", "must be from 0 to %d", emulator.MostProcesses)
+	wrong(s.Long.Agents < 0 || s.Long.Agents > emulator.MaxProcesses, "long.agents", "must be from 0 to %d", emulator.MaxProcesses)
 	wrong(s.Long.Times < 0 || s.Long.Times > 20, "long.times", "must be from 0 to 20")
 	for key, classes := range map[string]map[string]float64{"expect.served_least": s.Expect.MinServed, "expect.served_most": s.Expect.MaxServed} {
 		for name := range classes {
@@ -137,7 +137,7 @@
 			s.Day.Agents = s.Long.Agents
 		}
 		if s.Long.Times > 0 {
-			s.Day.Stretch(s.Long.Times)
+			s.Day.ScaleTimes(s.Long.Times)
 		}
 	}
 	day, err := s.Day.Draw(s.Seed)
@@ -161,7 +161,7 @@
 		}
 	}
 	a := o.Account
-	expect(a.Balanced() && a.Held() && a.UnknownRequests == 0, "the rules, one answer each and no stranger: %+v %v", a, o.Breaches)
+	expect(a.Balanced() && a.RulesHold() && a.UnknownRequests == 0, "the rules, one answer each and no stranger: %+v %v", a, o.Breaches)
 	expect(!o.Interrupted, "it was interrupted")
 	if broken = len(wrong) > 0; broken || busy(o) {
 		return wrong, broken
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -37,7 +37,7 @@
 // Held reports whether the rules held in all runs with an agent.
 func (f Findings) Held() bool {
 	for _, o := range f.Outcomes {
-		if f.agents[o.Variant] && !o.Account.Held() {
+		if f.agents[o.Variant] && !o.Account.RulesHold() {
 			return false
 		}
 	}
@@ -103,11 +103,11 @@
 		f.Outcomes = append(f.Outcomes, o)
 		left := time.Since(began) / time.Duration(i+1) * time.Duration(f.Planned-i-1)
 		note := ""
-		if !o.Account.Held() {
+		if !o.Account.RulesHold() {
 			note = "  RULE BROKEN"
 		}
 		fmt.Fprintf(out, "%3d of %d  %-12s %-12s repeat %d  service %.3f  p99 %.0f ms%s  (%v left)\n", len(f.Outcomes), f.Planned, o.Day, o.Variant,
-			r.repeat+1, o.Whole, o.Latency["all"].P99, note, left.Round(time.Second))
+			r.repeat+1, o.Overall, o.Latency["all"].P99, note, left.Round(time.Second))
 		if err := f.save(spec, dir); err != nil {
 			return f, err
 		}
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -16,9 +16,9 @@
 	"ryeweir/internal/emulator"
 )
 
-func day(t *testing.T, change func(*emulator.DaySpec)) *emulator.Day {
+func day(t *testing.T, change func(*emulator.ScenarioSpec)) *emulator.Scenario {
 	t.Helper()
-	spec := emulator.DefaultDay()
+	spec := emulator.DefaultScenario()
 	spec.Length = config.Duration(15 * time.Second)
 	if change != nil {
 		change(&spec)
@@ -32,7 +32,7 @@
 
 var module = Variant{Name: "agent", Command: []string{"-", "agent"}}
 
-func simulate(t *testing.T, d *emulator.Day, a Variant) Outcome {
+func simulate(t *testing.T, d *emulator.Scenario, a Variant) Outcome {
 	t.Helper()
 	o, err := Simulate(d, a)
 	if err != nil {
@@ -43,7 +43,7 @@
 
 // Equal days and arms give equal outcomes, to the last call.
 func TestSimulationRepeats(t *testing.T) {
-	trouble := func(d *emulator.DaySpec) {
+	trouble := func(d *emulator.ScenarioSpec) {
 		d.Faults = []emulator.FaultSpec{
 			{Kind: "slow", Nodes: 2, From: config.Duration(2 * time.Second), To: config.Duration(9 * time.Second), Size: 5},
 			{Kind: "vanish", Nodes: 1, From: config.Duration(3 * time.Second), To: config.Duration(8 * time.Second)},
@@ -57,7 +57,7 @@
 		if !reflect.DeepEqual(a, b) {
 			t.Errorf("%s: %+v and %+v", arm.Name, a.Account, b.Account)
 		}
-		if !a.Account.Balanced() || !a.Account.Held() || a.Account.UnknownRequests > 0 {
+		if !a.Account.Balanced() || !a.Account.RulesHold() || a.Account.UnknownRequests > 0 {
 			t.Errorf("%s: %+v %v", arm.Name, a.Account, a.Breaches)
 		}
 	}
@@ -65,11 +65,11 @@
 
 // The arms stand in the order that their knowledge gives them, where that matters.
 func TestArmsAreOrdered(t *testing.T) {
-	trouble := func(d *emulator.DaySpec) {
+	trouble := func(d *emulator.ScenarioSpec) {
 		d.Load = 0.7
 		d.Faults = []emulator.FaultSpec{{Kind: "slow", Nodes: 3, From: config.Duration(2 * time.Second), To: config.Duration(14 * time.Second), Size: 6}}
 	}
-	service := func(a Variant) float64 { return simulate(t, day(t, trouble), a).Whole }
+	service := func(a Variant) float64 { return simulate(t, day(t, trouble), a).Overall }
 	random, two, agent, top := service(Variant{Chooser: Random}), service(Variant{Chooser: TwoChoices}), service(module), service(Variant{Chooser: Oracle})
 	if !(random < two && two < agent && agent <= top+0.02) {
 		t.Errorf("random %.3f, two choices %.3f, agent %.3f, top %.3f", random, two, agent, top)
--- a/internal/experiment/fleet_days_test.go
+++ b/internal/experiment/fleet_days_test.go
@@ -14,27 +14,27 @@
 func TestFleetDays(t *testing.T) {
 	d := func(seconds int) config.Duration { return config.Duration(time.Duration(seconds) * time.Second) }
 	for name, c := range map[string]struct {
-		change func(*emulator.DaySpec)
+		change func(*emulator.ScenarioSpec)
 		least  float64
 	}{
-		"all start at once on a full fleet": {func(s *emulator.DaySpec) { s.Agents, s.Load = 100, 0.85 }, 0.9},
-		"discovery away for 60 s while nodes are replaced": {func(s *emulator.DaySpec) {
+		"all start at once on a full fleet": {func(s *emulator.ScenarioSpec) { s.Agents, s.Load = 100, 0.85 }, 0.9},
+		"discovery away for 60 s while nodes are replaced": {func(s *emulator.ScenarioSpec) {
 			s.Agents, s.Length = 20, d(75)
 			s.Outages = []emulator.OutageSpec{{From: d(5), To: d(65)}}
 			s.Faults = []emulator.FaultSpec{{Kind: "replace", Nodes: 3, From: d(10), To: d(13)}}
 		}, 0.85},
-		"the others' traffic comes and goes": {func(s *emulator.DaySpec) {
+		"the others' traffic comes and goes": {func(s *emulator.ScenarioSpec) {
 			s.Agents, s.AgentSkew, s.Load, s.Shape, s.Swing, s.Period = 20, 20, 0.6, "wave", 0.6, d(6)
 		}, 0.9},
-		"a quiet fleet beside a dead node": {func(s *emulator.DaySpec) {
+		"a quiet fleet beside a dead node": {func(s *emulator.ScenarioSpec) {
 			s.Agents, s.Load = 200, 0.4
 			s.Faults = []emulator.FaultSpec{{Kind: "vanish", Nodes: 2, From: d(4), To: d(18)}}
 		}, 0.9},
-		"an overload that would choke all": {func(s *emulator.DaySpec) { s.Agents, s.Load = 4, 1.3 }, 0.8},
+		"an overload that would choke all": {func(s *emulator.ScenarioSpec) { s.Agents, s.Load = 4, 1.3 }, 0.8},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			spec := emulator.DefaultDay()
+			spec := emulator.DefaultScenario()
 			spec.Length = d(20)
 			c.change(&spec)
 			if err := spec.Check("day."); err != nil {
@@ -48,14 +48,14 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if !o.Account.Held() {
+			if !o.Account.RulesHold() {
 				t.Errorf("rules broke: %v", o.Breaches)
 			}
-			if o.Whole < c.least || o.HealthCheckWork > 0.01 {
-				t.Errorf("service %.3f, probes took %.4f of the nodes' work", o.Whole, o.HealthCheckWork)
+			if o.Overall < c.least || o.HealthCheckWork > 0.01 {
+				t.Errorf("service %.3f, probes took %.4f of the nodes' work", o.Overall, o.HealthCheckWork)
 			}
-			if again, err := Simulate(day, Variant{Name: "agent", Command: []string{"agent"}}); err != nil || fmt.Sprint(again.Whole, again.Truths) != fmt.Sprint(o.Whole, o.Truths) {
-				t.Errorf("played again: %v, %v", again.Whole, err)
+			if again, err := Simulate(day, Variant{Name: "agent", Command: []string{"agent"}}); err != nil || fmt.Sprint(again.Overall, again.Truths) != fmt.Sprint(o.Overall, o.Truths) {
+				t.Errorf("played again: %v, %v", again.Overall, err)
 			}
 		})
 	}
--- a/internal/experiment/gate.go
+++ b/internal/experiment/gate.go
@@ -38,9 +38,9 @@
 	for _, o := range outcomes {
 		switch kinds[o.Variant] {
 		case Late:
-			late[run{o.Day, o.Seed}] = o.Whole
+			late[run{o.Day, o.Seed}] = o.Overall
 		case Random:
-			plain[run{o.Day, o.Seed}] = o.Whole
+			plain[run{o.Day, o.Seed}] = o.Overall
 		}
 	}
 	for _, o := range outcomes {
@@ -48,12 +48,12 @@
 		if kinds[o.Variant] != AgentKind || !ok {
 			continue
 		}
-		r := GateRow{Day: o.Day, Variant: o.Variant, Seed: o.Seed, Served: o.Whole, Wanted: gateOfLate * sees}
+		r := GateRow{Day: o.Day, Variant: o.Variant, Seed: o.Seed, Served: o.Overall, Wanted: gateOfLate * sees}
 		if x, ok := plain[run{o.Day, o.Seed}]; ok && calm[o.Day] {
 			r.Wanted = max(r.Wanted, min(x-gatePlainLess, sees-gateLateLess))
 		}
 		switch {
-		case !o.Account.Held():
+		case !o.Account.RulesHold():
 			r.FailureReason = fmt.Sprintf("a rule broke: %v", o.Breaches[0])
 		case !o.Account.Balanced():
 			r.FailureReason = "not each request has one end"
--- a/internal/experiment/hunt.go
+++ b/internal/experiment/hunt.go
@@ -36,9 +36,9 @@
 const mostFound = 50
 
 // prey is the day of a seed: any mixture of what befalls a fleet, in a fleet of any size that plays within seconds.
-func prey(seed uint64) emulator.FleetDay {
+func prey(seed uint64) emulator.FleetScenario {
 	rng := rand.New(rand.NewPCG(seed, 0x70726579))
-	return emulator.FleetDay{Name: fmt.Sprintf("mixed-%d", seed), Kind: emulator.MixedDay, Agents: 20 + rng.IntN(180), Nodes: 12 + rng.IntN(88)}
+	return emulator.FleetScenario{Name: fmt.Sprintf("mixed-%d", seed), Kind: emulator.MixedScenario, Agents: 20 + rng.IntN(180), Nodes: 12 + rng.IntN(88)}
 }
 
 // Hunt plays random days of whole fleets with the agent's decisions, from a seed on, until the context ends, most days are played (0: no
--- a/internal/experiment/levels.go
+++ b/internal/experiment/levels.go
@@ -26,10 +26,10 @@
 }
 
 // levels sums up what agents told of their budgets; nil where none told anything.
-func levels(day *emulator.Day, sights [][]peerView) *Levels {
+func levels(day *emulator.Scenario, sights [][]peerView) *Levels {
 	end := day.Length
 	if i := surgeOf(day); i >= 0 {
-		end = day.Spec.Fleet.Shifts[i].To.D()
+		end = day.Spec.Fleet.TrafficShifts[i].To.D()
 	}
 	l := &Levels{}
 	var shares []float64
--- a/internal/experiment/load.go
+++ b/internal/experiment/load.go
@@ -39,7 +39,7 @@
 	if err != nil {
 		return Outcome{}, err
 	}
-	dial := (&emulator.Loopback{}).Dialer("")
+	dial := (&emulator.LoopbackNetwork{}).Dialer("")
 	clients := make([]*callers.Client, len(spec.Targets))
 	for i, t := range spec.Targets {
 		if _, _, err := net.SplitHostPort(t); err != nil {
@@ -49,13 +49,13 @@
 		defer clients[i].Close()
 	}
 	ref := referee.New(referee.DefaultRules())
-	ref.TrustAnswers()
-	route := func(p callers.Planned, _ []string) (string, *callers.Client, func(referee.End)) {
-		return spec.Targets[p.Agent], clients[p.Agent], func(referee.End) {}
+	ref.TrustResponses()
+	route := func(p callers.PlannedRequest, _ []string) (string, *callers.Client, func(referee.Outcome)) {
+		return spec.Targets[p.Agent], clients[p.Agent], func(referee.Outcome) {}
 	}
-	calls, figures := callers.Run(ctx, callers.Config{Plan: day.Plan, Classes: day.Classes, Tenants: day.Tenants, Habits: day.ClientsAt, Route: route,
-		Referee: ref, Epoch: time.Now(), Answer: day.Spec.Answer, Body: day.Spec.Body, Slow: day.Spec.Clients.Slow, Prefix: uint64(time.Now().UnixNano())})
-	t := tallied{day: day, calls: calls, figures: figures, account: ref.Account(), kept: ref.Breaches()}
+	calls, figures := callers.Run(ctx, callers.Config{Plan: day.Plan, Classes: day.Classes, Tenants: day.Tenants, ClientProfileAt: day.ClientProfileAt, Route: route,
+		Referee: ref, Epoch: time.Now(), ResponseBytes: day.Spec.ResponseBytes, RequestBytes: day.Spec.RequestBytes, SlowFraction: day.Spec.Clients.SlowFraction, IDPrefix: uint64(time.Now().UnixNano())})
+	t := tallied{day: day, calls: calls, figures: figures, account: ref.Account(), kept: ref.Violations()}
 	o := t.sum("load", false)
 	o.Interrupted = ctx.Err() != nil
 	return o, nil
--- a/internal/experiment/measured.go
+++ b/internal/experiment/measured.go
@@ -39,14 +39,14 @@
 
 // startMeasured starts a process and waits until it serves.
 func startMeasured(ctx context.Context, through string, cmd *exec.Cmd, addr string) (*measuredProcess, error) {
-	s := &measuredProcess{name: through, cmd: cmd, ended: make(chan error, 1), client: &callers.Client{Addr: addr, Dial: (&emulator.Loopback{}).Dialer("")}}
+	s := &measuredProcess{name: through, cmd: cmd, ended: make(chan error, 1), client: &callers.Client{Addr: addr, Dial: (&emulator.LoopbackNetwork{}).Dialer("")}}
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
 	cmd.Stderr = &s.log
 	if err := cmd.Start(); err != nil {
 		return nil, err
 	}
 	go func() { s.ended <- cmd.Wait() }()
-	for end := time.Now().Add(processrig.ReadyIn); s.send(ctx).End != referee.Served; {
+	for end := time.Now().Add(processrig.ReadyTimeout); s.send(ctx).Outcome != referee.Served; {
 		if time.Now().After(end) || ctx.Err() != nil {
 			s.stop()
 			return nil, fmt.Errorf("%s serves nothing\n%s", through, s.log.String())
@@ -61,18 +61,18 @@
 	s.cmd.Process.Signal(syscall.SIGTERM)
 	select {
 	case <-s.ended:
-	case <-time.After(processrig.StopIn):
+	case <-time.After(processrig.StopTimeout):
 		s.cmd.Process.Kill()
 		<-s.ended
 	}
 }
 
-func (s *measuredProcess) send(ctx context.Context) callers.Answer {
+func (s *measuredProcess) send(ctx context.Context) callers.Response {
 	ctx, cancel := context.WithTimeout(ctx, 2*time.Second)
 	defer cancel()
 	id := fmt.Sprintf("%016x", s.number.Add(1))
-	return s.client.Send(ctx, callers.Message{ID: id, Class: "price-basket", Tenant: "kottu-run", Key: "k:" + id[12:], Timeout: 2 * time.Second,
-		Hint: 20 * time.Millisecond}, func() bool { return true })
+	return s.client.Send(ctx, callers.Request{ID: id, Class: "price-basket", Tenant: "kottu-run", Key: "k:" + id[12:], Timeout: 2 * time.Second,
+		CostHint: 20 * time.Millisecond}, func() bool { return true })
 }
 
 // reset forgets what was measured and warms up.
@@ -160,12 +160,12 @@
 }
 
 // sendAtRate sends at a steady rate, open loop, or over so many connections as fast as answers come.
-func sendAtRate(ctx context.Context, rate int, each time.Duration, send func(context.Context) callers.Answer) (latencies []time.Duration, failed int, took time.Duration) {
+func sendAtRate(ctx context.Context, rate int, each time.Duration, send func(context.Context) callers.Response) (latencies []time.Duration, failed int, took time.Duration) {
 	var mu sync.Mutex
-	note := func(from time.Time, a callers.Answer) {
+	note := func(from time.Time, a callers.Response) {
 		mu.Lock()
 		defer mu.Unlock()
-		if a.End == referee.Served {
+		if a.Outcome == referee.Served {
 			latencies = append(latencies, time.Since(from))
 		} else {
 			failed++
--- a/internal/experiment/order.go
+++ b/internal/experiment/order.go
@@ -10,7 +10,7 @@
 // passedOver is the part of the worthiest class's requests that were served, and the part that nobody got an answer to while, in
 // the same second, nodes did work for lesser classes that would have served them: what an order by worth that holds across the
 // whole fleet brings to 0. Requests lost for other reasons, as by an agent that was killed, count too.
-func passedOver(day *emulator.Day, calls []referee.Call) (served, passed float64) {
+func passedOver(day *emulator.Scenario, calls []referee.CallResult) (served, passed float64) {
 	best := 0
 	for i, c := range day.Classes {
 		if c.PriorityWeight > day.Classes[best].PriorityWeight {
--- a/internal/experiment/outcome.go
+++ b/internal/experiment/outcome.go
@@ -44,14 +44,14 @@
 
 // Outcome is what came of a day with an arm.
 type Outcome struct {
-	Day       string           `json:"day"`
-	Variant   string           `json:"arm"`
-	Seed      uint64           `json:"seed"`
-	Simulated bool             `json:"simulated"`
-	Seconds   float64          `json:"seconds"`
-	Calls     int              `json:"calls"` // customers' requests, over all the tries of their clients
-	Account   referee.Account  `json:"account"`
-	Breaches  []referee.Breach `json:"breaches,omitempty"`
+	Day       string              `json:"day"`
+	Variant   string              `json:"arm"`
+	Seed      uint64              `json:"seed"`
+	Simulated bool                `json:"simulated"`
+	Seconds   float64             `json:"seconds"`
+	Calls     int                 `json:"calls"` // customers' requests, over all the tries of their clients
+	Account   referee.Account     `json:"account"`
+	Breaches  []referee.Violation `json:"breaches,omitempty"`
 	referee.Service
 	Goal              float64                    `json:"goal"`
 	Latency           map[string]Percentiles     `json:"latency"`              // a class each, and "all"
@@ -80,7 +80,7 @@
 	Spared            float64                    `json:"spared"`           // service of the requests at agents that no fault of their own befell; 1 where there are none
 	Surge             *Surge                     `json:"surge,omitempty"`  // of a day on sockets whose traffic shifts upwards everywhere
 	Series            Series                     `json:"series"`
-	Marks             []emulator.Mark            `json:"marks"`
+	Marks             []emulator.Event           `json:"marks"`
 }
 
 // Series are figures over time, one a second. NaN and absent values are null in JSON.
@@ -95,16 +95,16 @@
 
 // tallied is what a run hands over to be summed up.
 type tallied struct {
-	day     *emulator.Day
-	calls   []referee.Call
+	day     *emulator.Scenario
+	calls   []referee.CallResult
 	figures callers.Figures
 	account referee.Account
-	kept    []referee.Breach
+	kept    []referee.Violation
 	nodes   []node.Figures
 	lists   int
 	load    [][]float64
 	goodput []float64
-	marks   []emulator.Mark
+	marks   []emulator.Event
 }
 
 // settleTime at the beginning is left out of the service: nothing is known then.
@@ -112,9 +112,9 @@
 
 // sum makes an outcome of what a run handed over.
 func (t tallied) sum(arm string, simulated bool) Outcome {
-	slices.SortFunc(t.calls, func(a, b referee.Call) int { return int(a.At - b.At) })
+	slices.SortFunc(t.calls, func(a, b referee.CallResult) int { return int(a.At - b.At) })
 	o := Outcome{Day: t.day.Spec.Name, Variant: arm, Seed: t.day.Seed, Simulated: simulated, Seconds: t.day.Length.Seconds(), Calls: len(t.calls),
-		Account: t.account, Breaches: t.kept, Service: referee.Serve(t.calls, settleTime, len(t.day.Classes), len(t.day.Tenants)),
+		Account: t.account, Breaches: t.kept, Service: referee.MeasureService(t.calls, settleTime, len(t.day.Classes), len(t.day.Tenants)),
 		Latency: map[string]Percentiles{"all": percentiles(referee.Latencies(t.calls, -1))}, ListCalls: t.lists, Marks: t.marks,
 		Skipped: t.figures.Skipped, Lag: float64(t.figures.Lag.Microseconds()) / 1e3}
 	o.Goal = o.Service.Goal()
@@ -131,7 +131,7 @@
 	if all.Work > 0 {
 		o.Waste = float64(all.Wasted) / float64(all.Work)
 	}
-	o.HealthChecks, o.Handshakes, o.Chokes = all.HealthChecks, all.Handshakes, all.Chokes
+	o.HealthChecks, o.Handshakes, o.Chokes = all.HealthChecks, all.Handshakes, all.Degradations
 	o.SlowStartPeak = all.SlowStartPeak
 	p, each := t.day.Spec.Fleet.Prices, 1/max(1, float64(len(t.calls)))
 	o.Priced = o.Goal - p.HealthCheck*float64(o.HealthChecks)*each - p.Handshake*float64(o.Handshakes)*each - p.List*float64(o.ListCalls)*each - p.Waste*o.Waste
@@ -140,9 +140,9 @@
 	o.Series.Load, o.Series.Goodput = t.load, t.goodput
 	o.Surge = surge(t.day, o)
 	o.TopPriorityServed, o.PassedOver = passedOver(t.day, t.calls)
-	befallen := t.day.Befallen()
-	spared := slices.DeleteFunc(slices.Clone(t.calls), func(c referee.Call) bool { return befallen[c.Agent] })
-	o.Spared = referee.Serve(spared, settleTime, 0, 0).Whole
+	befallen := t.day.AffectedAgents()
+	spared := slices.DeleteFunc(slices.Clone(t.calls), func(c referee.CallResult) bool { return befallen[c.Agent] })
+	o.Spared = referee.MeasureService(spared, settleTime, 0, 0).Overall
 	for _, n := range t.day.Nodes {
 		o.Series.Nodes = append(o.Series.Nodes, n.ID)
 	}
@@ -150,7 +150,7 @@
 }
 
 // series are the calls' figures by the second in which they were to be sent.
-func series(calls []referee.Call) (s Series) {
+func series(calls []referee.CallResult) (s Series) {
 	for _, x := range referee.BySecond(calls) {
 		if math.IsNaN(x) {
 			s.Service = append(s.Service, nil)
--- a/internal/experiment/report.go
+++ b/internal/experiment/report.go
@@ -235,9 +235,9 @@
 	if len(marks) > mostLines {
 		marks = nil
 		for _, m := range o.Marks {
-			i := slices.IndexFunc(marks, func(x emulator.Mark) bool { return x.Text == m.Text })
+			i := slices.IndexFunc(marks, func(x emulator.Event) bool { return x.Text == m.Text })
 			if i < 0 {
-				marks = append(marks, emulator.Mark{At: m.At, To: m.To, Node: "many", Text: m.Text})
+				marks = append(marks, emulator.Event{At: m.At, To: m.To, Node: "many", Text: m.Text})
 				continue
 			}
 			marks[i].At, marks[i].To = min(marks[i].At, m.At), max(marks[i].To, m.To)
--- a/internal/experiment/scenario.go
+++ b/internal/experiment/scenario.go
@@ -27,7 +27,7 @@
 
 // RunScenario runs a day with a variant on loopback sockets. watch, where there is one, gets a look each second. When the context ends the
 // day ends early, and the outcome so far is returned, marked as interrupted. The error names agents whose processes misbehaved.
-func RunScenario(ctx context.Context, day *emulator.Day, variant Variant, watch func(Live)) (outcome Outcome, err error) {
+func RunScenario(ctx context.Context, day *emulator.Scenario, variant Variant, watch func(Live)) (outcome Outcome, err error) {
 	dir, err := os.MkdirTemp("", "ryeweir-")
 	if err != nil {
 		return outcome, err
@@ -41,7 +41,7 @@
 	if err != nil {
 		return outcome, err
 	}
-	sockets := &emulator.Loopback{}
+	sockets := &emulator.LoopbackNetwork{}
 	peers, err := peerNetwork(day, operators, sockets)
 	if err != nil {
 		return outcome, err
@@ -56,13 +56,13 @@
 	if err != nil {
 		return outcome, errors.Join(err, run.stopAgents())
 	}
-	waits := processrig.ReadWaits()
-	world.Play()
+	waits := processrig.ReadSchedulerWaits()
+	world.InjectFaults()
 	background, stop := context.WithCancel(context.Background())
 	var all sync.WaitGroup
 	run.startBackground(background, &all, byzantine, watch)
-	calls, figures := world.Call(ctx, run.route, !run.usesAgents(), run.callEnded)
-	processorWait := processrig.ReadWaits().Since(waits)
+	calls, figures := world.RunCallers(ctx, run.route, !run.usesAgents(), run.callEnded)
+	processorWait := processrig.ReadSchedulerWaits().MeanSince(waits)
 	stop()
 	all.Wait()
 	for _, client := range run.clients {
@@ -76,7 +76,7 @@
 
 // peerNetwork gives the agents, and the day's byzantine peers, addresses in a mesh where the operators' file has agents gossip; nil where
 // it does not.
-func peerNetwork(day *emulator.Day, operators operator.File, sockets *emulator.Loopback) (*processrig.Peers, error) {
+func peerNetwork(day *emulator.Scenario, operators operator.File, sockets *emulator.LoopbackNetwork) (*processrig.Peers, error) {
 	if !operators.Peers.Enabled {
 		return nil, nil
 	}
@@ -110,7 +110,7 @@
 	faults      []error // what could not be done to agents' processes
 	away        []bool  // by agent: killed, ended or paused, and not yet back
 	clients     []*callers.Client
-	ended       []referee.Call // that ended since the last look
+	ended       []referee.CallResult // that ended since the last look
 }
 
 // usesAgents reports whether agents' processes stand between callers and nodes; else the callers choose nodes by themselves.
@@ -139,31 +139,31 @@
 		all.Go(func() { p.samplePeers(ctx) })
 	}
 	if p.usesAgents() {
-		for _, fault := range p.world.Day.AgentFaults {
+		for _, fault := range p.world.Scenario.AgentFaults {
 			all.Go(func() { p.faultAgent(ctx, fault) })
 		}
 	}
-	if rate := p.world.Day.Spec.Clients.MisbehavingRate; rate > 0 {
+	if rate := p.world.Scenario.Spec.Clients.MisbehavingRate; rate > 0 {
 		for _, agent := range p.agents {
-			all.Go(func() { p.addMisbehaving(callers.RunMisbehaving(ctx, p.world.Net.Dialer(""), agent.Addr, rate)) })
+			all.Go(func() { p.addMisbehaving(callers.RunMisbehaving(ctx, p.world.Network.Dialer(""), agent.Addr, rate)) })
 		}
 	}
 }
 
 // result sums up a run that has ended.
-func (p *scenarioRun) result(calls []referee.Call, figures callers.Figures, processorWait time.Duration) Outcome {
-	day := p.world.Day
+func (p *scenarioRun) result(calls []referee.CallResult, figures callers.Figures, processorWait time.Duration) Outcome {
+	day := p.world.Scenario
 	t := tallied{
 		day:     day,
 		calls:   calls,
 		figures: figures,
 		account: p.world.Referee.Account(),
-		kept:    p.world.Referee.Breaches(),
-		nodes:   nodeFigures(p.world.States()),
-		lists:   p.world.Discovered().Whole + p.world.Discovered().Watches,
+		kept:    p.world.Referee.Violations(),
+		nodes:   nodeFigures(p.world.NodeStates()),
+		lists:   p.world.DiscoveryFigures().FullLists + p.world.DiscoveryFigures().Watches,
 		load:    p.load,
 		goodput: p.goodput,
-		marks:   p.world.Marks(),
+		marks:   p.world.Events(),
 	}
 	outcome := t.sum(p.variant.Name, false)
 	outcome.ProcessorWait = float64(processorWait.Microseconds()) / 1e3
--- a/internal/experiment/scenario_agents.go
+++ b/internal/experiment/scenario_agents.go
@@ -18,17 +18,17 @@
 	if limits == (emulator.Limits{}) {
 		limits = emulator.DefaultLimits()
 	}
-	for i := range p.world.Day.Agents {
+	for i := range p.world.Scenario.Agents {
 		a, err := processrig.Start(p.world, i, p.variant.Command, dir, limits, p.peers)
 		if err != nil {
 			return err
 		}
 		p.agents = append(p.agents, a)
-		p.clients = append(p.clients, &callers.Client{Addr: a.Addr, Dial: p.world.Net.Dialer("")})
+		p.clients = append(p.clients, &callers.Client{Addr: a.Addr, Dial: p.world.Network.Dialer("")})
 	}
 	for i, a := range p.agents {
 		if err := a.Ready(ctx); err != nil {
-			return fmt.Errorf("%s: %w", p.world.Day.Agents[i], err)
+			return fmt.Errorf("%s: %w", p.world.Scenario.Agents[i], err)
 		}
 	}
 	return nil
@@ -39,9 +39,9 @@
 	if p.peers == nil {
 		return nil, nil
 	}
-	for i, spec := range p.world.Day.Spec.Fleet.ByzantinePeers {
+	for i, spec := range p.world.Scenario.Spec.Fleet.ByzantinePeers {
 		var at membership.Config
-		at.Bind, at.Advertise, at.Seeds = p.peers.Place(len(p.world.Day.Agents) + i)
+		at.Bind, at.Advertise, at.Seeds = p.peers.Addresses(len(p.world.Scenario.Agents) + i)
 		l, err := newByzantinePeer(p.world, spec, byzantineName(i), at, set)
 		if err != nil {
 			return nil, err
@@ -58,7 +58,7 @@
 	if !callers.Sleep(ctx, t.At-p.world.Now()) {
 		return
 	}
-	a, name := p.agents[t.Agent], p.world.Day.Agents[t.Agent]
+	a, name := p.agents[t.Agent], p.world.Scenario.Agents[t.Agent]
 	p.mu.Lock()
 	away := p.away[t.Agent]
 	p.away[t.Agent] = true
@@ -72,25 +72,25 @@
 		p.mu.Unlock()
 	}()
 	now := p.world.Now()
-	p.world.Note(now, now+t.Away, name, t.Kind)
+	p.world.RecordEvent(now, now+t.Duration, name, t.Kind)
 	var err error
 	switch t.Kind {
 	case emulator.AgentPause:
 		err = a.Pause()
 	case emulator.AgentSlow:
-		err = a.Slow(ctx, t.RunFraction, t.Away)
+		err = a.Throttle(ctx, t.RunFraction, t.Duration)
 	case emulator.AgentKill:
-		p.world.Referee.Killed(name, now, now+t.Away)
+		p.world.Referee.AgentKilled(name, now, now+t.Duration)
 		a.Kill()
 	default:
-		err = a.Term()
+		err = a.Terminate()
 		now = p.world.Now()
-		p.world.Referee.Killed(name, now, now+t.Away) // no process listens until the next one does
+		p.world.Referee.AgentKilled(name, now, now+t.Duration) // no process listens until the next one does
 	}
-	if err == nil && callers.Sleep(ctx, now+t.Away-p.world.Now()) {
+	if err == nil && callers.Sleep(ctx, now+t.Duration-p.world.Now()) {
 		if t.Survives() {
 			err = a.Resume()
-		} else if err = a.Again(!t.WithState); err == nil {
+		} else if err = a.Restart(!t.WithState); err == nil {
 			err = a.Ready(ctx)
 		}
 	}
@@ -112,7 +112,7 @@
 			defer mu.Unlock()
 			p.cpu += cpu
 			if err != nil {
-				errs = append(errs, fmt.Errorf("%s: %w", p.world.Day.Agents[i], err))
+				errs = append(errs, fmt.Errorf("%s: %w", p.world.Scenario.Agents[i], err))
 			}
 		})
 	}
--- a/internal/experiment/scenario_watch.go
+++ b/internal/experiment/scenario_watch.go
@@ -14,15 +14,15 @@
 type Live struct {
 	At      time.Duration // since the day began
 	Account referee.Account
-	Calls   []referee.Call // that ended since the last look
+	Calls   []referee.CallResult // that ended since the last look
 	States  []backend.State
-	Marks   []emulator.Mark
+	Marks   []emulator.Event
 }
 
-func (p *scenarioRun) callEnded(c referee.Call) {
+func (p *scenarioRun) callEnded(c referee.CallResult) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if len(p.ended) < callers.DefaultMost {
+	if len(p.ended) < callers.DefaultMaxRequests {
 		p.ended = append(p.ended, c)
 	}
 }
@@ -48,7 +48,7 @@
 			return
 		case <-tick.C:
 		}
-		states := p.world.States()
+		states := p.world.NodeStates()
 		row := make([]float64, len(states))
 		for i, s := range states {
 			row[i] = float64(s.InFlight)
@@ -58,14 +58,14 @@
 		for _, s := range states {
 			useful += s.Figures.Work - s.Figures.Wasted
 		}
-		p.goodput = append(p.goodput, (useful-done).Seconds()/(p.world.Day.Capacity*now.Sub(last).Seconds()))
+		p.goodput = append(p.goodput, (useful-done).Seconds()/(p.world.Scenario.Capacity*now.Sub(last).Seconds()))
 		last, done = now, useful
 		p.mu.Lock()
 		fresh := p.ended
 		p.ended = nil
 		p.mu.Unlock()
 		if show != nil {
-			show(Live{At: time.Since(began), Account: p.world.Referee.Account(), Calls: fresh, States: states, Marks: p.world.Marks()})
+			show(Live{At: time.Since(began), Account: p.world.Referee.Account(), Calls: fresh, States: states, Marks: p.world.Events()})
 		}
 	}
 }
--- a/internal/experiment/simulation.go
+++ b/internal/experiment/simulation.go
@@ -17,7 +17,7 @@
 
 // Simulate runs a day in simulated time: the decision module, or a chooser, on the node models, with delays but without sockets.
 // Equal days and variants give equal outcomes. What only real processes can do (shaped paths, pauses, kept state) is an error.
-func Simulate(day *emulator.Day, variant Variant) (Outcome, error) {
+func Simulate(day *emulator.Scenario, variant Variant) (Outcome, error) {
 	if err := checkSimulable(day); err != nil {
 		return Outcome{}, err
 	}
@@ -34,7 +34,7 @@
 }
 
 // checkSimulable says what of a day only real processes can run.
-func checkSimulable(day *emulator.Day) error {
+func checkSimulable(day *emulator.Scenario) error {
 	if len(day.Spec.Fleet.Paths)+len(day.Spec.Fleet.ByzantinePeers) > 0 {
 		return errors.New("ways between chosen hosts and liars are played by real processes only")
 	}
@@ -47,7 +47,7 @@
 }
 
 // newSimulation places the day's nodes and agents.
-func newSimulation(day *emulator.Day, variant Variant) (*simulation, error) {
+func newSimulation(day *emulator.Scenario, variant Variant) (*simulation, error) {
 	s := &simulation{
 		day:     day,
 		referee: referee.New(referee.DefaultRules()),
@@ -100,7 +100,7 @@
 		day:     s.day,
 		calls:   s.calls,
 		account: s.referee.Account(),
-		kept:    s.referee.Breaches(),
+		kept:    s.referee.Violations(),
 		lists:   s.list.calls,
 		load:    s.load,
 		goodput: s.goodput,
@@ -124,7 +124,7 @@
 const watchDelay = 10 * time.Millisecond
 
 type simulation struct {
-	day          *emulator.Day
+	day          *emulator.Scenario
 	referee      *referee.Referee
 	rng          *rand.Rand
 	now          time.Duration
@@ -142,13 +142,13 @@
 	lastTicket   uint64
 	waiting      map[ticket]*simAttempt
 	open         map[string]*clientAttempt
-	calls        []referee.Call
+	calls        []referee.CallResult
 	load         [][]float64
 	goodput      []float64 // as Series has it
 	useful       time.Duration
 	busy         []float64 // work done of what the nodes that are up could do at present, a second each
 	used         []float64 // share of the listed nodes that something came to, a second each
-	marks        []emulator.Mark
+	marks        []emulator.Event
 	callsLeft    int // calls that have not ended
 	truths       Truths
 	operators    operator.File
@@ -174,15 +174,15 @@
 		s.scheduleFault(fault)
 	}
 	s.scheduleOutages()
-	for _, cut := range s.day.Spec.Fleet.Cuts {
+	for _, cut := range s.day.Spec.Fleet.Partitions {
 		s.schedule(cut.From.D(), func() {
-			s.marks = append(s.marks, emulator.Mark{At: cut.From.D(), To: cut.To.D(), Node: cut.Zone, Text: "cut off"})
+			s.marks = append(s.marks, emulator.Event{At: cut.From.D(), To: cut.To.D(), Node: cut.Zone, Text: "cut off"})
 		})
 	}
 	s.callsLeft = len(s.day.Plan)
 	for _, planned := range s.day.Plan {
 		s.schedule(planned.At, func() {
-			journey := callers.NewJourney(planned, s.day.Classes[planned.Class], s.day.ClientsAt(planned.At))
+			journey := callers.NewCall(planned, s.day.Classes[planned.Class], s.day.ClientProfileAt(planned.At))
 			s.beginAttempt(journey, nil)
 		})
 	}
@@ -197,7 +197,7 @@
 	for _, outage := range s.day.Spec.Outages {
 		s.schedule(outage.From.D(), func() {
 			s.list.down = true
-			s.marks = append(s.marks, emulator.Mark{At: outage.From.D(), To: outage.To.D(), Node: "discovery", Text: "outage"})
+			s.marks = append(s.marks, emulator.Event{At: outage.From.D(), To: outage.To.D(), Node: "discovery", Text: "outage"})
 			for _, agent := range s.agents {
 				s.breakWatch(agent)
 			}
--- a/internal/experiment/simulation_agent.go
+++ b/internal/experiment/simulation_agent.go
@@ -84,13 +84,13 @@
 	text := emulator.AgentRestart
 	if t.Kind == emulator.AgentKill {
 		text = emulator.AgentKill
-		s.referee.Killed(name, s.now, s.now+t.Away)
+		s.referee.AgentKilled(name, s.now, s.now+t.Duration)
 		s.endAgent(old)
 	} else {
 		s.schedule(s.now+maxShutdown, func() { s.endAgent(old) })
 	}
-	s.marks = append(s.marks, emulator.Mark{At: s.now, To: s.now + t.Away, Node: name, Text: text})
-	s.schedule(s.now+t.Away, func() {
+	s.marks = append(s.marks, emulator.Event{At: s.now, To: s.now + t.Duration, Node: name, Text: text})
+	s.schedule(s.now+t.Duration, func() {
 		a := s.newProcess(t.Agent)
 		a.incarnation, a.version = old.incarnation+1, old.version
 		if s.err = s.newBalancer(a); s.err != nil {
@@ -137,7 +137,7 @@
 	}
 	slices.SortFunc(open, func(x, y *clientAttempt) int { return x.journey.Number - y.journey.Number })
 	for _, t := range open {
-		s.answer(t, referee.Closed, 0, 0)
+		s.answer(t, referee.ConnectionClosed, 0, 0)
 	}
 }
 
@@ -145,6 +145,6 @@
 const reconnectDelay = 50 * time.Millisecond
 
 // reconnectLater lets a client come again that nobody listens to. It has not been heard, so it is no try.
-func (s *simulation) reconnectLater(j *callers.Journey, tried []string) {
+func (s *simulation) reconnectLater(j *callers.Call, tried []string) {
 	s.schedule(s.now+reconnectDelay, func() { s.beginAttempt(j, tried) })
 }
--- a/internal/experiment/simulation_attempts.go
+++ b/internal/experiment/simulation_attempts.go
@@ -62,7 +62,7 @@
 				if t.sends == 0 {
 					s.judgeRejection(a)
 				}
-				s.answer(t, referee.Refused, 0, act.Delay)
+				s.answer(t, referee.Rejected, 0, act.Delay)
 			}
 		case logic.Fail:
 			if t != nil {
@@ -97,16 +97,16 @@
 	way := s.oneWay(a, n)
 	s.schedule(s.now+way, func() {
 		switch {
-		case n.Node != life || !n.up || n.Silent() || s.day.CutOff(a.zone, n.Zone, s.now):
-			s.schedule(began+emulator.ProbeTimeout, func() { told(logic.TimedOut, logic.NoLoadReport) })
+		case n.Node != life || !n.up || n.Unresponsive() || s.day.Partitioned(a.zone, n.Zone, s.now):
+			s.schedule(began+emulator.HealthCheckTimeout, func() { told(logic.TimedOut, logic.NoLoadReport) })
 			return
-		case !n.Probe(s.now):
+		case !n.HealthCheck(s.now):
 			s.schedule(s.now+way, func() { told(logic.Rejected, logic.NoLoadReport) })
 			return
 		}
 		report := logic.NoLoadReport
 		if l, ok := n.Load(); ok {
-			report.RequestRate, report.Utilization = l.Rate, l.Util
+			report.RequestRate, report.Utilization = l.Rate, l.Utilization
 		}
 		s.schedule(s.now+way, func() { told(logic.OK, report) })
 	})
@@ -130,7 +130,7 @@
 	case !n.up:
 		s.schedule(s.now+2*way, func() { s.endAttempt(at, logic.ConnectFailed) })
 		return
-	case fresh && (n.Silent() || s.day.CutOff(a.zone, n.Zone, s.now)):
+	case fresh && (n.Unresponsive() || s.day.Partitioned(a.zone, n.Zone, s.now)):
 		s.schedule(s.now+emulator.ConnectTimeout, func() { s.endAttempt(at, logic.ConnectFailed) })
 		return
 	}
@@ -138,7 +138,7 @@
 	if fresh {
 		arrive += 2 * way
 		s.schedule(s.now+way, func() {
-			if n.Node == at.incarnation && n.up && n.Connect(s.now) == node.Admitted {
+			if n.Node == at.incarnation && n.up && n.Connect(s.now) == node.ConnAccepted {
 				a.conns[n.number]++
 			}
 		})
@@ -148,25 +148,25 @@
 
 func (s *simulation) arriveAtNode(at *simAttempt) {
 	t, n := at.client, at.node
-	if at.over || t.agent.ended || s.day.CutOff(t.agent.zone, n.Zone, s.now) {
+	if at.over || t.agent.ended || s.day.Partitioned(t.agent.zone, n.Zone, s.now) {
 		return
 	}
 	if !n.up || n.Node != at.incarnation {
 		s.sendBack(at, logic.Reset, 0)
 		return
 	}
-	s.referee.Came(t.id, n.ID, s.now)
+	s.referee.RequestArrived(t.id, n.ID, s.now)
 	s.judgeSend(at)
 	s.lastTicket++
 	at.ticket = ticket{n.number, s.lastTicket}
 	s.waiting[at.ticket] = at
-	verdict, ran := n.Offer(s.now, node.Work{Ticket: s.lastTicket, Key: t.journey.Key, Cost: t.journey.Work, Until: t.deadline,
+	verdict, ran := n.Offer(s.now, node.Work{Ticket: s.lastTicket, Key: t.journey.Key, Cost: t.journey.Work, Deadline: t.deadline,
 		Unnotified: !t.agent.notifiedOf(n)})
 	if ran {
-		s.referee.Began(t.id, n.ID, s.now)
+		s.referee.ExecutionStarted(t.id, n.ID, s.now)
 	}
 	s.advanceNode(n)
-	result := map[node.Verdict]logic.Result{node.Rejected: logic.Rejected, node.FailedFast: logic.Failed, node.Broken: logic.Reset}
+	result := map[node.Verdict]logic.Result{node.Rejected: logic.Rejected, node.FailedFast: logic.Failed, node.ConnReset: logic.Reset}
 	if r, ok := result[verdict]; ok {
 		delete(s.waiting, at.ticket)
 		s.sendBack(at, r, 0)
@@ -176,7 +176,7 @@
 // sendBack sends an attempt's end on its way to the agent.
 func (s *simulation) sendBack(at *simAttempt, r logic.Result, late time.Duration) {
 	delete(s.waiting, at.ticket)
-	if s.day.CutOff(at.client.agent.zone, at.node.Zone, s.now) {
+	if s.day.Partitioned(at.client.agent.zone, at.node.Zone, s.now) {
 		return // nothing comes of it: the agent gives up by itself
 	}
 	s.schedule(s.now+late+s.oneWay(at.client.agent, at.node), func() { s.endAttempt(at, r) })
@@ -219,7 +219,7 @@
 		return
 	}
 	if t.agent.balancer == nil {
-		ends := map[logic.Result]referee.End{logic.OK: referee.Served, logic.Rejected: referee.Refused, logic.ConnectFailed: referee.Unsent}
+		ends := map[logic.Result]referee.Outcome{logic.OK: referee.Served, logic.Rejected: referee.Rejected, logic.ConnectFailed: referee.NotSent}
 		end, ok := ends[r]
 		if !ok {
 			end = referee.Failed
--- a/internal/experiment/simulation_callers.go
+++ b/internal/experiment/simulation_callers.go
@@ -12,7 +12,7 @@
 type clientAttempt struct {
 	id         string
 	agent      *simAgent
-	journey    *callers.Journey
+	journey    *callers.Call
 	triedNodes []string
 	deadline   time.Duration // when its agent stops, or its client where there is none
 	ended      bool          // for the client
@@ -21,7 +21,7 @@
 }
 
 // beginAttempt begins a client's next try, or ends its journey.
-func (s *simulation) beginAttempt(j *callers.Journey, tried []string) {
+func (s *simulation) beginAttempt(j *callers.Call, tried []string) {
 	wait, leaves := j.Attempt(s.now)
 	if wait == 0 {
 		s.finishCall(j)
@@ -33,7 +33,7 @@
 		s.reconnectLater(j, tried)
 		return
 	}
-	t := &clientAttempt{id: callers.ID(s.day.Seed, j.Number, j.Attempts), agent: a, journey: j, triedNodes: tried, deadline: s.now + wait}
+	t := &clientAttempt{id: callers.RequestID(s.day.Seed, j.Number, j.Attempts), agent: a, journey: j, triedNodes: tried, deadline: s.now + wait}
 	ask := referee.Request{ID: t.id, Agent: s.day.Agents[j.Agent], NonIdempotent: j.Class.NonIdempotent, At: s.now, Class: j.Class.Name}
 	if a.balancer == nil {
 		ask.Agent = ""
@@ -48,16 +48,16 @@
 	t.deadline -= min(deadlineMargin, wait/4)
 	if a.budget != nil {
 		a.budget.SetLatencyOverload(s.clock(), a.balancer.OverloadLevel())
-		if v := a.budget.Admit(s.clock(), a.order.Priority(s.clock(), j.Planned.Class, j.Tenant)); !v.Admit {
+		if v := a.budget.Admit(s.clock(), a.order.Priority(s.clock(), j.PlannedRequest.Class, j.Tenant)); !v.Admit {
 			s.judgeRejection(a)
-			s.answer(t, referee.Refused, 0, v.RetryAfter)
+			s.answer(t, referee.Rejected, 0, v.RetryAfter)
 			return
 		}
 	}
-	s.handle(a, logic.Request{ID: t.id, Class: j.Planned.Class, Tenant: j.Tenant, Key: j.Key, Deadline: t.deadline + moduleStart})
+	s.handle(a, logic.Request{ID: t.id, Class: j.PlannedRequest.Class, Tenant: j.Tenant, Key: j.Key, Deadline: t.deadline + moduleStart})
 }
 
-func (s *simulation) finishCall(j *callers.Journey) {
+func (s *simulation) finishCall(j *callers.Call) {
 	s.callsLeft--
 	s.calls = append(s.calls, j.Result())
 }
@@ -67,7 +67,7 @@
 	if t.ended {
 		return
 	}
-	s.answer(t, referee.Nothing, 0, 0)
+	s.answer(t, referee.TimedOut, 0, 0)
 	if t.agent.balancer != nil {
 		s.handle(t.agent, logic.ClientDisconnected{Request: t.id})
 	} else {
@@ -87,12 +87,12 @@
 }
 
 // answer gives a try its end, and lets the journey go on.
-func (s *simulation) answer(t *clientAttempt, end referee.End, sum uint64, comeBack time.Duration) {
+func (s *simulation) answer(t *clientAttempt, end referee.Outcome, sum uint64, comeBack time.Duration) {
 	if t.ended {
 		return
 	}
 	t.ended = true
-	s.referee.Ended(t.id, end, sum, s.now)
+	s.referee.RequestEnded(t.id, end, sum, s.now)
 	s.forget(t)
 	next, over := t.journey.Ended(s.now, end, comeBack)
 	if over {
@@ -118,7 +118,7 @@
 			continue
 		}
 		v := View{ID: n.ID, Own: a.connsInUse[n.number]}
-		if n.up && !s.day.CutOff(a.zone, n.Zone, s.now) {
+		if n.up && !s.day.Partitioned(a.zone, n.Zone, s.now) {
 			truths = append(truths, s.visibleState(n))
 			v.True = &truths[len(truths)-1]
 			v.True.Away = s.day.LinkTo(a.zone, n.Zone).Delay
@@ -126,9 +126,9 @@
 		views, among = append(views, v), append(among, n)
 	}
 	s.views, s.viewNodes = views, among
-	i := a.chooser.Choose(views, t.journey.Planned, t.triedNodes)
+	i := a.chooser.Choose(views, t.journey.PlannedRequest, t.triedNodes)
 	if i < 0 {
-		s.answer(t, referee.Unsent, 0, 0)
+		s.answer(t, referee.NotSent, 0, 0)
 		return
 	}
 	t.triedNodes = append(t.triedNodes, views[i].ID)
--- a/internal/experiment/simulation_delayed.go
+++ b/internal/experiment/simulation_delayed.go
@@ -27,7 +27,7 @@
 
 // state is a node's state now.
 func (n *simNode) state() Truth {
-	return Truth{Capacity: n.Capacity(), Cores: n.Cores, Backlog: n.Backlog(), Room: n.Room(), Failing: n.Failing()}
+	return Truth{Capacity: n.Capacity(), Cores: n.Cores, Backlog: n.Backlog(), Room: n.HasCapacity(), Failing: n.FailureFraction()}
 }
 
 // recordState notes the state of all nodes again and again.
--- a/internal/experiment/simulation_discovery.go
+++ b/internal/experiment/simulation_discovery.go
@@ -49,7 +49,7 @@
 		return
 	}
 	wait := time.Duration(0)
-	if rate := s.day.Spec.List.Rate; rate > 0 {
+	if rate := s.day.Spec.Discovery.Rate; rate > 0 {
 		wait = max(s.list.free, s.now) + time.Duration(float64(time.Second)/rate) - s.now
 		if wait > maxQueueTime {
 			s.schedule(s.now+maxQueueTime, func() { then(false) })
--- a/internal/experiment/simulation_nodes.go
+++ b/internal/experiment/simulation_nodes.go
@@ -35,20 +35,20 @@
 	return e
 }
 
-func (s *simulation) scheduleFault(p emulator.Placed) {
-	list := s.day.Spec.List
+func (s *simulation) scheduleFault(p emulator.NodeFault) {
+	list := s.day.Spec.Discovery
 	n := s.nodes[p.Node]
 	name := n.ID
 	s.schedule(p.From, func() {
-		s.marks = append(s.marks, emulator.Mark{At: p.From, To: p.To, Node: name, Text: string(p.Kind)})
+		s.marks = append(s.marks, emulator.Event{At: p.From, To: p.To, Node: name, Text: string(p.Kind)})
 		switch p.Kind {
 		case node.Drain:
 			n.AddFault(p.Fault)
-			s.changeList(list.Notice.D(), s.entry(p.Node, logic.Draining))
+			s.changeList(list.RemovalDelay.D(), s.entry(p.Node, logic.Draining))
 		case node.Restart, node.Replace:
 			s.killNode(n)
-			if p.Kind == node.Replace || list.Notice.D() < p.To-p.From+list.Add.D() {
-				s.changeList(list.Notice.D(), s.entry(p.Node, logic.Removed))
+			if p.Kind == node.Replace || list.RemovalDelay.D() < p.To-p.From+list.AdditionDelay.D() {
+				s.changeList(list.RemovalDelay.D(), s.entry(p.Node, logic.Removed))
 			}
 		default:
 			n.AddFault(p.Fault)
@@ -59,7 +59,7 @@
 		switch p.Kind {
 		case node.Drain:
 			s.killNode(n)
-			s.changeList(list.Notice.D(), s.entry(p.Node, logic.Removed))
+			s.changeList(list.RemovalDelay.D(), s.entry(p.Node, logic.Removed))
 		case node.Restart, node.Replace:
 			spec := n.Spec
 			s.incarnations++
@@ -73,7 +73,7 @@
 			s.byID[n.ID] = n
 			n.Advance(s.now)
 			s.advanceNode(n)
-			s.changeList(list.Add.D(), s.entry(p.Node, logic.Ready))
+			s.changeList(list.AdditionDelay.D(), s.entry(p.Node, logic.Ready))
 		}
 	})
 }
@@ -99,7 +99,7 @@
 // advanceNode looks at a node, and books the next look.
 func (s *simulation) advanceNode(n *simNode) {
 	s.settleNode(n)
-	next := n.Next()
+	next := n.NextEvent()
 	if n.wake >= 0 && n.wake <= next && n.wake > s.now {
 		return
 	}
@@ -116,14 +116,14 @@
 // settleNode lets a node's time pass and hands out what ended.
 func (s *simulation) settleNode(n *simNode) {
 	done := n.Advance(s.now)
-	for _, number := range n.Began() {
+	for _, number := range n.TakeStarted() {
 		if t := s.waiting[ticket{n.number, number}]; t != nil {
-			s.referee.Began(t.client.id, n.ID, s.now)
+			s.referee.ExecutionStarted(t.client.id, n.ID, s.now)
 		}
 	}
 	if n.Overloaded() && !n.overloadReported {
 		n.overloadReported = true
-		if n.Blame() {
+		if n.OverloadWasAvoidable() {
 			s.referee.SlowStartOverloaded(n.ID, s.now)
 		}
 	}
@@ -135,15 +135,15 @@
 		delete(s.waiting, t.ticket)
 		late := max(0, d.At-s.now)
 		switch {
-		case n.Silent():
+		case n.Unresponsive():
 		case d.Expired:
 			s.sendBack(t, logic.Rejected, late)
 		case !d.OK:
 			s.sendBack(t, logic.Failed, late)
-		case d.Form != node.Whole:
+		case d.Form != node.Intact:
 			s.sendBack(t, logic.Reset, late)
 		default:
-			s.referee.Made(t.client.id, d.Ticket)
+			s.referee.ResponseProduced(t.client.id, d.Ticket)
 			s.sendBack(t, logic.OK, late)
 		}
 	}
--- a/internal/experiment/simulation_truths.go
+++ b/internal/experiment/simulation_truths.go
@@ -21,7 +21,7 @@
 
 // idle reports whether a node would begin a request at once.
 func (n *simNode) idle() bool {
-	return n.up && !n.Silent() && n.Failing() == 0 && n.InFlight() < n.Cores
+	return n.up && !n.Unresponsive() && n.FailureFraction() == 0 && n.InFlight() < n.Cores
 }
 
 // idleCore reports whether some node that the list has as ready would begin a request at once.
@@ -41,8 +41,8 @@
 	s.truths.RejectedWithCapacity++
 	near, cold := false, true
 	for _, id := range a.balancer.SubsetIDs() {
-		if n := s.byID[id]; n != nil && n.idle() && !s.day.CutOff(a.zone, n.Zone, s.now) {
-			near, cold = true, cold && n.Warm() < 1
+		if n := s.byID[id]; n != nil && n.idle() && !s.day.Partitioned(a.zone, n.Zone, s.now) {
+			near, cold = true, cold && n.SlowStartFraction() < 1
 		}
 	}
 	if near {
@@ -57,11 +57,11 @@
 func (s *simulation) judgeSend(at *simAttempt) {
 	n := at.node
 	s.truths.Sent++
-	if n.Silent() {
+	if n.Unresponsive() {
 		s.truths.ToDead++
 		return
 	}
-	if n.Room() && n.Backlog() <= at.client.journey.Class.LatencyObjective {
+	if n.HasCapacity() && n.Backlog() <= at.client.journey.Class.LatencyObjective {
 		return
 	}
 	s.truths.SentIntoOverload++
--- a/internal/experiment/spec.go
+++ b/internal/experiment/spec.go
@@ -27,15 +27,15 @@
 
 // Spec is an experiment's file.
 type Spec struct {
-	Name      string              `toml:"name"`
-	Question  string              `toml:"question"`
-	Repeats   int                 `toml:"repeats"`
-	Seed      uint64              `toml:"seed"`
-	Simulated bool                `toml:"simulated"`
-	Variants  []VariantSpec       `toml:"arm"`
-	Days      []emulator.DaySpec  `toml:"day"`
-	Fleets    []emulator.FleetDay `toml:"fleet_day"` // drawn anew for each seed; in simulated time
-	Gate      bool                `toml:"gate"`      // judge the agents' runs against the arm that sees the state late
+	Name      string                   `toml:"name"`
+	Question  string                   `toml:"question"`
+	Repeats   int                      `toml:"repeats"`
+	Seed      uint64                   `toml:"seed"`
+	Simulated bool                     `toml:"simulated"`
+	Variants  []VariantSpec            `toml:"arm"`
+	Days      []emulator.ScenarioSpec  `toml:"day"`
+	Fleets    []emulator.FleetScenario `toml:"fleet_day"` // drawn anew for each seed; in simulated time
+	Gate      bool                     `toml:"gate"`      // judge the agents' runs against the arm that sees the state late
 }
 
 const (
@@ -91,7 +91,7 @@
 	names = map[string]bool{}
 	for i := range s.Days {
 		d := &s.Days[i]
-		d.Fill()
+		d.ApplyDefaults()
 		if names[d.Name] {
 			wrong(fmt.Sprintf("day[%d].name", i), "%q is there already", d.Name)
 		}
@@ -127,7 +127,7 @@
 func (s *Spec) days() int { return len(s.Days) + len(s.Fleets) }
 
 // draw draws a day by its number.
-func (s *Spec) draw(d int, seed uint64) (*emulator.Day, error) {
+func (s *Spec) draw(d int, seed uint64) (*emulator.Scenario, error) {
 	if d < len(s.Days) {
 		return s.Days[d].Draw(seed)
 	}
@@ -139,15 +139,15 @@
 func (s *Spec) calm() map[string]bool {
 	out := map[string]bool{}
 	for _, f := range s.Fleets {
-		out[f.Name] = f.Kind == emulator.CalmDay
+		out[f.Name] = f.Kind == emulator.CalmScenario
 	}
 	return out
 }
 
 // checkProcesses refuses a day with more agents than there can be processes.
-func checkProcesses(prefix string, d *emulator.DaySpec) error {
-	if d.Agents > emulator.MostProcesses {
-		return config.Wrong(prefix+"agents", "more than %d need simulated time", emulator.MostProcesses)
+func checkProcesses(prefix string, d *emulator.ScenarioSpec) error {
+	if d.Agents > emulator.MaxProcesses {
+		return config.Wrong(prefix+"agents", "more than %d need simulated time", emulator.MaxProcesses)
 	}
 	return nil
 }
@@ -198,9 +198,9 @@
 
 // WorldSpec is the file of a world that stands by itself.
 type WorldSpec struct {
-	Seed uint64           `toml:"seed"`
-	Dir  string           `toml:"dir"` // where the agents' configurations are written
-	Day  emulator.DaySpec `toml:"day"`
+	Seed uint64                `toml:"seed"`
+	Dir  string                `toml:"dir"` // where the agents' configurations are written
+	Day  emulator.ScenarioSpec `toml:"day"`
 }
 
 // Check puts in the defaults and says what is wrong.
@@ -208,13 +208,13 @@
 	if s.Seed == 0 {
 		s.Seed = 1
 	}
-	s.Day.Fill()
+	s.Day.ApplyDefaults()
 	return errors.Join(s.Day.Check("day."), checkProcesses("day.", &s.Day), checkAlone(&s.Day))
 }
 
 // checkAlone refuses what befalls agents where somebody else starts them.
-func checkAlone(d *emulator.DaySpec) error {
-	if len(d.Fleet.Agents) > 0 || len(d.Fleet.Paths) > 0 {
+func checkAlone(d *emulator.ScenarioSpec) error {
+	if len(d.Fleet.AgentFaults) > 0 || len(d.Fleet.Paths) > 0 {
 		return config.Wrong("day.fleet", "what befalls agents and the ways between them is played by experiments, which start the agents")
 	}
 	return nil
@@ -222,9 +222,9 @@
 
 // LoadSpec is the file of callers for an agent that runs already.
 type LoadSpec struct {
-	Seed    uint64           `toml:"seed"`
-	Targets []string         `toml:"targets"` // an agent's clients' address each
-	Day     emulator.DaySpec `toml:"day"`
+	Seed    uint64                `toml:"seed"`
+	Targets []string              `toml:"targets"` // an agent's clients' address each
+	Day     emulator.ScenarioSpec `toml:"day"`
 }
 
 // Check puts in the defaults and says what is wrong.
@@ -232,7 +232,7 @@
 	if s.Seed == 0 {
 		s.Seed = 1
 	}
-	s.Day.Fill()
+	s.Day.ApplyDefaults()
 	if len(s.Targets) > 0 {
 		s.Day.Agents = len(s.Targets)
 	}
--- a/internal/experiment/statistics.go
+++ b/internal/experiment/statistics.go
@@ -80,7 +80,7 @@
 	name string
 	of   func(Outcome) float64
 }{
-	{"service", func(o Outcome) float64 { return o.Whole }},
+	{"service", func(o Outcome) float64 { return o.Overall }},
 	{"worst_window", func(o Outcome) float64 { return o.WorstWindow }},
 	{"goal", func(o Outcome) float64 { return o.Goal }},
 	{"p50_ms", func(o Outcome) float64 { return o.Latency["all"].P50 }},
@@ -237,8 +237,8 @@
 					continue
 				}
 				r.Runs++
-				r.Held = r.Held && o.Account.Held()
-				service = append(service, o.Whole)
+				r.Held = r.Held && o.Account.RulesHold()
+				service = append(service, o.Overall)
 				r.Worst, r.Goal = r.Worst+o.WorstWindow, r.Goal+o.Goal
 				r.P50, r.P99 = r.P50+o.Latency["all"].P50, r.P99+o.Latency["all"].P99
 				r.Attempts, r.Waste, r.CPU = r.Attempts+o.Attempts, r.Waste+o.Waste, r.CPU+o.CPU
--- a/internal/experiment/surge.go
+++ b/internal/experiment/surge.go
@@ -28,18 +28,18 @@
 )
 
 // surgeOf is the number of the shift that is a day's surge; -1 where it has none.
-func surgeOf(day *emulator.Day) int {
-	return slices.IndexFunc(day.Spec.Fleet.Shifts, func(s emulator.ShiftSpec) bool { return s.Zone == "" && s.Times > 1 })
+func surgeOf(day *emulator.Scenario) int {
+	return slices.IndexFunc(day.Spec.Fleet.TrafficShifts, func(s emulator.TrafficShiftSpec) bool { return s.Zone == "" && s.Factor > 1 })
 }
 
 // surge sums up a day's surge; nil where it has none, or where nobody looked at the nodes.
-func surge(day *emulator.Day, o Outcome) *Surge {
+func surge(day *emulator.Scenario, o Outcome) *Surge {
 	i := surgeOf(day)
 	if i < 0 || len(o.Series.Goodput) == 0 {
 		return nil
 	}
-	shift := day.Spec.Fleet.Shifts[i]
-	s := &Surge{Offered: day.Spec.Load * shift.Times, Back: -1}
+	shift := day.Spec.Fleet.TrafficShifts[i]
+	s := &Surge{Offered: day.Spec.Load * shift.Factor, Back: -1}
 	from, to := int((shift.From.D()+onset)/time.Second), int(shift.To.D()/time.Second)
 	if g := o.Series.Goodput; from < to && from < len(g) {
 		s.Goodput = mean(g[from:min(to, len(g))])
--- a/internal/experiment/surge_test.go
+++ b/internal/experiment/surge_test.go
@@ -11,12 +11,12 @@
 
 // surgeDay is one of eight nodes with short queues that choke, in front of which sixteen agents meet a surge of so many times
 // what they can do.
-func surgeDay(t *testing.T, times float64, seed uint64) *emulator.Day {
+func surgeDay(t *testing.T, times float64, seed uint64) *emulator.Scenario {
 	t.Helper()
-	spec := emulator.DefaultDay()
+	spec := emulator.DefaultScenario()
 	spec.Length, spec.Agents, spec.Load = config.Duration(13*time.Second), 16, 0.5
-	spec.Kinds = []emulator.KindSpec{{Name: "a", Nodes: 8, Cores: 2, Speed: 0.9, Spread: 0.1, Queue: 2.6, Chokes: true, Conns: 390}}
-	spec.Fleet.Shifts = []emulator.ShiftSpec{{From: config.Duration(3 * time.Second), To: config.Duration(9 * time.Second), Times: 2 * times}}
+	spec.Kinds = []emulator.KindSpec{{Name: "a", Nodes: 8, Cores: 2, Speed: 0.9, Spread: 0.1, QueuePerCore: 2.6, Degrades: true, ConnCap: 390}}
+	spec.Fleet.TrafficShifts = []emulator.TrafficShiftSpec{{From: config.Duration(3 * time.Second), To: config.Duration(9 * time.Second), Factor: 2 * times}}
 	d, err := spec.Draw(seed)
 	if err != nil {
 		t.Fatal(err)
@@ -40,7 +40,7 @@
 			for _, seed := range []uint64{3, 4} {
 				o := simulate(t, surgeDay(t, times, seed), a)
 				t.Logf("%gx %s: %+v, %d chokes, %.2f attempts a request, passed over %.3f", times, a.Name, *o.Surge, o.Chokes, o.Attempts, o.PassedOver)
-				if !o.Account.Balanced() || !o.Account.Held() || o.Attempts > 0.5 || o.HealthCheckWork > 0.01 {
+				if !o.Account.Balanced() || !o.Account.RulesHold() || o.Attempts > 0.5 || o.HealthCheckWork > 0.01 {
 					t.Errorf("%gx %s: %+v, %.2f attempts a request, probe work %.4f", times, a.Name, o.Account, o.Attempts, o.HealthCheckWork)
 				}
 				chokes, goodput, passed = chokes+o.Chokes, goodput+o.Surge.Goodput/2, passed+o.PassedOver/2
--- a/internal/experiment/views.go
+++ b/internal/experiment/views.go
@@ -132,14 +132,14 @@
 }
 
 // endings are those of the day's faults between and of agents, in order; the beginning of the day is the first.
-func endings(day *emulator.Day) []ending {
+func endings(day *emulator.Scenario) []ending {
 	out := []ending{{"the start", 0}}
 	for _, p := range day.Spec.Fleet.Paths {
 		out = append(out, ending{p.String(), p.To.D()})
 	}
 	by := map[ending]int{}
 	for _, t := range day.AgentFaults {
-		by[ending{t.Kind, t.At + t.Away}]++
+		by[ending{t.Kind, t.At + t.Duration}]++
 	}
 	for e, n := range by {
 		out = append(out, ending{fmt.Sprintf("%s of %d", e.fault, n), e.at})
@@ -150,7 +150,7 @@
 
 // views sums up what the agents saw. All agents are there after each ending, but for those that a later fault has away: the
 // time until the next fault's beginning counts.
-func views(day *emulator.Day, sights [][]peerView) *Views {
+func views(day *emulator.Scenario, sights [][]peerView) *Views {
 	v := &Views{Agents: len(day.Agents)}
 	all := len(day.Agents) + len(day.Spec.Fleet.ByzantinePeers)
 	whole := func(s peerView) bool { return len(s.names) == all-1 }
--- a/internal/experiment/whole_fleet_test.go
+++ b/internal/experiment/whole_fleet_test.go
@@ -16,10 +16,10 @@
 // them, and it is the same when played again.
 func TestWholeFleetDays(t *testing.T) {
 	arms := []VariantSpec{{Name: "agent", Kind: AgentKind}, {Name: "late", Kind: Late}, {Name: "random", Kind: Random}}
-	for _, kind := range []string{emulator.CalmDay, emulator.RollDay, emulator.HerdDay, emulator.ZoneDay, emulator.SplitDay, emulator.JoinDay} {
+	for _, kind := range []string{emulator.CalmScenario, emulator.RolloutScenario, emulator.ThunderingHerdScenario, emulator.ZoneOutageScenario, emulator.PartitionScenario, emulator.ChurnScenario} {
 		t.Run(kind, func(t *testing.T) {
 			t.Parallel()
-			f := emulator.FleetDay{Kind: kind, Agents: 24, Nodes: 16}
+			f := emulator.FleetScenario{Kind: kind, Agents: 24, Nodes: 16}
 			if err := f.Check(""); err != nil {
 				t.Fatal(err)
 			}
@@ -30,19 +30,19 @@
 			}
 			var outcomes []Outcome
 			for _, a := range arms {
-				if a.Kind == Random && kind != emulator.CalmDay {
+				if a.Kind == Random && kind != emulator.CalmScenario {
 					continue // only a calm day is held against it
 				}
 				outcomes = append(outcomes, simulate(t, day, a.arm("agent")))
 			}
-			for _, r := range gate(outcomes, arms, map[string]bool{kind: kind == emulator.CalmDay}) {
+			for _, r := range gate(outcomes, arms, map[string]bool{kind: kind == emulator.CalmScenario}) {
 				if !r.Passed {
 					t.Errorf("%+v", r)
 				}
 			}
 			o := outcomes[0]
-			if o.SlowStartPeak > 0.8 || o.nodesUsed() < 0.75 || o.Whole < 0.85 {
-				t.Errorf("cold peak %.2f, nodes used %.2f, service %.3f", o.SlowStartPeak, o.nodesUsed(), o.Whole)
+			if o.SlowStartPeak > 0.8 || o.nodesUsed() < 0.75 || o.Overall < 0.85 {
+				t.Errorf("cold peak %.2f, nodes used %.2f, service %.3f", o.SlowStartPeak, o.nodesUsed(), o.Overall)
 			}
 		})
 	}
@@ -53,13 +53,13 @@
 	arms := []VariantSpec{{Name: "a", Kind: AgentKind}, {Name: "l", Kind: Late}, {Name: "r", Kind: Random}}
 	play := func(calm bool, served float64, change func(*referee.Account)) GateRow {
 		o := Outcome{Day: "d", Variant: "a", Seed: 1, Account: referee.Account{Requests: 2, Completed: 1, Rejected: 1}}
-		o.Whole = served
+		o.Overall = served
 		if change != nil {
 			change(&o.Account)
-			o.Breaches = []referee.Breach{{Rule: referee.Lost, Text: "lost"}}
+			o.Breaches = []referee.Violation{{Rule: referee.Lost, Text: "lost"}}
 		}
 		late, plain := o, o
-		late.Variant, late.Whole, plain.Variant, plain.Whole = "l", 0.8, "r", 0.78
+		late.Variant, late.Overall, plain.Variant, plain.Overall = "l", 0.8, "r", 0.78
 		rows := gate([]Outcome{o, late, plain}, arms, map[string]bool{"d": calm})
 		if len(rows) != 1 {
 			t.Fatalf("%+v", rows)
@@ -114,7 +114,7 @@
 // What befalls agents, zones and lists does what its name says, as far as the account can show it.
 func TestWhatBefallsAFleet(t *testing.T) {
 	second := func(x float64) time.Duration { return time.Duration(x * float64(time.Second)) }
-	base := func(d *emulator.DaySpec) { d.Agents, d.Length = 12, secondsOf(12) }
+	base := func(d *emulator.ScenarioSpec) { d.Agents, d.Length = 12, secondsOf(12) }
 	calls := func(o Outcome, from, to float64) (n int, served float64) {
 		for i, s := range o.Series.Service {
 			if at := time.Duration(i) * time.Second; at >= second(from) && at < second(to) && s != nil {
@@ -124,39 +124,39 @@
 		return n, served / max(1, float64(n))
 	}
 	quiet := simulate(t, day(t, base), module)
-	killed := simulate(t, day(t, func(d *emulator.DaySpec) {
+	killed := simulate(t, day(t, func(d *emulator.ScenarioSpec) {
 		base(d)
-		d.Fleet.Agents = []emulator.AgentSpec{{Kind: emulator.AgentKill, Share: 1, From: secondsOf(4), Away: secondsOf(2)}}
+		d.Fleet.AgentFaults = []emulator.AgentFaultSpec{{Kind: emulator.AgentKill, Share: 1, From: secondsOf(4), Duration: secondsOf(2)}}
 	}), module)
 	if _, s := calls(killed, 4, 6); killed.Truths.NotRunning == 0 || s > 0.8 {
 		t.Errorf("with all agents away for 2 s, %d were not heard and %.2f was served", killed.Truths.NotRunning, s)
 	}
-	if _, s := calls(killed, 8, 12); s < 0.9 || !killed.Account.Held() {
+	if _, s := calls(killed, 8, 12); s < 0.9 || !killed.Account.RulesHold() {
 		t.Errorf("after their return %.2f is served; %v", s, killed.Breaches)
 	}
-	planned := simulate(t, day(t, func(d *emulator.DaySpec) {
+	planned := simulate(t, day(t, func(d *emulator.ScenarioSpec) {
 		base(d)
-		d.Fleet.Agents = []emulator.AgentSpec{{Kind: emulator.AgentRestart, Share: 1, Groups: 4, From: secondsOf(2), To: secondsOf(8), Away: secondsOf(0.3)}}
+		d.Fleet.AgentFaults = []emulator.AgentFaultSpec{{Kind: emulator.AgentRestart, Share: 1, Groups: 4, From: secondsOf(2), To: secondsOf(8), Duration: secondsOf(0.3)}}
 	}), module)
-	if planned.Whole < quiet.Whole-0.05 || !planned.Account.Balanced() {
-		t.Errorf("restarts one after the other cost %.3f of %.3f", quiet.Whole-planned.Whole, quiet.Whole)
+	if planned.Overall < quiet.Overall-0.05 || !planned.Account.Balanced() {
+		t.Errorf("restarts one after the other cost %.3f of %.3f", quiet.Overall-planned.Overall, quiet.Overall)
 	}
-	shifted := simulate(t, day(t, func(d *emulator.DaySpec) {
+	shifted := simulate(t, day(t, func(d *emulator.ScenarioSpec) {
 		base(d)
-		d.Fleet.Shifts = []emulator.ShiftSpec{{From: secondsOf(3), To: secondsOf(9), Times: 2}}
+		d.Fleet.TrafficShifts = []emulator.TrafficShiftSpec{{From: secondsOf(3), To: secondsOf(9), Factor: 2}}
 	}), module)
 	if ratio := float64(shifted.Calls) / float64(quiet.Calls); ratio < 1.4 || ratio > 1.6 {
 		t.Errorf("twice as much for half of the day is %.2f times as much", ratio)
 	}
-	cut := simulate(t, day(t, func(d *emulator.DaySpec) {
+	cut := simulate(t, day(t, func(d *emulator.ScenarioSpec) {
 		base(d)
-		d.Fleet.Cuts = []emulator.CutSpec{{Zone: "kandy", From: secondsOf(4), To: secondsOf(8)}}
+		d.Fleet.Partitions = []emulator.PartitionSpec{{Zone: "kandy", From: secondsOf(4), To: secondsOf(8)}}
 	}), module)
-	if cut.Attempts <= quiet.Attempts*0.8 || cut.Latency["all"].P99 <= quiet.Latency["all"].P99 || !cut.Account.Held() {
+	if cut.Attempts <= quiet.Attempts*0.8 || cut.Latency["all"].P99 <= quiet.Latency["all"].P99 || !cut.Account.RulesHold() {
 		t.Errorf("a zone that is cut off shows nowhere: %+v", cut.Account)
 	}
 	late := func(by float64) Outcome {
-		return simulate(t, day(t, func(d *emulator.DaySpec) {
+		return simulate(t, day(t, func(d *emulator.ScenarioSpec) {
 			base(d)
 			d.Faults = []emulator.FaultSpec{{Kind: "replace", Nodes: 5, From: secondsOf(2), To: secondsOf(2.5)}}
 			d.Fleet.ListDelays = []emulator.ListDelaySpec{{From: secondsOf(0), To: secondsOf(12), By: secondsOf(by)}}
@@ -165,20 +165,20 @@
 	if soon, never := late(0), late(20); never.Used[8] >= soon.Used[8] {
 		t.Errorf("with news of new nodes 20 s later %.2f of the nodes are in use, with none %.2f", never.Used[8], soon.Used[8])
 	}
-	storm := simulate(t, day(t, func(d *emulator.DaySpec) {
+	storm := simulate(t, day(t, func(d *emulator.ScenarioSpec) {
 		base(d)
 		d.Load = 1.3
-		d.Fleet.Storms = []emulator.StormSpec{{From: secondsOf(2), To: secondsOf(10), Retries: 9}}
+		d.Fleet.RetryStorms = []emulator.RetryStormSpec{{From: secondsOf(2), To: secondsOf(10), Retries: 9}}
 	}), module)
-	if plain := simulate(t, day(t, func(d *emulator.DaySpec) { base(d); d.Load = 1.3 }), module); storm.Account.Requests <= plain.Account.Requests {
+	if plain := simulate(t, day(t, func(d *emulator.ScenarioSpec) { base(d); d.Load = 1.3 }), module); storm.Account.Requests <= plain.Account.Requests {
 		t.Errorf("clients that come again at once, nine times, send %d in place of %d", storm.Account.Requests, plain.Account.Requests)
 	}
 }
 
 // A node that is replaced leaves the list for good, however short the time between: its successor has another id.
 func TestReplacedNodeLeavesTheList(t *testing.T) {
-	d := day(t, func(d *emulator.DaySpec) {
-		d.List.Notice, d.List.Add = secondsOf(2), secondsOf(0.2)
+	d := day(t, func(d *emulator.ScenarioSpec) {
+		d.Discovery.RemovalDelay, d.Discovery.AdditionDelay = secondsOf(2), secondsOf(0.2)
 		d.Faults = []emulator.FaultSpec{{Kind: "replace", Nodes: 3, From: secondsOf(2), To: secondsOf(2.5)}}
 	})
 	o := simulate(t, d, module)
--- a/internal/faultshim/shim.go
+++ b/internal/faultshim/shim.go
@@ -44,18 +44,18 @@
 	ServerWrite Point = "serverwrite"
 )
 
-// Fault is a deliberate fault of the agent, put in to show that the soak notices it.
-type Fault string
+// PlantedFault is a deliberate fault of the agent, put in to show that the soak notices it.
+type PlantedFault string
 
 // The faults.
 const (
-	DropsRequests   Fault = "drop"      // a client's connection closes with a request that was read
-	Duplicates      Fault = "duplicate" // a request goes out twice
-	Deaf            Fault = "deaf"      // what discovery says is not heard
-	WrongAnswers    Fault = "wrong"     // a byte of an answer is changed
-	LateAttempts    Fault = "late"      // a request is written half a second after it was decided on
-	OverstatesTime  Fault = "overstate" // a server is told of ten times the time
-	MuteConnections Fault = "mute"      // a client's connection is not read any more
+	DropsRequests    PlantedFault = "drop"      // a client's connection closes with a request that was read
+	Duplicates       PlantedFault = "duplicate" // a request goes out twice
+	IgnoresDiscovery PlantedFault = "deaf"      // what discovery says is not heard
+	WrongAnswers     PlantedFault = "wrong"     // a byte of an answer is changed
+	DelaysAttempts   PlantedFault = "late"      // a request is written half a second after it was decided on
+	OverstatesTime   PlantedFault = "overstate" // a server is told of ten times the time
+	IgnoresClient    PlantedFault = "mute"      // a client's connection is not read any more
 )
 
 // Errors by their names, as commands give them.
@@ -76,7 +76,7 @@
 	mu         sync.Mutex
 	rng        *rand.Rand
 	failures   map[Point]*pending
-	planted    map[Fault]float64
+	planted    map[PlantedFault]float64
 	wallStep   time.Duration
 	holdFor    time.Duration
 	holds      int
@@ -86,21 +86,21 @@
 
 // New returns a machine on which nothing fails yet.
 func New(seed uint64) *Machine {
-	return &Machine{rng: rand.New(rand.NewPCG(seed, 9)), failures: map[Point]*pending{}, planted: map[Fault]float64{}}
+	return &Machine{rng: rand.New(rand.NewPCG(seed, 9)), failures: map[Point]*pending{}, planted: map[PlantedFault]float64{}}
 }
 
-// Follow carries out the commands that come, until there are no more. It tells of those it does not know.
-func (m *Machine) Follow(commands io.Reader, unknown func(line string, err error)) {
+// Run carries out the commands that come, until there are no more. It tells of those it does not know.
+func (m *Machine) Run(commands io.Reader, unknown func(line string, err error)) {
 	lines := bufio.NewScanner(commands)
 	for lines.Scan() {
-		if err := m.Do(lines.Text()); err != nil {
+		if err := m.Execute(lines.Text()); err != nil {
 			unknown(lines.Text(), err)
 		}
 	}
 }
 
-// Do carries out one command.
-func (m *Machine) Do(line string) error {
+// Execute carries out one command.
+func (m *Machine) Execute(line string) error {
 	words := strings.Fields(line)
 	if len(words) < 2 {
 		return fmt.Errorf("a command has a name and an argument, not %q", line)
@@ -150,7 +150,7 @@
 	if len(words) < 3 {
 		return fmt.Errorf("a planted fault has a name and a probability, not %q", words)
 	}
-	m.planted[Fault(words[1])], err = strconv.ParseFloat(words[2], 64)
+	m.planted[PlantedFault(words[1])], err = strconv.ParseFloat(words[2], 64)
 	return err
 }
 
@@ -169,8 +169,8 @@
 	return m.setCount(&next.calls, words)
 }
 
-// Wall is the time of day on this machine.
-func (m *Machine) Wall() time.Time {
+// Now is the time of day on this machine.
+func (m *Machine) Now() time.Time {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return time.Now().Add(m.wallStep)
@@ -189,7 +189,7 @@
 }
 
 // strikes reports whether a planted fault happens now.
-func (m *Machine) strikes(f Fault) bool {
+func (m *Machine) strikes(f PlantedFault) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	probability := m.planted[f]
@@ -198,7 +198,7 @@
 
 // heldUp is for how long the next write to a server is held up.
 func (m *Machine) heldUp() time.Duration {
-	if m.strikes(LateAttempts) {
+	if m.strikes(DelaysAttempts) {
 		return 500 * time.Millisecond
 	}
 	m.mu.Lock()
@@ -267,7 +267,7 @@
 		c.Close()
 		return 0, io.ErrUnexpectedEOF
 	}
-	if n > 0 && (c.mute || c.machine.strikes(MuteConnections)) {
+	if n > 0 && (c.mute || c.machine.strikes(IgnoresClient)) {
 		c.mute = true
 		return c.TCPConn.Read(make([]byte, len(p))) // what came is forgotten
 	}
@@ -299,7 +299,7 @@
 
 func (c discoveryConn) Read(p []byte) (int, error) {
 	n, err := c.TCPConn.Read(p)
-	if c.machine.strikes(Deaf) {
+	if c.machine.strikes(IgnoresDiscovery) {
 		time.Sleep(time.Minute) // until the soak is over
 	}
 	return n, err
--- a/internal/faultshim/shim_test.go
+++ b/internal/faultshim/shim_test.go
@@ -40,7 +40,7 @@
 		t.Fatal(err)
 	}
 	defer raw.Close()
-	m.Follow(strings.NewReader("accept ENOBUFS 2\nconnect EMFILE 1\n"), func(line string, err error) { t.Error(line, err) })
+	m.Run(strings.NewReader("accept ENOBUFS 2\nconnect EMFILE 1\n"), func(line string, err error) { t.Error(line, err) })
 	l := m.Listen(raw)
 	for range 2 {
 		if _, err := l.Accept(); !errors.Is(err, syscall.ENOBUFS) {
@@ -52,7 +52,7 @@
 	}
 	accepted, dialled := pair(t, m)
 	for point, conn := range map[string]net.Conn{"clientread": accepted, "serverread": dialled} {
-		if err := m.Do(point + " ETIMEDOUT 1"); err != nil {
+		if err := m.Execute(point + " ETIMEDOUT 1"); err != nil {
 			t.Fatal(err)
 		}
 		if _, err := conn.Read(make([]byte, 1)); !errors.Is(err, syscall.ETIMEDOUT) {
@@ -60,12 +60,12 @@
 		}
 	}
 	_, dialled = pair(t, m)
-	m.Do("serverwrite EPIPE 1")
+	m.Execute("serverwrite EPIPE 1")
 	if _, err := dialled.Write([]byte("x")); !errors.Is(err, syscall.EPIPE) {
 		t.Error(err)
 	}
 	for _, wrong := range []string{"accept", "accept ENONE", "fly away", "clock soon", "hold 1s many", "plant duplicate"} {
-		if m.Do(wrong) == nil {
+		if m.Execute(wrong) == nil {
 			t.Errorf("%q was taken", wrong)
 		}
 	}
@@ -74,11 +74,11 @@
 // The time of day is stepped, and writes are held up; no other clock is.
 func TestClockAndHolds(t *testing.T) {
 	m := New(1)
-	m.Do("clock -1h")
-	if got := time.Until(m.Wall()); got > -59*time.Minute {
+	m.Execute("clock -1h")
+	if got := time.Until(m.Now()); got > -59*time.Minute {
 		t.Errorf("the clock is off by %v", got)
 	}
-	m.Do("hold 60ms 1")
+	m.Execute("hold 60ms 1")
 	accepted, dialled := pair(t, m)
 	for _, least := range []time.Duration{60 * time.Millisecond, 0} {
 		before := time.Now()
@@ -87,7 +87,7 @@
 			t.Errorf("held up for %v", took)
 		}
 	}
-	m.Do("shortread 1m")
+	m.Execute("shortread 1m")
 	dialled.Write(make([]byte, 10*mostShort))
 	for range 8 {
 		if n, err := accepted.Read(make([]byte, 9*mostShort)); n < 1 || n > mostShort || err != nil {
@@ -103,14 +103,14 @@
 	if err := m.Replace(path, []byte("first")); err != nil {
 		t.Fatal(err)
 	}
-	m.Do("disk ENOSPC")
+	m.Execute("disk ENOSPC")
 	if err := m.Replace(path, []byte("second")); !errors.Is(err, syscall.ENOSPC) {
 		t.Error(err)
 	}
 	if text, _ := os.ReadFile(path); string(text) != "first" {
 		t.Errorf("%q", text)
 	}
-	m.Do("disk ok")
+	m.Execute("disk ok")
 	m.Replace(path, []byte("third"))
 	if text, _ := os.ReadFile(path); string(text) != "third" {
 		t.Errorf("%q", text)
@@ -121,13 +121,13 @@
 func TestPlantedFaults(t *testing.T) {
 	m := New(1)
 	accepted, dialled := pair(t, m)
-	m.Do("plant wrong 1")
+	m.Execute("plant wrong 1")
 	io.WriteString(accepted, "answer")
 	buf := make([]byte, 6)
 	if io.ReadFull(dialled, buf); string(buf) == "answer" {
 		t.Error("the answer is unchanged")
 	}
-	m.Do("plant duplicate 1")
+	m.Execute("plant duplicate 1")
 	raw, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/processrig/peers.go
+++ b/internal/processrig/peers.go
@@ -39,8 +39,8 @@
 	return p, nil
 }
 
-// Place is where one of them, by its number, listens, where the others reach it, and of whom it is told at its start.
-func (p *Peers) Place(i int) (bind, advertise string, told []string) {
+// Addresses is where one of them, by its number, listens, where the others reach it, and of whom it is told at its start.
+func (p *Peers) Addresses(i int) (bind, advertise string, told []string) {
 	for j, front := range p.fronts[:min(seeds, len(p.fronts))] {
 		if j != i {
 			told = append(told, front)
@@ -51,7 +51,7 @@
 
 // Args are an agent's further arguments.
 func (p *Peers) Args(agent int) []string {
-	bind, advertise, told := p.Place(agent)
+	bind, advertise, told := p.Addresses(agent)
 	args := []string{"--peer-bind", bind, "--peer-advertise", advertise}
 	for _, front := range told {
 		args = append(args, "--peer-seed", front)
--- a/internal/processrig/process.go
+++ b/internal/processrig/process.go
@@ -29,10 +29,10 @@
 )
 
 const (
-	// ReadyIn is how long an agent has to take clients after it was started.
-	ReadyIn = 20 * time.Second
-	// StopIn is how long an agent has to end after SIGTERM: the longest deadline and the drain, with room to spare.
-	StopIn = 8 * time.Second
+	// ReadyTimeout is how long an agent has to take clients after it was started.
+	ReadyTimeout = 20 * time.Second
+	// StopTimeout is how long an agent has to end after SIGTERM: the longest deadline and the drain, with room to spare.
+	StopTimeout = 8 * time.Second
 )
 
 // Ports for agents come from below those that the machine gives to outgoing connections: a port of those that was free a moment
@@ -45,7 +45,7 @@
 
 // FreePort is a port of a loopback host that was free a moment ago, in the band of an agent by its number.
 func FreePort(host string, agent int) (addr string, err error) {
-	band := lowestPort + agent%emulator.MostProcesses*bandPorts
+	band := lowestPort + agent%emulator.MaxProcesses*bandPorts
 	for range portTries {
 		var l net.Listener
 		addr = net.JoinHostPort(host, strconv.Itoa(band+rand.IntN(bandPorts)))
@@ -56,8 +56,8 @@
 	return "", err
 }
 
-// TwoPorts are addresses for an agent's clients and its operators.
-func TwoPorts(host string, agent int) (clients, operators string, err error) {
+// FreePortPair are addresses for an agent's clients and its operators.
+func FreePortPair(host string, agent int) (clients, operators string, err error) {
 	if clients, err = FreePort(host, agent); err != nil {
 		return "", "", err
 	}
@@ -95,16 +95,16 @@
 	}
 	// An address of its own, so that no other rig on this machine takes its ports while it is being started again.
 	host := fmt.Sprintf("127.%d.%d.%d", 128+rand.IntN(64), rand.IntN(256), 1+rand.IntN(254))
-	listen, control, err := TwoPorts(host, agent)
+	listen, control, err := FreePortPair(host, agent)
 	if err != nil {
 		return nil, err
 	}
-	known := w.Known(agent)
-	text, err := w.Day.AgentConfig(agent, listen, control, w.Discovery(agent), limits, &known)
+	known := w.EndpointList(agent)
+	text, err := w.Scenario.AgentConfig(agent, listen, control, w.DiscoveryAddr(agent), limits, &known)
 	if err != nil {
 		return nil, err
 	}
-	base := filepath.Join(dir, w.Day.Agents[agent])
+	base := filepath.Join(dir, w.Scenario.Agents[agent])
 	if err := os.WriteFile(base+".json", text, 0o600); err != nil {
 		return nil, fmt.Errorf("the agent's configuration: %w", err)
 	}
@@ -166,7 +166,7 @@
 // Ready waits until the agent takes clients.
 func (p *Process) Ready(ctx context.Context) error {
 	_, ended := p.present()
-	ctx, cancel := context.WithTimeout(ctx, ReadyIn)
+	ctx, cancel := context.WithTimeout(ctx, ReadyTimeout)
 	defer cancel()
 	for {
 		req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+p.Addr+"/ready", nil)
@@ -184,7 +184,7 @@
 		case <-ended:
 			return fmt.Errorf("the agent ended before it was ready: %v; its log is %s.log", p.err, p.base)
 		case <-ctx.Done():
-			return fmt.Errorf("the agent is not ready after %v; its log is %s.log", ReadyIn, p.base)
+			return fmt.Errorf("the agent is not ready after %v; its log is %s.log", ReadyTimeout, p.base)
 		case <-time.After(20 * time.Millisecond):
 		}
 	}
@@ -211,8 +211,8 @@
 	<-ended
 }
 
-// Term ends the process in order with SIGTERM, as a planned restart does, and by force after StopIn.
-func (p *Process) Term() error {
+// Terminate ends the process in order with SIGTERM, as a planned restart does, and by force after StopIn.
+func (p *Process) Terminate() error {
 	cmd, ended := p.present()
 	p.mu.Lock()
 	p.ours = true
@@ -222,7 +222,7 @@
 	select {
 	case <-ended:
 		return nil
-	case <-time.After(StopIn):
+	case <-time.After(StopTimeout):
 		cmd.Process.Kill()
 		<-ended
 		return fmt.Errorf("%s: the agent had to be killed after SIGTERM", p.base)
@@ -243,9 +243,9 @@
 // system's scheduler takes to let it go on.
 const slowEvery = 50 * time.Millisecond
 
-// Slow lets the process run for a part of the time only, for so long or until the context ends, as on a machine that others have
+// Throttle lets the process run for a part of the time only, for so long or until the context ends, as on a machine that others have
 // most of.
-func (p *Process) Slow(ctx context.Context, part float64, away time.Duration) error {
+func (p *Process) Throttle(ctx context.Context, part float64, away time.Duration) error {
 	runs := time.Duration(part * float64(slowEvery))
 	for end := time.Now().Add(away); time.Now().Before(end); {
 		for _, half := range []struct {
@@ -277,9 +277,9 @@
 	return p.cmd.Process.Signal(s)
 }
 
-// Again starts the next process at the same addresses after the present one has ended: with a new folder for temporary files,
+// Restart starts the next process at the same addresses after the present one has ended: with a new folder for temporary files,
 // and so with nothing learnt, where fresh; else with what the one before left there.
-func (p *Process) Again(fresh bool) error {
+func (p *Process) Restart(fresh bool) error {
 	if p.Alive() {
 		return fmt.Errorf("%s: the process before has not ended", p.base)
 	}
@@ -303,7 +303,7 @@
 		select {
 		case <-ended:
 			err = p.err
-		case <-time.After(StopIn):
+		case <-time.After(StopTimeout):
 			cmd.Process.Kill()
 			<-ended
 			err = errors.New("the agent had to be killed")
--- a/internal/processrig/waits.go
+++ b/internal/processrig/waits.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// Waits is how often the threads of this process were given a processor, and how long they waited for one in all.
-type Waits struct {
+// SchedulerWaits is how often the threads of this process were given a processor, and how long they waited for one in all.
+type SchedulerWaits struct {
 	Times  int64
 	Waited time.Duration
 }
 
-// ReadWaits reads what the kernel has counted for the threads that there are now; nothing where it does not count.
-func ReadWaits() (w Waits) {
+// ReadSchedulerWaits reads what the kernel has counted for the threads that there are now; nothing where it does not count.
+func ReadSchedulerWaits() (w SchedulerWaits) {
 	files, _ := filepath.Glob("/proc/self/task/*/schedstat")
 	for _, f := range files {
 		text, err := os.ReadFile(f)
@@ -29,8 +29,8 @@
 	return w
 }
 
-// Since is the mean wait for a processor since an earlier reading.
-func (w Waits) Since(before Waits) time.Duration {
+// MeanSince is the mean wait for a processor since an earlier reading.
+func (w SchedulerWaits) MeanSince(before SchedulerWaits) time.Duration {
 	if times := w.Times - before.Times; times > 0 {
 		return max(0, (w.Waited-before.Waited)/time.Duration(times))
 	}
