--- a/internal/emulator/backend/backend.go
+++ b/internal/emulator/backend/backend.go
@@ -43,31 +43,31 @@
 }
 
 const (
-	maxBody      = 32 << 20
-	defaultConns = 4096
-	sweepEvery   = 100 * time.Millisecond
-	defaultWork  = 30 * time.Millisecond // of a request that does not say
+	maxRequestBytes   = 32 << 20
+	defaultMaxConns   = 4096
+	idleSweepInterval = 100 * time.Millisecond
+	defaultWork       = 30 * time.Millisecond // of a request that does not say
 	// The figures in X-Attrs that the emulator's callers send and its nodes read.
-	attrWork   = "work"   // microseconds on a core of speed 1
-	attrAnswer = "answer" // bytes
-	largest    = 32 << 20
+	attrWork         = "work"   // microseconds on a core of speed 1
+	attrAnswer       = "answer" // bytes
+	maxResponseBytes = 32 << 20
 )
 
 // Backend is an order node at an address, through its lives.
 type Backend struct {
-	cfg  Config
-	all  sync.WaitGroup // connections and the driver
-	stop context.CancelFunc
+	cfg        Config
+	goroutines sync.WaitGroup // connections and the driver
+	stop       context.CancelFunc
 
-	mu       sync.Mutex
-	node     *node.Node
-	listener net.Listener // nil while the process is down
-	conns    map[*conn]struct{}
-	ticket   uint64
-	waiting  map[uint64]*attempt
-	wake     chan struct{} // one place: something has changed for the driver
-	told     bool          // that it toppled
-	past     node.Figures  // of earlier lives
+	mu               sync.Mutex
+	node             *node.Node
+	listener         net.Listener // nil while the process is down
+	conns            map[*conn]struct{}
+	lastTicket       uint64
+	waiting          map[uint64]*attempt
+	wake             chan struct{} // one place: something has changed for the driver
+	overloadReported bool          // that it toppled
+	earlierFigures   node.Figures  // of earlier lives
 }
 
 // attempt is a request that the node has accepted.
@@ -82,20 +82,20 @@
 		return nil, err
 	}
 	if cfg.MaxConns == 0 {
-		cfg.MaxConns = defaultConns
+		cfg.MaxConns = defaultMaxConns
 	}
 	ctx, stop := context.WithCancel(ctx)
 	b := &Backend{cfg: cfg, stop: stop, conns: map[*conn]struct{}{}, waiting: map[uint64]*attempt{}, wake: make(chan struct{}, 1)}
-	if err := b.live(spec, seed); err != nil {
+	if err := b.startIncarnation(spec, seed); err != nil {
 		stop()
 		return nil, err
 	}
-	b.all.Go(func() { b.drive(ctx) })
+	b.goroutines.Go(func() { b.drive(ctx) })
 	return b, nil
 }
 
-// live begins a life.
-func (b *Backend) live(spec node.Spec, seed uint64) error {
+// startIncarnation begins a life.
+func (b *Backend) startIncarnation(spec node.Spec, seed uint64) error {
 	l, err := b.cfg.Listen()
 	if err != nil {
 		return fmt.Errorf("node %s: %w", spec.ID, err)
@@ -103,18 +103,18 @@
 	n := node.New(spec, seed)
 	n.Advance(b.now())
 	b.mu.Lock()
-	b.node, b.listener, b.told = n, l, false
+	b.node, b.listener, b.overloadReported = n, l, false
 	b.mu.Unlock()
-	b.all.Go(func() { b.accept(l) })
+	b.goroutines.Go(func() { b.accept(l) })
 	return nil
 }
 
 // Restart begins another life after Kill. Troubles of the earlier one do not carry over.
 func (b *Backend) Restart(spec node.Spec, seed uint64) error {
-	if err := b.live(spec, seed); err != nil {
+	if err := b.startIncarnation(spec, seed); err != nil {
 		return err
 	}
-	b.poke()
+	b.wakeDriver()
 	return nil
 }
 
@@ -127,7 +127,7 @@
 	}
 	l := b.listener
 	b.listener = nil
-	b.past = b.past.Add(b.node.Figures())
+	b.earlierFigures = b.earlierFigures.Add(b.node.Figures())
 	conns := make([]*conn, 0, len(b.conns))
 	for c := range b.conns {
 		conns = append(conns, c)
@@ -144,7 +144,7 @@
 func (b *Backend) Close() {
 	b.Kill()
 	b.stop()
-	b.all.Wait()
+	b.goroutines.Wait()
 }
 
 // Addr is where the node listens; empty while it is down.
@@ -177,7 +177,7 @@
 func (b *Backend) State() State {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	s := State{ID: b.node.ID, Up: b.listener != nil, Figures: b.past}
+	s := State{ID: b.node.ID, Up: b.listener != nil, Figures: b.earlierFigures}
 	if s.Up {
 		s.InFlight, s.Conns, s.Capacity = b.node.InFlight(), b.node.Conns(), b.node.Capacity()
 		s.Degraded, s.Overloaded, s.FailureFraction = b.node.Degraded(), b.node.Overloaded(), b.node.FailureFraction()
@@ -192,12 +192,12 @@
 	b.mu.Lock()
 	b.node.AddFault(t)
 	b.mu.Unlock()
-	b.poke()
+	b.wakeDriver()
 }
 
 func (b *Backend) now() time.Duration { return max(1, time.Since(b.cfg.Epoch)) }
 
-func (b *Backend) poke() {
+func (b *Backend) wakeDriver() {
 	select {
 	case b.wake <- struct{}{}:
 	default:
@@ -216,15 +216,15 @@
 		case <-timer.C:
 		case <-b.wake:
 		}
-		if span := time.Since(swept); span >= sweepEvery {
+		if span := time.Since(swept); span >= idleSweepInterval {
 			swept = time.Now()
-			b.sweep(span)
+			b.closeIdleConns(span)
 		}
 		b.mu.Lock()
-		events := b.settle()
+		events := b.advance()
 		next := b.node.NextEvent()
-		toppled := b.node.OverloadWasAvoidable() && !b.told // else nobody could know that it is cold
-		b.told = b.told || toppled
+		toppled := b.node.OverloadWasAvoidable() && !b.overloadReported // else nobody could know that it is cold
+		b.overloadReported = b.overloadReported || toppled
 		id := b.node.ID
 		b.mu.Unlock()
 		events()
@@ -235,8 +235,8 @@
 	}
 }
 
-// settle lets time pass and hands out what ended. What it returns tells the watcher, and is called without the lock.
-func (b *Backend) settle() (tell func()) {
+// advance lets time pass and hands out what ended. What it returns tells the watcher, and is called without the lock.
+func (b *Backend) advance() (tell func()) {
 	now := b.now()
 	done := b.node.Advance(now)
 	began := b.node.TakeStarted()
@@ -262,8 +262,8 @@
 	}
 }
 
-// sweep closes idle connections: after the limit, and as a trouble has it.
-func (b *Backend) sweep(span time.Duration) {
+// closeIdleConns closes idle connections: after the limit, and as a trouble has it.
+func (b *Backend) closeIdleConns(span time.Duration) {
 	now := time.Now()
 	var old []*conn
 	b.mu.Lock()
@@ -296,7 +296,7 @@
 			welcome = b.node.Connect(b.now())
 		}
 		if welcome != node.ConnRefused {
-			c.node, c.full = b.node, welcome == node.ConnTableFull
+			c.node, c.tableFull = b.node, welcome == node.ConnTableFull
 			b.conns[c] = struct{}{}
 		}
 		b.mu.Unlock()
@@ -304,7 +304,7 @@
 			c.reset()
 			continue
 		}
-		b.all.Go(c.serve)
+		b.goroutines.Go(c.serve)
 	}
 }
 
@@ -313,7 +313,7 @@
 	net.Conn
 	backend   *Backend
 	node      *node.Node // the life that took it
-	full      bool       // the node holds as many as it can: what comes on this one is turned away
+	tableFull bool       // the node holds as many as it can: what comes on this one is turned away
 	idleSince time.Time  // zero while a request is open; the backend's lock guards it
 }
 
@@ -328,7 +328,7 @@
 	c.Close()
 }
 
-func (c *conn) idle(is bool) {
+func (c *conn) setIdle(is bool) {
 	c.backend.mu.Lock()
 	defer c.backend.mu.Unlock()
 	c.idleSince = time.Time{}
@@ -337,16 +337,16 @@
 	}
 }
 
-// incoming is a request that has come whole.
-type incoming struct {
+// request is a request that has come whole.
+type request struct {
 	*http.Request
-	first time.Duration // when its first byte came
+	firstByteAt time.Duration // when its first byte came
 }
 
 // serve answers one request after the other. While one is open, another goroutine waits for the next, or for the end of
 // the connection, which gives the open one up.
 func (c *conn) serve() {
-	requests, next := make(chan incoming), make(chan struct{})
+	requests, next := make(chan request), make(chan struct{})
 	ended := make(chan struct{})
 	var reader sync.WaitGroup
 	reader.Go(func() {
@@ -358,15 +358,15 @@
 			}
 			<-next // at most one request is open
 			first := c.backend.now()
-			c.idle(false)
+			c.setIdle(false)
 			r, err := http.ReadRequest(in)
 			if err != nil {
 				return
 			}
-			if _, err := io.Copy(io.Discard, io.LimitReader(r.Body, maxBody)); err != nil {
+			if _, err := io.Copy(io.Discard, io.LimitReader(r.Body, maxRequestBytes)); err != nil {
 				return
 			}
-			requests <- incoming{r, first}
+			requests <- request{r, first}
 		}
 	})
 	defer func() {
@@ -383,12 +383,12 @@
 		c.backend.mu.Lock()
 		defer c.backend.mu.Unlock()
 		delete(c.backend.conns, c)
-		if c.node == c.backend.node && !c.full {
+		if c.node == c.backend.node && !c.tableFull {
 			c.node.Disconnect(c.backend.now())
 		}
 	}()
 	for {
-		c.idle(true)
+		c.setIdle(true)
 		select {
 		case next <- struct{}{}:
 		case <-ended:
@@ -396,7 +396,7 @@
 		}
 		select {
 		case r := <-requests:
-			if !c.answer(r, ended) {
+			if !c.handle(r, ended) {
 				return
 			}
 		case <-ended:
@@ -405,8 +405,8 @@
 	}
 }
 
-// attrs reads the figures in X-Attrs.
-func attrs(text string) map[string]float64 {
+// parseAttrs reads the figures in X-Attrs.
+func parseAttrs(text string) map[string]float64 {
 	out := map[string]float64{}
 	for part := range strings.SplitSeq(text, ",") {
 		name, value, ok := strings.Cut(strings.TrimSpace(part), "=")
@@ -417,9 +417,9 @@
 	return out
 }
 
-// work reads from a request what it costs and how long its client waits.
-func (b *Backend) work(r incoming) (w node.Work, answer int) {
-	figures := attrs(r.Header.Get("X-Attrs"))
+// readWork reads from a request what it costs and how long its client waits.
+func (b *Backend) readWork(r request) (w node.Work, answer int) {
+	figures := parseAttrs(r.Header.Get("X-Attrs"))
 	w.Key = r.Header.Get("X-Route-Key")
 	w.Cost = defaultWork
 	if us, err := strconv.ParseFloat(r.Header.Get("X-Cost"), 64); err == nil && us > 0 && us < 1e9 {
@@ -432,33 +432,33 @@
 	if n := len(text); n > 1 {
 		if x, err := strconv.ParseFloat(text[:n-1], 64); err == nil && x > 0 {
 			unit := map[byte]time.Duration{'m': time.Millisecond, 'u': time.Microsecond}[text[n-1]]
-			w.Deadline = r.first + time.Duration(x*float64(unit))
+			w.Deadline = r.firstByteAt + time.Duration(x*float64(unit))
 		}
 	}
-	return w, int(min(largest, figures[attrAnswer]))
+	return w, int(min(maxResponseBytes, figures[attrAnswer]))
 }
 
-// answer answers a request; false ends the connection.
-func (c *conn) answer(r incoming, ended <-chan struct{}) bool {
+// handle answers a request; false ends the connection.
+func (c *conn) handle(r request, ended <-chan struct{}) bool {
 	b := c.backend
 	if r.URL.Path == "/health" || r.URL.Path == "/status/load" {
-		return c.probe(r)
+		return c.answerHealthCheck(r)
 	}
 	id := r.Header.Get("X-Request-ID")
 	if id == "" {
-		return c.say(http.StatusNotFound, "", "no id\n")
+		return c.respond(http.StatusNotFound, "", "no id\n")
 	}
 	if b.cfg.RejectUnknown && b.cfg.Observer != nil && !b.cfg.Observer.KnownRequest(id) {
-		return c.say(http.StatusBadRequest, "", "nobody sent this id\n")
+		return c.respond(http.StatusBadRequest, "", "nobody sent this id\n")
 	}
 	if b.cfg.Observer != nil {
-		b.cfg.Observer.RequestArrived(id, c.node.ID, r.first)
+		b.cfg.Observer.RequestArrived(id, c.node.ID, r.firstByteAt)
 	}
-	if c.full {
-		c.say(http.StatusServiceUnavailable, "X-Not-Processed: 1\r\nConnection: close\r\n", "")
+	if c.tableFull {
+		c.respond(http.StatusServiceUnavailable, "X-Not-Processed: 1\r\nConnection: close\r\n", "")
 		return false
 	}
-	w, size := b.work(r)
+	w, size := b.readWork(r)
 	w.Unnotified = b.cfg.Unnotified != nil && b.cfg.Unnotified(id, c.node.ID, c.node.Started) // c.node's ID and start do not change
 	a := &attempt{id: id, done: make(chan node.Completion, 1)}
 	b.mu.Lock()
@@ -466,25 +466,25 @@
 		b.mu.Unlock()
 		return false
 	}
-	b.ticket++
-	w.Ticket = b.ticket
+	b.lastTicket++
+	w.Ticket = b.lastTicket
 	b.waiting[w.Ticket] = a
 	verdict, ran := b.node.Offer(b.now(), w)
 	if verdict != node.Accepted {
 		delete(b.waiting, w.Ticket)
 	}
-	tell := b.settle()
+	tell := b.advance()
 	b.mu.Unlock()
-	b.poke()
+	b.wakeDriver()
 	tell()
 	if ran && b.cfg.Observer != nil {
 		b.cfg.Observer.ExecutionStarted(id, c.node.ID, b.now())
 	}
 	switch verdict {
 	case node.Rejected:
-		return c.say(http.StatusServiceUnavailable, "X-Not-Processed: 1\r\n"+c.report(), "")
+		return c.respond(http.StatusServiceUnavailable, "X-Not-Processed: 1\r\n"+c.loadHeader(), "")
 	case node.FailedFast:
-		return c.say(http.StatusInternalServerError, c.report(), "an error\n")
+		return c.respond(http.StatusInternalServerError, c.loadHeader(), "an error\n")
 	case node.ConnReset:
 		c.reset()
 		return false
@@ -494,7 +494,7 @@
 	}
 	select {
 	case d := <-a.done:
-		return c.finish(id, w.Ticket, size, d, ended)
+		return c.respondCompleted(id, w.Ticket, size, d, ended)
 	case <-ended:
 		b.mu.Lock()
 		if c.node == b.node {
@@ -502,13 +502,13 @@
 		}
 		delete(b.waiting, w.Ticket)
 		b.mu.Unlock()
-		b.poke()
+		b.wakeDriver()
 		return false
 	}
 }
 
-// finish gives the answer of work that has ended.
-func (c *conn) finish(id string, ticket uint64, size int, d node.Completion, ended <-chan struct{}) bool {
+// respondCompleted gives the answer of work that has ended.
+func (c *conn) respondCompleted(id string, ticket uint64, size int, d node.Completion, ended <-chan struct{}) bool {
 	b := c.backend
 	if wait := d.At - b.now(); wait > 0 {
 		t := time.NewTimer(wait)
@@ -527,9 +527,9 @@
 		<-ended
 		return false
 	case d.Expired:
-		return c.say(http.StatusGatewayTimeout, "X-Not-Processed: 1\r\n"+c.report(), "")
+		return c.respond(http.StatusGatewayTimeout, "X-Not-Processed: 1\r\n"+c.loadHeader(), "")
 	case !d.OK:
-		return c.say(http.StatusInternalServerError, c.report(), "an error\n")
+		return c.respond(http.StatusInternalServerError, c.loadHeader(), "an error\n")
 	case d.Form == node.Malformed:
 		_, err := io.WriteString(c, "HTTP/1.1 2\x00\x01 spoilt\r\nContent-Len")
 		return err == nil
@@ -537,17 +537,17 @@
 		_, err := io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n"+strings.Repeat("x", 4096))
 		return err == nil
 	}
-	text := body(id, c.node.ID, ticket, size)
+	text := responseBody(id, c.node.ID, ticket, size)
 	if b.cfg.Observer != nil {
 		sum := NewBodyHash()
 		io.WriteString(sum, text)
 		b.cfg.Observer.ResponseProduced(id, sum.Sum64())
 	}
-	return c.say(http.StatusOK, c.report(), text)
+	return c.respond(http.StatusOK, c.loadHeader(), text)
 }
 
-// body is what a node makes for a request: no two are alike.
-func body(id, node string, ticket uint64, size int) string {
+// responseBody is what a node makes for a request: no two are alike.
+func responseBody(id, node string, ticket uint64, size int) string {
 	head := fmt.Sprintf("request %s served by %s as its number %d\n", id, node, ticket)
 	if size <= len(head) {
 		return head
@@ -559,22 +559,22 @@
 // NewBodyHash sums up an answer's body, for callers and nodes to compare.
 func NewBodyHash() hash.Hash64 { return fnv.New64a() }
 
-// report is the header with the load, where answers bring it.
-func (c *conn) report() string {
+// loadHeader is the header with the load, where answers bring it.
+func (c *conn) loadHeader() string {
 	if c.backend.cfg.LoadReportMode != "piggyback" {
 		return ""
 	}
 	c.backend.mu.Lock()
 	defer c.backend.mu.Unlock()
-	text, ok := c.load()
+	text, ok := c.loadText()
 	if !ok {
 		return ""
 	}
 	return "X-Server-Load: " + text + "\r\n"
 }
 
-// load is a report's text. The lock is held.
-func (c *conn) load() (string, bool) {
+// loadText is a report's text. The lock is held.
+func (c *conn) loadText() (string, bool) {
 	l, ok := c.node.Load()
 	if !ok {
 		return "", false
@@ -588,33 +588,33 @@
 	return strings.Join(parts, ","), true
 }
 
-// probe answers a probe.
-func (c *conn) probe(r incoming) bool {
+// answerHealthCheck answers a probe.
+func (c *conn) answerHealthCheck(r request) bool {
 	b := c.backend
 	if b.cfg.LoadReportMode == "silent" {
-		return c.say(http.StatusNotFound, "", "")
+		return c.respond(http.StatusNotFound, "", "")
 	}
 	b.mu.Lock()
 	silent := c.node.Unresponsive()
 	ok := c.node.HealthCheck(b.now())
-	text, _ := c.load()
+	text, _ := c.loadText()
 	b.mu.Unlock()
 	switch {
 	case silent:
 		return true // no answer, now or ever
 	case !ok:
-		return c.say(http.StatusServiceUnavailable, "", "")
+		return c.respond(http.StatusServiceUnavailable, "", "")
 	case r.URL.Path == "/health":
 		text = "ok"
 	}
-	return c.say(http.StatusOK, "", text+"\n")
+	return c.respond(http.StatusOK, "", text+"\n")
 }
 
 // writeTimeout is for an answer that nobody reads.
 const writeTimeout = 10 * time.Second
 
-// say writes an answer; false ends the connection.
-func (c *conn) say(status int, headers, body string) bool {
+// respond writes an answer; false ends the connection.
+func (c *conn) respond(status int, headers, body string) bool {
 	c.SetWriteDeadline(time.Now().Add(writeTimeout))
 	text := fmt.Sprintf("HTTP/1.1 %d %s\r\n%sContent-Length: %d\r\n\r\n", status, http.StatusText(status), headers, len(body))
 	_, err := io.WriteString(c, text+body)
--- a/internal/emulator/callers/client.go
+++ b/internal/emulator/callers/client.go
@@ -30,15 +30,15 @@
 
 type clientConn struct {
 	net.Conn
-	in    *bufio.Reader
-	since time.Time
+	in        *bufio.Reader
+	idleSince time.Time
 }
 
 const (
-	keepFor   = 1500 * time.Millisecond // less than agents do, so that closes rarely cross requests
-	mostKept  = 256
-	mostBody  = 64 << 20
-	tellsMost = 10 * time.Second // come-back times beyond this are no use to anybody
+	idleTimeout      = 1500 * time.Millisecond // less than agents do, so that closes rarely cross requests
+	maxIdleConns     = 256
+	maxResponseBytes = 64 << 20
+	maxRetryAfter    = 10 * time.Second // come-back times beyond this are no use to anybody
 )
 
 // Request is a request on the wire.
@@ -97,13 +97,13 @@
 // closed with nothing said, whether the request went on to a node: then it had been read.
 func (c *Client) Send(ctx context.Context, m Request, sentOn func() bool) Response {
 	for again := false; ; again = true {
-		conn, kept, err := c.conn(ctx, again)
+		conn, kept, err := c.acquire(ctx, again)
 		if err != nil {
 			return Response{Outcome: referee.NotSent}
 		}
 		a, keep := conn.exchange(ctx, m, c.Addr)
 		if keep {
-			c.put(conn)
+			c.release(conn)
 		} else {
 			conn.Close()
 		}
@@ -114,12 +114,12 @@
 	}
 }
 
-func (c *Client) conn(ctx context.Context, fresh bool) (conn *clientConn, kept bool, err error) {
+func (c *Client) acquire(ctx context.Context, fresh bool) (conn *clientConn, kept bool, err error) {
 	c.mu.Lock()
 	for !fresh && len(c.idle) > 0 {
 		last := c.idle[len(c.idle)-1]
 		c.idle = c.idle[:len(c.idle)-1]
-		if time.Since(last.since) < keepFor {
+		if time.Since(last.idleSince) < idleTimeout {
 			c.mu.Unlock()
 			return last, true, nil
 		}
@@ -133,11 +133,11 @@
 	return &clientConn{Conn: raw, in: bufio.NewReader(raw)}, false, nil
 }
 
-func (c *Client) put(conn *clientConn) {
-	conn.since = time.Now()
+func (c *Client) release(conn *clientConn) {
+	conn.idleSince = time.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for len(c.idle) > 0 && (len(c.idle) >= mostKept || time.Since(c.idle[0].since) >= keepFor) {
+	for len(c.idle) > 0 && (len(c.idle) >= maxIdleConns || time.Since(c.idle[0].idleSince) >= idleTimeout) {
 		c.idle[0].Close()
 		c.idle = c.idle[1:]
 	}
@@ -178,14 +178,14 @@
 	}
 	resp, err := http.ReadResponse(c.in, nil)
 	if err != nil {
-		a.Outcome = begun(err)
+		a.Outcome = truncatedOutcome(err)
 		return a, false
 	}
 	sum := backend.NewBodyHash()
-	a.Bytes, err = io.Copy(sum, io.LimitReader(resp.Body, mostBody))
+	a.Bytes, err = io.Copy(sum, io.LimitReader(resp.Body, maxResponseBytes))
 	a.Status = resp.StatusCode
 	if err != nil {
-		a.Outcome = begun(err)
+		a.Outcome = truncatedOutcome(err)
 		return a, false
 	}
 	switch resp.StatusCode {
@@ -194,7 +194,7 @@
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		a.Outcome = referee.Rejected
 		if s, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64); err == nil && s > 0 {
-			a.RetryAfter = time.Duration(min(s, tellsMost.Seconds()) * float64(time.Second))
+			a.RetryAfter = time.Duration(min(s, maxRetryAfter.Seconds()) * float64(time.Second))
 		}
 	default:
 		a.Outcome = referee.Failed
@@ -202,16 +202,16 @@
 	return a, !resp.Close
 }
 
-// begun is the end of an answer that had begun and is not whole.
-func begun(err error) referee.Outcome {
+// truncatedOutcome is the end of an answer that had begun and is not whole.
+func truncatedOutcome(err error) referee.Outcome {
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		return referee.TimedOut
 	}
 	return referee.Failed
 }
 
-// pieces is how many pieces a slow caller sends a request in.
-const pieces = 8
+// slowWritePieces is how many pieces a slow caller sends a request in.
+const slowWritePieces = 8
 
 func (c *clientConn) write(ctx context.Context, m Request, host string) error {
 	text := m.text(host)
@@ -219,11 +219,11 @@
 		_, err := io.WriteString(c, text)
 		return err
 	}
-	for i := range pieces {
-		if _, err := io.WriteString(c, text[len(text)*i/pieces:len(text)*(i+1)/pieces]); err != nil {
+	for i := range slowWritePieces {
+		if _, err := io.WriteString(c, text[len(text)*i/slowWritePieces:len(text)*(i+1)/slowWritePieces]); err != nil {
 			return err
 		}
-		if i < pieces-1 && !Sleep(ctx, m.WriteInterval) {
+		if i < slowWritePieces-1 && !Sleep(ctx, m.WriteInterval) {
 			return ctx.Err()
 		}
 	}
--- a/internal/emulator/callers/plan.go
+++ b/internal/emulator/callers/plan.go
@@ -122,10 +122,10 @@
 	if s.Shape != Steady {
 		highest *= 1 + s.Swing
 	}
-	classes, tenants := cumulate(s.Classes, func(c Class) float64 { return c.Share }), cumulate(s.Tenants, func(t Tenant) float64 { return t.Share })
-	agents, times, until := s.shares(0)
-	highest *= s.mostShift()
-	keys := zipf(s.Keys, s.Zipf)
+	classes, tenants := cumulative(s.Classes, func(c Class) float64 { return c.Share }), cumulative(s.Tenants, func(t Tenant) float64 { return t.Share })
+	agents, times, until := s.agentShares(0)
+	highest *= s.maxShiftFactor()
+	keys := cumulativeZipf(s.Keys, s.Zipf)
 	var out []PlannedRequest
 	for at := 0.0; ; {
 		at += rng.ExpFloat64() / highest // thinned to the rate at that time
@@ -134,7 +134,7 @@
 			return out, nil
 		}
 		if now >= until {
-			agents, times, until = s.shares(now)
+			agents, times, until = s.agentShares(now)
 		}
 		if rng.Float64()*highest > s.rate(now)*times {
 			continue
@@ -147,10 +147,10 @@
 			p.Tenant = choose(rng, tenants)
 		}
 		if len(keys) > 0 {
-			p.Key = fmt.Sprintf("k:%016x", mix(uint64(choose(rng, keys))+1))
+			p.Key = fmt.Sprintf("k:%016x", splitmix64(uint64(choose(rng, keys))+1))
 		}
 		c := s.Classes[p.Class]
-		p.Work = work(rng, c)
+		p.Work = drawWork(rng, c)
 		p.PriorityWeight = c.PriorityWeight * float64(p.Work) / float64(c.Work)
 		if s.CostHintError >= 0 {
 			p.CostHint = max(time.Microsecond, time.Duration(float64(p.Work)*math.Exp(s.CostHintError*rng.NormFloat64())))
@@ -159,9 +159,9 @@
 	}
 }
 
-// shares are the agents' cumulated shares at a time, how many times as much as usual is asked of all of them together, and until
+// agentShares are the agents' cumulated shares at a time, how many times as much as usual is asked of all of them together, and until
 // when that holds.
-func (s Spec) shares(at time.Duration) (cumulated []float64, times float64, until time.Duration) {
+func (s Spec) agentShares(at time.Duration) (cumulated []float64, times float64, until time.Duration) {
 	shares, usual, now := slices.Clone(s.Agents), 0.0, 0.0
 	until = math.MaxInt64
 	for _, shift := range s.Shifts {
@@ -177,15 +177,15 @@
 	for i, x := range shares {
 		usual, now = usual+s.Agents[i], now+x
 	}
-	return cumulate(shares, func(x float64) float64 { return x }), now / usual, until
+	return cumulative(shares, func(x float64) float64 { return x }), now / usual, until
 }
 
-// mostShift is how many times as much as usual is asked at the most.
-func (s Spec) mostShift() float64 {
+// maxShiftFactor is how many times as much as usual is asked at the most.
+func (s Spec) maxShiftFactor() float64 {
 	most := 1.0
 	for _, shift := range s.Shifts {
 		for _, at := range []time.Duration{shift.From, shift.To} {
-			_, times, _ := s.shares(at)
+			_, times, _ := s.agentShares(at)
 			most = max(most, times)
 		}
 	}
@@ -207,8 +207,8 @@
 	return s.Rate
 }
 
-// work draws from a log-normal distribution with the class's mean and variation.
-func work(rng *rand.Rand, c Class) time.Duration {
+// drawWork draws from a log-normal distribution with the class's mean and variation.
+func drawWork(rng *rand.Rand, c Class) time.Duration {
 	if c.CV == 0 {
 		return c.Work
 	}
@@ -217,8 +217,8 @@
 	return max(100*time.Microsecond, time.Duration(float64(c.Work)*min(x, 20)))
 }
 
-// cumulate is the running sum of shares, ending at 1.
-func cumulate[T any](of []T, share func(T) float64) []float64 {
+// cumulative is the running sum of shares, ending at 1.
+func cumulative[T any](of []T, share func(T) float64) []float64 {
 	sum := 0.0
 	out := make([]float64, len(of))
 	for i, x := range of {
@@ -236,16 +236,16 @@
 	return min(i, len(cumulated)-1)
 }
 
-// zipf is the running sum of the popularity of keys.
-func zipf(n int, exponent float64) []float64 {
-	return cumulate(make([]struct{}, n), func() func(struct{}) float64 {
+// cumulativeZipf is the running sum of the popularity of keys.
+func cumulativeZipf(n int, exponent float64) []float64 {
+	return cumulative(make([]struct{}, n), func() func(struct{}) float64 {
 		i := 0.0
 		return func(struct{}) float64 { i++; return math.Pow(i, -exponent) }
 	}())
 }
 
-// mix is the splitmix64 finalizer: names of keys tell nothing of their rank.
-func mix(x uint64) uint64 {
+// splitmix64 is the splitmix64 finalizer: names of keys tell nothing of their rank.
+func splitmix64(x uint64) uint64 {
 	x += 0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
--- a/internal/emulator/callers/run.go
+++ b/internal/emulator/callers/run.go
@@ -33,8 +33,8 @@
 }
 
 const (
-	defaultMost = 20_000
-	slowPace    = 40 * time.Millisecond // 8 pieces: a request takes 280 ms to write
+	defaultMaxOpen    = 20_000
+	slowWriteInterval = 40 * time.Millisecond // 8 pieces: a request takes 280 ms to write
 )
 
 // Figures are what a run says of itself.
@@ -47,7 +47,7 @@
 // nothing more; what is open still ends.
 func Run(ctx context.Context, cfg Config) ([]referee.CallResult, Figures) {
 	if cfg.MaxOpen == 0 {
-		cfg.MaxOpen = defaultMost
+		cfg.MaxOpen = defaultMaxOpen
 	}
 	r := &run{Config: cfg, body: strings.Repeat("o", cfg.RequestBytes)}
 	var all sync.WaitGroup
@@ -73,7 +73,7 @@
 		r.open.Add(1)
 		all.Go(func() {
 			defer r.open.Add(-1)
-			r.travel(j)
+			r.runCall(j)
 		})
 	}
 	all.Wait()
@@ -112,8 +112,8 @@
 	}
 }
 
-// travel makes tries until one is the last. It outlives the run's context: a client does not vanish with the plan.
-func (r *run) travel(j *Call) {
+// runCall makes tries until one is the last. It outlives the run's context: a client does not vanish with the plan.
+func (r *run) runCall(j *Call) {
 	defer r.finish(j)
 	r.mu.Lock()
 	r.figures.Lag = max(r.figures.Lag, r.now()-j.At)
@@ -129,7 +129,7 @@
 			return
 		}
 		tried = append(tried, to)
-		m := r.message(j, wait)
+		m := r.request(j, wait)
 		agent := to
 		if r.Direct {
 			agent = ""
@@ -151,19 +151,19 @@
 	}
 }
 
-func (r *run) message(j *Call, wait time.Duration) Request {
+func (r *run) request(j *Call, wait time.Duration) Request {
 	m := Request{ID: RequestID(r.IDPrefix, j.Number, j.Attempts), Class: j.Class.Name, Key: j.Key, NonIdempotent: j.Class.NonIdempotent,
 		Timeout: wait, CostHint: j.CostHint, Work: j.Work, ResponseBytes: r.ResponseBytes, Body: r.body}
 	if j.Tenant >= 0 {
 		m.Tenant = r.Tenants[j.Tenant].Name
 	}
 	if float64(j.Seed>>11)/(1<<53) < r.SlowFraction {
-		m.WriteInterval = slowPace
+		m.WriteInterval = slowWriteInterval
 	}
 	return m
 }
 
 // RequestID is the id of a try: 16 hex digits that tell nothing, and are never the same for two tries of a run.
 func RequestID(prefix uint64, number, try int) string {
-	return fmt.Sprintf("%016x", mix(prefix<<40^uint64(number)<<8^uint64(try)))
+	return fmt.Sprintf("%016x", splitmix64(prefix<<40^uint64(number)<<8^uint64(try)))
 }
--- a/internal/emulator/day.go
+++ b/internal/emulator/day.go
@@ -163,59 +163,59 @@
 }
 
 // ApplyDefaults puts the defaults in place of what a file does not state: a table of a file starts empty.
-func (d *ScenarioSpec) ApplyDefaults() {
+func (spec *ScenarioSpec) ApplyDefaults() {
 	def := DefaultScenario()
 	fillDuration := func(p *config.Duration, v config.Duration) {
 		if *p == 0 {
 			*p = v
 		}
 	}
-	fillDuration(&d.Length, def.Length)
-	fillDuration(&d.Period, def.Period)
-	if d.Name == "" {
-		d.Name = def.Name
+	fillDuration(&spec.Length, def.Length)
+	fillDuration(&spec.Period, def.Period)
+	if spec.Name == "" {
+		spec.Name = def.Name
 	}
-	if d.Agents == 0 {
-		d.Agents = def.Agents
+	if spec.Agents == 0 {
+		spec.Agents = def.Agents
 	}
-	if d.Shape == "" {
-		d.Shape = def.Shape
+	if spec.Shape == "" {
+		spec.Shape = def.Shape
 	}
-	if d.Load == 0 {
-		d.Load = def.Load
+	if spec.Load == 0 {
+		spec.Load = def.Load
 	}
-	if len(d.Kinds) == 0 {
-		d.Kinds = def.Kinds
+	if len(spec.Kinds) == 0 {
+		spec.Kinds = def.Kinds
 	}
-	if len(d.Zones) == 0 {
-		d.Zones = def.Zones
+	if len(spec.Zones) == 0 {
+		spec.Zones = def.Zones
 	}
-	if len(d.Classes) == 0 {
-		d.Classes = def.Classes
+	if len(spec.Classes) == 0 {
+		spec.Classes = def.Classes
 	}
-	if len(d.Tenants) == 0 {
-		d.Tenants = def.Tenants
+	if len(spec.Tenants) == 0 {
+		spec.Tenants = def.Tenants
 	}
-	if d.Clients == (ClientSpec{}) {
-		d.Clients = def.Clients
+	if spec.Clients == (ClientSpec{}) {
+		spec.Clients = def.Clients
 	}
-	if d.Network == (NetworkSpec{}) {
-		d.Network = def.Network
+	if spec.Network == (NetworkSpec{}) {
+		spec.Network = def.Network
 	}
-	if d.Discovery == (DiscoverySpec{}) {
-		d.Discovery = def.Discovery
+	if spec.Discovery == (DiscoverySpec{}) {
+		spec.Discovery = def.Discovery
 	}
-	if d.Keys == 0 && d.Zipf == 0 {
-		d.Keys, d.Zipf = def.Keys, def.Zipf
+	if spec.Keys == 0 && spec.Zipf == 0 {
+		spec.Keys, spec.Zipf = def.Keys, def.Zipf
 	}
-	if d.CostHintError == 0 {
-		d.CostHintError = def.CostHintError
+	if spec.CostHintError == 0 {
+		spec.CostHintError = def.CostHintError
 	}
-	if d.ResponseBytes == 0 {
-		d.ResponseBytes = def.ResponseBytes
+	if spec.ResponseBytes == 0 {
+		spec.ResponseBytes = def.ResponseBytes
 	}
-	if d.RequestBytes == 0 {
-		d.RequestBytes = def.RequestBytes
+	if spec.RequestBytes == 0 {
+		spec.RequestBytes = def.RequestBytes
 	}
 }
 
@@ -232,26 +232,26 @@
 )
 
 // Check says what is wrong, with keys below a prefix such as "day[0].".
-func (d *ScenarioSpec) Check(prefix string) error {
+func (spec *ScenarioSpec) Check(prefix string) error {
 	var all []error
 	wrong := func(key, format string, args ...any) { all = append(all, config.Wrong(prefix+key, format, args...)) }
-	if d.Length.D() <= 0 || d.Length.D() > maxLength {
-		wrong("length", "must be above 0 and at most %v, not %v", maxLength, d.Length.D())
+	if spec.Length.D() <= 0 || spec.Length.D() > maxLength {
+		wrong("length", "must be above 0 and at most %v, not %v", maxLength, spec.Length.D())
 	}
-	if d.Agents < 1 || d.Agents > maxAgents {
-		wrong("agents", "must be from 1 to %d, not %d", maxAgents, d.Agents)
+	if spec.Agents < 1 || spec.Agents > maxAgents {
+		wrong("agents", "must be from 1 to %d, not %d", maxAgents, spec.Agents)
 	}
-	if d.AgentSkew < 0 {
+	if spec.AgentSkew < 0 {
 		wrong("agent_skew", "must not be below 0")
 	}
-	if d.Load < 0 || d.Rate < 0 || d.Load > 20 {
+	if spec.Load < 0 || spec.Rate < 0 || spec.Load > 20 {
 		wrong("load", "load must be from 0 to 20 and rate not below 0")
 	}
-	if d.ResponseBytes < 0 || d.ResponseBytes > 32<<20 || d.RequestBytes < 0 || d.RequestBytes > 32<<20 {
+	if spec.ResponseBytes < 0 || spec.ResponseBytes > 32<<20 || spec.RequestBytes < 0 || spec.RequestBytes > 32<<20 {
 		wrong("answer_bytes", "answers and bodies hold from 0 to 32 MiB")
 	}
 	nodes := 0
-	for i, k := range d.Kinds {
+	for i, k := range spec.Kinds {
 		nodes += k.Nodes
 		if k.Nodes < 1 || k.Cores < 1 || !(k.Speed > 0) || k.Spread < 0 || k.Spread > 0.5 || k.QueuePerCore < 0 || k.ConnCap < 0 {
 			wrong(fmt.Sprintf("kind[%d].name", i), "%q needs nodes, cores and a speed above 0, a spread from 0 to 0.5, and no figure below 0", k.Name)
@@ -260,24 +260,24 @@
 	if nodes > maxNodes {
 		wrong("kind", "%d nodes are more than %d", nodes, maxNodes)
 	}
-	for i, c := range d.Classes {
+	for i, c := range spec.Classes {
 		if c.Name == "" || c.Share <= 0 || c.Work <= 0 || c.LatencyObjective <= 0 || c.Deadline < c.LatencyObjective || c.PriorityWeight <= 0 || c.LateWeight < 0 || c.LateWeight > 1 || c.CV < 0 {
 			wrong(fmt.Sprintf("class[%d].name", i), "%q needs a name, share, work, worth, an aim above 0 and a deadline not before it", c.Name)
 		}
 	}
-	for i, t := range d.Tenants {
+	for i, t := range spec.Tenants {
 		if t.Name == "" || t.Share <= 0 || t.Share > 1 {
 			wrong(fmt.Sprintf("tenant[%d].share", i), "must be above 0 and at most 1, of a tenant with a name")
 		}
 	}
-	if err := (link.Conditions{Delay: d.Network.Cross.D(), Jitter: d.Network.Jitter.D(), Loss: d.Network.Loss}).Check(); err != nil || d.Network.Same < 0 {
+	if err := (link.Conditions{Delay: spec.Network.Cross.D(), Jitter: spec.Network.Jitter.D(), Loss: spec.Network.Loss}).Check(); err != nil || spec.Network.Same < 0 {
 		wrong("net.loss", "%v", errors.Join(err, errors.New("no time may be below 0")))
 	}
-	if c := d.Clients; c.Retries < 0 || c.Retries > 10 || c.AttemptTimeoutFraction < 0 || c.AttemptTimeoutFraction > 1 || c.Backoff < 0 || c.RetryAfterFraction < 0 || c.RetryAfterFraction > 1 ||
+	if c := spec.Clients; c.Retries < 0 || c.Retries > 10 || c.AttemptTimeoutFraction < 0 || c.AttemptTimeoutFraction > 1 || c.Backoff < 0 || c.RetryAfterFraction < 0 || c.RetryAfterFraction > 1 ||
 		c.ImpatientFraction < 0 || c.ImpatientFraction > 1 || c.SlowFraction < 0 || c.SlowFraction > 1 || c.MisbehavingRate < 0 || c.MisbehavingRate > 1000 {
 		wrong("clients.retries", "retries are from 0 to 10, rude clients from 0 to 1,000 a second, shares from 0 to 1, and no time below 0")
 	}
-	for i, t := range d.Faults {
+	for i, t := range spec.Faults {
 		key := fmt.Sprintf("trouble[%d].kind", i)
 		if err := t.fault().Check(); err != nil {
 			wrong(key, "%v", err)
@@ -285,43 +285,43 @@
 		if t.Nodes < 0 || t.Nodes > nodes || t.Nodes == 0 && len(t.Names) == 0 && t.Zone == "" || t.Stagger < 0 {
 			wrong(key, "it must befall from 1 to %d nodes, some that are named, or a zone, and not begin over a time below 0", nodes)
 		}
-		if t.Zone != "" && !slices.Contains(d.Zones, t.Zone) {
-			wrong(fmt.Sprintf("trouble[%d].zone", i), "%q is none of %v", t.Zone, d.Zones)
+		if t.Zone != "" && !slices.Contains(spec.Zones, t.Zone) {
+			wrong(fmt.Sprintf("trouble[%d].zone", i), "%q is none of %v", t.Zone, spec.Zones)
 		}
 	}
-	for i, o := range d.Outages {
+	for i, o := range spec.Outages {
 		if o.From < 0 || o.To <= o.From {
 			wrong(fmt.Sprintf("outage[%d].from", i), "must be before its end")
 		}
 	}
-	d.Fleet.check(d.Zones, func(key, format string, args ...any) { wrong("fleet."+key, format, args...) })
-	if d.HeavyFraction < 0 || d.HeavyFraction > 1 || d.HeavyFactor < 0 {
+	spec.Fleet.check(spec.Zones, func(key, format string, args ...any) { wrong("fleet."+key, format, args...) })
+	if spec.HeavyFraction < 0 || spec.HeavyFraction > 1 || spec.HeavyFactor < 0 {
 		wrong("heavy", "must be from 0 to 1, and heavy_times not below 0")
 	}
 	if len(all) > 0 {
 		return errors.Join(all...)
 	}
-	if _, err := d.Draw(1); err != nil {
+	if _, err := spec.Draw(1); err != nil {
 		return &config.KeyError{Key: prefix + "name", Err: err}
 	}
 	return nil
 }
 
 // ScaleTimes multiplies all times of the day at which something begins or ends.
-func (d *ScenarioSpec) ScaleTimes(times float64) {
+func (spec *ScenarioSpec) ScaleTimes(times float64) {
 	stretch := func(all ...*config.Duration) {
 		for _, t := range all {
 			*t = config.Duration(float64(*t) * times)
 		}
 	}
-	stretch(&d.Length)
-	for i := range d.Faults {
-		stretch(&d.Faults[i].From, &d.Faults[i].To, &d.Faults[i].Stagger)
+	stretch(&spec.Length)
+	for i := range spec.Faults {
+		stretch(&spec.Faults[i].From, &spec.Faults[i].To, &spec.Faults[i].Stagger)
 	}
-	for i := range d.Outages {
-		stretch(&d.Outages[i].From, &d.Outages[i].To)
+	for i := range spec.Outages {
+		stretch(&spec.Outages[i].From, &spec.Outages[i].To)
 	}
-	f := &d.Fleet
+	f := &spec.Fleet
 	for i := range f.AgentFaults {
 		stretch(&f.AgentFaults[i].From, &f.AgentFaults[i].To, &f.AgentFaults[i].Duration)
 	}
@@ -371,13 +371,13 @@
 }
 
 // Draw draws a day.
-func (d *ScenarioSpec) Draw(seed uint64) (*Scenario, error) {
+func (spec *ScenarioSpec) Draw(seed uint64) (*Scenario, error) {
 	rng := rand.New(rand.NewPCG(seed, 0x646179))
-	day := &Scenario{Spec: *d, Seed: seed, Length: d.Length.D()}
-	for _, k := range d.Kinds {
+	scenario := &Scenario{Spec: *spec, Seed: seed, Length: spec.Length.D()}
+	for _, k := range spec.Kinds {
 		for range k.Nodes {
-			id := fmt.Sprintf("node-%02d", len(day.Nodes)+1)
-			s := node.TypicalSpec(id, k.Name, d.Zones[len(day.Nodes)%len(d.Zones)], k.Speed*max(0.4, 1+k.Spread*rng.NormFloat64()))
+			id := fmt.Sprintf("node-%02d", len(scenario.Nodes)+1)
+			s := node.TypicalSpec(id, k.Name, spec.Zones[len(scenario.Nodes)%len(spec.Zones)], k.Speed*max(0.4, 1+k.Spread*rng.NormFloat64()))
 			s.Cores, s.QueuePerCore, s.ConnCap, s.ErrorRate = k.Cores, k.QueuePerCore, k.ConnCap, k.ErrorRate
 			if !k.Degrades {
 				s.Degradation = node.Degradation{}
@@ -388,57 +388,57 @@
 			if err := s.Check(); err != nil {
 				return nil, err
 			}
-			day.Nodes = append(day.Nodes, s)
-			day.Capacity += float64(s.Cores) * s.Speed
+			scenario.Nodes = append(scenario.Nodes, s)
+			scenario.Capacity += float64(s.Cores) * s.Speed
 		}
 	}
 	work, shares := 0.0, 0.0
-	for _, c := range d.Classes {
+	for _, c := range spec.Classes {
 		work += c.Share * c.Work.D().Seconds()
 		shares += c.Share
-		day.Classes = append(day.Classes, callers.Class{Name: c.Name, Share: c.Share, Work: c.Work.D(), CV: c.CV, LatencyObjective: c.LatencyObjective.D(),
+		scenario.Classes = append(scenario.Classes, callers.Class{Name: c.Name, Share: c.Share, Work: c.Work.D(), CV: c.CV, LatencyObjective: c.LatencyObjective.D(),
 			Deadline: c.Deadline.D(), PriorityWeight: c.PriorityWeight, LateWeight: c.LateWeight, NonIdempotent: c.NonIdempotent})
 	}
-	for _, t := range d.Tenants {
-		day.Tenants = append(day.Tenants, callers.Tenant{Name: t.Name, Share: t.Share})
+	for _, t := range spec.Tenants {
+		scenario.Tenants = append(scenario.Tenants, callers.Tenant{Name: t.Name, Share: t.Share})
 	}
-	if day.Rate = d.Rate; day.Rate == 0 {
-		day.Rate = d.Load * day.Capacity / (work / shares)
+	if scenario.Rate = spec.Rate; scenario.Rate == 0 {
+		scenario.Rate = spec.Load * scenario.Capacity / (work / shares)
 	}
-	shareOf := make([]float64, d.Agents)
+	shareOf := make([]float64, spec.Agents)
 	for i := range shareOf {
-		day.Agents = append(day.Agents, fmt.Sprintf("agent-%d", i))
+		scenario.Agents = append(scenario.Agents, fmt.Sprintf("agent-%d", i))
 		shareOf[i] = 1
-		if d.Agents > 1 {
-			shareOf[i] += d.AgentSkew * float64(i) / float64(d.Agents-1)
+		if spec.Agents > 1 {
+			shareOf[i] += spec.AgentSkew * float64(i) / float64(spec.Agents-1)
 		}
-		if d.HeavyFactor > 0 && float64(i) < d.HeavyFraction*float64(d.Agents) {
-			shareOf[i] *= d.HeavyFactor
+		if spec.HeavyFactor > 0 && float64(i) < spec.HeavyFraction*float64(spec.Agents) {
+			shareOf[i] *= spec.HeavyFactor
 		}
 	}
-	for i, p := range d.Fleet.Paths {
-		if err := p.names(fmt.Sprintf("fleet.path[%d].", i), day); err != nil {
+	for i, p := range spec.Fleet.Paths {
+		if err := p.checkHosts(fmt.Sprintf("fleet.path[%d].", i), scenario); err != nil {
 			return nil, err
 		}
 	}
 	var err error
-	day.Plan, err = callers.Plan(callers.Spec{Classes: day.Classes, Tenants: day.Tenants, Rate: day.Rate, Duration: day.Length,
-		Shape: callers.Shape(d.Shape), Swing: d.Swing, Period: d.Period.D(), Agents: shareOf, Keys: d.Keys, Zipf: d.Zipf, CostHintError: d.CostHintError,
-		MaxRequests: maxPlannedRequests, Shifts: day.shifts()}, seed)
+	scenario.Plan, err = callers.Plan(callers.Spec{Classes: scenario.Classes, Tenants: scenario.Tenants, Rate: scenario.Rate, Duration: scenario.Length,
+		Shape: callers.Shape(spec.Shape), Swing: spec.Swing, Period: spec.Period.D(), Agents: shareOf, Keys: spec.Keys, Zipf: spec.Zipf, CostHintError: spec.CostHintError,
+		MaxRequests: maxPlannedRequests, Shifts: scenario.trafficShifts()}, seed)
 	if err != nil {
 		return nil, err
 	}
-	c := d.Clients
-	day.Clients = callers.ClientProfile{Retries: c.Retries, AttemptTimeoutFraction: c.AttemptTimeoutFraction, Backoff: c.Backoff.D(), RetryAfterFraction: c.RetryAfterFraction, MaxRetryAfter: c.MaxRetryAfter.D(), ImpatientFraction: c.ImpatientFraction}
-	if err := day.place(rng); err != nil {
+	c := spec.Clients
+	scenario.Clients = callers.ClientProfile{Retries: c.Retries, AttemptTimeoutFraction: c.AttemptTimeoutFraction, Backoff: c.Backoff.D(), RetryAfterFraction: c.RetryAfterFraction, MaxRetryAfter: c.MaxRetryAfter.D(), ImpatientFraction: c.ImpatientFraction}
+	if err := scenario.placeFaults(rng); err != nil {
 		return nil, err
 	}
-	day.placeAgents(rng)
-	return day, nil
+	scenario.placeAgentFaults(rng)
+	return scenario, nil
 }
 
-// place says which nodes the troubles befall. A node has at most one of those that end its life.
-func (day *Scenario) place(rng *rand.Rand) error {
+// placeFaults says which nodes the troubles befall. A node has at most one of those that end its life.
+func (day *Scenario) placeFaults(rng *rand.Rand) error {
 	ends := map[int]bool{}
 	for _, t := range day.Spec.Faults {
 		trouble := t.fault()
@@ -480,8 +480,8 @@
 }
 
 // LinkTo is the path between two zones.
-func (day *Scenario) LinkTo(a, b string) link.Conditions {
-	n := day.Spec.Network
+func (scenario *Scenario) LinkTo(a, b string) link.Conditions {
+	n := scenario.Spec.Network
 	c := link.Conditions{Delay: n.Cross.D(), Jitter: n.Jitter.D(), Loss: n.Loss}
 	if a == b {
 		c.Delay = n.Same.D()
@@ -490,4 +490,6 @@
 }
 
 // AgentZone is where an agent is.
-func (day *Scenario) AgentZone(agent int) string { return day.Spec.Zones[agent%len(day.Spec.Zones)] }
+func (scenario *Scenario) AgentZone(agent int) string {
+	return scenario.Spec.Zones[agent%len(scenario.Spec.Zones)]
+}
--- a/internal/emulator/discovery/discovery.go
+++ b/internal/emulator/discovery/discovery.go
@@ -53,10 +53,10 @@
 }
 
 const (
-	defaultPatience = time.Second
-	longestWatch    = time.Minute
-	maxVersions     = 4096 // changes that watches can go back to; older ones get the whole list
-	headTimeout     = 5 * time.Second
+	defaultMaxQueueDelay = time.Second
+	maxWatch             = time.Minute
+	maxVersions          = 4096 // changes that watches can go back to; older ones get the whole list
+	headTimeout          = 5 * time.Second
 )
 
 type change struct {
@@ -71,30 +71,30 @@
 
 // Server is the service. Each agent may have an address of its own, by which it is known.
 type Server struct {
-	cfg Config
-	all sync.WaitGroup
+	cfg        Config
+	goroutines sync.WaitGroup
 
-	mu      sync.Mutex
-	version int
-	entries map[string]Entry
-	order   []string
-	past    map[string]struct{} // ids that were in the list and are gone
-	changes []change
-	wake    chan struct{} // closed at each change, and replaced
-	free    time.Time     // when the call that is handled last will be through
-	down    bool
-	outage  chan struct{} // closed when an outage begins, and replaced when it ends
-	figures Figures
-	late    map[*time.Timer]struct{}
-	servers []*http.Server
+	mu        sync.Mutex
+	version   int
+	entries   map[string]Entry
+	order     []string
+	removed   map[string]struct{} // ids that were in the list and are gone
+	changes   []change
+	changed   chan struct{} // closed at each change, and replaced
+	busyUntil time.Time     // when the call that is handled last will be through
+	inOutage  bool
+	outage    chan struct{} // closed when an outage begins, and replaced when it ends
+	figures   Figures
+	delayed   map[*time.Timer]struct{}
+	servers   []*http.Server
 }
 
 // New returns a service with an empty list.
 func New(cfg Config) *Server {
 	if cfg.MaxQueueDelay == 0 {
-		cfg.MaxQueueDelay = defaultPatience
+		cfg.MaxQueueDelay = defaultMaxQueueDelay
 	}
-	return &Server{cfg: cfg, entries: map[string]Entry{}, past: map[string]struct{}{}, wake: make(chan struct{}), outage: make(chan struct{}), late: map[*time.Timer]struct{}{}}
+	return &Server{cfg: cfg, entries: map[string]Entry{}, removed: map[string]struct{}{}, changed: make(chan struct{}), outage: make(chan struct{}), delayed: map[*time.Timer]struct{}{}}
 }
 
 // Serve answers the calls of an agent on a listener until Close.
@@ -103,13 +103,13 @@
 	s.mu.Lock()
 	s.servers = append(s.servers, srv)
 	s.mu.Unlock()
-	s.all.Go(func() { srv.Serve(l) })
+	s.goroutines.Go(func() { srv.Serve(l) })
 }
 
 // Close ends the service and waits for it.
 func (s *Server) Close() {
 	s.mu.Lock()
-	for t := range s.late {
+	for t := range s.delayed {
 		t.Stop()
 	}
 	servers := s.servers
@@ -117,35 +117,35 @@
 	for _, srv := range servers {
 		srv.Close()
 	}
-	s.all.Wait()
+	s.goroutines.Wait()
 }
 
 // Set puts an entry into the list, or changes it, so much later.
 func (s *Server) Set(e Entry, late time.Duration) {
-	s.after(late, func() {
+	s.applyAfter(late, func() {
 		if e.State == Removed {
 			delete(s.entries, e.ID)
-			s.past[e.ID] = struct{}{}
+			s.removed[e.ID] = struct{}{}
 			s.order = slices.DeleteFunc(s.order, func(id string) bool { return id == e.ID })
 		} else {
 			if _, ok := s.entries[e.ID]; !ok {
 				s.order = append(s.order, e.ID)
 			}
 			s.entries[e.ID] = e
-			delete(s.past, e.ID)
+			delete(s.removed, e.ID)
 		}
 		s.version++
 		s.changes = append(s.changes, change{s.version, e})
 		if len(s.changes) > maxVersions {
 			s.changes = s.changes[len(s.changes)-maxVersions:]
 		}
-		close(s.wake)
-		s.wake = make(chan struct{})
+		close(s.changed)
+		s.changed = make(chan struct{})
 	})
 }
 
-// after calls f with the lock, now or later.
-func (s *Server) after(late time.Duration, f func()) {
+// applyAfter calls f with the lock, now or later.
+func (s *Server) applyAfter(late time.Duration, f func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if late <= 0 {
@@ -156,20 +156,20 @@
 	t = time.AfterFunc(late, func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		delete(s.late, t)
+		delete(s.delayed, t)
 		f()
 	})
-	s.late[t] = struct{}{}
+	s.delayed[t] = struct{}{}
 }
 
 // SetOutage ends all watches and answers nobody, until it is over.
 func (s *Server) SetOutage(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.down == on {
+	if s.inOutage == on {
 		return
 	}
-	if s.down = on; on {
+	if s.inOutage = on; on {
 		close(s.outage)
 	} else {
 		s.outage = make(chan struct{})
@@ -180,7 +180,7 @@
 func (s *Server) Snapshot() List {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.whole()
+	return s.fullList()
 }
 
 // Figures returns the counts so far.
@@ -190,7 +190,7 @@
 	return s.figures
 }
 
-func (s *Server) whole() List {
+func (s *Server) fullList() List {
 	l := List{Version: s.version, Full: true, Servers: []Entry{}}
 	for _, id := range s.order {
 		l.Servers = append(l.Servers, s.entries[id])
@@ -198,10 +198,10 @@
 	return l
 }
 
-// since is what has changed after a version, each entry as it is now; the whole list where that is too long ago.
-func (s *Server) since(version int) List {
+// changesSince is what has changed after a version, each entry as it is now; the whole list where that is too long ago.
+func (s *Server) changesSince(version int) List {
 	if version > s.version || len(s.changes) > 0 && version < s.changes[0].version-1 {
-		return s.whole()
+		return s.fullList()
 	}
 	l := List{Version: s.version, Servers: []Entry{}}
 	for _, c := range s.changes {
@@ -216,19 +216,19 @@
 
 var errRejected = errors.New("too many calls wait")
 
-// turn waits for the call's turn. All calls take the same time, one after the other.
-func (s *Server) turn(ctx context.Context) error {
+// waitTurn waits for the call's turn. All calls take the same time, one after the other.
+func (s *Server) waitTurn(ctx context.Context) error {
 	s.mu.Lock()
-	down, outage := s.down, s.outage
+	down, outage := s.inOutage, s.outage
 	var wait time.Duration
 	if s.cfg.Rate > 0 && !down {
 		now := time.Now()
-		if s.free.Before(now) {
-			s.free = now
+		if s.busyUntil.Before(now) {
+			s.busyUntil = now
 		}
-		wait = s.free.Add(time.Duration(float64(time.Second) / s.cfg.Rate)).Sub(now)
+		wait = s.busyUntil.Add(time.Duration(float64(time.Second) / s.cfg.Rate)).Sub(now)
 		if wait <= s.cfg.MaxQueueDelay {
-			s.free = now.Add(wait)
+			s.busyUntil = now.Add(wait)
 		}
 	}
 	refused := down || wait > s.cfg.MaxQueueDelay
@@ -268,16 +268,16 @@
 				return
 			}
 		}
-		if err := s.turn(r.Context()); err != nil {
+		if err := s.waitTurn(r.Context()); err != nil {
 			w.Header().Set("Connection", "close")
 			http.Error(w, err.Error(), http.StatusServiceUnavailable)
 			return
 		}
 		wait := time.Duration(0)
 		if ms, err := strconv.ParseInt(query.Get("timeout_ms"), 10, 64); err == nil {
-			wait = min(longestWatch, max(0, time.Duration(ms)*time.Millisecond))
+			wait = min(maxWatch, max(0, time.Duration(ms)*time.Millisecond))
 		}
-		l, ok := s.list(r.Context(), since, wait)
+		l, ok := s.awaitList(r.Context(), since, wait)
 		if !ok {
 			panic(http.ErrAbortHandler)
 		}
@@ -285,8 +285,8 @@
 	})
 }
 
-// list is the whole list, or waits for changes after a version; false where an outage or the caller ended the wait.
-func (s *Server) list(ctx context.Context, since int, wait time.Duration) (List, bool) {
+// awaitList is the whole list, or waits for changes after a version; false where an outage or the caller ended the wait.
+func (s *Server) awaitList(ctx context.Context, since int, wait time.Duration) (List, bool) {
 	end := time.NewTimer(wait)
 	defer end.Stop()
 	s.mu.Lock()
@@ -297,16 +297,16 @@
 	}
 	for {
 		if since < 0 {
-			l := s.whole()
+			l := s.fullList()
 			s.mu.Unlock()
 			return l, true
 		}
 		if s.version != since {
-			l := s.since(since)
+			l := s.changesSince(since)
 			s.mu.Unlock()
 			return l, true
 		}
-		wake, outage := s.wake, s.outage
+		wake, outage := s.changed, s.outage
 		s.mu.Unlock()
 		select {
 		case <-wake:
@@ -342,7 +342,7 @@
 	s.figures.Entries += len(l.Servers)
 	var past []string
 	if l.Full { // what a whole list does not name is gone
-		past = slices.Collect(maps.Keys(s.past))
+		past = slices.Collect(maps.Keys(s.removed))
 	}
 	s.mu.Unlock()
 	if s.cfg.OnNotified == nil {
--- a/internal/emulator/fleet.go
+++ b/internal/emulator/fleet.go
@@ -185,8 +185,8 @@
 // Survives says whether the process goes on after the trouble, with all that it had.
 func (t AgentFault) Survives() bool { return t.Kind == AgentPause || t.Kind == AgentSlow }
 
-// placeAgents says which agents the troubles befall.
-func (day *Scenario) placeAgents(rng *rand.Rand) {
+// placeAgentFaults says which agents the troubles befall.
+func (day *Scenario) placeAgentFaults(rng *rand.Rand) {
 	for _, a := range day.Spec.Fleet.AgentFaults {
 		n := max(1, int(a.Share*float64(len(day.Agents))+0.5))
 		groups := max(1, a.Groups)
@@ -201,8 +201,8 @@
 	slices.SortStableFunc(day.AgentFaults, func(a, b AgentFault) int { return int(a.At - b.At) })
 }
 
-// shifts are the day's shifts, by agent.
-func (day *Scenario) shifts() (out []callers.TrafficShift) {
+// trafficShifts are the day's shifts, by agent.
+func (day *Scenario) trafficShifts() (out []callers.TrafficShift) {
 	for _, s := range day.Spec.Fleet.TrafficShifts {
 		shift := callers.TrafficShift{From: s.From.D(), To: s.To.D(), Factors: make([]float64, len(day.Agents))}
 		for i := range shift.Factors {
@@ -228,13 +228,13 @@
 }
 
 // ListDelay is how much later than usual what happens at that time comes to the list.
-func (day *Scenario) ListDelay(at time.Duration) (late time.Duration) {
+func (day *Scenario) ListDelay(at time.Duration) (delay time.Duration) {
 	for _, l := range day.Spec.Fleet.ListDelays {
 		if at >= l.From.D() && at < l.To.D() {
-			late = max(late, l.By.D())
+			delay = max(delay, l.By.D())
 		}
 	}
-	return late
+	return delay
 }
 
 // Partitioned reports whether nothing passes between two zones at that time.
--- a/internal/emulator/link/conditions.go
+++ b/internal/emulator/link/conditions.go
@@ -31,55 +31,55 @@
 }
 
 const (
-	packet        = 1460 // bytes of a stream in a packet
+	packetSize    = 1460 // bytes of a stream in a packet
 	defaultResend = 200 * time.Millisecond
-	mostDoublings = 6
+	maxResends    = 6
 )
 
 // shaper says when what is written to one direction of a path arrives. Its owner guards it.
 type shaper struct {
-	rng  *rand.Rand
-	free time.Time // when the line has sent what it was given
-	last time.Time // when the latest arrives: a stream is in order
+	rng         *rand.Rand
+	lineFreeAt  time.Time // when the line has sent what it was given
+	lastArrival time.Time // when the latest arrives: a stream is in order
 }
 
-// stream is when n bytes of a stream arrive that are written now.
-func (s *shaper) stream(now time.Time, n int, c Conditions) time.Time {
-	at := s.sent(now, n, c).Add(c.Delay + s.jitter(c))
-	for range (n + packet - 1) / packet {
+// streamArrival is when n bytes of a stream arrive that are written now.
+func (s *shaper) streamArrival(now time.Time, n int, c Conditions) time.Time {
+	at := s.sendComplete(now, n, c).Add(c.Delay + s.jitter(c))
+	for range (n + packetSize - 1) / packetSize {
 		stall := c.Resend
 		if stall == 0 {
 			stall = defaultResend
 		}
-		for range mostDoublings {
+		for range maxResends {
 			if c.Loss == 0 || s.rng.Float64() >= c.Loss {
 				break
 			}
 			at, stall = at.Add(stall), 2*stall
 		}
 	}
-	if at.Before(s.last) {
-		at = s.last
+	if at.Before(s.lastArrival) {
+		at = s.lastArrival
 	}
-	s.last = at
+	s.lastArrival = at
 	return at
 }
 
-// datagram is when a datagram arrives that is written now; false when it never does.
-func (s *shaper) datagram(now time.Time, n int, c Conditions) (time.Time, bool) {
-	at := s.sent(now, n, c).Add(c.Delay + s.jitter(c))
+// datagramArrival is when a datagram arrives that is written now; false when it never does.
+func (s *shaper) datagramArrival(now time.Time, n int, c Conditions) (time.Time, bool) {
+	at := s.sendComplete(now, n, c).Add(c.Delay + s.jitter(c))
 	return at, !c.Cut && (c.Loss == 0 || s.rng.Float64() >= c.Loss)
 }
 
-// sent is when the line has sent n more bytes.
-func (s *shaper) sent(now time.Time, n int, c Conditions) time.Time {
-	if s.free.Before(now) {
-		s.free = now
+// sendComplete is when the line has sent n more bytes.
+func (s *shaper) sendComplete(now time.Time, n int, c Conditions) time.Time {
+	if s.lineFreeAt.Before(now) {
+		s.lineFreeAt = now
 	}
 	if c.Bandwidth > 0 {
-		s.free = s.free.Add(time.Duration(float64(n) / c.Bandwidth * float64(time.Second)))
+		s.lineFreeAt = s.lineFreeAt.Add(time.Duration(float64(n) / c.Bandwidth * float64(time.Second)))
 	}
-	return s.free
+	return s.lineFreeAt
 }
 
 func (s *shaper) jitter(c Conditions) time.Duration {
--- a/internal/emulator/link/datagram.go
+++ b/internal/emulator/link/datagram.go
@@ -9,20 +9,20 @@
 	"time"
 )
 
-// mostDatagrams is how many datagrams wait at a socket; more are lost, as a full socket buffer loses them.
-const mostDatagrams = 1024
+// maxQueuedDatagrams is how many datagrams wait at a socket; more are lost, as a full socket buffer loses them.
+const maxQueuedDatagrams = 1024
 
 // PacketConn sends and receives datagrams of a Network.
 type PacketConn struct {
-	network *Network
-	addr    string
-	mu      sync.Mutex
-	changed chan struct{}
-	shapes  map[string]*shaper // to each host
-	waiting []datagram         // by the time that they arrive
-	lost    int
-	closed  bool
-	readBy  time.Time
+	network      *Network
+	addr         string
+	mu           sync.Mutex
+	changed      chan struct{}
+	shapers      map[string]*shaper // to each host
+	queue        []datagram         // by the time that they arrive
+	lost         int
+	closed       bool
+	readDeadline time.Time
 }
 
 type datagram struct {
@@ -39,12 +39,12 @@
 	if err != nil {
 		return nil, err
 	}
-	p := &PacketConn{network: n, addr: at, changed: make(chan struct{}), shapes: map[string]*shaper{}}
+	p := &PacketConn{network: n, addr: at, changed: make(chan struct{}), shapers: map[string]*shaper{}}
 	n.packets[at] = p
 	return p, nil
 }
 
-func (p *PacketConn) wake() {
+func (p *PacketConn) broadcast() {
 	close(p.changed)
 	p.changed = make(chan struct{})
 }
@@ -59,42 +59,42 @@
 	n := p.network
 	n.mu.Lock()
 	cond, peer := n.paths[path{host(p.addr), host(to.String())}], n.packets[to.String()]
-	shape := p.shapes[host(to.String())]
+	shape := p.shapers[host(to.String())]
 	if shape == nil {
-		n.made++
-		shape = &shaper{rng: n.random(n.made, 3)}
-		p.shapes[host(to.String())] = shape
+		n.connsMade++
+		shape = &shaper{rng: n.newRand(n.connsMade, 3)}
+		p.shapers[host(to.String())] = shape
 	}
 	n.mu.Unlock()
-	due, arrives := shape.datagram(time.Now(), len(b), cond)
+	due, arrives := shape.datagramArrival(time.Now(), len(b), cond)
 	if peer == nil || !arrives {
 		return len(b), nil
 	}
 	d := datagram{append([]byte(nil), b...), p.addr, due}
 	if peer == p {
-		peer.put(d)
+		peer.enqueue(d)
 		return len(b), nil
 	}
 	peer.mu.Lock()
 	defer peer.mu.Unlock()
-	peer.put(d)
+	peer.enqueue(d)
 	return len(b), nil
 }
 
-// put lets a datagram wait until it arrives. The lock is held.
-func (p *PacketConn) put(d datagram) {
-	if len(p.waiting) >= mostDatagrams || p.closed {
+// enqueue lets a datagram wait until it arrives. The lock is held.
+func (p *PacketConn) enqueue(d datagram) {
+	if len(p.queue) >= maxQueuedDatagrams || p.closed {
 		p.lost++
 		return
 	}
-	i, _ := slices.BinarySearchFunc(p.waiting, d, func(x, y datagram) int {
+	i, _ := slices.BinarySearchFunc(p.queue, d, func(x, y datagram) int {
 		if x.due.After(y.due) {
 			return 1
 		}
 		return -1
 	})
-	p.waiting = slices.Insert(p.waiting, i, d)
-	p.wake()
+	p.queue = slices.Insert(p.queue, i, d)
+	p.broadcast()
 }
 
 // ReadFrom waits for a datagram. What does not fit into b is lost.
@@ -106,18 +106,18 @@
 		switch {
 		case p.closed:
 			return 0, nil, net.ErrClosed
-		case !p.readBy.IsZero() && !now.Before(p.readBy):
+		case !p.readDeadline.IsZero() && !now.Before(p.readDeadline):
 			return 0, nil, os.ErrDeadlineExceeded
-		case len(p.waiting) > 0 && !p.waiting[0].due.After(now):
-			d := p.waiting[0]
-			p.waiting = p.waiting[1:]
+		case len(p.queue) > 0 && !p.queue[0].due.After(now):
+			d := p.queue[0]
+			p.queue = p.queue[1:]
 			return copy(b, d.data), Addr(d.from), nil
 		}
 		var next time.Time
-		if len(p.waiting) > 0 {
-			next = p.waiting[0].due
+		if len(p.queue) > 0 {
+			next = p.queue[0].due
 		}
-		wait(&p.mu, p.changed, p.readBy, next)
+		waitForChange(&p.mu, p.changed, p.readDeadline, next)
 	}
 }
 
@@ -141,7 +141,7 @@
 		return syscall.EBADF
 	}
 	p.closed = true
-	p.wake()
+	p.broadcast()
 	return nil
 }
 
@@ -155,8 +155,8 @@
 func (p *PacketConn) SetReadDeadline(t time.Time) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.readBy = t
-	p.wake()
+	p.readDeadline = t
+	p.broadcast()
 	return nil
 }
 
--- a/internal/emulator/link/link_test.go
+++ b/internal/emulator/link/link_test.go
@@ -65,7 +65,7 @@
 		here, there := pair(t, n)
 		here.SetWriteDeadline(time.Now().Add(time.Second))
 		sent, err := here.Write(make([]byte, 2<<20))
-		if !errors.Is(err, os.ErrDeadlineExceeded) || sent != window {
+		if !errors.Is(err, os.ErrDeadlineExceeded) || sent != maxInFlight {
 			t.Errorf("%d bytes are under way with nobody reading, %v", sent, err)
 		}
 		here.SetWriteDeadline(time.Time{})
@@ -172,10 +172,10 @@
 		if got < 350 || got > 450 {
 			t.Errorf("%d of 500 came with a fifth lost", got)
 		}
-		for range 3 * mostDatagrams {
+		for range 3 * maxQueuedDatagrams {
 			a.WriteTo([]byte("x"), a.LocalAddr())
 		}
-		if a.Lost() != 2*mostDatagrams {
+		if a.Lost() != 2*maxQueuedDatagrams {
 			t.Errorf("%d found a full socket", a.Lost())
 		}
 		a.Close()
--- a/internal/emulator/link/mesh.go
+++ b/internal/emulator/link/mesh.go
@@ -14,17 +14,17 @@
 // port. Each host has a front, an address that the others are told; what comes to it goes on to where the host listens, under
 // the conditions of the way from the sender, which is told apart by its IP address: 127.0.0.0/8 has one for each.
 type Mesh struct {
-	all    sync.WaitGroup
-	timers sync.WaitGroup
+	goroutines sync.WaitGroup
+	timers     sync.WaitGroup
 
-	mu     sync.Mutex
-	rng    *rand.Rand
-	hosts  map[string]string // name by IP address
-	fronts map[string]*front
-	ways   map[[2]string]Conditions // from, to
-	shapes map[[2]string]*shaper    // of packets
-	counts MeshCounts
-	done   bool
+	mu         sync.Mutex
+	rng        *rand.Rand
+	hosts      map[string]string // name by IP address
+	fronts     map[string]*front
+	conditions map[[2]string]Conditions // from, to
+	shapers    map[[2]string]*shaper    // of packets
+	counts     MeshCounts
+	closed     bool
 }
 
 // MeshCounts are what a Mesh has passed on, and dropped.
@@ -37,24 +37,24 @@
 	streams      net.Listener
 	packets, out net.PacketConn
 	to           net.Addr
-	open         map[*relayed]string // the sender of each stream
+	open         map[*relayedStream]string // the sender of each stream
 }
 
 // NewMesh returns one without hosts.
 func NewMesh(seed uint64) *Mesh {
-	return &Mesh{rng: rand.New(rand.NewPCG(seed, 6)), hosts: map[string]string{}, fronts: map[string]*front{}, ways: map[[2]string]Conditions{},
-		shapes: map[[2]string]*shaper{}}
+	return &Mesh{rng: rand.New(rand.NewPCG(seed, 6)), hosts: map[string]string{}, fronts: map[string]*front{}, conditions: map[[2]string]Conditions{},
+		shapers: map[[2]string]*shaper{}}
 }
 
-const portsTried = 20
+const portAttempts = 20
 
 // Add gives a host a front. It sends from an IP address of its own, and listens at a target.
 func (m *Mesh) Add(host, ip, target string) (addr string, err error) {
-	f := &front{host: host, target: target, open: map[*relayed]string{}}
+	f := &front{host: host, target: target, open: map[*relayedStream]string{}}
 	if f.to, err = net.ResolveUDPAddr("udp", target); err != nil {
 		return "", fmt.Errorf("mesh: %w", err)
 	}
-	for range portsTried { // a port that is free for both
+	for range portAttempts { // a port that is free for both
 		if f.streams, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
 			continue
 		}
@@ -72,8 +72,8 @@
 	m.mu.Lock()
 	m.hosts[ip], m.fronts[host] = host, f
 	m.mu.Unlock()
-	m.all.Go(func() { receiveAll(f.packets, func(data []byte, from net.Addr) { m.forward(f, from, data) }) })
-	m.all.Go(func() { acceptAll(f.streams, &m.all, func(c *net.TCPConn) { m.pass(f, c) }) })
+	m.goroutines.Go(func() { receiveAll(f.packets, func(data []byte, from net.Addr) { m.forward(f, from, data) }) })
+	m.goroutines.Go(func() { acceptAll(f.streams, &m.goroutines, func(c *net.TCPConn) { m.relayStream(f, c) }) })
 	return f.streams.Addr().String(), nil
 }
 
@@ -81,18 +81,18 @@
 func (m *Mesh) Set(from, to string, c Conditions) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.ways[[2]string{from, to}] = c
+	m.conditions[[2]string{from, to}] = c
 	if f := m.fronts[to]; f != nil {
 		for s, who := range f.open {
 			if who == from {
-				s.forth.set(c)
+				s.forth.setConditions(c)
 			}
 		}
 	}
 	if f := m.fronts[from]; f != nil {
 		for s, who := range f.open {
 			if who == to {
-				s.back.set(c)
+				s.back.setConditions(c)
 			}
 		}
 	}
@@ -108,7 +108,7 @@
 // Close ends all that is under way and waits for it.
 func (m *Mesh) Close() error {
 	m.mu.Lock()
-	m.done = true
+	m.closed = true
 	var errs []error
 	for _, f := range m.fronts {
 		errs = append(errs, f.streams.Close(), f.packets.Close(), f.out.Close())
@@ -117,7 +117,7 @@
 		}
 	}
 	m.mu.Unlock()
-	m.all.Wait()
+	m.goroutines.Wait()
 	m.timers.Wait()
 	return errors.Join(errs...)
 }
@@ -134,14 +134,14 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	way := [2]string{m.sender(from), f.host}
-	s := m.shapes[way]
+	s := m.shapers[way]
 	if s == nil {
 		s = &shaper{rng: m.rng}
-		m.shapes[way] = s
+		m.shapers[way] = s
 	}
 	now := time.Now()
-	due, arrives := s.datagram(now, len(data), m.ways[way])
-	if !arrives || m.done {
+	due, arrives := s.datagramArrival(now, len(data), m.conditions[way])
+	if !arrives || m.closed {
 		m.counts.Lost++
 		return
 	}
@@ -157,7 +157,7 @@
 	})
 }
 
-func (m *Mesh) pass(f *front, client *net.TCPConn) {
+func (m *Mesh) relayStream(f *front, client *net.TCPConn) {
 	ctx, cancel := context.WithTimeout(context.Background(), dialTimeout)
 	defer cancel()
 	raw, err := new(net.Dialer).DialContext(ctx, "tcp", f.target)
@@ -168,16 +168,16 @@
 	}
 	m.mu.Lock()
 	who := m.sender(client.RemoteAddr())
-	s := &relayed{client: client, server: raw.(*net.TCPConn),
-		forth: newPipe(rand.New(rand.NewPCG(m.rng.Uint64(), 1)), m.ways[[2]string{who, f.host}]),
-		back:  newPipe(rand.New(rand.NewPCG(m.rng.Uint64(), 2)), m.ways[[2]string{f.host, who}])}
+	s := &relayedStream{client: client, server: raw.(*net.TCPConn),
+		forth: newPipe(rand.New(rand.NewPCG(m.rng.Uint64(), 1)), m.conditions[[2]string{who, f.host}]),
+		back:  newPipe(rand.New(rand.NewPCG(m.rng.Uint64(), 2)), m.conditions[[2]string{f.host, who}])}
 	f.open[s] = who
 	m.counts.Streams++
-	if m.done {
+	if m.closed {
 		s.reset()
 	}
 	m.mu.Unlock()
-	s.carry()
+	s.run()
 	m.mu.Lock()
 	delete(f.open, s)
 	m.mu.Unlock()
--- a/internal/emulator/link/network.go
+++ b/internal/emulator/link/network.go
@@ -18,8 +18,8 @@
 type Network struct {
 	mu        sync.Mutex
 	seed      uint64
-	made      uint64 // connections so far: each has random numbers of its own
-	ports     int
+	connsMade uint64 // connections so far: each has random numbers of its own
+	lastPort  int
 	listeners map[string]*Listener
 	packets   map[string]*PacketConn
 	paths     map[path]Conditions
@@ -31,7 +31,7 @@
 
 // NewNetwork returns a network without faults.
 func NewNetwork(seed uint64) *Network {
-	return &Network{seed: seed, ports: 40000, listeners: map[string]*Listener{}, packets: map[string]*PacketConn{},
+	return &Network{seed: seed, lastPort: 40000, listeners: map[string]*Listener{}, packets: map[string]*PacketConn{},
 		paths: map[path]Conditions{}, conns: map[*Conn]struct{}{}, changed: make(chan struct{})}
 }
 
@@ -66,7 +66,7 @@
 	n.changed = make(chan struct{})
 	n.mu.Unlock()
 	for _, p := range pipes {
-		p.set(c)
+		p.setConditions(c)
 	}
 }
 
@@ -78,7 +78,7 @@
 
 // Kill is the sudden death of a host's processes: its connections are reset, and nothing listens there any more.
 func (n *Network) Kill(name string) {
-	n.each(name, func(c *Conn) { c.Reset() })
+	n.forEachConn(name, func(c *Conn) { c.Reset() })
 	n.mu.Lock()
 	var gone []io.Closer
 	for addr, l := range n.listeners {
@@ -99,15 +99,15 @@
 
 // ResetBetween breaks the connections that a has to b, and the other way round.
 func (n *Network) ResetBetween(a, b string) {
-	n.each(a, func(c *Conn) {
+	n.forEachConn(a, func(c *Conn) {
 		if host(c.remote) == b {
 			c.Reset()
 		}
 	})
 }
 
-// each calls f for the ends of connections at a host.
-func (n *Network) each(name string, f func(*Conn)) {
+// forEachConn calls f for the ends of connections at a host.
+func (n *Network) forEachConn(name string, f func(*Conn)) {
 	n.mu.Lock()
 	var at []*Conn
 	for c := range n.conns {
@@ -123,7 +123,7 @@
 
 // Open is how many ends of connections a host has.
 func (n *Network) Open(name string) (open int) {
-	n.each(name, func(*Conn) { open++ })
+	n.forEachConn(name, func(*Conn) { open++ })
 	return open
 }
 
@@ -146,8 +146,8 @@
 		return "", fmt.Errorf("listening in memory: %w", err)
 	}
 	for p == "0" || p == "" {
-		n.ports++
-		if at := net.JoinHostPort(h, strconv.Itoa(n.ports)); !taken(at) {
+		n.lastPort++
+		if at := net.JoinHostPort(h, strconv.Itoa(n.lastPort)); !taken(at) {
 			return at, nil
 		}
 	}
@@ -223,7 +223,7 @@
 var errBacklog = errors.New("too many connections wait to be accepted")
 
 func (n *Network) dial(ctx context.Context, from, addr string) (*Conn, error) {
-	if err := n.travel(ctx, from, host(addr)); err != nil {
+	if err := n.awaitTransit(ctx, from, host(addr)); err != nil {
 		return nil, err
 	}
 	n.mu.Lock()
@@ -242,7 +242,7 @@
 			err = errBacklog
 		}
 	}
-	if back := n.travel(ctx, host(addr), from); back != nil && err == nil {
+	if back := n.awaitTransit(ctx, host(addr), from); back != nil && err == nil {
 		err = back
 	}
 	if err != nil && here != nil {
@@ -252,8 +252,8 @@
 	return here, err
 }
 
-// travel waits for as long as a packet takes from one host to another; for ever on a cut path.
-func (n *Network) travel(ctx context.Context, from, to string) error {
+// awaitTransit waits for as long as a packet takes from one host to another; for ever on a cut path.
+func (n *Network) awaitTransit(ctx context.Context, from, to string) error {
 	for {
 		n.mu.Lock()
 		c, changed := n.paths[path{from, to}], n.changed
@@ -281,18 +281,18 @@
 
 // connect makes both ends of a connection. The lock is held.
 func (n *Network) connect(from, addr string) (here, there *Conn) {
-	n.made++
-	n.ports++
-	local, to := net.JoinHostPort(from, strconv.Itoa(n.ports)), host(addr)
-	forth := newPipe(n.random(n.made, 1), n.paths[path{from, to}])
-	back := newPipe(n.random(n.made, 2), n.paths[path{to, from}])
+	n.connsMade++
+	n.lastPort++
+	local, to := net.JoinHostPort(from, strconv.Itoa(n.lastPort)), host(addr)
+	forth := newPipe(n.newRand(n.connsMade, 1), n.paths[path{from, to}])
+	back := newPipe(n.newRand(n.connsMade, 2), n.paths[path{to, from}])
 	here = &Conn{network: n, local: local, remote: addr, in: back, out: forth}
 	there = &Conn{network: n, local: addr, remote: local, in: forth, out: back}
 	n.conns[here], n.conns[there] = struct{}{}, struct{}{}
 	return here, there
 }
 
-func (n *Network) random(number, way uint64) *rand.Rand {
+func (n *Network) newRand(number, way uint64) *rand.Rand {
 	h := fnv.New64a()
 	fmt.Fprint(h, number, way)
 	return rand.New(rand.NewPCG(n.seed, h.Sum64()))
@@ -331,12 +331,12 @@
 	err := error(net.ErrClosed)
 	c.once.Do(func() {
 		err = nil
-		if c.in.abandon() {
+		if c.in.closeReader() {
 			c.out.reset(false)
 		} else {
-			c.out.finish()
+			c.out.closeWriter()
 		}
-		c.in.fail(syscall.EPIPE)
+		c.in.failWrites(syscall.EPIPE)
 		c.forget()
 	})
 	return err
@@ -344,7 +344,7 @@
 
 // CloseWrite ends the sending.
 func (c *Conn) CloseWrite() error {
-	c.out.finish()
+	c.out.closeWriter()
 	return nil
 }
 
@@ -352,8 +352,8 @@
 func (c *Conn) Reset() {
 	c.out.reset(true)
 	c.in.reset(true)
-	c.in.fail(syscall.ECONNRESET)
-	c.out.fail(syscall.ECONNRESET)
+	c.in.failWrites(syscall.ECONNRESET)
+	c.out.failWrites(syscall.ECONNRESET)
 	c.forget()
 }
 
@@ -364,7 +364,7 @@
 }
 
 // Quiet reports whether the connection is open and nothing has come on it.
-func (c *Conn) Quiet() bool { return c.in.quiet() }
+func (c *Conn) Quiet() bool { return c.in.nothingArrived() }
 
 // LocalAddr is the address of this end.
 func (c *Conn) LocalAddr() net.Addr { return Addr(c.local) }
@@ -374,19 +374,19 @@
 
 // SetDeadline sets both deadlines.
 func (c *Conn) SetDeadline(t time.Time) error {
-	c.in.deadline(&c.in.readBy, t)
-	c.out.deadline(&c.out.writeBy, t)
+	c.in.setDeadline(&c.in.readDeadline, t)
+	c.out.setDeadline(&c.out.writeDeadline, t)
 	return nil
 }
 
 // SetReadDeadline sets the time by which reads end.
 func (c *Conn) SetReadDeadline(t time.Time) error {
-	c.in.deadline(&c.in.readBy, t)
+	c.in.setDeadline(&c.in.readDeadline, t)
 	return nil
 }
 
 // SetWriteDeadline sets the time by which writes end.
 func (c *Conn) SetWriteDeadline(t time.Time) error {
-	c.out.deadline(&c.out.writeBy, t)
+	c.out.setDeadline(&c.out.writeDeadline, t)
 	return nil
 }
--- a/internal/emulator/link/relay.go
+++ b/internal/emulator/link/relay.go
@@ -13,21 +13,21 @@
 
 // Relay passes streams on between loopback sockets, under conditions that can change while they are open.
 type Relay struct {
-	at     net.Addr
-	target string
-	all    sync.WaitGroup
+	addr       net.Addr
+	target     string
+	goroutines sync.WaitGroup
 
 	mu       sync.Mutex
 	listener net.Listener // nil while connections are refused
 	rng      *rand.Rand
 	forth    Conditions
 	back     Conditions
-	open     map[*relayed]struct{}
-	done     bool
+	streams  map[*relayedStream]struct{}
+	closed   bool
 }
 
-// relayed is one stream that is passed on.
-type relayed struct {
+// relayedStream is one stream that is passed on.
+type relayedStream struct {
 	client, server *net.TCPConn
 	forth, back    *pipe
 }
@@ -36,32 +36,32 @@
 
 // NewRelay passes on what connects to l to the target. Close ends it, and closes l.
 func NewRelay(l net.Listener, target string, seed uint64) *Relay {
-	r := &Relay{at: l.Addr(), listener: l, target: target, rng: rand.New(rand.NewPCG(seed, 4)), open: map[*relayed]struct{}{}}
-	r.all.Go(func() { r.accept(l) })
+	r := &Relay{addr: l.Addr(), listener: l, target: target, rng: rand.New(rand.NewPCG(seed, 4)), streams: map[*relayedStream]struct{}{}}
+	r.goroutines.Go(func() { r.accept(l) })
 	return r
 }
 
 // Addr is where it listens.
-func (r *Relay) Addr() net.Addr { return r.at }
+func (r *Relay) Addr() net.Addr { return r.addr }
 
 // RejectConnections lets new connections be refused, as where no process listens, or takes them again.
 func (r *Relay) RejectConnections(on bool) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	switch {
-	case r.done || on == (r.listener == nil):
+	case r.closed || on == (r.listener == nil):
 		return nil
 	case on:
 		err := r.listener.Close()
 		r.listener = nil
 		return err
 	}
-	l, err := net.Listen("tcp", r.at.String())
+	l, err := net.Listen("tcp", r.addr.String())
 	if err != nil {
 		return fmt.Errorf("relay: listening again: %w", err)
 	}
 	r.listener = l
-	r.all.Go(func() { r.accept(l) })
+	r.goroutines.Go(func() { r.accept(l) })
 	return nil
 }
 
@@ -70,9 +70,9 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.forth, r.back = forth, back
-	for s := range r.open {
-		s.forth.set(forth)
-		s.back.set(back)
+	for s := range r.streams {
+		s.forth.setConditions(forth)
+		s.back.setConditions(back)
 	}
 }
 
@@ -80,7 +80,7 @@
 func (r *Relay) Reset() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for s := range r.open {
+	for s := range r.streams {
 		s.reset()
 	}
 }
@@ -89,26 +89,26 @@
 func (r *Relay) Open() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return len(r.open)
+	return len(r.streams)
 }
 
 // Close ends the relay with all its streams and waits for them.
 func (r *Relay) Close() error {
 	r.mu.Lock()
-	r.done = true
+	r.closed = true
 	var err error
 	if r.listener != nil {
 		err = r.listener.Close()
 	}
-	for s := range r.open {
+	for s := range r.streams {
 		s.reset()
 	}
 	r.mu.Unlock()
-	r.all.Wait()
+	r.goroutines.Wait()
 	return err
 }
 
-func (r *Relay) accept(l net.Listener) { acceptAll(l, &r.all, r.pass) }
+func (r *Relay) accept(l net.Listener) { acceptAll(l, &r.goroutines, r.relayStream) }
 
 // acceptAll hands each stream that comes to a goroutine of its own, until the listener is closed.
 func acceptAll(l net.Listener, all *sync.WaitGroup, pass func(*net.TCPConn)) {
@@ -125,7 +125,7 @@
 	}
 }
 
-func (r *Relay) pass(client *net.TCPConn) {
+func (r *Relay) relayStream(client *net.TCPConn) {
 	ctx, cancel := context.WithTimeout(context.Background(), dialTimeout)
 	defer cancel()
 	raw, err := new(net.Dialer).DialContext(ctx, "tcp", r.target)
@@ -135,22 +135,22 @@
 		return
 	}
 	r.mu.Lock()
-	s := &relayed{client: client, server: raw.(*net.TCPConn),
+	s := &relayedStream{client: client, server: raw.(*net.TCPConn),
 		forth: newPipe(rand.New(rand.NewPCG(r.rng.Uint64(), 1)), r.forth),
 		back:  newPipe(rand.New(rand.NewPCG(r.rng.Uint64(), 2)), r.back)}
-	r.open[s] = struct{}{}
-	if r.done {
+	r.streams[s] = struct{}{}
+	if r.closed {
 		s.reset()
 	}
 	r.mu.Unlock()
-	s.carry()
+	s.run()
 	r.mu.Lock()
-	delete(r.open, s)
+	delete(r.streams, s)
 	r.mu.Unlock()
 }
 
-// carry passes on both ways until both have ended.
-func (s *relayed) carry() {
+// run passes on both ways until both have ended.
+func (s *relayedStream) run() {
 	var ways sync.WaitGroup
 	ways.Go(func() { s.fill(s.forth, s.client) })
 	ways.Go(func() { s.fill(s.back, s.server) })
@@ -171,16 +171,16 @@
 func (p pipeReader) Read(b []byte) (int, error)  { return p.read(b) }
 
 // fill takes in what a socket sends, up to its end.
-func (s *relayed) fill(p *pipe, from *net.TCPConn) {
+func (s *relayedStream) fill(p *pipe, from *net.TCPConn) {
 	if _, err := io.Copy(pipeWriter{p}, from); err != nil {
 		s.reset()
 		return
 	}
-	p.finish()
+	p.closeWriter()
 }
 
 // drain gives a socket what comes through.
-func (s *relayed) drain(to *net.TCPConn, p *pipe) {
+func (s *relayedStream) drain(to *net.TCPConn, p *pipe) {
 	if _, err := io.Copy(to, pipeReader{p}); err != nil {
 		s.reset()
 		return
@@ -189,24 +189,24 @@
 }
 
 // reset breaks both sides.
-func (s *relayed) reset() {
+func (s *relayedStream) reset() {
 	for _, c := range []*net.TCPConn{s.client, s.server} {
 		c.SetLinger(0)
 		c.Close()
 	}
 	for _, p := range []*pipe{s.forth, s.back} {
-		p.abandon()
-		p.fail(net.ErrClosed)
+		p.closeReader()
+		p.failWrites(net.ErrClosed)
 	}
 }
 
 // DatagramRelay passes datagrams on between loopback sockets. Each sender has a socket of its own towards the target, so
 // that answers find their way back.
 type DatagramRelay struct {
-	front  net.PacketConn
-	target net.Addr
-	most   int
-	all    sync.WaitGroup
+	front      net.PacketConn
+	target     net.Addr
+	maxSenders int
+	goroutines sync.WaitGroup
 
 	mu     sync.Mutex
 	rng    *rand.Rand
@@ -215,7 +215,7 @@
 	flows  map[string]*flow
 	lost   int
 	timers sync.WaitGroup
-	done   bool
+	closed bool
 }
 
 type flow struct {
@@ -229,8 +229,8 @@
 	if err != nil {
 		return nil, fmt.Errorf("relay of datagrams: %w", err)
 	}
-	r := &DatagramRelay{front: front, target: to, most: most, rng: rand.New(rand.NewPCG(seed, 5)), flows: map[string]*flow{}}
-	r.all.Go(r.receive)
+	r := &DatagramRelay{front: front, target: to, maxSenders: most, rng: rand.New(rand.NewPCG(seed, 5)), flows: map[string]*flow{}}
+	r.goroutines.Go(r.receive)
 	return r, nil
 }
 
@@ -254,13 +254,13 @@
 // Close ends the relay and waits for all it does.
 func (r *DatagramRelay) Close() error {
 	r.mu.Lock()
-	r.done = true
+	r.closed = true
 	for _, f := range r.flows {
 		f.socket.Close()
 	}
 	r.mu.Unlock()
 	err := r.front.Close()
-	r.all.Wait()
+	r.goroutines.Wait()
 	r.timers.Wait()
 	return err
 }
@@ -288,7 +288,7 @@
 	defer r.mu.Unlock()
 	f := r.flows[from.String()]
 	if f == nil {
-		if f = r.open(from); f == nil {
+		if f = r.openFlow(from); f == nil {
 			r.lost++
 			return
 		}
@@ -296,9 +296,9 @@
 	r.send(&f.forth, r.forth, data, func() { f.socket.WriteTo(data, r.target) })
 }
 
-// open makes a sender's socket, or nothing where there is no room. The lock is held.
-func (r *DatagramRelay) open(from net.Addr) *flow {
-	if len(r.flows) >= r.most || r.done {
+// openFlow makes a sender's socket, or nothing where there is no room. The lock is held.
+func (r *DatagramRelay) openFlow(from net.Addr) *flow {
+	if len(r.flows) >= r.maxSenders || r.closed {
 		return nil
 	}
 	s, err := net.ListenPacket("udp", "127.0.0.1:0")
@@ -307,11 +307,11 @@
 	}
 	f := &flow{socket: s, forth: shaper{rng: r.rng}, back: shaper{rng: r.rng}}
 	r.flows[from.String()] = f
-	r.all.Go(func() { r.answers(f, from) })
+	r.goroutines.Go(func() { r.relayReplies(f, from) })
 	return f
 }
 
-func (r *DatagramRelay) answers(f *flow, to net.Addr) {
+func (r *DatagramRelay) relayReplies(f *flow, to net.Addr) {
 	receiveAll(f.socket, func(data []byte, _ net.Addr) {
 		r.mu.Lock()
 		defer r.mu.Unlock()
@@ -321,8 +321,8 @@
 
 // send lets a datagram go when it is due, or drops it. The lock is held.
 func (r *DatagramRelay) send(s *shaper, c Conditions, data []byte, write func()) {
-	due, arrives := s.datagram(time.Now(), len(data), c)
-	if !arrives || r.done {
+	due, arrives := s.datagramArrival(time.Now(), len(data), c)
+	if !arrives || r.closed {
 		r.lost++
 		return
 	}
--- a/internal/emulator/net.go
+++ b/internal/emulator/net.go
@@ -48,9 +48,9 @@
 	WithoutRelays bool       // without relays: agents reach nodes at once
 	Mesh          *link.Mesh // between agents that talk with each other; nil without
 
-	mu     sync.Mutex
-	relays map[[2]string]*link.Relay // by agent and node
-	made   uint64
+	mu         sync.Mutex
+	relays     map[[2]string]*link.Relay // by agent and node
+	relaysMade uint64
 }
 
 var _ Network = (*LoopbackNetwork)(nil)
@@ -76,8 +76,8 @@
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.made++
-	r := link.NewRelay(l, addr, n.made)
+	n.relaysMade++
+	r := link.NewRelay(l, addr, n.relaysMade)
 	r.Set(c, c)
 	if n.relays == nil {
 		n.relays = map[[2]string]*link.Relay{}
--- a/internal/emulator/node/node_test.go
+++ b/internal/emulator/node/node_test.go
@@ -50,7 +50,7 @@
 		}, want: 400 * time.Millisecond},
 		"late":         {do: func(n *Node) { n.AddFault(Fault{Kind: DelayedResponse, To: time.Hour, Size: 0.3}) }, want: 400 * time.Millisecond},
 		"a full table": {change: func(s *Spec) { s.ConnCap, s.ConnOverhead = 1, 0.5 }, do: func(n *Node) { n.Connect(time.Second) }, want: 200 * time.Millisecond},
-		"a known key":  {change: func(s *Spec) { s.Affinity = Affinity{0.5, time.Minute, 5} }, do: func(n *Node) { n.remember("k") }, want: 50 * time.Millisecond},
+		"a known key":  {change: func(s *Spec) { s.Affinity = Affinity{0.5, time.Minute, 5} }, do: func(n *Node) { n.rememberKey("k") }, want: 50 * time.Millisecond},
 		"a handshake":  {change: func(s *Spec) { s.HandshakeWork = 30 * time.Millisecond }, do: func(n *Node) { n.Connect(time.Second) }, want: 100 * time.Millisecond},
 		"on and off, off": {do: func(n *Node) {
 			n.AddFault(Fault{Kind: Slow, To: time.Hour, Size: 4, On: 500 * time.Millisecond, Off: time.Second})
@@ -190,10 +190,10 @@
 	n := New(s, 1)
 	for i, k := range []string{"a", "b", "c", "d", "b", "e"} {
 		n.now = time.Duration(i)
-		n.remember(k)
+		n.rememberKey(k)
 	}
-	if _, b := n.met["b"]; len(n.met) != 3 || !b {
-		t.Errorf("%v", n.met)
+	if _, b := n.recentKeys["b"]; len(n.recentKeys) != 3 || !b {
+		t.Errorf("%v", n.recentKeys)
 	}
 }
 
@@ -203,7 +203,7 @@
 		s := TypicalSpec("n", "k", "z", rapid.Float64Range(0.2, 2).Draw(t, "speed"))
 		s.Started = rapid.SampledFrom([]time.Duration{-1, 0}).Draw(t, "started")
 		n := New(s, rapid.Uint64().Draw(t, "seed"))
-		for _, k := range rapid.SliceOfN(rapid.SampledFrom(kinds), 0, 4).Draw(t, "troubles") {
+		for _, k := range rapid.SliceOfN(rapid.SampledFrom(faultKinds), 0, 4).Draw(t, "troubles") {
 			from := time.Duration(rapid.IntRange(0, 2000).Draw(t, "from")) * time.Millisecond
 			tr := Fault{Kind: k, From: from, To: from + time.Second, Size: 0.5}
 			if k == Slow {
--- a/internal/emulator/node/trouble.go
+++ b/internal/emulator/node/trouble.go
@@ -26,8 +26,8 @@
 	Replace           FaultKind = "replace"     // dies at From, back at To, cold, under a new id at the same address
 )
 
-// kinds are all the troubles.
-var kinds = []FaultKind{Slow, FastFail, NoisyNeighbor, Blackhole, ResetConn, IdleClose, MalformedResponse, OversizedResponse, DelayedResponse, Flap, Drain, Restart, Replace}
+// faultKinds are all the troubles.
+var faultKinds = []FaultKind{Slow, FastFail, NoisyNeighbor, Blackhole, ResetConn, IdleClose, MalformedResponse, OversizedResponse, DelayedResponse, Flap, Drain, Restart, Replace}
 
 // Fault is something that goes wrong with a node from one time to another.
 type Fault struct {
@@ -39,8 +39,8 @@
 
 // Check says what is wrong with a trouble.
 func (t Fault) Check() error {
-	if !slices.Contains(kinds, t.Kind) {
-		return fmt.Errorf("unknown trouble %q: there are %v", t.Kind, kinds)
+	if !slices.Contains(faultKinds, t.Kind) {
+		return fmt.Errorf("unknown trouble %q: there are %v", t.Kind, faultKinds)
 	}
 	if t.From < 0 || t.To <= t.From {
 		return fmt.Errorf("trouble %s must end after it begins, and begin at 0 or later", t.Kind)
@@ -73,8 +73,8 @@
 	return t.Off == 0 || (now-t.From)%(t.On+t.Off) < t.On
 }
 
-// next is the next time after now at which it begins, ends, comes or goes; 0 when there is none.
-func (t Fault) next(now time.Duration) time.Duration {
+// nextChange is the next time after now at which it begins, ends, comes or goes; 0 when there is none.
+func (t Fault) nextChange(now time.Duration) time.Duration {
 	switch {
 	case now < t.From:
 		return t.From
@@ -91,8 +91,8 @@
 	return min(cycle+period, t.To)
 }
 
-// size is the largest size of a kind of trouble that is on, or 0.
-func (n *Node) size(k FaultKind) (size float64) {
+// faultSize is the largest size of a kind of trouble that is on, or 0.
+func (n *Node) faultSize(k FaultKind) (size float64) {
 	for _, t := range n.faults {
 		if t.Kind == k && t.active(n.now) {
 			size = max(size, t.Size)
@@ -101,17 +101,17 @@
 	return size
 }
 
-// on reports whether a trouble of that kind is on.
-func (n *Node) on(k FaultKind) bool {
+// faultActive reports whether a trouble of that kind is on.
+func (n *Node) faultActive(k FaultKind) bool {
 	return slices.ContainsFunc(n.faults, func(t Fault) bool { return t.Kind == k && t.active(n.now) })
 }
 
-func (n *Node) chance(share float64) bool { return share > 0 && n.rng.Float64() < share }
+func (n *Node) draw(share float64) bool { return share > 0 && n.rng.Float64() < share }
 
 // FailureFraction is the share of what is sent that comes to nothing at present, as only one who sees the node's inside can know.
 func (n *Node) FailureFraction() float64 {
-	if n.Unresponsive() || n.on(Drain) {
+	if n.Unresponsive() || n.faultActive(Drain) {
 		return 1
 	}
-	return max(n.size(FastFail), n.size(ResetConn), n.size(MalformedResponse), n.size(OversizedResponse))
+	return max(n.faultSize(FastFail), n.faultSize(ResetConn), n.faultSize(MalformedResponse), n.faultSize(OversizedResponse))
 }
--- a/internal/emulator/paths.go
+++ b/internal/emulator/paths.go
@@ -47,14 +47,14 @@
 	if p.Way != "" && p.Way != BothWays && p.Way != Forth {
 		wrong(key+".way", "%q is neither %s nor %s", p.Way, BothWays, Forth)
 	}
-	if err := p.more().Check(); err != nil || !p.Cut && p.Delay == 0 && p.Jitter == 0 && p.Loss == 0 {
+	if err := p.conditions().Check(); err != nil || !p.Cut && p.Delay == 0 && p.Jitter == 0 && p.Loss == 0 {
 		wrong(key+".cut", "needs a cut, a delay, jitter or a loss from 0 to below 1, none below 0")
 	}
 }
 
-// names says what is wrong where either side names none of a day's hosts: nothing would befall anybody. A pattern of several may be
+// checkHosts says what is wrong where either side names none of a day's hosts: nothing would befall anybody. A pattern of several may be
 // for a larger fleet.
-func (p PathSpec) names(key string, d *Scenario) error {
+func (p PathSpec) checkHosts(key string, d *Scenario) error {
 	for side, patterns := range map[string][]string{"a": p.A, "b": p.B} {
 		if len(patterns) == 0 {
 			continue
@@ -68,7 +68,7 @@
 	return nil
 }
 
-func (p PathSpec) more() link.Conditions {
+func (p PathSpec) conditions() link.Conditions {
 	return link.Conditions{Delay: p.Delay.D(), Jitter: p.Jitter.D(), Loss: p.Loss, Cut: p.Cut}
 }
 
@@ -79,8 +79,8 @@
 	})
 }
 
-// befalls says whether what one host sends to another goes by the spec.
-func (p PathSpec) befalls(from, to string) bool {
+// applies says whether what one host sends to another goes by the spec.
+func (p PathSpec) applies(from, to string) bool {
 	b := func(host string) bool {
 		if len(p.B) == 0 {
 			return !matches(p.A, host)
@@ -98,9 +98,9 @@
 	}
 	for i, agent := range day.Agents {
 		for _, p := range day.Spec.Fleet.Paths {
-			hit := p.befalls(agent, Discovery) || p.befalls(Discovery, agent)
+			hit := p.applies(agent, Discovery) || p.applies(Discovery, agent)
 			for _, n := range day.Nodes {
-				hit = hit || p.befalls(agent, n.ID) || p.befalls(n.ID, agent)
+				hit = hit || p.applies(agent, n.ID) || p.applies(n.ID, agent)
 			}
 			out[i] = out[i] || hit
 		}
@@ -120,95 +120,95 @@
 	return fmt.Sprintf("%v to %v: %s", p.A, p.B, what)
 }
 
-// worse puts conditions on top of others.
-func worse(c, more link.Conditions) link.Conditions {
+// addConditions puts conditions on top of others.
+func addConditions(c, more link.Conditions) link.Conditions {
 	c.Delay, c.Jitter = c.Delay+more.Delay, c.Jitter+more.Jitter
 	c.Loss = 1 - (1-c.Loss)*(1-more.Loss)
 	c.Cut = c.Cut || more.Cut
 	return c
 }
 
-// strained is a reason for which ways are worse than usual, while it lasts.
-type strained struct {
-	befalls func(from, to string) bool
-	more    link.Conditions
+// linkFault is a reason for which ways are worse than usual, while it lasts.
+type linkFault struct {
+	applies func(from, to string) bool
+	added   link.Conditions
 }
 
-// strain makes ways worse until the function that it returns is called. Several reasons add up.
-func (w *World) strain(s strained) (end func()) {
+// addLinkFault makes ways worse until the function that it returns is called. Several reasons add up.
+func (w *World) addLinkFault(s linkFault) (end func()) {
 	w.mu.Lock()
-	w.strains = append(w.strains, &s)
+	w.linkFaults = append(w.linkFaults, &s)
 	mine := &s
-	w.reshape(s.befalls)
+	w.applyConditions(s.applies)
 	w.mu.Unlock()
 	return func() {
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		w.strains = slices.DeleteFunc(w.strains, func(x *strained) bool { return x == mine })
-		w.reshape(s.befalls)
-		for agent, news := range w.unheard { // what waits in a cut passes when it is over
-			if !w.cut(Discovery, agent) {
+		w.linkFaults = slices.DeleteFunc(w.linkFaults, func(x *linkFault) bool { return x == mine })
+		w.applyConditions(s.applies)
+		for agent, news := range w.heldNotifications { // what waits in a cut passes when it is over
+			if !w.isCut(Discovery, agent) {
 				for _, e := range news {
-					w.hears(agent, e, w.Now())
+					w.recordNotified(agent, e, w.Now())
 				}
-				delete(w.unheard, agent)
+				delete(w.heldNotifications, agent)
 			}
 		}
 	}
 }
 
-// cut says whether what one host sends to another does not pass at present. The lock is held.
-func (w *World) cut(from, to string) bool {
-	return slices.ContainsFunc(w.strains, func(s *strained) bool { return s.more.Cut && s.befalls(from, to) })
+// isCut says whether what one host sends to another does not pass at present. The lock is held.
+func (w *World) isCut(from, to string) bool {
+	return slices.ContainsFunc(w.linkFaults, func(s *linkFault) bool { return s.added.Cut && s.applies(from, to) })
 }
 
-// told notes what discovery has written to an agent, unless a cut holds it up.
-func (w *World) told(agent string, e discovery.Entry, at time.Duration) {
+// notified notes what discovery has written to an agent, unless a cut holds it up.
+func (w *World) notified(agent string, e discovery.Entry, at time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if !w.cut(Discovery, agent) {
-		w.hears(agent, e, at)
+	if !w.isCut(Discovery, agent) {
+		w.recordNotified(agent, e, at)
 		return
 	}
-	if w.unheard[agent] == nil {
-		w.unheard[agent] = map[string]discovery.Entry{}
+	if w.heldNotifications[agent] == nil {
+		w.heldNotifications[agent] = map[string]discovery.Entry{}
 	}
-	w.unheard[agent][e.ID] = e
+	w.heldNotifications[agent][e.ID] = e
 }
 
-// hears notes what an agent has been told. The lock is held.
-func (w *World) hears(agent string, e discovery.Entry, at time.Duration) {
+// recordNotified notes what an agent has been told. The lock is held.
+func (w *World) recordNotified(agent string, e discovery.Entry, at time.Duration) {
 	w.Referee.Notified(agent, e.ID, e.State == discovery.Ready, at)
 	if e.State != discovery.Removed {
-		w.heard[[2]string{agent, e.ID}] = e.StartedMS
+		w.notifiedStarts[[2]string{agent, e.ID}] = e.StartedMS
 	}
 }
 
-// unsaid says whether who sent a request had not been told of a node's present life, which began at a time of the world: nobody
+// unnotified says whether who sent a request had not been told of a node's present life, which began at a time of the world: nobody
 // could know then that the node is cold. Callers that choose nodes by themselves go by the list itself.
-func (w *World) unsaid(id, node string, started time.Duration) bool {
+func (w *World) unnotified(id, node string, started time.Duration) bool {
 	agent := w.Referee.AgentOf(id)
 	if agent == "" || started < 0 {
 		return false
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.heard[[2]string{agent, node}] != w.Epoch.Add(started).UnixMilli()
+	return w.notifiedStarts[[2]string{agent, node}] != w.Epoch.Add(started).UnixMilli()
 }
 
-// reshape gives the ways that something befalls their present conditions. The lock is held.
-func (w *World) reshape(befalls func(from, to string) bool) {
+// applyConditions gives the ways that something befalls their present conditions. The lock is held.
+func (w *World) applyConditions(befalls func(from, to string) bool) {
 	shape := func(a, b string, usual link.Conditions) {
 		if !befalls(a, b) && !befalls(b, a) {
 			return
 		}
 		forth, back := usual, usual
-		for _, s := range w.strains {
-			if s.befalls(a, b) {
-				forth = worse(forth, s.more)
+		for _, s := range w.linkFaults {
+			if s.applies(a, b) {
+				forth = addConditions(forth, s.added)
 			}
-			if s.befalls(b, a) {
-				back = worse(back, s.more)
+			if s.applies(b, a) {
+				back = addConditions(back, s.added)
 			}
 		}
 		w.Network.SetConditions(a, b, forth, back)
@@ -224,14 +224,14 @@
 	}
 }
 
-// strainFor makes ways worse from a time of the world to another.
-func (w *World) strainFor(from, to time.Duration, who, text string, s strained) {
-	if !w.until(from) {
+// injectLinkFault makes ways worse from a time of the world to another.
+func (w *World) injectLinkFault(from, to time.Duration, who, text string, s linkFault) {
+	if !w.waitUntil(from) {
 		return
 	}
 	w.mark(from, to, who, text)
-	end := w.strain(s)
-	if w.until(to) {
+	end := w.addLinkFault(s)
+	if w.waitUntil(to) {
 		end()
 	}
 }
--- a/internal/emulator/peer/peer.go
+++ b/internal/emulator/peer/peer.go
@@ -27,16 +27,16 @@
 
 // Peer accepts connections; the script of each is chosen by its number.
 type Peer struct {
-	listener net.Listener
-	scripts  [][]Step
-	all      sync.WaitGroup
+	listener   net.Listener
+	scripts    [][]Step
+	goroutines sync.WaitGroup
 
-	mu      sync.Mutex
-	seen    []ReceivedRequest
-	trouble []error
-	conns   map[net.Conn]struct{}
-	count   int
-	closed  bool
+	mu       sync.Mutex
+	requests []ReceivedRequest
+	errs     []error
+	conns    map[net.Conn]struct{}
+	accepted int
+	closed   bool
 }
 
 // ReceivedRequest is a request that a peer has read whole.
@@ -52,7 +52,7 @@
 // New returns a peer on a listener. Connection n follows script n, and those past the last follow the last.
 func New(l net.Listener, scripts ...[]Step) *Peer {
 	p := &Peer{listener: l, scripts: scripts, conns: map[net.Conn]struct{}{}}
-	p.all.Go(p.accept)
+	p.goroutines.Go(p.accept)
 	return p
 }
 
@@ -63,19 +63,19 @@
 			return
 		}
 		p.mu.Lock()
-		n := p.count
-		p.count++
+		n := p.accepted
+		p.accepted++
 		p.conns[c] = struct{}{}
 		if p.closed {
 			c.Close()
 		}
 		p.mu.Unlock()
 		script := p.scripts[min(n, len(p.scripts)-1)]
-		p.all.Go(func() { p.play(&Session{Conn: c, In: bufio.NewReader(c), Number: n, peer: p}, script) })
+		p.goroutines.Go(func() { p.runScript(&Session{Conn: c, In: bufio.NewReader(c), Number: n, peer: p}, script) })
 	}
 }
 
-func (p *Peer) play(s *Session, script []Step) {
+func (p *Peer) runScript(s *Session, script []Step) {
 	defer func() {
 		s.Close()
 		p.mu.Lock()
@@ -84,9 +84,9 @@
 	}()
 	for i, step := range script {
 		if err := step(s); err != nil {
-			if !errors.Is(err, errEnd) {
+			if !errors.Is(err, errScriptEnd) {
 				p.mu.Lock()
-				p.trouble = append(p.trouble, fmt.Errorf("connection %d, step %d: %w", s.Number, i, err))
+				p.errs = append(p.errs, fmt.Errorf("connection %d, step %d: %w", s.Number, i, err))
 				p.mu.Unlock()
 			}
 			return
@@ -103,37 +103,37 @@
 		c.Close()
 	}
 	p.mu.Unlock()
-	p.all.Wait()
+	p.goroutines.Wait()
 }
 
 // Requests returns the requests that were read, in order.
 func (p *Peer) Requests() []ReceivedRequest {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return append([]ReceivedRequest(nil), p.seen...)
+	return append([]ReceivedRequest(nil), p.requests...)
 }
 
 // Conns is how many connections were accepted.
 func (p *Peer) Conns() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.count
+	return p.accepted
 }
 
 // Err returns what kept scripts from being followed.
 func (p *Peer) Err() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return errors.Join(p.trouble...)
+	return errors.Join(p.errs...)
 }
 
-var errEnd = errors.New("the script ends")
+var errScriptEnd = errors.New("the script ends")
 
 // Request reads a whole request. A connection that ends before one begins ends the script.
 func Request() Step {
 	return func(s *Session) error {
 		if _, err := s.In.Peek(1); err != nil {
-			return errEnd
+			return errScriptEnd
 		}
 		r, err := http.ReadRequest(s.In)
 		if err != nil {
@@ -145,7 +145,7 @@
 		}
 		s.peer.mu.Lock()
 		defer s.peer.mu.Unlock()
-		s.peer.seen = append(s.peer.seen, ReceivedRequest{s.Number, r.Method, r.URL.Path, r.Header, body, time.Now()})
+		s.peer.requests = append(s.peer.requests, ReceivedRequest{s.Number, r.Method, r.URL.Path, r.Header, body, time.Now()})
 		return nil
 	}
 }
@@ -177,7 +177,7 @@
 	return func(s *Session) error {
 		for i := range len(text) {
 			if _, err := io.WriteString(s.Conn, text[i:i+1]); err != nil {
-				return errEnd
+				return errScriptEnd
 			}
 			time.Sleep(gap)
 		}
@@ -197,7 +197,7 @@
 func Silence() Step {
 	return func(s *Session) error {
 		io.Copy(io.Discard, s.In)
-		return errEnd
+		return errScriptEnd
 	}
 }
 
@@ -205,7 +205,7 @@
 func Close() Step {
 	return func(s *Session) error {
 		s.Conn.Close()
-		return errEnd
+		return errScriptEnd
 	}
 }
 
@@ -221,7 +221,7 @@
 		default:
 			return fmt.Errorf("a %T can't be reset", c)
 		}
-		return errEnd
+		return errScriptEnd
 	}
 }
 
--- a/internal/emulator/referee/referee.go
+++ b/internal/emulator/referee/referee.go
@@ -97,14 +97,14 @@
 
 type requestRecord struct {
 	Request
-	ended    bool
-	came     int
-	began    []place // where and when it took effect
-	made     []uint64
-	lastNode string
+	ended          bool
+	arrivals       int
+	executions     []execution // where and when it took effect
+	responseHashes []uint64
+	lastNode       string
 }
 
-type place struct {
+type execution struct {
 	node string
 	at   time.Duration
 }
@@ -115,30 +115,30 @@
 type Referee struct {
 	rules Rules
 
-	mu            sync.Mutex
-	account       Account
-	breaches      []Violation
-	trusts        bool // nodes are out of sight
-	requests      map[string]*requestRecord
-	notified      map[notificationKey]time.Duration // since when a node drains or is gone, as told to an agent
-	firstNotified map[string]time.Duration          // and as told to any, by node
-	excused       map[string][]span                 // agents that were killed: what they had is nobody's fault
-	ends          []end                             // in their order, where requests are not remembered for ever
+	mu             sync.Mutex
+	account        Account
+	violations     []Violation
+	trustResponses bool // nodes are out of sight
+	requests       map[string]*requestRecord
+	notified       map[notificationKey]time.Duration // since when a node drains or is gone, as told to an agent
+	firstNotified  map[string]time.Duration          // and as told to any, by node
+	excused        map[string][]interval             // agents that were killed: what they had is nobody's fault
+	endedRequests  []endedRequest                    // in their order, where requests are not remembered for ever
 }
 
-type end struct {
+type endedRequest struct {
 	id string
 	at time.Duration
 }
 
-type span struct{ from, to time.Duration }
+type interval struct{ from, to time.Duration }
 
 // New returns a referee at the start of a run.
 func New(rules Rules) *Referee {
-	return &Referee{rules: rules, requests: map[string]*requestRecord{}, notified: map[notificationKey]time.Duration{}, firstNotified: map[string]time.Duration{}, excused: map[string][]span{}}
+	return &Referee{rules: rules, requests: map[string]*requestRecord{}, notified: map[notificationKey]time.Duration{}, firstNotified: map[string]time.Duration{}, excused: map[string][]interval{}}
 }
 
-func (r *Referee) breach(b Violation) {
+func (r *Referee) violated(b Violation) {
 	switch b.Rule {
 	case Lost:
 		r.account.Lost++
@@ -149,8 +149,8 @@
 	case SlowStartOverload:
 		r.account.SlowStartOverloads++
 	}
-	if len(r.breaches) < r.rules.MaxRecorded {
-		r.breaches = append(r.breaches, b)
+	if len(r.violations) < r.rules.MaxRecorded {
+		r.violations = append(r.violations, b)
 	}
 }
 
@@ -183,7 +183,7 @@
 func (r *Referee) TrustResponses() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.trusts = true
+	r.trustResponses = true
 }
 
 // Notified tells that discovery has written to an agent whether a node takes new work.
@@ -207,7 +207,7 @@
 func (r *Referee) AgentKilled(agent string, from, to time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.excused[agent] = append(r.excused[agent], span{from, to})
+	r.excused[agent] = append(r.excused[agent], interval{from, to})
 	for key := range r.notified {
 		if key.agent == agent {
 			delete(r.notified, key)
@@ -225,14 +225,14 @@
 		r.account.UnknownRequests++
 		return
 	}
-	q.came++
+	q.arrivals++
 	q.lastNode = node
 	told, drains := r.notified[notificationKey{q.Agent, node}]
 	if any, ok := r.firstNotified[node]; ok && !drains && q.Agent != "" && first-any > r.rules.DrainGrace+r.rules.TransitSlack {
 		r.account.Unnotified++
 	}
 	if late := first - told - r.rules.DrainGrace - r.rules.TransitSlack; drains && q.Agent != "" && late > 0 {
-		r.breach(Violation{AfterDrain, first, id, q.Agent, node, fmt.Sprintf(
+		r.violated(Violation{AfterDrain, first, id, q.Agent, node, fmt.Sprintf(
 			"%s sent %s to %s %.3fs after it was told (at %.3fs) that this takes no new work", q.Agent, id, node, (first - told).Seconds(), told.Seconds())})
 	}
 }
@@ -246,10 +246,10 @@
 	if q == nil {
 		return
 	}
-	q.began = append(q.began, place{node, at})
-	if q.NonIdempotent && len(q.began) > 1 {
-		first := q.began[0]
-		r.breach(Violation{Duplicate, at, id, q.Agent, node, fmt.Sprintf(
+	q.executions = append(q.executions, execution{node, at})
+	if q.NonIdempotent && len(q.executions) > 1 {
+		first := q.executions[0]
+		r.violated(Violation{Duplicate, at, id, q.Agent, node, fmt.Sprintf(
 			"%s, which must not run twice, ran on %s at %.3fs and again on %s at %.3fs, sent by %s", id, first.node, first.at.Seconds(), node, at.Seconds(), q.Agent)})
 	}
 }
@@ -259,7 +259,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if q := r.requests[id]; q != nil {
-		q.made = append(q.made, sum)
+		q.responseHashes = append(q.responseHashes, sum)
 	}
 }
 
@@ -267,7 +267,7 @@
 func (r *Referee) SlowStartOverloaded(node string, at time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.breach(Violation{Rule: SlowStartOverload, At: at, Node: node, Text: fmt.Sprintf("%s was cold and got more than it could bear", node)})
+	r.violated(Violation{Rule: SlowStartOverload, At: at, Node: node, Text: fmt.Sprintf("%s was cold and got more than it could bear", node)})
 }
 
 // Outcome is how a request ended for its caller.
@@ -293,12 +293,12 @@
 		return false
 	}
 	q.ended = true
-	r.forget(id, at)
+	r.expireRequests(id, at)
 	switch end {
 	case Served:
-		if !r.trusts && !slices.Contains(q.made, sum) {
-			r.breach(Violation{Lost, at, id, q.Agent, q.lastNode, fmt.Sprintf(
-				"%s served %s with what no node made for it (%d attempts came to nodes)", q.Agent, id, q.came)})
+		if !r.trustResponses && !slices.Contains(q.responseHashes, sum) {
+			r.violated(Violation{Lost, at, id, q.Agent, q.lastNode, fmt.Sprintf(
+				"%s served %s with what no node made for it (%d attempts came to nodes)", q.Agent, id, q.arrivals)})
 			return true
 		}
 		r.account.Completed++
@@ -308,8 +308,8 @@
 		r.account.Unanswered++
 	case ConnectionClosed:
 		// One that was passed on was taken; of one that was not, nobody can say that the agent had read it.
-		if q.came > 0 && !r.isExcused(q, at) {
-			r.breach(Violation{Lost, at, id, q.Agent, q.lastNode, fmt.Sprintf(
+		if q.arrivals > 0 && !r.isExcused(q, at) {
+			r.violated(Violation{Lost, at, id, q.Agent, q.lastNode, fmt.Sprintf(
 				"%s closed the connection of %s without an answer, after sending it on to %s", q.Agent, id, q.lastNode)})
 			return true
 		}
@@ -320,20 +320,20 @@
 	return true
 }
 
-// forget notes a request's end, and forgets those that ended too long ago.
-func (r *Referee) forget(id string, now time.Duration) {
+// expireRequests notes a request's end, and forgets those that ended too long ago.
+func (r *Referee) expireRequests(id string, now time.Duration) {
 	if r.rules.RetainFor == 0 {
 		return
 	}
-	r.ends = append(r.ends, end{id, now})
-	for r.ends[0].at < now-r.rules.RetainFor {
-		delete(r.requests, r.ends[0].id)
-		r.ends = r.ends[1:]
+	r.endedRequests = append(r.endedRequests, endedRequest{id, now})
+	for r.endedRequests[0].at < now-r.rules.RetainFor {
+		delete(r.requests, r.endedRequests[0].id)
+		r.endedRequests = r.endedRequests[1:]
 	}
 }
 
 func (r *Referee) isExcused(q *requestRecord, at time.Duration) bool {
-	return slices.ContainsFunc(r.excused[q.Agent], func(s span) bool { return q.At <= s.to && at >= s.from })
+	return slices.ContainsFunc(r.excused[q.Agent], func(s interval) bool { return q.At <= s.to && at >= s.from })
 }
 
 // Forwarded reports whether a request has come to a node.
@@ -341,7 +341,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	q := r.requests[id]
-	return q != nil && q.came > 0
+	return q != nil && q.arrivals > 0
 }
 
 // Account returns the account so far. Requests without an end are in Requests only.
@@ -355,5 +355,5 @@
 func (r *Referee) Violations() []Violation {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return slices.Clone(r.breaches)
+	return slices.Clone(r.violations)
 }
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -52,25 +52,25 @@
 	Epoch    time.Time
 	Referee  *referee.Referee
 
-	ctx      context.Context
-	stop     context.CancelFunc
-	disco    *discovery.Server
-	discoAt  []string
-	backends []*backend.Backend
-	all      sync.WaitGroup
-
-	mu    sync.Mutex
-	addrs []string             // where the nodes listen
-	paths map[[2]string]string // agent and a node's address: where the agent reaches it
-	lives int
-	ids   []string      // of the nodes that were replaced, "" for the others
-	begin time.Duration // when the day began
-	marks []Event
-	err   error
+	ctx            context.Context
+	stop           context.CancelFunc
+	discovery      *discovery.Server
+	discoveryAddrs []string
+	backends       []*backend.Backend
+	goroutines     sync.WaitGroup
+
+	mu           sync.Mutex
+	nodeAddrs    []string             // where the nodes listen
+	agentAddrs   map[[2]string]string // agent and a node's address: where the agent reaches it
+	replacements int
+	replacedIDs  []string      // of the nodes that were replaced, "" for the others
+	startedAt    time.Duration // when the day began
+	events       []Event
+	err          error
 	// reasons for which ways are worse than usual at present
-	strains []*strained
-	unheard map[string]map[string]discovery.Entry // by agent and node: what discovery wrote into a cut
-	heard   map[[2]string]int64                   // by agent and node: the start of the node's life that the agent was told of last
+	linkFaults        []*linkFault
+	heldNotifications map[string]map[string]discovery.Entry // by agent and node: what discovery wrote into a cut
+	notifiedStarts    map[[2]string]int64                   // by agent and node: the start of the node's life that the agent was told of last
 }
 
 // Event is something that happened, for reports.
@@ -87,10 +87,10 @@
 	rules.TransitSlack += drainSlack
 	rules.RetainFor = day.Spec.RetainFor.D()
 	ctx, stop := context.WithCancel(ctx)
-	w := &World{Scenario: day, Network: on, Epoch: time.Now(), Referee: referee.New(rules), ctx: ctx, stop: stop, paths: map[[2]string]string{},
-		unheard: map[string]map[string]discovery.Entry{}, heard: map[[2]string]int64{}}
-	w.disco = discovery.New(discovery.Config{Rate: day.Spec.Discovery.Rate, RewriteEntry: w.rewrite,
-		OnNotified: func(agent string, e discovery.Entry, at time.Time) { w.told(agent, e, at.Sub(w.Epoch)) }})
+	w := &World{Scenario: day, Network: on, Epoch: time.Now(), Referee: referee.New(rules), ctx: ctx, stop: stop, agentAddrs: map[[2]string]string{},
+		heldNotifications: map[string]map[string]discovery.Entry{}, notifiedStarts: map[[2]string]int64{}}
+	w.discovery = discovery.New(discovery.Config{Rate: day.Spec.Discovery.Rate, RewriteEntry: w.rewrite,
+		OnNotified: func(agent string, e discovery.Entry, at time.Time) { w.notified(agent, e, at.Sub(w.Epoch)) }})
 	if err := w.start(strict); err != nil {
 		w.Close()
 		return nil, err
@@ -102,11 +102,11 @@
 	for i, spec := range w.Scenario.Nodes {
 		first := true
 		host := spec.ID
-		w.addrs, w.ids = append(w.addrs, ""), append(w.ids, "")
-		cfg := backend.Config{Epoch: w.Epoch, Observer: w.Referee, Unnotified: w.unsaid, RejectUnknown: strict, IdleTimeout: ConnectionIdleTimeout, LoadReportMode: "pull", LoadReportFields: []string{"qps", "util"}}
+		w.nodeAddrs, w.replacedIDs = append(w.nodeAddrs, ""), append(w.replacedIDs, "")
+		cfg := backend.Config{Epoch: w.Epoch, Observer: w.Referee, Unnotified: w.unnotified, RejectUnknown: strict, IdleTimeout: ConnectionIdleTimeout, LoadReportMode: "pull", LoadReportFields: []string{"qps", "util"}}
 		cfg.Listen = func() (net.Listener, error) {
 			if !first {
-				return w.Network.ListenAgain(w.addrs[i])
+				return w.Network.ListenAgain(w.nodeAddrs[i])
 			}
 			first = false
 			return w.Network.Listen(host)
@@ -116,15 +116,15 @@
 			return err
 		}
 		w.backends = append(w.backends, b)
-		w.addrs[i] = b.Addr()
+		w.nodeAddrs[i] = b.Addr()
 		for a, agent := range w.Scenario.Agents {
 			at, err := w.Network.AddPath(agent, host, b.Addr(), w.Scenario.LinkTo(w.Scenario.AgentZone(a), spec.Zone))
 			if err != nil {
 				return fmt.Errorf("the path from %s to %s: %w", agent, spec.ID, err)
 			}
-			w.paths[[2]string{agent, b.Addr()}] = at
+			w.agentAddrs[[2]string{agent, b.Addr()}] = at
 		}
-		w.disco.Set(w.entry(i, spec, discovery.Ready), 0)
+		w.discovery.Set(w.entry(i, spec, discovery.Ready), 0)
 	}
 	for _, agent := range w.Scenario.Agents {
 		l, err := w.Network.Listen(Discovery)
@@ -135,8 +135,8 @@
 		if err != nil {
 			return fmt.Errorf("the path from %s to discovery: %w", agent, err)
 		}
-		w.discoAt = append(w.discoAt, at)
-		w.disco.Serve(l, agent)
+		w.discoveryAddrs = append(w.discoveryAddrs, at)
+		w.discovery.Serve(l, agent)
 	}
 	return nil
 }
@@ -145,14 +145,14 @@
 func (w *World) rewrite(agent string, e discovery.Entry) discovery.Entry {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if at, ok := w.paths[[2]string{agent, e.Addr}]; ok {
+	if at, ok := w.agentAddrs[[2]string{agent, e.Addr}]; ok {
 		e.Addr = at
 	}
 	return e
 }
 
 func (w *World) entry(i int, s node.Spec, state string) discovery.Entry {
-	e := discovery.Entry{ID: s.ID, Addr: w.addrs[i], Zone: s.Zone, Kind: s.Kind, Cell: i / 8, State: state, Weight: 1}
+	e := discovery.Entry{ID: s.ID, Addr: w.nodeAddrs[i], Zone: s.Zone, Kind: s.Kind, Cell: i / 8, State: state, Weight: 1}
 	if s.Started >= 0 {
 		e.StartedMS = w.Epoch.Add(s.Started).UnixMilli()
 	}
@@ -160,11 +160,11 @@
 }
 
 // DiscoveryAddr is where an agent finds discovery.
-func (w *World) DiscoveryAddr(agent int) string { return w.discoAt[agent] }
+func (w *World) DiscoveryAddr(agent int) string { return w.discoveryAddrs[agent] }
 
 // EndpointList is the list as it stands for an agent.
 func (w *World) EndpointList(agent int) discovery.List {
-	l := w.disco.Snapshot()
+	l := w.discovery.Snapshot()
 	for i, e := range l.Servers {
 		l.Servers[i] = w.rewrite(w.Scenario.Agents[agent], e)
 	}
@@ -179,41 +179,41 @@
 func (w *World) InjectFaults() {
 	begin := w.Now()
 	w.mu.Lock()
-	w.begin = begin
+	w.startedAt = begin
 	w.mu.Unlock()
 	for _, p := range w.Scenario.Faults {
 		p.From, p.To = p.From+begin, p.To+begin
-		w.all.Go(func() { w.befall(p) })
+		w.goroutines.Go(func() { w.injectFault(p) })
 	}
 	for _, c := range w.Scenario.Spec.Fleet.Partitions {
 		zone := w.zones()
-		w.all.Go(func() {
-			w.strainFor(begin+c.From.D(), begin+c.To.D(), c.Zone, "cut off", strained{func(from, to string) bool {
+		w.goroutines.Go(func() {
+			w.injectLinkFault(begin+c.From.D(), begin+c.To.D(), c.Zone, "cut off", linkFault{func(from, to string) bool {
 				return zone[from] != zone[to] && (zone[from] == c.Zone || zone[to] == c.Zone) && zone[from] != "" && zone[to] != ""
 			}, link.Conditions{Cut: true}})
 		})
 	}
 	for _, p := range w.Scenario.Spec.Fleet.Paths {
-		w.all.Go(func() {
-			w.strainFor(begin+p.From.D(), begin+p.To.D(), "network", p.String(), strained{p.befalls, p.more()})
+		w.goroutines.Go(func() {
+			w.injectLinkFault(begin+p.From.D(), begin+p.To.D(), "network", p.String(), linkFault{p.applies, p.conditions()})
 		})
 	}
 	for _, o := range w.Scenario.Spec.Outages {
-		w.all.Go(func() {
-			if !w.until(begin + o.From.D()) {
+		w.goroutines.Go(func() {
+			if !w.waitUntil(begin + o.From.D()) {
 				return
 			}
 			w.mark(begin+o.From.D(), begin+o.To.D(), "discovery", "outage")
-			w.disco.SetOutage(true)
-			if w.until(begin + o.To.D()) {
-				w.disco.SetOutage(false)
+			w.discovery.SetOutage(true)
+			if w.waitUntil(begin + o.To.D()) {
+				w.discovery.SetOutage(false)
 			}
 		})
 	}
 }
 
-// until waits for a time of the world; false says that the world has closed.
-func (w *World) until(at time.Duration) bool {
+// waitUntil waits for a time of the world; false says that the world has closed.
+func (w *World) waitUntil(at time.Duration) bool {
 	t := time.NewTimer(at - w.Now())
 	defer t.Stop()
 	select {
@@ -228,7 +228,7 @@
 func (w *World) mark(from, to time.Duration, node, text string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.marks = append(w.marks, Event{from - w.begin, to - w.begin, node, text})
+	w.events = append(w.events, Event{from - w.startedAt, to - w.startedAt, node, text})
 }
 
 // RecordEvent marks what befalls an agent or a node from outside the world, such as a process that the rig kills, for reports.
@@ -238,7 +238,7 @@
 func (w *World) Events() []Event {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return slices.Clone(w.marks)
+	return slices.Clone(w.events)
 }
 
 func (w *World) fail(err error) {
@@ -256,8 +256,8 @@
 	return w.err
 }
 
-// befall plays a trouble.
-func (w *World) befall(p NodeFault) {
+// injectFault plays a trouble.
+func (w *World) injectFault(p NodeFault) {
 	b, spec := w.backends[p.Node], w.Scenario.Nodes[p.Node]
 	notice := w.Scenario.Spec.Discovery.RemovalDelay.D()
 	switch p.Kind {
@@ -265,24 +265,24 @@
 	default:
 		b.AddFault(p.Fault)
 	}
-	if !w.until(p.From) {
+	if !w.waitUntil(p.From) {
 		return
 	}
 	w.mark(p.From, p.To, spec.ID, string(p.Kind))
 	switch p.Kind {
 	case node.Drain: // told at once where the list is quick; ends in its death
 		b.AddFault(p.Fault)
-		w.disco.Set(w.entry(p.Node, spec, discovery.Terminating), notice+w.late())
-		if w.until(p.To) {
+		w.discovery.Set(w.entry(p.Node, spec, discovery.Terminating), notice+w.listDelay())
+		if w.waitUntil(p.To) {
 			w.kill(p.Node)
-			w.disco.Set(w.entry(p.Node, spec, discovery.Removed), notice+w.late())
+			w.discovery.Set(w.entry(p.Node, spec, discovery.Removed), notice+w.listDelay())
 		}
 	case node.Restart, node.Replace:
 		w.restart(p.Node, p.To, p.Kind == node.Replace)
 	case node.Blackhole:
 		b.AddFault(p.Fault)
-		end := w.strain(strained{func(from, to string) bool { return from == spec.ID || to == spec.ID }, link.Conditions{Cut: true}})
-		if w.until(p.To) {
+		end := w.addLinkFault(linkFault{func(from, to string) bool { return from == spec.ID || to == spec.ID }, link.Conditions{Cut: true}})
+		if w.waitUntil(p.To) {
 			end()
 		}
 	}
@@ -292,22 +292,22 @@
 func (w *World) restart(i int, back time.Duration, renamed bool) {
 	spec, notice, add := w.Scenario.Nodes[i], w.Scenario.Spec.Discovery.RemovalDelay.D(), w.Scenario.Spec.Discovery.AdditionDelay.D()
 	w.mu.Lock()
-	if id := w.ids[i]; id != "" {
+	if id := w.replacedIDs[i]; id != "" {
 		spec.ID = id
 	}
 	w.mu.Unlock()
 	w.kill(i)
 	if renamed || notice < back-w.Now()+add {
-		w.disco.Set(w.entry(i, spec, discovery.Removed), notice+w.late())
+		w.discovery.Set(w.entry(i, spec, discovery.Removed), notice+w.listDelay())
 	}
-	if !w.until(back) {
+	if !w.waitUntil(back) {
 		return
 	}
 	w.mu.Lock()
-	w.lives++
+	w.replacements++
 	if renamed {
-		spec.ID = fmt.Sprintf("%s-%d", w.Scenario.Nodes[i].ID, w.lives)
-		w.ids[i] = spec.ID
+		spec.ID = fmt.Sprintf("%s-%d", w.Scenario.Nodes[i].ID, w.replacements)
+		w.replacedIDs[i] = spec.ID
 	}
 	w.mu.Unlock()
 	spec.Started = w.Now()
@@ -319,18 +319,18 @@
 		w.fail(err)
 		return
 	}
-	w.disco.Set(w.entry(i, spec, discovery.Ready), add+w.late())
+	w.discovery.Set(w.entry(i, spec, discovery.Ready), add+w.listDelay())
 }
 
 // Replace puts a new node in the place of one, beside the day's troubles, and returns when it has started. A node that a trouble
 // of the day ends must not be replaced meanwhile.
 func (w *World) Replace(i int, down time.Duration) { w.restart(i, w.Now()+down, true) }
 
-// late is how much later than usual the list learns of what happens now.
-func (w *World) late() time.Duration {
+// listDelay is how much later than usual the list learns of what happens now.
+func (w *World) listDelay() time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.Scenario.ListDelay(w.Now() - w.begin)
+	return w.Scenario.ListDelay(w.Now() - w.startedAt)
 }
 
 // zones are those of agents and nodes, by name.
@@ -363,12 +363,12 @@
 }
 
 // DiscoveryFigures counts discovery's calls.
-func (w *World) DiscoveryFigures() discovery.Figures { return w.disco.Figures() }
+func (w *World) DiscoveryFigures() discovery.Figures { return w.discovery.Figures() }
 
 // RunCallers sends what the day has planned by a route, and returns what came of it, by the time of the day. Play comes first.
 func (w *World) RunCallers(ctx context.Context, route callers.Route, direct bool, done func(referee.CallResult)) ([]referee.CallResult, callers.Figures) {
 	w.mu.Lock()
-	start := w.begin
+	start := w.startedAt
 	w.mu.Unlock()
 	plan := slices.Clone(w.Scenario.Plan)
 	for i := range plan {
@@ -386,8 +386,8 @@
 // Close ends the world and waits for all of it.
 func (w *World) Close() {
 	w.stop()
-	w.all.Wait()
-	w.disco.Close()
+	w.goroutines.Wait()
+	w.discovery.Close()
 	for _, b := range w.backends {
 		b.Close()
 	}
--- a/internal/faultshim/shim.go
+++ b/internal/faultshim/shim.go
@@ -65,28 +65,28 @@
 	"ECONNABORTED": syscall.ECONNABORTED, "EADDRNOTAVAIL": syscall.EADDRNOTAVAIL, "ECONNRESET": syscall.ECONNRESET,
 	"EPIPE": syscall.EPIPE, "ENOSPC": syscall.ENOSPC, "EIO": syscall.EIO, "EOPNOTSUPP": syscall.EOPNOTSUPP}
 
-// pending are failures that wait for their calls.
-type pending struct {
-	errno syscall.Errno
-	calls int
+// pendingFailure are failures that wait for their calls.
+type pendingFailure struct {
+	errno     syscall.Errno
+	remaining int
 }
 
 // Machine is what fails on command. The zero value is not ready: see New.
 type Machine struct {
-	mu         sync.Mutex
-	rng        *rand.Rand
-	failures   map[Point]*pending
-	planted    map[PlantedFault]float64
-	wallStep   time.Duration
-	holdFor    time.Duration
-	holds      int
-	shortUntil time.Time
-	disk       error
+	mu             sync.Mutex
+	rng            *rand.Rand
+	failures       map[Point]*pendingFailure
+	planted        map[PlantedFault]float64
+	wallStep       time.Duration
+	holdDuration   time.Duration
+	holdsRemaining int
+	shortUntil     time.Time
+	diskErr        error
 }
 
 // New returns a machine on which nothing fails yet.
 func New(seed uint64) *Machine {
-	return &Machine{rng: rand.New(rand.NewPCG(seed, 9)), failures: map[Point]*pending{}, planted: map[PlantedFault]float64{}}
+	return &Machine{rng: rand.New(rand.NewPCG(seed, 9)), failures: map[Point]*pendingFailure{}, planted: map[PlantedFault]float64{}}
 }
 
 // Run carries out the commands that come, until there are no more. It tells of those it does not know.
@@ -116,14 +116,14 @@
 		m.shortUntil = time.Now().Add(lasts)
 		return err
 	case "hold":
-		if err := m.setDuration(&m.holdFor, argument); err != nil {
+		if err := m.setDuration(&m.holdDuration, argument); err != nil {
 			return err
 		}
-		return m.setCount(&m.holds, words)
+		return m.setCount(&m.holdsRemaining, words)
 	case "disk":
-		m.disk = nil
+		m.diskErr = nil
 		if errno, known := errorNames[argument]; known {
-			m.disk = errno
+			m.diskErr = errno
 		}
 		return nil
 	case "plant":
@@ -164,9 +164,9 @@
 	if !known {
 		return fmt.Errorf("no error %q", name)
 	}
-	next := &pending{errno: errno}
+	next := &pendingFailure{errno: errno}
 	m.failures[at] = next
-	return m.setCount(&next.calls, words)
+	return m.setCount(&next.remaining, words)
 }
 
 // Now is the time of day on this machine.
@@ -176,52 +176,52 @@
 	return time.Now().Add(m.wallStep)
 }
 
-// fails takes the next failure at a point, or returns nil.
-func (m *Machine) fails(at Point, call string) error {
+// nextFailure takes the next failure at a point, or returns nil.
+func (m *Machine) nextFailure(at Point, call string) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	next := m.failures[at]
-	if next == nil || next.calls == 0 {
+	if next == nil || next.remaining == 0 {
 		return nil
 	}
-	next.calls--
+	next.remaining--
 	return &net.OpError{Op: string(at), Net: "tcp", Err: os.NewSyscallError(call, next.errno)}
 }
 
-// strikes reports whether a planted fault happens now.
-func (m *Machine) strikes(f PlantedFault) bool {
+// plantedFaultOccurs reports whether a planted fault happens now.
+func (m *Machine) plantedFaultOccurs(f PlantedFault) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	probability := m.planted[f]
 	return probability > 0 && m.rng.Float64() < probability
 }
 
-// heldUp is for how long the next write to a server is held up.
-func (m *Machine) heldUp() time.Duration {
-	if m.strikes(DelaysAttempts) {
+// nextWriteDelay is for how long the next write to a server is held up.
+func (m *Machine) nextWriteDelay() time.Duration {
+	if m.plantedFaultOccurs(DelaysAttempts) {
 		return 500 * time.Millisecond
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.holds == 0 {
+	if m.holdsRemaining == 0 {
 		return 0
 	}
-	m.holds--
-	return m.holdFor
+	m.holdsRemaining--
+	return m.holdDuration
 }
 
-// mostShort is the most that a short read brings, in bytes.
-const mostShort = 64
+// maxShortRead is the most that a short read brings, in bytes.
+const maxShortRead = 64
 
-// shortened is a part of a buffer to read into: now and then of one byte, as a rule of a few. With one each time a long body would
+// shortBuffer is a part of a buffer to read into: now and then of one byte, as a rule of a few. With one each time a long body would
 // take a process under the race detector most of a second, and show no more.
-func (m *Machine) shortened(p []byte) []byte {
+func (m *Machine) shortBuffer(p []byte) []byte {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if len(p) <= 1 || !time.Now().Before(m.shortUntil) {
 		return p
 	}
-	return p[:min(len(p), 1+m.rng.IntN(mostShort))]
+	return p[:min(len(p), 1+m.rng.IntN(maxShortRead))]
 }
 
 // Listen makes the accepts of a listener, and the reads of its connections, fail on command.
@@ -233,7 +233,7 @@
 }
 
 func (l listener) Accept() (net.Conn, error) {
-	if err := l.machine.fails(Accept, "accept4"); err != nil {
+	if err := l.machine.nextFailure(Accept, "accept4"); err != nil {
 		return nil, err
 	}
 	c, err := l.Listener.Accept()
@@ -254,21 +254,21 @@
 
 type clientConn struct {
 	conn
-	mute bool
+	ignored bool
 }
 
 func (c *clientConn) Read(p []byte) (int, error) {
-	if err := c.machine.fails(ClientRead, "read"); err != nil {
+	if err := c.machine.nextFailure(ClientRead, "read"); err != nil {
 		c.Close()
 		return 0, err
 	}
-	n, err := c.TCPConn.Read(c.machine.shortened(p))
-	if n > 0 && c.machine.strikes(DropsRequests) {
+	n, err := c.TCPConn.Read(c.machine.shortBuffer(p))
+	if n > 0 && c.machine.plantedFaultOccurs(DropsRequests) {
 		c.Close()
 		return 0, io.ErrUnexpectedEOF
 	}
-	if n > 0 && (c.mute || c.machine.strikes(IgnoresClient)) {
-		c.mute = true
+	if n > 0 && (c.ignored || c.machine.plantedFaultOccurs(IgnoresClient)) {
+		c.ignored = true
 		return c.TCPConn.Read(make([]byte, len(p))) // what came is forgotten
 	}
 	return n, err
@@ -280,7 +280,7 @@
 	return func(ctx context.Context, network, addr string) (net.Conn, error) {
 		toDiscovery := strings.HasPrefix(addr, discoveryHost+":")
 		if !toDiscovery {
-			if err := m.fails(Connect, "connect"); err != nil {
+			if err := m.nextFailure(Connect, "connect"); err != nil {
 				return nil, err
 			}
 		}
@@ -299,7 +299,7 @@
 
 func (c discoveryConn) Read(p []byte) (int, error) {
 	n, err := c.TCPConn.Read(p)
-	if c.machine.strikes(IgnoresDiscovery) {
+	if c.machine.plantedFaultOccurs(IgnoresDiscovery) {
 		time.Sleep(time.Minute) // until the soak is over
 	}
 	return n, err
@@ -311,29 +311,29 @@
 }
 
 func (c *serverConn) Read(p []byte) (int, error) {
-	if err := c.machine.fails(ServerRead, "read"); err != nil {
+	if err := c.machine.nextFailure(ServerRead, "read"); err != nil {
 		c.Close()
 		return 0, err
 	}
-	n, err := c.TCPConn.Read(c.machine.shortened(p))
-	if n > 0 && c.machine.strikes(WrongAnswers) {
+	n, err := c.TCPConn.Read(c.machine.shortBuffer(p))
+	if n > 0 && c.machine.plantedFaultOccurs(WrongAnswers) {
 		p[n-1] ^= 1
 	}
 	return n, err
 }
 
 func (c *serverConn) Write(p []byte) (int, error) {
-	if err := c.machine.fails(ServerWrite, "write"); err != nil {
+	if err := c.machine.nextFailure(ServerWrite, "write"); err != nil {
 		c.Close()
 		return 0, err
 	}
-	if hold := c.machine.heldUp(); hold > 0 {
+	if hold := c.machine.nextWriteDelay(); hold > 0 {
 		time.Sleep(hold)
 	}
-	if c.machine.strikes(Duplicates) {
+	if c.machine.plantedFaultOccurs(Duplicates) {
 		c.sendAgain(p)
 	}
-	if c.machine.strikes(OverstatesTime) {
+	if c.machine.plantedFaultOccurs(OverstatesTime) {
 		return c.overstate(p)
 	}
 	return c.TCPConn.Write(p)
@@ -361,7 +361,7 @@
 // Replace replaces a file whole, as the agent's storage does, or fails on command: then half of a new file is left beside it.
 func (m *Machine) Replace(path string, data []byte) error {
 	m.mu.Lock()
-	failure := m.disk
+	failure := m.diskErr
 	m.mu.Unlock()
 	part := path + ".shim"
 	if failure != nil {
--- a/internal/faultshim/shim_test.go
+++ b/internal/faultshim/shim_test.go
@@ -88,9 +88,9 @@
 		}
 	}
 	m.Execute("shortread 1m")
-	dialled.Write(make([]byte, 10*mostShort))
+	dialled.Write(make([]byte, 10*maxShortRead))
 	for range 8 {
-		if n, err := accepted.Read(make([]byte, 9*mostShort)); n < 1 || n > mostShort || err != nil {
+		if n, err := accepted.Read(make([]byte, 9*maxShortRead)); n < 1 || n > maxShortRead || err != nil {
 			t.Errorf("%d bytes, %v", n, err)
 		}
 	}
--- a/internal/processrig/peers.go
+++ b/internal/processrig/peers.go
@@ -11,13 +11,13 @@
 // Peers lets agents of a day talk with each other through a mesh, which shapes the way of each pair. Each agent has an IP address
 // of its own in 127.0.0.0/8, by which the mesh tells who sends.
 type Peers struct {
-	mesh   *link.Mesh
-	binds  []string
-	fronts []string
+	mesh      *link.Mesh
+	bindAddrs []string
+	meshAddrs []string
 }
 
-// seeds are how many agents all others are told of at their start.
-const seeds = 3
+// seedCount are how many agents all others are told of at their start.
+const seedCount = 3
 
 // NewPeers gives each host of a fleet a front in the mesh: the agents, and after them others that talk with them.
 func NewPeers(mesh *link.Mesh, hosts []string) (*Peers, error) {
@@ -26,7 +26,7 @@
 	net24 := fmt.Sprintf("127.%d.%d.", 64+rand.IntN(64), 1+rand.IntN(250))
 	for i, name := range hosts {
 		ip := fmt.Sprint(net24, 1+i)
-		bind, err := freeBoth(ip)
+		bind, err := freeTCPAndUDPAddr(ip)
 		if err != nil {
 			return nil, err
 		}
@@ -34,19 +34,19 @@
 		if err != nil {
 			return nil, err
 		}
-		p.fronts, p.binds = append(p.fronts, front), append(p.binds, bind)
+		p.meshAddrs, p.bindAddrs = append(p.meshAddrs, front), append(p.bindAddrs, bind)
 	}
 	return p, nil
 }
 
 // Addresses is where one of them, by its number, listens, where the others reach it, and of whom it is told at its start.
 func (p *Peers) Addresses(i int) (bind, advertise string, told []string) {
-	for j, front := range p.fronts[:min(seeds, len(p.fronts))] {
+	for j, front := range p.meshAddrs[:min(seedCount, len(p.meshAddrs))] {
 		if j != i {
 			told = append(told, front)
 		}
 	}
-	return p.binds[i], p.fronts[i], told
+	return p.bindAddrs[i], p.meshAddrs[i], told
 }
 
 // Args are an agent's further arguments.
@@ -59,9 +59,9 @@
 	return args
 }
 
-// freeBoth is an address at which a port was free for packets and streams a moment ago.
-func freeBoth(ip string) (addr string, err error) {
-	for range portTries {
+// freeTCPAndUDPAddr is an address at which a port was free for packets and streams a moment ago.
+func freeTCPAndUDPAddr(ip string) (addr string, err error) {
+	for range portAttempts {
 		var l net.Listener
 		if l, err = net.Listen("tcp", net.JoinHostPort(ip, "0")); err != nil {
 			continue
--- a/internal/processrig/process.go
+++ b/internal/processrig/process.go
@@ -38,17 +38,17 @@
 // Ports for agents come from below those that the machine gives to outgoing connections: a port of those that was free a moment
 // ago may be some other agent's connection when its agent listens. Each agent of a day has a band of its own.
 const (
-	lowestPort = 12000
-	bandPorts  = 300
-	portTries  = 100
+	lowestPort    = 12000
+	portsPerAgent = 300
+	portAttempts  = 100
 )
 
 // FreePort is a port of a loopback host that was free a moment ago, in the band of an agent by its number.
 func FreePort(host string, agent int) (addr string, err error) {
-	band := lowestPort + agent%emulator.MaxProcesses*bandPorts
-	for range portTries {
+	band := lowestPort + agent%emulator.MaxProcesses*portsPerAgent
+	for range portAttempts {
 		var l net.Listener
-		addr = net.JoinHostPort(host, strconv.Itoa(band+rand.IntN(bandPorts)))
+		addr = net.JoinHostPort(host, strconv.Itoa(band+rand.IntN(portsPerAgent)))
 		if l, err = net.Listen("tcp", addr); err == nil {
 			return addr, l.Close()
 		}
@@ -72,19 +72,19 @@
 	Addr    string // where its clients connect; the same for each life
 	Control string // where its operators do
 
-	command []string
-	config  string // the platform's file
-	base    string // the files' name without an ending
-	life    int    // how many processes came before this one
+	command     []string
+	configFile  string // the platform's file
+	filePrefix  string // the files' name without an ending
+	incarnation int    // how many processes came before this one
 
-	mu     sync.Mutex
-	cmd    *exec.Cmd
-	log    *os.File
-	ended  chan struct{} // closed when the present process has ended
-	err    error         // how; read after ended
-	paused bool
-	ours   bool          // the present process was ended by the rig
-	cpu    time.Duration // of the lives that have ended
+	mu           sync.Mutex
+	cmd          *exec.Cmd
+	log          *os.File
+	exited       chan struct{} // closed when the present process has ended
+	exitErr      error         // how; read after ended
+	paused       bool
+	stoppedByRig bool          // the present process was ended by the rig
+	earlierCPU   time.Duration // of the lives that have ended
 }
 
 // Start starts an agent of a world by a command, such as the path of the program and "agent". Its configuration, log and learnt
@@ -108,25 +108,25 @@
 	if err := os.WriteFile(base+".json", text, 0o600); err != nil {
 		return nil, fmt.Errorf("the agent's configuration: %w", err)
 	}
-	p := &Process{Addr: listen, Control: control, command: command, config: base + ".json", base: base}
+	p := &Process{Addr: listen, Control: control, command: command, configFile: base + ".json", filePrefix: base}
 	return p, p.start(true)
 }
 
 // start begins a life of the process: with what the one before it left in its folder for temporary files, or in a new one.
 func (p *Process) start(fresh bool) error {
 	if fresh {
-		p.life++
+		p.incarnation++
 	}
-	tmp := fmt.Sprintf("%s.tmp%d", p.base, p.life)
+	tmp := fmt.Sprintf("%s.tmp%d", p.filePrefix, p.incarnation)
 	if err := os.MkdirAll(tmp, 0o700); err != nil {
 		return fmt.Errorf("the agent's temporary folder: %w", err)
 	}
-	log, err := os.OpenFile(p.base+".log", os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600)
+	log, err := os.OpenFile(p.filePrefix+".log", os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600)
 	if err != nil {
 		return fmt.Errorf("the agent's log: %w", err)
 	}
 	cmd := exec.Command(p.command[0], p.command[1:]...)
-	cmd.Env = append(os.Environ(), "PROXY_CONFIG="+p.config, "TMPDIR="+tmp)
+	cmd.Env = append(os.Environ(), "PROXY_CONFIG="+p.configFile, "TMPDIR="+tmp)
 	cmd.Stdout, cmd.Stderr = log, log
 	// Ctrl-C is ours to pass on; the kernel ends the child when the thread that started it ends, so the thread is kept until
 	// the child has been started and stays locked while the child lives.
@@ -143,7 +143,7 @@
 		err := cmd.Wait()
 		log.Close()
 		p.mu.Lock()
-		p.err, p.cpu = err, p.cpu+cmd.ProcessState.UserTime()+cmd.ProcessState.SystemTime()
+		p.exitErr, p.earlierCPU = err, p.earlierCPU+cmd.ProcessState.UserTime()+cmd.ProcessState.SystemTime()
 		p.mu.Unlock()
 		close(ended)
 	}()
@@ -152,20 +152,20 @@
 		return fmt.Errorf("starting %s: %w", p.command[0], err)
 	}
 	p.mu.Lock()
-	p.cmd, p.log, p.ended, p.paused, p.ours = cmd, log, ended, false, false
+	p.cmd, p.log, p.exited, p.paused, p.stoppedByRig = cmd, log, ended, false, false
 	p.mu.Unlock()
 	return nil
 }
 
-func (p *Process) present() (*exec.Cmd, chan struct{}) {
+func (p *Process) current() (*exec.Cmd, chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.cmd, p.ended
+	return p.cmd, p.exited
 }
 
 // Ready waits until the agent takes clients.
 func (p *Process) Ready(ctx context.Context) error {
-	_, ended := p.present()
+	_, ended := p.current()
 	ctx, cancel := context.WithTimeout(ctx, ReadyTimeout)
 	defer cancel()
 	for {
@@ -182,9 +182,9 @@
 		}
 		select {
 		case <-ended:
-			return fmt.Errorf("the agent ended before it was ready: %v; its log is %s.log", p.err, p.base)
+			return fmt.Errorf("the agent ended before it was ready: %v; its log is %s.log", p.exitErr, p.filePrefix)
 		case <-ctx.Done():
-			return fmt.Errorf("the agent is not ready after %v; its log is %s.log", ReadyTimeout, p.base)
+			return fmt.Errorf("the agent is not ready after %v; its log is %s.log", ReadyTimeout, p.filePrefix)
 		case <-time.After(20 * time.Millisecond):
 		}
 	}
@@ -192,7 +192,7 @@
 
 // Alive says whether the present process has not ended.
 func (p *Process) Alive() bool {
-	_, ended := p.present()
+	_, ended := p.current()
 	select {
 	case <-ended:
 		return false
@@ -203,9 +203,9 @@
 
 // Kill ends the process at once with SIGKILL, as a machine that fails would, and returns when it has been reaped.
 func (p *Process) Kill() {
-	cmd, ended := p.present()
+	cmd, ended := p.current()
 	p.mu.Lock()
-	p.ours = true
+	p.stoppedByRig = true
 	p.mu.Unlock()
 	cmd.Process.Signal(syscall.SIGKILL)
 	<-ended
@@ -213,9 +213,9 @@
 
 // Terminate ends the process in order with SIGTERM, as a planned restart does, and by force after StopIn.
 func (p *Process) Terminate() error {
-	cmd, ended := p.present()
+	cmd, ended := p.current()
 	p.mu.Lock()
-	p.ours = true
+	p.stoppedByRig = true
 	p.mu.Unlock()
 	cmd.Process.Signal(syscall.SIGTERM)
 	cmd.Process.Signal(syscall.SIGCONT)
@@ -225,7 +225,7 @@
 	case <-time.After(StopTimeout):
 		cmd.Process.Kill()
 		<-ended
-		return fmt.Errorf("%s: the agent had to be killed after SIGTERM", p.base)
+		return fmt.Errorf("%s: the agent had to be killed after SIGTERM", p.filePrefix)
 	}
 }
 
@@ -239,19 +239,19 @@
 	return p.signal(syscall.SIGCONT, false)
 }
 
-// slowEvery is the time of which a slow process runs a part: far below what its peers wait for an answer, and longer than the
+// throttlePeriod is the time of which a slow process runs a part: far below what its peers wait for an answer, and longer than the
 // system's scheduler takes to let it go on.
-const slowEvery = 50 * time.Millisecond
+const throttlePeriod = 50 * time.Millisecond
 
 // Throttle lets the process run for a part of the time only, for so long or until the context ends, as on a machine that others have
 // most of.
 func (p *Process) Throttle(ctx context.Context, part float64, away time.Duration) error {
-	runs := time.Duration(part * float64(slowEvery))
+	runs := time.Duration(part * float64(throttlePeriod))
 	for end := time.Now().Add(away); time.Now().Before(end); {
 		for _, half := range []struct {
 			do    func() error
 			lasts time.Duration
-		}{{p.Pause, slowEvery - runs}, {p.Resume, runs}} {
+		}{{p.Pause, throttlePeriod - runs}, {p.Resume, runs}} {
 			if err := half.do(); err != nil {
 				return err
 			}
@@ -269,8 +269,8 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	select {
-	case <-p.ended:
-		return fmt.Errorf("%s: the process has ended", p.base)
+	case <-p.exited:
+		return fmt.Errorf("%s: the process has ended", p.filePrefix)
 	default:
 	}
 	p.paused = paused
@@ -281,7 +281,7 @@
 // and so with nothing learnt, where fresh; else with what the one before left there.
 func (p *Process) Restart(fresh bool) error {
 	if p.Alive() {
-		return fmt.Errorf("%s: the process before has not ended", p.base)
+		return fmt.Errorf("%s: the process before has not ended", p.filePrefix)
 	}
 	return p.start(fresh)
 }
@@ -289,12 +289,12 @@
 // Stop ends the agent in order, or after a while by force, and returns the processor time that all its lives took. A paused
 // process is let go first, as SIGTERM alone would wait for it.
 func (p *Process) Stop() (cpu time.Duration, err error) {
-	cmd, ended := p.present()
+	cmd, ended := p.current()
 	select {
 	case <-ended:
 		p.mu.Lock()
-		if !p.ours {
-			err = fmt.Errorf("the agent ended by itself: %v; its log is %s.log", p.err, p.base)
+		if !p.stoppedByRig {
+			err = fmt.Errorf("the agent ended by itself: %v; its log is %s.log", p.exitErr, p.filePrefix)
 		}
 		p.mu.Unlock()
 	default:
@@ -302,7 +302,7 @@
 		cmd.Process.Signal(syscall.SIGCONT)
 		select {
 		case <-ended:
-			err = p.err
+			err = p.exitErr
 		case <-time.After(StopTimeout):
 			cmd.Process.Kill()
 			<-ended
@@ -311,5 +311,5 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.cpu, err
+	return p.earlierCPU, err
 }
