--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -22,18 +22,31 @@
 	"ryeweir/internal/emulator/referee"
 )
 
-// badAgent is an agent of a few lines that breaks a rule on purpose, or none.
-type badAgent struct {
-	w      *emulator.World
-	turn   atomic.Int64
-	vice   string
-	client http.Client
-	open   sync.WaitGroup
+// misbehavior is the rule that a misbehavingAgent breaks.
+type misbehavior string
+
+const (
+	behaves         misbehavior = "none"
+	repeats         misbehavior = "repeats"
+	fabricates      misbehavior = "makes up"
+	cutsOff         misbehavior = "cuts off"
+	saysNothing     misbehavior = "says nothing"
+	ignoresDraining misbehavior = "goes on sending"
+	usesOneNode     misbehavior = "one for all"
+)
+
+// misbehavingAgent is a minimal agent that forwards in turn and breaks a rule on purpose, or none.
+type misbehavingAgent struct {
+	world       *emulator.World
+	requests    atomic.Int64
+	misbehavior misbehavior
+	client      http.Client
+	open        sync.WaitGroup
 }
 
-// pass sends a request on to a node of the list as it was at the start.
-func (a *badAgent) pass(r *http.Request, n int) (*http.Response, error) {
-	list := a.w.EndpointList(0).Servers
+// forward sends a request to a node of the list, by a number. The list still has draining nodes.
+func (a *misbehavingAgent) forward(r *http.Request, n int) (*http.Response, error) {
+	list := a.world.EndpointList(0).Servers
 	out, err := http.NewRequestWithContext(r.Context(), r.Method, "http://"+list[n%len(list)].Addr+r.URL.Path, nil)
 	if err != nil {
 		return nil, err
@@ -42,15 +55,15 @@
 	return a.client.Do(out)
 }
 
-func (a *badAgent) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (a *misbehavingAgent) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	a.open.Add(1)
 	defer a.open.Done()
 	io.Copy(io.Discard, r.Body) // only then net/http notices that its client leaves
-	n := int(a.turn.Add(1))
-	if a.vice == "one for all" {
+	n := int(a.requests.Add(1))
+	if a.misbehavior == usesOneNode {
 		n = 0
 	}
-	resp, err := a.pass(r, n)
+	resp, err := a.forward(r, n)
 	if err != nil {
 		w.WriteHeader(http.StatusBadGateway)
 		return
@@ -62,73 +75,75 @@
 		return
 	}
 	switch {
-	case a.vice == "repeats" && r.Method == http.MethodPost && n%20 == 0:
-		if again, err := a.pass(r, n+1); err == nil {
+	case a.misbehavior == repeats && r.Method == http.MethodPost && n%20 == 0:
+		if again, err := a.forward(r, n+1); err == nil {
 			io.Copy(io.Discard, again.Body)
 			again.Body.Close()
 		}
-	case a.vice == "makes up" && n%20 == 0:
+	case a.misbehavior == fabricates && n%20 == 0:
 		body = []byte("all is well\n")
-	case a.vice == "cuts off" && n%20 == 0:
+	case a.misbehavior == cutsOff && n%20 == 0:
 		panic(http.ErrAbortHandler)
-	case a.vice == "says nothing" && n%20 == 0:
+	case a.misbehavior == saysNothing && n%20 == 0:
 		time.Sleep(3 * time.Second) // longer than anybody waits
 		panic(http.ErrAbortHandler)
 	}
 	w.Write(body)
 }
 
-// play plays a day of 6 s with a bad agent.
-func play(t *testing.T, vice string, change func(*emulator.ScenarioSpec)) (a referee.Account, breaches []referee.Violation) {
+// runMisbehaving runs a scenario of 6 s with one agent and returns the referee's account and the violations. change, which
+// may be nil, changes the scenario's spec.
+func runMisbehaving(t *testing.T, m misbehavior, change func(*emulator.ScenarioSpec)) (account referee.Account, violations []referee.Violation) {
+	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		spec := emulator.DefaultScenario()
 		spec.Length, spec.Agents, spec.Load = config.Duration(6*time.Second), 1, 0.3
 		if change != nil {
 			change(&spec)
 		}
-		day, err := spec.Draw(3)
+		scenario, err := spec.Draw(3)
 		if err != nil {
 			t.Fatal(err)
 		}
 		network := link.NewNetwork(3)
-		w, err := emulator.Start(t.Context(), day, emulator.MemoryNetwork{Network: network}, true)
+		world, err := emulator.Start(t.Context(), scenario, emulator.MemoryNetwork{Network: network}, true)
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer w.Close()
+		defer world.Close()
 		transport := &http.Transport{DialContext: network.Dialer("agent-0"), MaxIdleConnsPerHost: 100}
-		bad := &badAgent{w: w, vice: vice, client: http.Client{Transport: transport, Timeout: 5 * time.Second}}
+		agent := &misbehavingAgent{world: world, misbehavior: m, client: http.Client{Transport: transport, Timeout: 5 * time.Second}}
 		l, err := network.Listen("agent-0:80")
 		if err != nil {
 			t.Fatal(err)
 		}
-		srv := &http.Server{Handler: bad}
-		var all sync.WaitGroup
-		all.Go(func() { srv.Serve(l) })
-		// The agent must be told, as one that watches is.
+		server := &http.Server{Handler: agent}
+		var goroutines sync.WaitGroup
+		goroutines.Go(func() { server.Serve(l) })
+		// The rules on draining and slow start hold an agent to what it was notified of, so the list must be watched.
 		ctx, stop := context.WithCancel(t.Context())
-		all.Go(func() { watch(ctx, network, w.DiscoveryAddr(0)) })
+		goroutines.Go(func() { watch(ctx, network, world.DiscoveryAddr(0)) })
 		client := &callers.Client{Addr: "agent-0:80", Dial: network.Dialer("app")}
-		w.InjectFaults()
-		w.RunCallers(t.Context(), func(callers.PlannedRequest, []string) (string, *callers.Client, func(referee.Outcome)) {
+		world.InjectFaults()
+		world.RunCallers(t.Context(), func(callers.PlannedRequest, []string) (string, *callers.Client, func(referee.Outcome)) {
 			return "agent-0", client, func(referee.Outcome) {}
 		}, false, nil)
 		stop()
 		client.Close()
-		srv.Close()
-		bad.open.Wait()
+		server.Close()
+		agent.open.Wait()
 		transport.CloseIdleConnections()
-		all.Wait()
-		a, breaches = w.Referee.Account(), w.Referee.Violations()
+		goroutines.Wait()
+		account, violations = world.Referee.Account(), world.Referee.Violations()
 	})
-	return a, breaches
+	return account, violations
 }
 
-// watch watches the list.
-func watch(ctx context.Context, network *link.Network, at string) {
+// watch watches the endpoint list until the context ends.
+func watch(ctx context.Context, network *link.Network, addr string) {
 	transport := &http.Transport{DialContext: network.Dialer("agent-0"), DisableKeepAlives: true}
 	for version := 0; ctx.Err() == nil; {
-		req, err := http.NewRequestWithContext(ctx, http.MethodGet, fmt.Sprintf("http://%s/v1/endpoints?since=%d&timeout_ms=1000", at, version), nil)
+		req, err := http.NewRequestWithContext(ctx, http.MethodGet, fmt.Sprintf("http://%s/v1/endpoints?since=%d&timeout_ms=1000", addr, version), nil)
 		if err != nil {
 			return
 		}
@@ -142,76 +157,82 @@
 	}
 }
 
-// The referee finds nothing in an agent that breaks no rule, and each kind of breach in one that does, with evidence.
-func TestRefereeCatches(t *testing.T) {
-	drain := func(d *emulator.ScenarioSpec) {
-		d.Discovery.RemovalDelay = 0
-		d.Faults = []emulator.FaultSpec{{Kind: string(node.Drain), Names: []string{"node-01"}, From: config.Duration(time.Second), To: config.Duration(4 * time.Second)}}
+// An oracle that finds nothing proves nothing: a referee that has stopped looking would pass every agent. So minimal agents
+// break each rule on purpose, and the referee must report the violation with its evidence, and none for the agent that breaks
+// no rule.
+func TestRefereeReportsEachKindOfViolation(t *testing.T) {
+	draining := func(spec *emulator.ScenarioSpec) {
+		spec.Discovery.RemovalDelay = 0
+		spec.Faults = []emulator.FaultSpec{{Kind: string(node.Drain), Names: []string{"node-01"}, From: config.Duration(time.Second), To: config.Duration(4 * time.Second)}}
 	}
-	cold := func(d *emulator.ScenarioSpec) {
-		d.Load = 0.5
-		for i := range d.Kinds {
-			d.Kinds[i].SlowStart = true
+	slowStart := func(spec *emulator.ScenarioSpec) {
+		spec.Load = 0.5
+		for i := range spec.Kinds {
+			spec.Kinds[i].SlowStart = true
 		}
 	}
 	for _, c := range []struct {
-		vice   string
-		day    func(*emulator.ScenarioSpec)
-		rule   referee.Rule
-		counts func(referee.Account) int
-		says   string
+		misbehavior misbehavior
+		change      func(*emulator.ScenarioSpec)
+		rule        referee.Rule
+		count       func(referee.Account) int
+		evidence    string
 	}{
-		{"none", nil, "", nil, ""},
-		{"repeats", nil, referee.Duplicate, func(a referee.Account) int { return a.Duplicates }, "ran on node-"},
-		{"makes up", nil, referee.Lost, func(a referee.Account) int { return a.Lost }, "no node made"},
-		{"cuts off", nil, referee.Lost, func(a referee.Account) int { return a.Lost }, "without an answer, after sending it on"},
-		{"goes on sending", drain, referee.AfterDrain, func(a referee.Account) int { return a.AfterDrain }, "after it was told"},
-		{"one for all", cold, referee.SlowStartOverload, func(a referee.Account) int { return a.SlowStartOverloads }, "node-01 was cold"},
+		{behaves, nil, "", nil, ""},
+		{repeats, nil, referee.Duplicate, func(a referee.Account) int { return a.Duplicates }, "ran on node-"},
+		{fabricates, nil, referee.Lost, func(a referee.Account) int { return a.Lost }, "no node made"},
+		{cutsOff, nil, referee.Lost, func(a referee.Account) int { return a.Lost }, "without an answer, after sending it on"},
+		{ignoresDraining, draining, referee.AfterDrain, func(a referee.Account) int { return a.AfterDrain }, "after it was told"},
+		{usesOneNode, slowStart, referee.SlowStartOverload, func(a referee.Account) int { return a.SlowStartOverloads }, "node-01 was cold"},
 	} {
-		t.Run(c.vice, func(t *testing.T) {
-			a, breaches := play(t, c.vice, c.day)
-			if !a.Balanced() || a.Requests < 500 {
-				t.Errorf("%+v", a)
+		t.Run(string(c.misbehavior), func(t *testing.T) {
+			account, violations := runMisbehaving(t, c.misbehavior, c.change)
+			if !account.Balanced() || account.Requests < 500 {
+				t.Errorf("%+v", account)
 			}
 			if c.rule == "" {
-				if !a.RulesHold() || len(breaches) > 0 || a.Completed < a.Requests*9/10 {
-					t.Errorf("%+v %v", a, breaches)
+				if !account.RulesHold() || len(violations) > 0 || account.Completed < account.Requests*9/10 {
+					t.Errorf("%+v %v", account, violations)
 				}
 				return
 			}
-			if a.RulesHold() || c.counts(a) == 0 {
-				t.Fatalf("not caught: %+v", a)
+			if account.RulesHold() || c.count(account) == 0 {
+				t.Fatalf("not reported: %+v", account)
 			}
-			if i := slices.IndexFunc(breaches, func(b referee.Violation) bool { return b.Rule == c.rule }); i < 0 || !strings.Contains(breaches[i].String(), c.says) {
-				t.Errorf("%v", breaches)
+			first := slices.IndexFunc(violations, func(v referee.Violation) bool { return v.Rule == c.rule })
+			if first < 0 || !strings.Contains(violations[first].String(), c.evidence) {
+				t.Errorf("%v", violations)
 			}
 		})
 	}
 }
 
-// One who says nothing has lost nothing by the rules, but leaves its clients without an answer.
-func TestRefereeCountsSilence(t *testing.T) {
-	if a, _ := play(t, "says nothing", nil); a.Unanswered < 20 || !a.RulesHold() || !a.Balanced() {
-		t.Errorf("%+v", a)
+// An agent that never answers has lost nothing by the rules, as nobody can say what became of the request. Its clients are
+// left without an answer, and that must show in the account.
+func TestRefereeCountsSilenceAsUnanswered(t *testing.T) {
+	if account, _ := runMisbehaving(t, saysNothing, nil); account.Unanswered < 20 || !account.RulesHold() || !account.Balanced() {
+		t.Errorf("%+v", account)
 	}
 }
 
-// Callers don't wait for answers: a slow service is asked as much as a quick one, and its wait counts from when each
-// request was to be sent.
-func TestOpenLoop(t *testing.T) {
-	slow := func(d *emulator.ScenarioSpec) {
-		d.Clients.Retries, d.Clients.ImpatientFraction = 0, 0
-		d.Faults = []emulator.FaultSpec{{Kind: string(node.DelayedResponse), Nodes: 10, To: config.Duration(time.Minute), Size: 0.5}}
+// A closed loop sends less to a slow service and so makes it look better than it is. Callers here don't wait for answers: a
+// slow service gets as many requests as a quick one.
+func TestSlowServiceGetsAsManyRequestsAsQuickOne(t *testing.T) {
+	withoutRetries := func(spec *emulator.ScenarioSpec) { spec.Clients.Retries, spec.Clients.ImpatientFraction = 0, 0 }
+	delayed := func(spec *emulator.ScenarioSpec) {
+		withoutRetries(spec)
+		spec.Faults = []emulator.FaultSpec{{Kind: string(node.DelayedResponse), Nodes: 10, To: config.Duration(time.Minute), Size: 0.5}}
 	}
-	quick, _ := play(t, "none", func(d *emulator.ScenarioSpec) { d.Clients.Retries, d.Clients.ImpatientFraction = 0, 0 })
-	late, _ := play(t, "none", slow)
-	if quick.Requests != late.Requests || late.Completed == 0 {
-		t.Errorf("%d asked of a quick service, %d of a slow one", quick.Requests, late.Requests)
+	quick, _ := runMisbehaving(t, behaves, withoutRetries)
+	slow, _ := runMisbehaving(t, behaves, delayed)
+	if quick.Requests != slow.Requests || slow.Completed == 0 {
+		t.Errorf("%d requests to a quick service, %d to a slow one", quick.Requests, slow.Requests)
 	}
 }
 
-// Equal specs and seeds draw equal days; others don't.
-func TestDraw(t *testing.T) {
+// Two variants of an agent are compared on the same scenario, and a failure is repeated by its seed: equal specs and seeds must
+// draw equal scenarios, and other seeds others.
+func TestEqualSeedsDrawEqualScenarios(t *testing.T) {
 	spec := emulator.DefaultScenario()
 	spec.Faults = []emulator.FaultSpec{{Kind: "slow", Nodes: 3, To: config.Duration(time.Second), Size: 3}}
 	a, err := spec.Draw(5)
@@ -221,18 +242,19 @@
 	b, _ := spec.Draw(5)
 	c, _ := spec.Draw(6)
 	if !slices.Equal(a.Plan, b.Plan) || !slices.Equal(a.Nodes, b.Nodes) || !slices.Equal(a.Faults, b.Faults) {
-		t.Error("equal seeds drew other days")
+		t.Error("equal seeds drew different scenarios")
 	}
 	if slices.Equal(a.Plan, c.Plan) || len(a.Faults) != 3 {
-		t.Errorf("%d troubles", len(a.Faults))
+		t.Errorf("%d faults", len(a.Faults))
 	}
-	got := float64(len(a.Plan)) / a.Length.Seconds()
-	if got < 0.93*a.Rate || got > 1.07*a.Rate {
-		t.Errorf("%v a second were drawn for a rate of %v", got, a.Rate)
+	rate := float64(len(a.Plan)) / a.Length.Seconds()
+	if rate < 0.93*a.Rate || rate > 1.07*a.Rate {
+		t.Errorf("%v requests a second were drawn for a rate of %v", rate, a.Rate)
 	}
 }
 
-func TestDayChecks(t *testing.T) {
+// A scenario with a mistake is rejected with the key that it is at, before anything runs.
+func TestScenarioCheckNamesWrongKey(t *testing.T) {
 	for want, change := range map[string]func(*emulator.ScenarioSpec){
 		"length":     func(d *emulator.ScenarioSpec) { d.Length = -1 },
 		"agents":     func(d *emulator.ScenarioSpec) { d.Agents = 100000 },
@@ -259,13 +281,13 @@
 	}
 }
 
-// Callers and load never go beyond the machine.
-func TestLoopbackOnly(t *testing.T) {
+// A mistake in an address must not send load to a machine that is not the tester's own.
+func TestLoopbackDialerRejectsOtherAddresses(t *testing.T) {
 	dial := (&emulator.LoopbackNetwork{}).Dialer("")
 	for _, addr := range []string{"192.0.2.1:80", "example.org:80", "[2001:db8::1]:80", "nonsense"} {
 		if c, err := dial(t.Context(), "tcp", addr); err == nil {
 			c.Close()
-			t.Errorf("%s was dialled", addr)
+			t.Errorf("%s was dialed", addr)
 		}
 	}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
--- /dev/null
+++ b/internal/emulator/link_faults.go
@@ -0,0 +1,84 @@
+package emulator
+
+import (
+	"slices"
+	"time"
+
+	"ryeweir/internal/emulator/link"
+)
+
+// linkFault impairs the directions that it applies to, while it lasts.
+type linkFault struct {
+	applies func(from, to string) bool
+	added   link.Conditions // on top of the path's own
+}
+
+// addConditions puts conditions on top of others: delays add up, losses are independent.
+func addConditions(c, added link.Conditions) link.Conditions {
+	c.Delay, c.Jitter = c.Delay+added.Delay, c.Jitter+added.Jitter
+	c.Loss = 1 - (1-c.Loss)*(1-added.Loss)
+	c.Cut = c.Cut || added.Cut
+	return c
+}
+
+// injectLinkFault impairs paths from one time of the world to another, and returns when it is over.
+func (w *World) injectLinkFault(from, to time.Duration, host, text string, fault linkFault) {
+	if !w.waitUntil(from) {
+		return
+	}
+	w.RecordEvent(from, to, host, text)
+	end := w.addLinkFault(fault)
+	if w.waitUntil(to) {
+		end()
+	}
+}
+
+// addLinkFault impairs paths until the function that it returns is called. Several faults add up.
+func (w *World) addLinkFault(fault linkFault) (end func()) {
+	added := &fault
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.linkFaults = append(w.linkFaults, added)
+	w.applyConditions(fault.applies)
+	return func() {
+		w.mu.Lock()
+		defer w.mu.Unlock()
+		w.linkFaults = slices.DeleteFunc(w.linkFaults, func(other *linkFault) bool { return other == added })
+		w.applyConditions(fault.applies)
+		w.releaseNotifications()
+	}
+}
+
+// isCut reports whether what one host sends to another does not pass at present. w.mu is held.
+func (w *World) isCut(from, to string) bool {
+	return slices.ContainsFunc(w.linkFaults, func(fault *linkFault) bool { return fault.added.Cut && fault.applies(from, to) })
+}
+
+// applyConditions sets the present conditions of the paths whose faults have changed. w.mu is held.
+func (w *World) applyConditions(changed func(from, to string) bool) {
+	apply := func(a, b string, own link.Conditions) {
+		if changed(a, b) || changed(b, a) {
+			w.Network.SetConditions(a, b, w.conditions(a, b, own), w.conditions(b, a, own))
+		}
+	}
+	for i, agent := range w.Scenario.Agents {
+		zone := w.Scenario.AgentZone(i)
+		for _, node := range w.Scenario.Nodes {
+			apply(agent, node.ID, w.Scenario.LinkTo(zone, node.Zone))
+		}
+		apply(agent, Discovery, link.Conditions{})
+		for j, other := range w.Scenario.Agents[:i] {
+			apply(agent, other, w.Scenario.LinkTo(zone, w.Scenario.AgentZone(j)))
+		}
+	}
+}
+
+// conditions returns a path's own conditions with those of all present faults. w.mu is held.
+func (w *World) conditions(from, to string, own link.Conditions) link.Conditions {
+	for _, fault := range w.linkFaults {
+		if fault.applies(from, to) {
+			own = addConditions(own, fault.added)
+		}
+	}
+	return own
+}
--- /dev/null
+++ b/internal/emulator/loopback_network.go
@@ -0,0 +1,114 @@
+package emulator
+
+import (
+	"context"
+	"errors"
+	"net"
+	"sync"
+
+	"ryeweir/internal/emulator/link"
+)
+
+// LoopbackNetwork is a Network on sockets of 127.0.0.1 at free ports. A path is a relay. The zero value is ready for use.
+type LoopbackNetwork struct {
+	WithoutRelays bool       // agents connect to nodes directly: no conditions, and nothing to set down
+	Mesh          *link.Mesh // between agents that gossip; nil without. Close closes it
+
+	mu         sync.Mutex
+	relays     map[relayKey]*link.Relay
+	relaysMade uint64 // each relay has random numbers of its own
+}
+
+type relayKey struct{ agent, host string }
+
+var _ Network = (*LoopbackNetwork)(nil)
+
+const anyPort = "127.0.0.1:0"
+
+// Listen listens at a free port.
+func (*LoopbackNetwork) Listen(string) (net.Listener, error) { return net.Listen("tcp", anyPort) }
+
+// ListenAgain listens at a port that was in use before.
+func (*LoopbackNetwork) ListenAgain(addr string) (net.Listener, error) {
+	return net.Listen("tcp", addr)
+}
+
+// AddPath puts a relay between an agent and a host, and returns the relay's address.
+func (n *LoopbackNetwork) AddPath(agent, host, addr string, conditions link.Conditions) (string, error) {
+	if n.WithoutRelays {
+		return addr, nil
+	}
+	l, err := net.Listen("tcp", anyPort)
+	if err != nil {
+		return "", err
+	}
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.relaysMade++
+	relay := link.NewRelay(l, addr, n.relaysMade)
+	relay.Set(conditions, conditions)
+	if n.relays == nil {
+		n.relays = map[relayKey]*link.Relay{}
+	}
+	n.relays[relayKey{agent, host}] = relay
+	return l.Addr().String(), nil
+}
+
+// SetConditions changes the conditions of a relay or, between agents, of the mesh.
+func (n *LoopbackNetwork) SetConditions(agent, other string, forth, back link.Conditions) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	if relay := n.relays[relayKey{agent, other}]; relay != nil {
+		relay.Set(forth, back)
+	} else if n.Mesh != nil {
+		n.Mesh.Set(agent, other, forth)
+		n.Mesh.Set(other, agent, back)
+	}
+}
+
+// SetDown lets all relays to a node refuse connections, or accept them again.
+func (n *LoopbackNetwork) SetDown(node string, down bool) error {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	var errs []error
+	for key, relay := range n.relays {
+		if key.host == node {
+			errs = append(errs, relay.RejectConnections(down))
+		}
+	}
+	return errors.Join(errs...)
+}
+
+// Dialer returns the machine's dial function, for loopback addresses only: load must never leave the machine by a mistake in
+// an address.
+func (*LoopbackNetwork) Dialer(string) Dial {
+	return func(ctx context.Context, network, addr string) (net.Conn, error) {
+		host, _, err := net.SplitHostPort(addr)
+		if ip := net.ParseIP(host); err != nil || ip == nil || !ip.IsLoopback() {
+			return nil, &NotLoopbackError{Addr: addr}
+		}
+		return new(net.Dialer).DialContext(ctx, network, addr)
+	}
+}
+
+// NotLoopbackError is returned by the Dialer of a LoopbackNetwork for an address that is not a loopback IP address and a port.
+type NotLoopbackError struct{ Addr string }
+
+// Error implements error.
+func (e *NotLoopbackError) Error() string {
+	return "callers go to loopback addresses only, not to " + e.Addr
+}
+
+// Close ends all relays and the mesh.
+func (n *LoopbackNetwork) Close() {
+	n.mu.Lock()
+	relays := n.relays
+	n.relays = nil
+	n.mu.Unlock()
+	for _, relay := range relays {
+		relay.Close()
+	}
+	if n.Mesh != nil {
+		n.Mesh.Close()
+	}
+}
