--- a/internal/emulator/backend/backend_test.go
+++ b/internal/emulator/backend/backend_test.go
@@ -2,8 +2,9 @@
 
 import "testing"
 
-// Whatever a header says, its figures are sensible: a node's work and its answer's size follow from them.
-func FuzzAttrs(f *testing.F) {
+// A node's work and the size of its response are taken from a header that a client writes. Whatever it holds, no figure may be
+// negative, NaN or so large that a conversion overflows.
+func FuzzParseAttrsYieldsOnlyUsableFigures(f *testing.F) {
 	f.Add("work=1000,answer=5")
 	f.Add("work=-1, =,answer=1e300,work=NaN")
 	f.Fuzz(func(t *testing.T, text string) {
