--- a/internal/emulator/callers/call.go
+++ b/internal/emulator/callers/call.go
@@ -7,77 +7,95 @@
 	"ryeweir/internal/emulator/referee"
 )
 
-// ClientProfile are how clients go about their tries.
+// ClientProfile is how clients make attempts.
 type ClientProfile struct {
-	Retries                int           // further tries by the client itself
-	AttemptTimeoutFraction float64       // of the class's deadline after which a try is given up
-	Backoff                time.Duration // before a further try
-	RetryAfterFraction     float64       // share of clients that stay away for as long as a refusal says
-	MaxRetryAfter          time.Duration // the longest come-back time that they heed
-	ImpatientFraction      float64       // share of clients that leave a try early, at a time drawn evenly
+	Retries                int           // by the client itself
+	AttemptTimeoutFraction float64       // of the class's deadline, after which an attempt is given up
+	Backoff                time.Duration // before a retry
+	RetryAfterFraction     float64       // share of clients that wait for as long as Retry-After says
+	MaxRetryAfter          time.Duration // the longest that they wait so
+	ImpatientFraction      float64       // share of attempts that the client abandons early, at a time drawn evenly
 }
 
-// Call is a customer's request on its way through the tries of its client. It has no I/O and no clock: the runner tells
-// it how a try ended, and it says what comes next.
+// Call is a customer's request through the attempts of its client. It has no I/O and no clock: its owner says how an attempt
+// ended, and the call says when the next begins. It is not safe for concurrent use.
 type Call struct {
 	PlannedRequest
-	Class           Class
-	profile         ClientProfile
-	rng             *rand.Rand
-	heedsRetryAfter bool
-	Attempts        int
-	result          referee.CallResult
+	Class    Class
+	Attempts int // so far
+
+	profile            ClientProfile
+	rng                *rand.Rand
+	respectsRetryAfter bool
+	result             referee.CallResult
 }
 
-// NewCall begins a journey.
-func NewCall(p PlannedRequest, c Class, h ClientProfile) *Call {
-	rng := rand.New(rand.NewPCG(p.Seed, 0x68616269))
-	return &Call{PlannedRequest: p, Class: c, profile: h, rng: rng, heedsRetryAfter: rng.Float64() < h.RetryAfterFraction,
-		result: referee.CallResult{At: p.At, Agent: p.Agent, Class: p.Class, Tenant: p.Tenant, PriorityWeight: p.PriorityWeight, LateWeight: c.LateWeight, LatencyObjective: c.LatencyObjective}}
+// callStream keeps the random numbers of a call apart from those that other parts take from the same seed.
+const callStream = 0x68616269
+
+// NewCall begins a call.
+func NewCall(request PlannedRequest, class Class, profile ClientProfile) *Call {
+	rng := rand.New(rand.NewPCG(request.Seed, callStream))
+	return &Call{
+		PlannedRequest:     request,
+		Class:              class,
+		profile:            profile,
+		rng:                rng,
+		respectsRetryAfter: rng.Float64() < profile.RetryAfterFraction,
+		result: referee.CallResult{
+			At:               request.At,
+			Agent:            request.Agent,
+			Class:            request.Class,
+			Tenant:           request.Tenant,
+			PriorityWeight:   request.PriorityWeight,
+			LateWeight:       class.LateWeight,
+			LatencyObjective: class.LatencyObjective,
+		},
+	}
 }
 
-// Attempt begins a try at a time and says how long the client waits for it, and when it leaves without a word (at the end of
-// that, or earlier where it is impatient). 0 says that there is no time for another.
-func (j *Call) Attempt(now time.Duration) (wait, leaves time.Duration) {
-	left := j.At + j.Class.Deadline - now
-	wait = min(left, time.Duration(j.profile.AttemptTimeoutFraction*float64(j.Class.Deadline)))
-	if j.profile.Retries == 0 || j.profile.AttemptTimeoutFraction == 0 {
-		wait = left
+// Attempt begins an attempt. timeout is how long the client says that it waits, abandon how long it does: less where it is
+// impatient. Both are 0 when the call's deadline has passed.
+func (c *Call) Attempt(now time.Duration) (timeout, abandon time.Duration) {
+	remaining := c.At + c.Class.Deadline - now
+	timeout = min(remaining, time.Duration(c.profile.AttemptTimeoutFraction*float64(c.Class.Deadline)))
+	if c.profile.Retries == 0 || c.profile.AttemptTimeoutFraction == 0 {
+		timeout = remaining
 	}
-	if wait <= 0 {
+	if timeout <= 0 {
 		return 0, 0
 	}
-	j.Attempts++
-	leaves = wait
-	if j.rng.Float64() < j.profile.ImpatientFraction {
-		leaves = time.Duration(j.rng.Float64() * float64(wait))
+	c.Attempts++
+	abandon = timeout
+	if c.rng.Float64() < c.profile.ImpatientFraction {
+		abandon = time.Duration(c.rng.Float64() * float64(timeout))
 	}
-	return wait, leaves
+	return timeout, abandon
 }
 
-// Ended takes the end of a try. It returns when the next one is to begin; over says that there is none.
-func (j *Call) Ended(now time.Duration, end referee.Outcome, comeBack time.Duration) (next time.Duration, over bool) {
-	j.result.Attempts = j.Attempts
-	switch end {
+// Ended takes the end of an attempt. It returns when the next one is to begin; over says that there is none.
+func (c *Call) Ended(now time.Duration, outcome referee.Outcome, retryAfter time.Duration) (next time.Duration, over bool) {
+	c.result.Attempts = c.Attempts
+	switch outcome {
 	case referee.Served:
-		j.result.Answered, j.result.Latency = true, now-j.At
+		c.result.Answered, c.result.Latency = true, now-c.At
 		return 0, true
 	case referee.Rejected, referee.NotSent:
-	default: // it may have run: only what is safe is asked again
-		if j.Class.NonIdempotent {
+	default: // it may have been executed
+		if c.Class.NonIdempotent {
 			return 0, true
 		}
 	}
-	if j.Attempts > j.profile.Retries {
+	if c.Attempts > c.profile.Retries {
 		return 0, true
 	}
-	wait := j.profile.Backoff
-	if j.heedsRetryAfter && end == referee.Rejected {
-		wait = max(wait, min(comeBack, j.profile.MaxRetryAfter))
+	wait := c.profile.Backoff
+	if c.respectsRetryAfter && outcome == referee.Rejected {
+		wait = max(wait, min(retryAfter, c.profile.MaxRetryAfter))
 	}
 	next = now + wait
-	return next, next >= j.At+j.Class.Deadline
+	return next, next >= c.At+c.Class.Deadline
 }
 
-// Result is what came of it.
-func (j *Call) Result() referee.CallResult { return j.result }
+// Result returns what has become of the call so far.
+func (c *Call) Result() referee.CallResult { return c.result }
--- /dev/null
+++ b/internal/emulator/callers/distributions.go
@@ -0,0 +1,60 @@
+package callers
+
+import (
+	"math"
+	"math/rand/v2"
+	"slices"
+	"time"
+)
+
+const (
+	minWork       = 100 * time.Microsecond
+	maxWorkFactor = 20 // of the class's mean
+)
+
+// drawWork draws from a log-normal distribution with the class's mean and coefficient of variation, within bounds.
+func drawWork(rng *rand.Rand, class Class) time.Duration {
+	if class.CV == 0 {
+		return class.Work
+	}
+	variance := math.Log(1 + class.CV*class.CV)
+	factor := math.Exp(math.Sqrt(variance)*rng.NormFloat64() - variance/2)
+	return max(minWork, time.Duration(float64(class.Work)*min(factor, maxWorkFactor)))
+}
+
+// cumulative returns the running sums of shares, scaled to end at 1.
+func cumulative[T any](of []T, share func(T) float64) []float64 {
+	sum := 0.0
+	sums := make([]float64, len(of))
+	for i, x := range of {
+		sum += share(x)
+		sums[i] = sum
+	}
+	for i := range sums {
+		sums[i] /= sum
+	}
+	return sums
+}
+
+// cumulativeZipf returns the running sums of the popularity of n keys.
+func cumulativeZipf(n int, exponent float64) []float64 {
+	popularity := make([]float64, n)
+	for i := range popularity {
+		popularity[i] = math.Pow(float64(i+1), -exponent)
+	}
+	return cumulative(popularity, func(x float64) float64 { return x })
+}
+
+// choose draws an index by cumulative shares.
+func choose(rng *rand.Rand, cumulative []float64) int {
+	i, _ := slices.BinarySearch(cumulative, rng.Float64())
+	return min(i, len(cumulative)-1)
+}
+
+// splitmix64 is the finalizer of the generator of that name: a bijection that leaves no trace of the order of its arguments.
+func splitmix64(x uint64) uint64 {
+	x += 0x9e3779b97f4a7c15
+	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
+	x = (x ^ x>>27) * 0x94d049bb133111eb
+	return x ^ x>>31
+}
--- a/internal/emulator/callers/misbehaving.go
+++ b/internal/emulator/callers/misbehaving.go
@@ -11,14 +11,14 @@
 	"time"
 )
 
-// MisbehavingFigures are what came of rude clients.
+// MisbehavingFigures count what misbehaving clients got.
 type MisbehavingFigures struct {
 	Clients int `json:"clients"`
-	Served  int `json:"served"`  // got a 2xx for what is no request
+	Served  int `json:"served"`  // got a 2xx for what is no valid request
 	Ignored int `json:"ignored"` // got neither an error nor a close in time
 }
 
-// malformedRequests is what they send, each on a connection of its own.
+// malformedRequests are what misbehaving clients send, in turn, each on a connection of its own.
 var malformedRequests = []string{
 	"",
 	"\x16\x03\x01\x02\x00\x01\x00\x01\xfc\x03\x03",
@@ -31,53 +31,58 @@
 	"GET /" + strings.Repeat("a", 70000) + " HTTP/1.1\r\n\r\n",
 }
 
-// misbehavingTimeout is how long a rude client is owed an error or a close in.
+// misbehavingTimeout is how long an agent has to answer with an error or to close the connection.
 const misbehavingTimeout = 3 * time.Second
 
-// RunMisbehaving lets so many rude clients a second come to an address until the context ends, each with something that is no
-// request, and counts what they got.
+// RunMisbehaving opens connections to an address, so many a second, until the context ends. Each sends something that is no
+// valid request. It returns what they got when all have ended.
 func RunMisbehaving(ctx context.Context, dial func(context.Context, string, string) (net.Conn, error), addr string, rate float64) MisbehavingFigures {
 	var mu sync.Mutex
-	var out MisbehavingFigures
-	var all sync.WaitGroup
-	for n := 0; Sleep(ctx, time.Duration(float64(time.Second)/rate)); n++ {
+	var figures MisbehavingFigures
+	var clients sync.WaitGroup
+	interval := time.Duration(float64(time.Second) / rate)
+	for n := 0; Sleep(ctx, interval); n++ {
 		text := malformedRequests[n%len(malformedRequests)]
-		all.Go(func() {
+		clients.Go(func() {
 			status, closed := sendMalformed(dial, addr, text)
 			mu.Lock()
 			defer mu.Unlock()
-			out.Clients++
-			switch {
-			case status >= 200 && status < 300:
-				out.Served++
-			case status < 400 && !closed:
-				out.Ignored++
-			}
+			figures.add(status, closed)
 		})
 	}
-	all.Wait()
-	return out
+	clients.Wait()
+	return figures
 }
 
-// sendMalformed sends a text and waits for an answer or a close.
+func (f *MisbehavingFigures) add(status int, closed bool) {
+	f.Clients++
+	switch {
+	case status >= 200 && status < 300:
+		f.Served++
+	case status < 400 && !closed:
+		f.Ignored++
+	}
+}
+
+// sendMalformed sends a text and waits for a response or a close. status is 0 without a response.
 func sendMalformed(dial func(context.Context, string, string) (net.Conn, error), addr, text string) (status int, closed bool) {
 	ctx, cancel := context.WithTimeout(context.Background(), misbehavingTimeout)
 	defer cancel()
-	c, err := dial(ctx, "tcp", addr)
+	conn, err := dial(ctx, "tcp", addr)
 	if err != nil {
 		return 0, ctx.Err() == nil
 	}
-	defer c.Close()
-	end, _ := ctx.Deadline()
-	c.SetDeadline(end)
-	io.WriteString(c, text)
-	in := bufio.NewReader(c)
+	defer conn.Close()
+	deadline, _ := ctx.Deadline()
+	conn.SetDeadline(deadline)
+	io.WriteString(conn, text)
+	in := bufio.NewReader(conn)
 	if _, err := in.Peek(1); err != nil {
-		return 0, time.Now().Before(end)
+		return 0, time.Now().Before(deadline)
 	}
 	resp, err := http.ReadResponse(in, nil)
 	if err != nil {
-		return 0, time.Now().Before(end)
+		return 0, time.Now().Before(deadline)
 	}
 	resp.Body.Close()
 	return resp.StatusCode, true
--- a/internal/emulator/callers/run.go
+++ b/internal/emulator/callers/run.go
@@ -11,10 +11,11 @@
 	"ryeweir/internal/emulator/referee"
 )
 
-// Route says where a try goes. done is told how it ended.
-type Route func(p PlannedRequest, tried []string) (to string, client *Client, done func(referee.Outcome))
+// Route chooses where an attempt goes: the name of an agent or a node, and the client that reaches it; a nil client says that
+// there is nowhere to go. tried are the names of the call's earlier attempts. done is called with the attempt's outcome.
+type Route func(request PlannedRequest, tried []string) (to string, client *Client, done func(referee.Outcome))
 
-// Config is what a run is given.
+// Config is what a run is given. Times of the plan count from Epoch.
 type Config struct {
 	Plan            []PlannedRequest
 	Classes         []Class
@@ -22,40 +23,40 @@
 	ClientProfileAt func(at time.Duration) ClientProfile // of a client whose request is planned for then
 	Route           Route
 	Referee         *referee.Referee
-	Epoch           time.Time // when the plan's time is 0
-	Direct          bool      // tries go straight to nodes, past any agent
-	MaxOpen         int       // journeys open at a time; 0 for 20,000
-	ResponseBytes   int       // bytes wanted of each answer
-	RequestBytes    int       // bytes of a request that must not be repeated
-	SlowFraction    float64   // share of clients that take their time over a request
-	IDPrefix        uint64    // of the ids, so that several runs against one agent don't mix them up
+	Epoch           time.Time
+	Direct          bool    // attempts go to nodes, without an agent
+	MaxOpen         int     // calls open at a time; 0 for 20,000
+	ResponseBytes   int     // wanted of each response
+	RequestBytes    int     // of the body of a request that is not idempotent
+	SlowFraction    float64 // share of the calls that send slowly
+	IDPrefix        uint64  // makes the ids of several runs against one agent distinct
 	Done            func(referee.CallResult)
 }
 
 const (
 	defaultMaxOpen    = 20_000
-	slowWriteInterval = 40 * time.Millisecond // 8 pieces: a request takes 280 ms to write
+	slowWriteInterval = 40 * time.Millisecond // eight pieces: a request takes 280 ms to write
 )
 
-// Figures are what a run says of itself.
+// Figures say how well a run kept to its plan.
 type Figures struct {
-	Skipped int           // asked for while too many were open
-	Lag     time.Duration // the latest that a first try was sent after its time
+	Skipped int           // calls that were due while too many were open
+	Lag     time.Duration // the longest that a first attempt was sent after its time
 }
 
-// Run sends what is planned and returns what came of it, when all is answered or given up. When the context ends it begins
-// nothing more; what is open still ends.
+// Run sends a plan and returns the results when all calls are over. When the context ends it begins no more calls; those that
+// are open still end by themselves.
 func Run(ctx context.Context, cfg Config) ([]referee.CallResult, Figures) {
 	if cfg.MaxOpen == 0 {
 		cfg.MaxOpen = defaultMaxOpen
 	}
-	r := &run{Config: cfg, body: strings.Repeat("o", cfg.RequestBytes)}
-	var all sync.WaitGroup
+	r := &runner{Config: cfg, body: strings.Repeat("o", cfg.RequestBytes)}
+	var calls sync.WaitGroup
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	<-timer.C
-	for _, p := range cfg.Plan {
-		if wait := p.At - time.Since(cfg.Epoch); wait > 0 {
+	for _, planned := range cfg.Plan {
+		if wait := planned.At - time.Since(cfg.Epoch); wait > 0 {
 			timer.Reset(wait)
 			select {
 			case <-timer.C:
@@ -65,83 +66,74 @@
 		if ctx.Err() != nil {
 			break
 		}
-		j := NewCall(p, cfg.Classes[p.Class], cfg.ClientProfileAt(p.At))
+		call := NewCall(planned, cfg.Classes[planned.Class], cfg.ClientProfileAt(planned.At))
 		if int(r.open.Load()) >= cfg.MaxOpen {
-			r.skip(j)
+			r.skip(call)
 			continue
 		}
 		r.open.Add(1)
-		all.Go(func() {
+		calls.Go(func() {
 			defer r.open.Add(-1)
-			r.runCall(j)
+			r.runCall(call)
 		})
 	}
-	all.Wait()
+	calls.Wait()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.calls, r.figures
+	return r.results, r.figures
 }
 
-type run struct {
+// runner is a run in progress.
+type runner struct {
 	Config
 	body string
-	open atomic.Int64
+	open atomic.Int64 // calls
 
 	mu      sync.Mutex
-	calls   []referee.CallResult
+	results []referee.CallResult
 	figures Figures
 }
 
-func (r *run) now() time.Duration { return time.Since(r.Epoch) }
+func (r *runner) now() time.Duration { return time.Since(r.Epoch) }
 
-// skip ends a journey that found too many open: its client failed it, and it counts as not served.
-func (r *run) skip(j *Call) {
+// skip ends a call that found too many open. It counts as not answered.
+func (r *runner) skip(call *Call) {
 	r.mu.Lock()
 	r.figures.Skipped++
 	r.mu.Unlock()
-	r.finish(j)
+	r.finish(call)
 }
 
-func (r *run) finish(j *Call) {
-	call := j.Result()
+func (r *runner) finish(call *Call) {
+	result := call.Result()
 	r.mu.Lock()
-	r.calls = append(r.calls, call)
+	r.results = append(r.results, result)
 	r.mu.Unlock()
 	if r.Done != nil {
-		r.Done(call)
+		r.Done(result)
 	}
 }
 
-// runCall makes tries until one is the last. It outlives the run's context: a client does not vanish with the plan.
-func (r *run) runCall(j *Call) {
-	defer r.finish(j)
+// runCall makes attempts until one is the last. It does not end with the run's context: a client does not vanish with the plan.
+func (r *runner) runCall(call *Call) {
+	defer r.finish(call)
 	r.mu.Lock()
-	r.figures.Lag = max(r.figures.Lag, r.now()-j.At)
+	r.figures.Lag = max(r.figures.Lag, r.now()-call.At)
 	r.mu.Unlock()
 	var tried []string
 	for {
-		wait, leaves := j.Attempt(r.now())
-		if wait == 0 {
+		timeout, abandon := call.Attempt(r.now())
+		if timeout == 0 {
 			return
 		}
-		to, client, done := r.Route(j.PlannedRequest, tried)
-		if client == nil { // nowhere to go
+		to, client, done := r.Route(call.PlannedRequest, tried)
+		if client == nil {
 			return
 		}
 		tried = append(tried, to)
-		m := r.request(j, wait)
-		agent := to
-		if r.Direct {
-			agent = ""
-		}
-		r.Referee.RequestSent(referee.Request{ID: m.ID, Agent: agent, NonIdempotent: j.Class.NonIdempotent, At: r.now(), Class: j.Class.Name, Tenant: m.Tenant})
-		ctx, cancel := context.WithTimeout(context.Background(), leaves)
-		a := client.Send(ctx, m, func() bool { return r.Referee.Forwarded(m.ID) })
-		cancel()
-		now := r.now()
-		r.Referee.RequestEnded(m.ID, a.Outcome, a.BodyHash, now)
-		done(a.Outcome)
-		next, over := j.Ended(now, a.Outcome, a.RetryAfter)
+		response, now := r.attempt(call, to, client, timeout, abandon)
+		done(response.Outcome)
+		next, over := call.Ended(now, response.Outcome, response.RetryAfter)
 		if over {
 			return
 		}
@@ -151,19 +143,55 @@
 	}
 }
 
-func (r *run) request(j *Call, wait time.Duration) Request {
-	m := Request{ID: RequestID(r.IDPrefix, j.Number, j.Attempts), Class: j.Class.Name, Key: j.Key, NonIdempotent: j.Class.NonIdempotent,
-		Timeout: wait, CostHint: j.CostHint, Work: j.Work, ResponseBytes: r.ResponseBytes, Body: r.body}
-	if j.Tenant >= 0 {
-		m.Tenant = r.Tenants[j.Tenant].Name
+// attempt sends a call's request once and reports it to the referee. It returns when the attempt ended.
+func (r *runner) attempt(call *Call, to string, client *Client, timeout, abandon time.Duration) (response Response, endedAt time.Duration) {
+	request := r.request(call, timeout)
+	sent := referee.Request{
+		ID:            request.ID,
+		Agent:         to,
+		NonIdempotent: call.Class.NonIdempotent,
+		At:            r.now(),
+		Class:         call.Class.Name,
+		Tenant:        request.Tenant,
 	}
-	if float64(j.Seed>>11)/(1<<53) < r.SlowFraction {
-		m.WriteInterval = slowWriteInterval
+	if r.Direct {
+		sent.Agent = ""
 	}
-	return m
+	r.Referee.RequestSent(sent)
+	ctx, cancel := context.WithTimeout(context.Background(), abandon)
+	defer cancel()
+	response = client.Send(ctx, request, func() bool { return r.Referee.Forwarded(request.ID) })
+	endedAt = r.now()
+	r.Referee.RequestEnded(request.ID, response.Outcome, response.BodyHash, endedAt)
+	return response, endedAt
 }
 
-// RequestID is the id of a try: 16 hex digits that tell nothing, and are never the same for two tries of a run.
-func RequestID(prefix uint64, number, try int) string {
-	return fmt.Sprintf("%016x", splitmix64(prefix<<40^uint64(number)<<8^uint64(try)))
+func (r *runner) request(call *Call, timeout time.Duration) Request {
+	request := Request{
+		ID:            RequestID(r.IDPrefix, call.Number, call.Attempts),
+		Class:         call.Class.Name,
+		Key:           call.Key,
+		NonIdempotent: call.Class.NonIdempotent,
+		Timeout:       timeout,
+		CostHint:      call.CostHint,
+		Work:          call.Work,
+		ResponseBytes: r.ResponseBytes,
+		Body:          r.body,
+	}
+	if call.Tenant >= 0 {
+		request.Tenant = r.Tenants[call.Tenant].Name
+	}
+	if unitInterval(call.Seed) < r.SlowFraction {
+		request.WriteInterval = slowWriteInterval
+	}
+	return request
+}
+
+// unitInterval maps a random number to the interval from 0 to below 1, by its 53 highest bits.
+func unitInterval(x uint64) float64 { return float64(x>>11) / (1 << 53) }
+
+// RequestID returns the id of an attempt: 16 hexadecimal digits that don't show what they were made from, distinct for all
+// attempts of a run.
+func RequestID(prefix uint64, number, attempt int) string {
+	return fmt.Sprintf("%016x", splitmix64(prefix<<40^uint64(number)<<8^uint64(attempt)))
 }
