--- /dev/null
+++ b/internal/emulator/discovery/handler.go
@@ -0,0 +1,206 @@
+package discovery
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"net/http"
+	"strconv"
+	"time"
+)
+
+// maxWatch is the longest that a watch waits for a change.
+const maxWatch = time.Minute
+
+// endpointsPath is where the list is served.
+const endpointsPath = "/v1/endpoints"
+
+// noVersion asks for the full list.
+const noVersion = -1
+
+var (
+	errRejected   = errors.New("too many calls wait")
+	errWatchEnded = errors.New("the watch was broken off")
+	errBadVersion = errors.New("since must be a version")
+)
+
+func (s *Server) handler(agent string) http.Handler {
+	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		if r.Method != http.MethodGet || r.URL.Path != endpointsPath {
+			http.NotFound(w, r)
+			return
+		}
+		since, err := parseSince(r)
+		if err != nil {
+			http.Error(w, err.Error(), http.StatusBadRequest)
+			return
+		}
+		if err := s.waitTurn(r.Context()); err != nil {
+			w.Header().Set("Connection", "close")
+			http.Error(w, err.Error(), http.StatusServiceUnavailable)
+			return
+		}
+		list, err := s.awaitList(r.Context(), since, parseTimeout(r))
+		if err != nil {
+			panic(http.ErrAbortHandler) // breaks the connection without a response
+		}
+		s.write(w, list, agent)
+	})
+}
+
+// parseSince returns the version that a watch waits beyond, or noVersion.
+func parseSince(r *http.Request) (int, error) {
+	query := r.URL.Query()
+	if !query.Has("since") {
+		return noVersion, nil
+	}
+	since, err := strconv.Atoi(query.Get("since"))
+	if err != nil || since < 0 {
+		return 0, errBadVersion
+	}
+	return since, nil
+}
+
+// parseTimeout returns how long a watch waits; 0 where the request does not say.
+func parseTimeout(r *http.Request) time.Duration {
+	ms, err := strconv.ParseInt(r.URL.Query().Get("timeout_ms"), 10, 64)
+	if err != nil {
+		return 0
+	}
+	return min(maxWatch, max(0, time.Duration(ms)*time.Millisecond))
+}
+
+// waitTurn waits in the queue of requests, each of which takes the same time. It returns errRejected in an outage, when the
+// queue is too long (after the longest wait, as a client that is stuck in a full queue sees it), or when an outage begins
+// meanwhile; and the context's error.
+func (s *Server) waitTurn(ctx context.Context) error {
+	s.mu.Lock()
+	inOutage, outage := s.inOutage, s.outage
+	wait := s.queueDelay()
+	rejected := inOutage || wait > s.cfg.MaxQueueDelay
+	if rejected {
+		s.figures.Rejected++
+		wait = min(wait, s.cfg.MaxQueueDelay)
+	}
+	s.mu.Unlock()
+	if !inOutage && wait > 0 {
+		timer := time.NewTimer(wait)
+		defer timer.Stop()
+		select {
+		case <-timer.C:
+		case <-outage:
+			rejected = true
+		case <-ctx.Done():
+			return ctx.Err()
+		}
+	}
+	if rejected {
+		return errRejected
+	}
+	return nil
+}
+
+// queueDelay returns when a request that comes now will have been handled, and queues it unless that is too late. s.mu is held.
+func (s *Server) queueDelay() time.Duration {
+	if s.cfg.Rate <= 0 || s.inOutage {
+		return 0
+	}
+	now := time.Now()
+	if s.busyUntil.Before(now) {
+		s.busyUntil = now
+	}
+	delay := s.busyUntil.Add(time.Duration(float64(time.Second) / s.cfg.Rate)).Sub(now)
+	if delay <= s.cfg.MaxQueueDelay {
+		s.busyUntil = now.Add(delay)
+	}
+	return delay
+}
+
+// awaitList returns the full list, or waits for changes after a version: without one in time it returns an empty list of that
+// version. It returns errWatchEnded when an outage or the client ends the wait.
+func (s *Server) awaitList(ctx context.Context, since int, timeout time.Duration) (List, error) {
+	timer := time.NewTimer(timeout)
+	defer timer.Stop()
+	s.countList(since)
+	for {
+		list, changed, outage, ready := s.poll(since)
+		if ready {
+			return list, nil
+		}
+		select {
+		case <-changed:
+		case <-timer.C:
+			return List{Version: since, Servers: []Entry{}}, nil
+		case <-outage:
+			return List{}, errWatchEnded
+		case <-ctx.Done():
+			return List{}, errWatchEnded
+		}
+	}
+}
+
+func (s *Server) countList(since int) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if since == noVersion {
+		s.figures.FullLists++
+	} else {
+		s.figures.Watches++
+	}
+}
+
+// poll returns a list where there is one to return, else the channels of what a watch waits for.
+func (s *Server) poll(since int) (list List, changed, outage <-chan struct{}, ready bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	switch {
+	case since == noVersion:
+		return s.endpoints.fullList(), nil, nil, true
+	case s.endpoints.version != since:
+		return s.endpoints.changesSince(since), nil, nil, true
+	}
+	return List{}, s.endpoints.changed, s.outage, false
+}
+
+// write writes a list to an agent and reports what the agent has been notified of by it.
+func (s *Server) write(w http.ResponseWriter, list List, agent string) {
+	if s.cfg.RewriteEntry != nil {
+		for i, e := range list.Servers {
+			list.Servers[i] = s.cfg.RewriteEntry(agent, e)
+		}
+	}
+	text, err := json.Marshal(list)
+	if err != nil {
+		http.Error(w, err.Error(), http.StatusInternalServerError)
+		return
+	}
+	w.Header().Set("Content-Type", "application/json")
+	w.Header().Set("Content-Length", strconv.Itoa(len(text)))
+	if _, err := w.Write(text); err != nil {
+		return
+	}
+	http.NewResponseController(w).Flush()
+	s.notified(list, agent)
+}
+
+// notified reports the entries of a list that was written to an agent. A full list also says of the endpoints that it does not
+// name that they are gone.
+func (s *Server) notified(list List, agent string) {
+	s.mu.Lock()
+	s.figures.Entries += len(list.Servers)
+	var removed []string
+	if list.Full {
+		removed = s.endpoints.removedIDs()
+	}
+	s.mu.Unlock()
+	if s.cfg.OnNotified == nil {
+		return
+	}
+	now := time.Now()
+	for _, e := range list.Servers {
+		s.cfg.OnNotified(agent, e, now)
+	}
+	for _, id := range removed {
+		s.cfg.OnNotified(agent, Entry{ID: id, State: Removed}, now)
+	}
+}
