--- a/internal/emulator/link/link_test.go
+++ b/internal/emulator/link/link_test.go
@@ -13,7 +13,7 @@
 	"time"
 )
 
-// pair is a connection in memory from a to b.
+// pair returns both ends of a connection in memory, from a to b.
 func pair(t *testing.T, n *Network) (here, there net.Conn) {
 	t.Helper()
 	l, err := n.Listen("b:80")
@@ -31,7 +31,7 @@
 	return here, there
 }
 
-// read reads a piece and says how long it took.
+// read returns what one read brings, and how long it took.
 func read(c net.Conn) (string, time.Duration, error) {
 	began := time.Now()
 	buf := make([]byte, 100)
@@ -39,7 +39,8 @@
 	return string(buf[:n]), time.Since(began), err
 }
 
-func TestDelayAndOrder(t *testing.T) {
+// Delay, jitter and loss hold packets back by different times. A stream must still bring all bytes, in order.
+func TestStreamStaysInOrderUnderDelayAndLoss(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := NewNetwork(1)
 		n.SetBoth("a", "b", Conditions{Delay: 100 * time.Millisecond, Jitter: 50 * time.Millisecond, Loss: 0.3})
@@ -58,7 +59,8 @@
 	})
 }
 
-func TestBandwidthAndWindow(t *testing.T) {
+// A writer to a reader that has stopped must not send without end, and one to a slow line no faster than that.
+func TestWritesAreLimitedByWindowAndBandwidth(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := NewNetwork(1)
 		n.SetBoth("a", "b", Conditions{Bandwidth: 1 << 20})
@@ -66,7 +68,7 @@
 		here.SetWriteDeadline(time.Now().Add(time.Second))
 		sent, err := here.Write(make([]byte, 2<<20))
 		if !errors.Is(err, os.ErrDeadlineExceeded) || sent != maxInFlight {
-			t.Errorf("%d bytes are under way with nobody reading, %v", sent, err)
+			t.Errorf("%d bytes are in flight with nobody reading, %v", sent, err)
 		}
 		here.SetWriteDeadline(time.Time{})
 		began := time.Now()
@@ -81,8 +83,9 @@
 	})
 }
 
-// A cut says nothing; what it held back comes when it is over. In the other direction all goes on.
-func TestCutInOneDirection(t *testing.T) {
+// A partition often has one direction only: one side receives nothing, and the other goes on. Neither gets an error, and what was
+// sent into the cut arrives when it is over.
+func TestCutHoldsBackOneDirectionWithoutError(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := NewNetwork(1)
 		here, there := pair(t, n)
@@ -97,7 +100,7 @@
 			t.Errorf("%v after %v", err, took)
 		}
 		if !there.(*Conn).Quiet() {
-			t.Error("something had come")
+			t.Error("something had arrived")
 		}
 		there.SetReadDeadline(time.Time{})
 		time.AfterFunc(time.Second, func() { n.Set("a", "b", Conditions{}) })
@@ -117,7 +120,9 @@
 	})
 }
 
-func TestEnds(t *testing.T) {
+// How a connection ends tells an agent whether a request may be retried, so a close, a close with unread bytes, a killed peer
+// and a port without a listener must look as they do in TCP.
+func TestConnectionsEndAsInTCP(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := NewNetwork(1)
 		here, there := pair(t, n)
@@ -153,7 +158,8 @@
 	})
 }
 
-func TestDatagrams(t *testing.T) {
+// Datagrams are lost by the conditions, and where nobody reads them in time.
+func TestDatagramsAreLostByConditionsAndFullSockets(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := NewNetwork(1)
 		a, _ := n.ListenPacket("a:1")
@@ -170,7 +176,7 @@
 			}
 		}
 		if got < 350 || got > 450 {
-			t.Errorf("%d of 500 came with a fifth lost", got)
+			t.Errorf("%d of 500 arrived at a loss of a fifth", got)
 		}
 		for range 3 * maxQueuedDatagrams {
 			a.WriteTo([]byte("x"), a.LocalAddr())
@@ -183,8 +189,9 @@
 	})
 }
 
-// echo answers with what it gets, on a real socket.
+// echo listens on a real socket and sends back what it reads.
 func echo(t *testing.T) net.Listener {
+	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -202,7 +209,9 @@
 	return l
 }
 
-func TestRelay(t *testing.T) {
+// A relay is the network of a run on sockets: delay, a cut, a reset and a process that is down must show to an agent as they
+// would without the relay.
+func TestRelayShapesAndBreaksStreams(t *testing.T) {
 	front, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -210,6 +219,7 @@
 	r := NewRelay(front, echo(t).Addr().String(), 1)
 	defer r.Close()
 	dial := func() net.Conn {
+		t.Helper()
 		c, err := net.Dial("tcp", r.Addr().String())
 		if err != nil {
 			t.Fatal(err)
@@ -253,7 +263,7 @@
 	}
 	if c, err := net.Dial("tcp", r.Addr().String()); err == nil {
 		c.Close()
-		t.Error("a connection was taken that should have been refused")
+		t.Error("a connection was accepted that should have been refused")
 	}
 	if err := r.RejectConnections(false); err != nil {
 		t.Fatal(err)
@@ -265,7 +275,8 @@
 	}
 }
 
-func TestDatagramRelay(t *testing.T) {
+// Replies find their way back to the sender, and senders beyond the bound are lost and counted.
+func TestDatagramRelayReturnsRepliesAndBoundsSenders(t *testing.T) {
 	server, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -314,7 +325,7 @@
 	}
 }
 
-func TestConditionsCheck(t *testing.T) {
+func TestConditionsOutOfRangeAreRejected(t *testing.T) {
 	for _, c := range []Conditions{{Delay: -1}, {Loss: 1}, {Loss: -0.1}, {Bandwidth: -1}} {
 		if c.Check() == nil {
 			t.Errorf("%+v passed", c)
--- a/internal/emulator/link/mesh.go
+++ b/internal/emulator/link/mesh.go
@@ -1,7 +1,6 @@
 package link
 
 import (
-	"context"
 	"errors"
 	"fmt"
 	"math/rand/v2"
@@ -10,65 +9,59 @@
 	"time"
 )
 
-// Mesh stands between processes that talk with each other on loopback, each with all others, packets and streams on one
-// port. Each host has a front, an address that the others are told; what comes to it goes on to where the host listens, under
-// the conditions of the way from the sender, which is told apart by its IP address: 127.0.0.0/8 has one for each.
+// Mesh stands between processes that send to each other on loopback, each to all others, with datagrams and streams on one
+// port. Each host has a front: an address that the others know it by. What comes to a front goes on to where its host listens,
+// under the conditions of the direction from the sender, which is told by its IP address: 127.0.0.0/8 has one for each host. It
+// is safe for concurrent use.
 type Mesh struct {
 	goroutines sync.WaitGroup
-	timers     sync.WaitGroup
+	timers     sync.WaitGroup // of datagrams under way
 
 	mu         sync.Mutex
 	rng        *rand.Rand
 	hosts      map[string]string // name by IP address
-	fronts     map[string]*front
-	conditions map[[2]string]Conditions // from, to
-	shapers    map[[2]string]*shaper    // of packets
+	fronts     map[string]*front // by host
+	conditions map[path]Conditions
+	shapers    map[path]*shaper // of datagrams
 	counts     MeshCounts
 	closed     bool
 }
 
-// MeshCounts are what a Mesh has passed on, and dropped.
+// MeshCounts are what a Mesh has passed on, and lost by its conditions.
 type MeshCounts struct {
 	Packets, Lost, Streams int
 }
 
+// front is one host's address in a mesh.
 type front struct {
 	host, target string
 	streams      net.Listener
-	packets, out net.PacketConn
-	to           net.Addr
+	packets      net.PacketConn // at the address of streams
+	out          net.PacketConn // sends to the target
+	targetAddr   net.Addr
 	open         map[*relayedStream]string // the sender of each stream
 }
 
-// NewMesh returns one without hosts.
+// NewMesh returns a mesh without hosts. Close ends it.
 func NewMesh(seed uint64) *Mesh {
-	return &Mesh{rng: rand.New(rand.NewPCG(seed, 6)), hosts: map[string]string{}, fronts: map[string]*front{}, conditions: map[[2]string]Conditions{},
-		shapers: map[[2]string]*shaper{}}
+	return &Mesh{
+		rng:        rand.New(rand.NewPCG(seed, 6)),
+		hosts:      map[string]string{},
+		fronts:     map[string]*front{},
+		conditions: map[path]Conditions{},
+		shapers:    map[path]*shaper{},
+	}
 }
 
+// portAttempts is how many ports are tried until one is free for both datagrams and streams.
 const portAttempts = 20
 
-// Add gives a host a front. It sends from an IP address of its own, and listens at a target.
+// Add gives a host a front and returns its address. The host sends from an IP address of its own, and listens at target.
 func (m *Mesh) Add(host, ip, target string) (addr string, err error) {
-	f := &front{host: host, target: target, open: map[*relayedStream]string{}}
-	if f.to, err = net.ResolveUDPAddr("udp", target); err != nil {
-		return "", fmt.Errorf("mesh: %w", err)
-	}
-	for range portAttempts { // a port that is free for both
-		if f.streams, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
-			continue
-		}
-		if f.packets, err = net.ListenPacket("udp", f.streams.Addr().String()); err == nil {
-			break
-		}
-		f.streams.Close()
-	}
+	f, err := newFront(host, target)
 	if err != nil {
 		return "", fmt.Errorf("mesh: %w", err)
 	}
-	if f.out, err = net.ListenPacket("udp", "127.0.0.1:0"); err != nil {
-		return "", errors.Join(fmt.Errorf("mesh: %w", err), f.streams.Close(), f.packets.Close())
-	}
 	m.mu.Lock()
 	m.hosts[ip], m.fronts[host] = host, f
 	m.mu.Unlock()
@@ -77,43 +70,72 @@
 	return f.streams.Addr().String(), nil
 }
 
-// Set changes the conditions of the way from one host to another.
+func newFront(host, target string) (*front, error) {
+	targetAddr, err := net.ResolveUDPAddr("udp", target)
+	if err != nil {
+		return nil, err
+	}
+	f := &front{host: host, target: target, targetAddr: targetAddr, open: map[*relayedStream]string{}}
+	if err := f.listen(); err != nil {
+		return nil, err
+	}
+	if f.out, err = net.ListenPacket("udp", "127.0.0.1:0"); err != nil {
+		return nil, errors.Join(err, f.streams.Close(), f.packets.Close())
+	}
+	return f, nil
+}
+
+// listen opens a port for both datagrams and streams.
+func (f *front) listen() (err error) {
+	for range portAttempts {
+		if f.streams, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
+			continue
+		}
+		if f.packets, err = net.ListenPacket("udp", f.streams.Addr().String()); err == nil {
+			return nil
+		}
+		f.streams.Close()
+	}
+	return err
+}
+
+// Set changes the conditions of the direction from one host to another.
 func (m *Mesh) Set(from, to string, c Conditions) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.conditions[[2]string{from, to}] = c
+	m.conditions[path{from, to}] = c
 	if f := m.fronts[to]; f != nil {
-		for s, who := range f.open {
-			if who == from {
-				s.forth.setConditions(c)
+		for stream, sender := range f.open {
+			if sender == from {
+				stream.forth.setConditions(c)
 			}
 		}
 	}
 	if f := m.fronts[from]; f != nil {
-		for s, who := range f.open {
-			if who == to {
-				s.back.setConditions(c)
+		for stream, sender := range f.open {
+			if sender == to {
+				stream.back.setConditions(c)
 			}
 		}
 	}
 }
 
-// Counts are what it has passed on.
+// Counts returns what the mesh has passed on so far.
 func (m *Mesh) Counts() MeshCounts {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.counts
 }
 
-// Close ends all that is under way and waits for it.
+// Close breaks all streams, ends the mesh and waits for its goroutines and for datagrams that are under way.
 func (m *Mesh) Close() error {
 	m.mu.Lock()
 	m.closed = true
 	var errs []error
 	for _, f := range m.fronts {
 		errs = append(errs, f.streams.Close(), f.packets.Close(), f.out.Close())
-		for s := range f.open {
-			s.reset()
+		for stream := range f.open {
+			stream.reset()
 		}
 	}
 	m.mu.Unlock()
@@ -122,63 +144,59 @@
 	return errors.Join(errs...)
 }
 
+// sender returns the host of an address; empty for one that is not of the mesh. m.mu is held.
 func (m *Mesh) sender(addr net.Addr) string {
-	host, _, err := net.SplitHostPort(addr.String())
+	ip, _, err := net.SplitHostPort(addr.String())
 	if err != nil {
 		return ""
 	}
-	return m.hosts[host]
+	return m.hosts[ip]
 }
 
 func (m *Mesh) forward(f *front, from net.Addr, data []byte) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	way := [2]string{m.sender(from), f.host}
-	s := m.shapers[way]
+	direction := path{m.sender(from), f.host}
+	s := m.shapers[direction]
 	if s == nil {
 		s = &shaper{rng: m.rng}
-		m.shapers[way] = s
+		m.shapers[direction] = s
 	}
 	now := time.Now()
-	due, arrives := s.datagramArrival(now, len(data), m.conditions[way])
+	due, arrives := s.datagramArrival(now, len(data), m.conditions[direction])
 	if !arrives || m.closed {
 		m.counts.Lost++
 		return
 	}
 	m.counts.Packets++
 	if !due.After(now) {
-		f.out.WriteTo(data, f.to)
+		f.out.WriteTo(data, f.targetAddr)
 		return
 	}
 	m.timers.Add(1)
 	time.AfterFunc(time.Until(due), func() {
 		defer m.timers.Done()
-		f.out.WriteTo(data, f.to)
+		f.out.WriteTo(data, f.targetAddr)
 	})
 }
 
 func (m *Mesh) relayStream(f *front, client *net.TCPConn) {
-	ctx, cancel := context.WithTimeout(context.Background(), dialTimeout)
-	defer cancel()
-	raw, err := new(net.Dialer).DialContext(ctx, "tcp", f.target)
+	server, err := dialTarget(client, f.target)
 	if err != nil {
-		client.SetLinger(0)
-		client.Close()
 		return
 	}
 	m.mu.Lock()
-	who := m.sender(client.RemoteAddr())
-	s := &relayedStream{client: client, server: raw.(*net.TCPConn),
-		forth: newPipe(rand.New(rand.NewPCG(m.rng.Uint64(), 1)), m.conditions[[2]string{who, f.host}]),
-		back:  newPipe(rand.New(rand.NewPCG(m.rng.Uint64(), 2)), m.conditions[[2]string{f.host, who}])}
-	f.open[s] = who
+	sender := m.sender(client.RemoteAddr())
+	forth, back := m.conditions[path{sender, f.host}], m.conditions[path{f.host, sender}]
+	stream := newRelayedStream(client, server, m.rng, forth, back)
+	f.open[stream] = sender
 	m.counts.Streams++
 	if m.closed {
-		s.reset()
+		stream.reset()
 	}
 	m.mu.Unlock()
-	s.run()
+	stream.run()
 	m.mu.Lock()
-	delete(f.open, s)
+	delete(f.open, stream)
 	m.mu.Unlock()
 }
--- a/internal/emulator/link/mesh_test.go
+++ b/internal/emulator/link/mesh_test.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// Packets and streams go through by the conditions of their sender's way, each direction by its own: cut one way, what comes
-// the other way still comes.
-func TestMesh(t *testing.T) {
+// A partition may have one direction only. Datagrams and streams pass by the conditions from their sender: with one direction
+// cut, the other must still pass.
+func TestMeshShapesEachDirectionByItsSender(t *testing.T) {
 	m := NewMesh(1)
 	defer m.Close()
 	type host struct {
@@ -45,7 +45,7 @@
 		if _, err := hosts[from].packets.WriteTo([]byte(from), addr); err != nil {
 			t.Fatal(err)
 		}
-		for { // either it is lost or it comes
+		for { // until it is lost or passed on
 			if c := m.Counts(); c.Lost > before.Lost {
 				return false
 			} else if c.Packets > before.Packets {
@@ -62,7 +62,7 @@
 		return true
 	}
 	if !send("a", "b") || !send("b", "a") {
-		t.Fatal("packets are lost without a cause")
+		t.Fatal("datagrams are lost without a fault")
 	}
 	m.Set("a", "b", Conditions{Cut: true})
 	if send("a", "b") || !send("b", "a") {
@@ -70,7 +70,7 @@
 	}
 	m.Set("a", "b", Conditions{})
 
-	// A stream from a to b, of which b's half is cut: a hears nothing until the cut is over.
+	// A stream from a to b whose direction from b is cut: a receives nothing until the cut is over.
 	d := net.Dialer{LocalAddr: &net.TCPAddr{IP: net.ParseIP("127.0.91.1")}}
 	c, err := d.Dial("tcp", hosts["b"].front)
 	if err != nil {
--- a/internal/emulator/link/datagram.go
+++ b/internal/emulator/link/packet_conn.go
@@ -12,15 +12,16 @@
 // maxQueuedDatagrams is how many datagrams wait at a socket; more are lost, as a full socket buffer loses them.
 const maxQueuedDatagrams = 1024
 
-// PacketConn sends and receives datagrams of a Network.
+// PacketConn sends and receives datagrams of a Network. It is a net.PacketConn.
 type PacketConn struct {
-	network      *Network
-	addr         string
+	network *Network
+	addr    string
+
 	mu           sync.Mutex
-	changed      chan struct{}
-	shapers      map[string]*shaper // to each host
-	queue        []datagram         // by the time that they arrive
-	lost         int
+	changed      chan struct{}      // closed at each change, and replaced
+	shapers      map[string]*shaper // by the host that is sent to
+	queue        []datagram         // those that arrive first come first
+	lost         int                // found the queue full
 	closed       bool
 	readDeadline time.Time
 }
@@ -44,12 +45,13 @@
 	return p, nil
 }
 
+// broadcast wakes all readers. p.mu is held.
 func (p *PacketConn) broadcast() {
 	close(p.changed)
 	p.changed = make(chan struct{})
 }
 
-// WriteTo sends a datagram. What is lost is not told.
+// WriteTo sends a datagram. A lost one is no error.
 func (p *PacketConn) WriteTo(b []byte, to net.Addr) (int, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -58,15 +60,10 @@
 	}
 	n := p.network
 	n.mu.Lock()
-	cond, peer := n.paths[path{host(p.addr), host(to.String())}], n.packets[to.String()]
-	shape := p.shapers[host(to.String())]
-	if shape == nil {
-		n.connsMade++
-		shape = &shaper{rng: n.newRand(n.connsMade, 3)}
-		p.shapers[host(to.String())] = shape
-	}
+	conditions, peer := n.paths[path{host(p.addr), host(to.String())}], n.packets[to.String()]
+	toPeer := p.shaperTo(host(to.String()))
 	n.mu.Unlock()
-	due, arrives := shape.datagramArrival(time.Now(), len(b), cond)
+	due, arrives := toPeer.datagramArrival(time.Now(), len(b), conditions)
 	if peer == nil || !arrives {
 		return len(b), nil
 	}
@@ -81,7 +78,18 @@
 	return len(b), nil
 }
 
-// enqueue lets a datagram wait until it arrives. The lock is held.
+// shaperTo returns the shaper towards a host. Both locks are held.
+func (p *PacketConn) shaperTo(host string) *shaper {
+	s := p.shapers[host]
+	if s == nil {
+		p.network.connsMade++
+		s = &shaper{rng: p.network.newRand(p.network.connsMade, 3)}
+		p.shapers[host] = s
+	}
+	return s
+}
+
+// enqueue lets a datagram wait until it arrives. p.mu is held.
 func (p *PacketConn) enqueue(d datagram) {
 	if len(p.queue) >= maxQueuedDatagrams || p.closed {
 		p.lost++
@@ -97,7 +105,7 @@
 	p.broadcast()
 }
 
-// ReadFrom waits for a datagram. What does not fit into b is lost.
+// ReadFrom waits for a datagram. What does not fit into b is lost. It returns net.ErrClosed after Close.
 func (p *PacketConn) ReadFrom(b []byte) (int, net.Addr, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -121,14 +129,14 @@
 	}
 }
 
-// Lost is how many datagrams found the socket full.
+// Lost returns how many datagrams found the socket's queue full.
 func (p *PacketConn) Lost() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.lost
 }
 
-// Close closes the socket.
+// Close closes the socket. Datagrams in its queue are lost.
 func (p *PacketConn) Close() error {
 	p.network.mu.Lock()
 	if p.network.packets[p.addr] == p {
@@ -145,13 +153,13 @@
 	return nil
 }
 
-// LocalAddr is the socket's address.
+// LocalAddr returns the socket's address.
 func (p *PacketConn) LocalAddr() net.Addr { return Addr(p.addr) }
 
-// SetDeadline sets the time by which reads end; writes never wait.
+// SetDeadline sets the time at which reads fail; writes never wait.
 func (p *PacketConn) SetDeadline(t time.Time) error { return p.SetReadDeadline(t) }
 
-// SetReadDeadline sets the time by which reads end.
+// SetReadDeadline sets the time at which reads fail.
 func (p *PacketConn) SetReadDeadline(t time.Time) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/emulator/link/pipe.go
+++ b/internal/emulator/link/pipe.go
@@ -10,28 +10,32 @@
 	"time"
 )
 
-// maxInFlight is how many bytes may be under way in one direction of a connection: a writer waits beyond it.
+// maxInFlight is how many bytes may be in flight in one direction of a connection: beyond it a writer waits.
 const maxInFlight = 256 << 10
 
-// pipe is one direction of a connection: what is written at one end arrives at the other when the conditions let it.
-// Waiting is on channels alone, so that fake time can pass over it.
+// pipe is one direction of a connection: what is written at one end arrives at the other when the conditions allow it. It waits
+// on channels and timers alone, so that the fake time of testing/synctest passes while it does.
+//
+// Each piece has the time at which it is due. A cut holds back what is due after cutAt; when the cut is over, what it held back
+// becomes due anew.
 type pipe struct {
 	mu            sync.Mutex
 	changed       chan struct{} // closed at each change, and replaced
 	shaper        shaper
 	conditions    Conditions
-	cutAt         time.Time // since when it is cut
-	pieces        []piece
-	inFlight      int       // bytes under way
-	endAt         time.Time // when the end of the stream arrives; zero while there is none
+	cutAt         time.Time // when the present cut began
+	pieces        []piece   // in order of arrival
+	inFlight      int       // bytes of all pieces
+	endAt         time.Time // when the end of the stream arrives; zero before it was sent
 	resetAt       time.Time // when a reset arrives at the reader; zero without one
-	readerClosed  bool      // the reader has closed: what is written is lost
-	writerClosed  bool      // the writer has closed
-	writeErr      error     // what a writer gets from now on
+	readerClosed  bool      // what is written is lost
+	writerClosed  bool
+	writeErr      error // what all further writes return; nil while they succeed
 	readDeadline  time.Time
 	writeDeadline time.Time
 }
 
+// piece is bytes that were written together.
 type piece struct {
 	data []byte
 	due  time.Time
@@ -45,15 +49,15 @@
 	return p
 }
 
-// broadcast tells all who wait that something has changed. The lock is held.
+// broadcast wakes all that wait for a change. p.mu is held.
 func (p *pipe) broadcast() {
 	close(p.changed)
 	p.changed = make(chan struct{})
 }
 
-// waitForChange waits for a change, or until the first of the times that are not zero. The lock is held before and after.
+// waitForChange waits for a change, or until the first of the times that are not zero. The lock is held on entry and on return.
 func waitForChange(lock *sync.Mutex, changed <-chan struct{}, until ...time.Time) {
-	var over <-chan time.Time
+	var timeout <-chan time.Time
 	var first time.Time
 	for _, t := range until {
 		if !t.IsZero() && (first.IsZero() || t.Before(first)) {
@@ -63,18 +67,18 @@
 	if !first.IsZero() {
 		timer := time.NewTimer(time.Until(first))
 		defer timer.Stop()
-		over = timer.C
+		timeout = timer.C
 	}
 	lock.Unlock()
 	defer lock.Lock()
 	select {
 	case <-changed:
-	case <-over:
+	case <-timeout:
 	}
 }
 
-// arrivalOf is when n bytes arrive that are sent now. What is sent into a cut is later than it, also with no delay. The lock is
-// held.
+// arrivalOf returns when n bytes arrive that are sent now. Bytes that are sent into a cut must be due after it began, also
+// without a delay, or they would pass. p.mu is held.
 func (p *pipe) arrivalOf(n int) time.Time {
 	at := p.shaper.streamArrival(time.Now(), n, p.conditions)
 	if p.conditions.Cut && !at.After(p.cutAt) {
@@ -84,7 +88,8 @@
 	return at
 }
 
-// setConditions changes the conditions for what is written from now on. What a cut held back passes when it is over.
+// setConditions changes the conditions for what is written from now on. When a cut ends, what it held back is due after the
+// new delay.
 func (p *pipe) setConditions(c Conditions) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -93,31 +98,36 @@
 		p.cutAt = now
 	}
 	if !c.Cut && p.conditions.Cut {
-		again := now.Add(c.Delay)
-		for i := range p.pieces {
-			if p.pieces[i].due.After(p.cutAt) && p.pieces[i].due.Before(again) {
-				p.pieces[i].due = again
-			}
-		}
-		for _, at := range []*time.Time{&p.endAt, &p.resetAt} {
-			if !at.IsZero() && at.After(p.cutAt) && at.Before(again) {
-				*at = again
-			}
-		}
-		if p.shaper.lastArrival.Before(again) {
-			p.shaper.lastArrival = again
-		}
+		p.resume(now.Add(c.Delay))
 	}
 	p.conditions = c
 	p.broadcast()
 }
 
-// arrived reports whether what is due then is there.
+// resume makes what a cut has held back due at a time, at the earliest. p.mu is held.
+func (p *pipe) resume(at time.Time) {
+	heldBack := func(due time.Time) bool { return due.After(p.cutAt) && due.Before(at) }
+	for i := range p.pieces {
+		if heldBack(p.pieces[i].due) {
+			p.pieces[i].due = at
+		}
+	}
+	for _, due := range []*time.Time{&p.endAt, &p.resetAt} {
+		if !due.IsZero() && heldBack(*due) {
+			*due = at
+		}
+	}
+	if p.shaper.lastArrival.Before(at) {
+		p.shaper.lastArrival = at
+	}
+}
+
+// arrived reports whether what is due at a time has arrived. p.mu is held.
 func (p *pipe) arrived(due, now time.Time) bool {
 	return !due.IsZero() && !due.After(now) && (!p.conditions.Cut || !due.After(p.cutAt))
 }
 
-// wakeTime is the time to wait for, where waiting helps.
+// wakeTime returns the time to wait for; zero where a cut holds it back, and only a change of conditions helps. p.mu is held.
 func (p *pipe) wakeTime(due time.Time) time.Time {
 	if p.conditions.Cut && due.After(p.cutAt) {
 		return time.Time{}
@@ -125,7 +135,8 @@
 	return due
 }
 
-// read takes what has arrived.
+// read waits until something has arrived and copies it to b. It returns io.EOF at the stream's end, syscall.ECONNRESET after a
+// reset, net.ErrClosed after closeReader and os.ErrDeadlineExceeded.
 func (p *pipe) read(b []byte) (int, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -159,7 +170,7 @@
 	}
 }
 
-// write sends all of b on its way, or says how much.
+// write sends all of b, or returns how much it sent with the error.
 func (p *pipe) write(b []byte) (n int, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -188,7 +199,7 @@
 	return n, nil
 }
 
-// closeWriter ends the stream behind what was written.
+// closeWriter ends the stream after what was written.
 func (p *pipe) closeWriter() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -200,7 +211,7 @@
 	p.broadcast()
 }
 
-// reset breaks the stream for its reader, now or when the news has come through.
+// reset breaks the stream for its reader: now, or when the reset has travelled to it.
 func (p *pipe) reset(now bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -214,7 +225,7 @@
 	p.broadcast()
 }
 
-// closeReader is the reader's close. unread says that something had come, or comes, that nobody will read.
+// closeReader ends reading. unread says that there were bytes, in flight or arrived, that nobody will read.
 func (p *pipe) closeReader() (unread bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -224,7 +235,7 @@
 	return unread
 }
 
-// failWrites makes the writer's next write fail.
+// failWrites makes all further writes return err.
 func (p *pipe) failWrites(err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -234,6 +245,7 @@
 	p.broadcast()
 }
 
+// setDeadline changes one of the pipe's deadlines.
 func (p *pipe) setDeadline(which *time.Time, t time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -241,7 +253,7 @@
 	p.broadcast()
 }
 
-// nothingArrived reports whether nothing has arrived: no byte, no end, no reset.
+// nothingArrived reports whether neither a byte nor an end nor a reset has arrived.
 func (p *pipe) nothingArrived() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
