--- /dev/null
+++ b/internal/emulator/node/execution.go
@@ -0,0 +1,114 @@
+package node
+
+import (
+	"slices"
+	"time"
+)
+
+const (
+	completionTolerance = 1e-9 // seconds of work that rounding may leave
+	minWorkFactor       = 0.05 // of a request's cost, by WorkNoise
+	failedAfterEffect   = 0.5  // share of the requests that a fault fails at once which took effect before
+)
+
+// Offer brings a request whose last byte has come. executed says of a request that was not accepted whether it took effect.
+func (n *Node) Offer(now time.Duration, work Work) (verdict Verdict, executed bool) {
+	n.advanceTo(now)
+	n.figures.Offered++
+	n.countSlowStart(work)
+	switch {
+	case n.Unresponsive():
+		return NoResponse, false
+	case n.faultActive(Drain) || work.Deadline > 0 && now >= work.Deadline || !n.HasCapacity():
+		n.figures.Rejected++
+		n.recentRejections = append(n.recentRejections, now)
+		return Rejected, false
+	case n.draw(n.faultSize(FastFail)):
+		n.figures.Failed++
+		return FailedFast, n.draw(failedAfterEffect)
+	case n.draw(n.faultSize(ResetConn)):
+		n.figures.Failed++
+		return ConnReset, n.draw(failedAfterEffect)
+	}
+	n.queue = append(n.queue, &workItem{Work: work})
+	n.startQueued()
+	return Accepted, false
+}
+
+// Cancel says that the client of a request has left. A request that is queued is dropped; one that is executing too, unless
+// RunsCancelled.
+func (n *Node) Cancel(now time.Duration, ticket uint64) {
+	n.advanceTo(now)
+	isTicket := func(item *workItem) bool { return item.Ticket == ticket }
+	if i := slices.IndexFunc(n.queue, isTicket); i >= 0 {
+		n.queue = slices.Delete(n.queue, i, i+1)
+		n.figures.Cancelled++
+		return
+	}
+	if i := slices.IndexFunc(n.running, isTicket); i >= 0 && !n.RunsCancelled {
+		done := n.running[i].duration()
+		n.figures.Work += done
+		n.figures.Wasted += done
+		n.figures.Cancelled++
+		n.running = slices.Delete(n.running, i, i+1)
+		n.startQueued()
+	}
+}
+
+// duration returns the work done so far.
+func (item *workItem) duration() time.Duration { return time.Duration(item.workDone * 1e9) }
+
+// startQueued gives free slots to queued requests, the oldest first. Those whose deadline has passed are dropped, unless
+// RunsExpired.
+func (n *Node) startQueued() {
+	for len(n.running) < n.slots() && len(n.queue) > 0 {
+		item := n.queue[0]
+		n.queue = n.queue[1:]
+		if item.Deadline > 0 && n.now >= item.Deadline && !n.RunsExpired {
+			n.figures.Expired++
+			n.completions = append(n.completions, Completion{Ticket: item.Ticket, At: n.now, Expired: true})
+			continue
+		}
+		item.remaining = item.Cost.Seconds() * max(minWorkFactor, 1+n.WorkNoise*n.rng.NormFloat64())
+		if n.keys.recent(item.Key, n.now) {
+			item.remaining *= 1 - n.Affinity.Saving
+		}
+		n.running = append(n.running, item)
+		n.started = append(n.started, item.Ticket)
+	}
+}
+
+// completeFinished completes the requests whose work is done.
+func (n *Node) completeFinished() {
+	for i := 0; i < len(n.running); {
+		item := n.running[i]
+		if item.remaining > completionTolerance {
+			i++
+			continue
+		}
+		n.running = slices.Delete(n.running, i, i+1)
+		n.complete(item)
+	}
+}
+
+func (n *Node) complete(item *workItem) {
+	done := item.duration()
+	n.figures.Work += done
+	n.reports.completed++
+	completion := Completion{Ticket: item.Ticket, At: n.now, OK: !n.draw(n.ErrorRate), WorkDone: done}
+	if completion.OK {
+		n.figures.Served++
+	} else {
+		n.figures.Failed++
+		n.figures.Wasted += done
+	}
+	switch {
+	case n.draw(n.faultSize(MalformedResponse)):
+		completion.Form = Malformed
+	case n.draw(n.faultSize(OversizedResponse)):
+		completion.Form = Oversized
+	}
+	completion.At += time.Duration(n.faultSize(DelayedResponse) * 1e9)
+	n.keys.remember(item.Key, n.now)
+	n.completions = append(n.completions, completion)
+}
--- a/internal/emulator/node/fault.go
+++ b/internal/emulator/node/fault.go
@@ -6,109 +6,111 @@
 	"time"
 )
 
-// FaultKind names a trouble.
+// FaultKind names a kind of fault, as in files.
 type FaultKind string
 
-// The troubles. Size is what its comment says.
+// The kinds of faults, with the meaning of Fault.Size.
 const (
-	Slow              FaultKind = "slow"        // Size times slower
-	FastFail          FaultKind = "fast-errors" // Size: share of requests failed at once
-	NoisyNeighbor     FaultKind = "neighbour"   // Size: share of the machine taken by another program, on and off
-	Blackhole         FaultKind = "vanish"      // says nothing to anybody; what it has goes on
-	ResetConn         FaultKind = "reset"       // Size: share of requests whose connection breaks after they have come
-	IdleClose         FaultKind = "idle-close"  // Size: idle connections closed a second, as a share of all that are idle
-	MalformedResponse FaultKind = "spoil"       // Size: share of answers that can't be read
-	OversizedResponse FaultKind = "oversize"    // Size: share of answers far longer than allowed
-	DelayedResponse   FaultKind = "late"        // Size: seconds by which answers come late, the work being done
-	Flap              FaultKind = "flap"        // refuses connections, on and off
-	Drain             FaultKind = "drain"       // discovery says that it drains; turns new work away once it has started
-	Restart           FaultKind = "restart"     // dies at From, back at To, cold, under its id
-	Replace           FaultKind = "replace"     // dies at From, back at To, cold, under a new id at the same address
+	Slow              FaultKind = "slow"        // execution is Size times slower
+	FastFail          FaultKind = "fast-errors" // Size: share of requests that fail at once
+	NoisyNeighbor     FaultKind = "neighbour"   // Size: share of the machine that another program takes
+	Blackhole         FaultKind = "vanish"      // answers nobody; what it executes goes on
+	ResetConn         FaultKind = "reset"       // Size: share of requests whose connection is reset after they arrived
+	IdleClose         FaultKind = "idle-close"  // Size: share of the idle connections that are closed each second
+	MalformedResponse FaultKind = "spoil"       // Size: share of responses that are not parseable
+	OversizedResponse FaultKind = "oversize"    // Size: share of responses that are far longer than allowed
+	DelayedResponse   FaultKind = "late"        // Size: seconds by which responses go out after the work is done
+	Flap              FaultKind = "flap"        // refuses connections
+	Drain             FaultKind = "drain"       // discovery says that it terminates; rejects new work from its start
+	Restart           FaultKind = "restart"     // ends at From, is back at To in slow start, under its id
+	Replace           FaultKind = "replace"     // ends at From; at To a new node is there in slow start, at its address
 )
 
-// faultKinds are all the troubles.
-var faultKinds = []FaultKind{Slow, FastFail, NoisyNeighbor, Blackhole, ResetConn, IdleClose, MalformedResponse, OversizedResponse, DelayedResponse, Flap, Drain, Restart, Replace}
+// faultKinds are all kinds.
+var faultKinds = []FaultKind{Slow, FastFail, NoisyNeighbor, Blackhole, ResetConn, IdleClose, MalformedResponse, OversizedResponse,
+	DelayedResponse, Flap, Drain, Restart, Replace}
 
-// Fault is something that goes wrong with a node from one time to another.
+// Fault is what goes wrong with a node from one time to another.
 type Fault struct {
 	Kind     FaultKind
 	From, To time.Duration
 	Size     float64
-	On, Off  time.Duration // of those that come and go; always on without
+	On, Off  time.Duration // of a fault that comes and goes; Off is 0 for one that is always on
 }
 
-// Check says what is wrong with a trouble.
-func (t Fault) Check() error {
-	if !slices.Contains(faultKinds, t.Kind) {
-		return fmt.Errorf("unknown trouble %q: there are %v", t.Kind, faultKinds)
+// Check returns what is wrong with a fault.
+func (f Fault) Check() error {
+	if !slices.Contains(faultKinds, f.Kind) {
+		return fmt.Errorf("unknown trouble %q: there are %v", f.Kind, faultKinds)
 	}
-	if t.From < 0 || t.To <= t.From {
-		return fmt.Errorf("trouble %s must end after it begins, and begin at 0 or later", t.Kind)
+	if f.From < 0 || f.To <= f.From {
+		return fmt.Errorf("trouble %s must end after it begins, and begin at 0 or later", f.Kind)
 	}
-	if t.On < 0 || t.Off < 0 || t.Off > 0 && t.On == 0 {
-		return fmt.Errorf("trouble %s: a time off needs a time on", t.Kind)
+	if f.On < 0 || f.Off < 0 || f.Off > 0 && f.On == 0 {
+		return fmt.Errorf("trouble %s: a time off needs a time on", f.Kind)
 	}
-	wrong := false
-	switch t.Kind {
+	if f.sizeOutOfRange() {
+		return fmt.Errorf("trouble %s can't have the size %v", f.Kind, f.Size)
+	}
+	return nil
+}
+
+func (f Fault) sizeOutOfRange() bool {
+	switch f.Kind {
 	case Slow:
-		wrong = t.Size < 1
+		return f.Size < 1
 	case FastFail, ResetConn, MalformedResponse, OversizedResponse, IdleClose:
-		wrong = t.Size <= 0 || t.Size > 1
+		return f.Size <= 0 || f.Size > 1
 	case NoisyNeighbor:
-		wrong = t.Size <= 0 || t.Size >= 1
+		return f.Size <= 0 || f.Size >= 1
 	case DelayedResponse:
-		wrong = t.Size <= 0
+		return f.Size <= 0
 	}
-	if wrong {
-		return fmt.Errorf("trouble %s can't have the size %v", t.Kind, t.Size)
-	}
-	return nil
+	return false
 }
 
-// active reports whether the trouble is on.
-func (t Fault) active(now time.Duration) bool {
-	if now < t.From || now >= t.To {
+// active reports whether the fault is on.
+func (f Fault) active(now time.Duration) bool {
+	if now < f.From || now >= f.To {
 		return false
 	}
-	return t.Off == 0 || (now-t.From)%(t.On+t.Off) < t.On
+	return f.Off == 0 || (now-f.From)%(f.On+f.Off) < f.On
 }
 
-// nextChange is the next time after now at which it begins, ends, comes or goes; 0 when there is none.
-func (t Fault) nextChange(now time.Duration) time.Duration {
+// nextChange returns the next time after now at which the fault begins, ends, or goes on or off; 0 when there is none.
+func (f Fault) nextChange(now time.Duration) time.Duration {
 	switch {
-	case now < t.From:
-		return t.From
-	case now >= t.To:
+	case now < f.From:
+		return f.From
+	case now >= f.To:
 		return 0
-	case t.Off == 0:
-		return t.To
+	case f.Off == 0:
+		return f.To
 	}
-	period := t.On + t.Off
-	cycle := t.From + (now-t.From)/period*period
-	if at := cycle + t.On; at > now {
-		return min(at, t.To)
+	period := f.On + f.Off
+	cycle := f.From + (now-f.From)/period*period
+	if off := cycle + f.On; off > now {
+		return min(off, f.To)
 	}
-	return min(cycle+period, t.To)
+	return min(cycle+period, f.To)
 }
 
-// faultSize is the largest size of a kind of trouble that is on, or 0.
-func (n *Node) faultSize(k FaultKind) (size float64) {
-	for _, t := range n.faults {
-		if t.Kind == k && t.active(n.now) {
-			size = max(size, t.Size)
+// faultSize returns the largest size of the active faults of a kind, or 0.
+func (n *Node) faultSize(kind FaultKind) (size float64) {
+	for _, fault := range n.faults {
+		if fault.Kind == kind && fault.active(n.now) {
+			size = max(size, fault.Size)
 		}
 	}
 	return size
 }
 
-// faultActive reports whether a trouble of that kind is on.
-func (n *Node) faultActive(k FaultKind) bool {
-	return slices.ContainsFunc(n.faults, func(t Fault) bool { return t.Kind == k && t.active(n.now) })
+// faultActive reports whether a fault of that kind is active.
+func (n *Node) faultActive(kind FaultKind) bool {
+	return slices.ContainsFunc(n.faults, func(fault Fault) bool { return fault.Kind == kind && fault.active(n.now) })
 }
 
-func (n *Node) draw(share float64) bool { return share > 0 && n.rng.Float64() < share }
-
-// FailureFraction is the share of what is sent that comes to nothing at present, as only one who sees the node's inside can know.
+// FailureFraction returns the share of the requests that fail at present, as only the emulator can know it.
 func (n *Node) FailureFraction() float64 {
 	if n.Unresponsive() || n.faultActive(Drain) {
 		return 1
--- a/internal/emulator/node/node_test.go
+++ b/internal/emulator/node/node_test.go
@@ -8,13 +8,13 @@
 	"pgregory.net/rapid"
 )
 
-// plain is a node of one core on which work takes just as long as it costs.
-func plain() Spec {
+// plainSpec is a node of one core on which work takes just as long as it costs.
+func plainSpec() Spec {
 	return Spec{ID: "n", Cores: 1, Speed: 1, SlotsPerCore: 1, QueuePerCore: 2, SlowStartInitialFraction: 0.2, SlowStartWindow: 10 * time.Second, Started: -1}
 }
 
-// finish offers work at a time to an idle node and returns how long it took.
-func finish(t *testing.T, n *Node, at time.Duration, w Work) time.Duration {
+// execute offers work to an idle node and returns how long it took.
+func execute(t *testing.T, n *Node, at time.Duration, w Work) time.Duration {
 	t.Helper()
 	if v, _ := n.Offer(at, w); v != Accepted {
 		t.Fatalf("verdict %v", v)
@@ -32,7 +32,8 @@
 
 func near(a, b time.Duration) bool { return (a - b).Abs() <= 2*time.Millisecond }
 
-func TestSpeeds(t *testing.T) {
+// The speed of a node follows from its cores, slow start, faults, connections and cached keys, one by one and together.
+func TestExecutionTimeFollowsSpeed(t *testing.T) {
 	for name, c := range map[string]struct {
 		change func(*Spec)
 		do     func(*Node)
@@ -40,7 +41,7 @@
 	}{
 		"plain":          {want: 100 * time.Millisecond},
 		"a fast core":    {change: func(s *Spec) { s.Speed = 2 }, want: 50 * time.Millisecond},
-		"cold":           {change: func(s *Spec) { s.Started = time.Second }, want: 465 * time.Millisecond}, // a fifth, and rising
+		"in slow start":  {change: func(s *Spec) { s.Started = time.Second }, want: 465 * time.Millisecond}, // a fifth, and rising
 		"slow":           {do: func(n *Node) { n.AddFault(Fault{Kind: Slow, To: time.Hour, Size: 4}) }, want: 400 * time.Millisecond},
 		"a neighbour":    {do: func(n *Node) { n.AddFault(Fault{Kind: NoisyNeighbor, To: time.Hour, Size: 0.5}) }, want: 200 * time.Millisecond},
 		"neighbour ends": {do: func(n *Node) { n.AddFault(Fault{Kind: NoisyNeighbor, To: 1050 * time.Millisecond, Size: 0.5}) }, want: 125 * time.Millisecond},
@@ -50,13 +51,13 @@
 		}, want: 400 * time.Millisecond},
 		"late":         {do: func(n *Node) { n.AddFault(Fault{Kind: DelayedResponse, To: time.Hour, Size: 0.3}) }, want: 400 * time.Millisecond},
 		"a full table": {change: func(s *Spec) { s.ConnCap, s.ConnOverhead = 1, 0.5 }, do: func(n *Node) { n.Connect(time.Second) }, want: 200 * time.Millisecond},
-		"a known key":  {change: func(s *Spec) { s.Affinity = Affinity{0.5, time.Minute, 5} }, do: func(n *Node) { n.rememberKey("k") }, want: 50 * time.Millisecond},
+		"a known key":  {change: func(s *Spec) { s.Affinity = Affinity{0.5, time.Minute, 5} }, do: func(n *Node) { n.keys.remember("k", n.now) }, want: 50 * time.Millisecond},
 		"a handshake":  {change: func(s *Spec) { s.HandshakeWork = 30 * time.Millisecond }, do: func(n *Node) { n.Connect(time.Second) }, want: 100 * time.Millisecond},
 		"on and off, off": {do: func(n *Node) {
 			n.AddFault(Fault{Kind: Slow, To: time.Hour, Size: 4, On: 500 * time.Millisecond, Off: time.Second})
 		}, want: 100 * time.Millisecond},
 	} {
-		s := plain()
+		s := plainSpec()
 		if c.change != nil {
 			c.change(&s)
 		}
@@ -65,15 +66,16 @@
 		if c.do != nil {
 			c.do(n)
 		}
-		if got := finish(t, n, time.Second, Work{Ticket: 1, Key: "k", Cost: 100 * time.Millisecond}); !near(got, c.want) {
+		if got := execute(t, n, time.Second, Work{Ticket: 1, Key: "k", Cost: 100 * time.Millisecond}); !near(got, c.want) {
 			t.Errorf("%s: took %v, not %v", name, got, c.want)
 		}
 	}
 }
 
-// A node holds what it has slots and room for, turns the rest away unseen, and lets go of what is over or cancelled.
-func TestRoom(t *testing.T) {
-	n := New(plain(), 1)
+// A node holds what it has slots and a queue for, rejects the rest without executing it, and drops what has expired or is
+// cancelled.
+func TestRequestsBeyondSlotsAndQueueAreRejected(t *testing.T) {
+	n := New(plainSpec(), 1)
 	for i, want := range []Verdict{Accepted, Accepted, Accepted, Rejected} {
 		if v, _ := n.Offer(time.Millisecond, Work{Ticket: uint64(i), Cost: time.Second, Deadline: 1500 * time.Millisecond}); v != want {
 			t.Errorf("offer %d: %v", i, v)
@@ -83,7 +85,7 @@
 		t.Errorf("began %v", got)
 	}
 	n.Cancel(2*time.Millisecond, 1)
-	n.Cancel(2*time.Millisecond, 1) // twice does no harm
+	n.Cancel(2*time.Millisecond, 1) // a second time has no effect
 	if n.InFlight() != 2 {
 		t.Errorf("%d in flight", n.InFlight())
 	}
@@ -95,40 +97,42 @@
 		t.Errorf("%+v expired %v", f, expired)
 	}
 	if v, _ := n.Offer(5*time.Second, Work{Ticket: 9, Cost: 1, Deadline: 4 * time.Second}); v != Rejected {
-		t.Errorf("what was over got %v", v)
+		t.Errorf("a request past its deadline got %v", v)
 	}
 }
 
-// A lasting overload chokes a node; rest heals it. A short one does not.
-func TestChoke(t *testing.T) {
-	s := plain()
+// A node that was overloaded for long stays slow after the overload has gone, so that load which it could bear before keeps it
+// down. It recovers when it is idle enough. A short overload has no such effect.
+func TestLastingOverloadDegradesUntilRecovery(t *testing.T) {
+	s := plainSpec()
 	s.Degradation = Degradation{QueuePerCore: 4, After: 2 * time.Second, SlowdownFactor: 3, RecoveryUtilization: 0.3, RecoveryTime: 3 * time.Second, MaxDuration: 30 * time.Second}
-	press := func(n *Node, from, to time.Duration) {
+	overload := func(n *Node, from, to time.Duration) {
 		for at := from; at < to; at += 50 * time.Millisecond {
 			n.Offer(at, Work{Ticket: uint64(at), Cost: 100 * time.Millisecond})
 		}
 	}
 	n := New(s, 1)
-	press(n, 0, 1500*time.Millisecond)
+	overload(n, 0, 1500*time.Millisecond)
 	if n.Advance(5 * time.Second); n.Degraded() || n.Figures().Degradations > 0 {
-		t.Error("it choked after a short overload")
+		t.Error("degraded after a short overload")
 	}
-	press(n, 5*time.Second, 9*time.Second)
+	overload(n, 5*time.Second, 9*time.Second)
 	if !n.Degraded() || math.Abs(n.Capacity()-1.0/3) > 1e-9 {
-		t.Errorf("choked %v, capacity %v", n.Degraded(), n.Capacity())
+		t.Errorf("degraded %v, capacity %v", n.Degraded(), n.Capacity())
 	}
 	if n.Advance(20 * time.Second); n.Degraded() {
-		t.Error("rest did not heal it")
+		t.Error("it did not recover")
 	}
 }
 
-// A cold node topples when it is sent more than its budget, and not at its budget.
-func TestTopple(t *testing.T) {
+// A node that has just started can't bear the load of one that is warm: beyond its limit it goes down for good. Below the limit
+// it must not.
+func TestLoadBeyondLimitInSlowStartOverloads(t *testing.T) {
 	for _, c := range []struct {
-		load float64 // of its capacity at the start
+		load float64 // times its capacity at the start
 		want bool
 	}{{1.5, false}, {12, true}} {
-		s := plain()
+		s := plainSpec()
 		s.Cores, s.Started, s.SlowStartOverloadFactor, s.OverloadWindow = 4, 0, 2.5, 2*time.Second
 		n := New(s, 1)
 		gap := time.Duration(float64(20*time.Millisecond) / (c.load * 4 * 0.2))
@@ -136,34 +140,37 @@
 			n.Offer(at, Work{Ticket: uint64(at) + 1, Cost: 20 * time.Millisecond})
 		}
 		if n.Overloaded() != c.want {
-			t.Errorf("at %v times its capacity it toppled: %v", c.load, n.Overloaded())
+			t.Errorf("at %v times its capacity it was overloaded: %v", c.load, n.Overloaded())
 		}
 		if v, _ := n.Offer(5*time.Second, Work{Ticket: 1 << 50, Cost: 1}); c.want && v != NoResponse {
-			t.Errorf("a toppled node said %v", v)
+			t.Errorf("an overloaded node returned %v", v)
 		}
 	}
 }
 
-// Who pushed a cold node over is blamed only if most of it came from those who had been told that it is cold.
-func TestBlame(t *testing.T) {
-	for _, unsaid := range []int{0, 1, 2, 4} { // of four requests
-		spec := plain()
+// Agents that had not been notified of a node's start could not know that it is in slow start. An overload counts as avoidable
+// only if most of the load came from agents that had been notified.
+func TestOverloadIsAvoidableOnlyIfMostAgentsWereNotified(t *testing.T) {
+	for _, unnotified := range []int{0, 1, 2, 4} { // of four requests
+		spec := plainSpec()
 		spec.Started, spec.SlowStartOverloadFactor, spec.OverloadWindow = 0, 2.5, 2*time.Second
 		n := New(spec, 1)
 		for i := range 40 {
-			n.Offer(time.Duration(i)*10*time.Millisecond, Work{Ticket: uint64(i + 1), Cost: 100 * time.Millisecond, Unnotified: i%4 < unsaid})
+			n.Offer(time.Duration(i)*10*time.Millisecond, Work{Ticket: uint64(i + 1), Cost: 100 * time.Millisecond, Unnotified: i%4 < unnotified})
 		}
-		if !n.Overloaded() || n.OverloadWasAvoidable() != (unsaid <= 1) {
-			t.Errorf("with %d of 4 sent by those who did not know: toppled %v, blame %v", unsaid, n.Overloaded(), n.OverloadWasAvoidable())
+		if !n.Overloaded() || n.OverloadWasAvoidable() != (unnotified <= 1) {
+			t.Errorf("with %d of 4 by agents that were not notified: overloaded %v, avoidable %v", unnotified, n.Overloaded(), n.OverloadWasAvoidable())
 		}
-		if peak := n.Figures().SlowStartPeak; (peak > 1) != (unsaid <= 1) {
-			t.Errorf("with %d of 4 by those who did not know the most that it got is %.2f", unsaid, peak)
+		if peak := n.Figures().SlowStartPeak; (peak > 1) != (unnotified <= 1) {
+			t.Errorf("with %d of 4 by agents that were not notified the peak is %.2f", unnotified, peak)
 		}
 	}
 }
 
-func TestReportsComeLate(t *testing.T) {
-	s := plain()
+// Load reports describe the past. A reading must not be seen before its delay is over, and health checks beyond the rate are not
+// answered.
+func TestLoadReportIsDelayedAndHealthChecksAreLimited(t *testing.T) {
+	s := plainSpec()
 	s.LoadReporting = LoadReporting{Period: 500 * time.Millisecond, Delay: 200 * time.Millisecond}
 	s.HealthCheckRate = 2
 	n := New(s, 1)
@@ -179,31 +186,30 @@
 	}
 	for i, want := range []bool{true, true, false} {
 		if n.HealthCheck(12*time.Second) != want {
-			t.Errorf("probe %d", i)
+			t.Errorf("health check %d", i)
 		}
 	}
 }
 
-func TestKeysAreBounded(t *testing.T) {
-	s := plain()
-	s.Affinity = Affinity{0.5, time.Hour, 3}
-	n := New(s, 1)
-	for i, k := range []string{"a", "b", "c", "d", "b", "e"} {
-		n.now = time.Duration(i)
-		n.rememberKey(k)
+// A node caches the data of so many keys: beyond it the one that was used longest ago goes.
+func TestOldestKeyIsEvicted(t *testing.T) {
+	keys := newRecentKeys(Affinity{Saving: 0.5, TTL: time.Hour, MaxKeys: 3})
+	for i, key := range []string{"a", "b", "c", "d", "b", "e"} {
+		keys.remember(key, time.Duration(i))
 	}
-	if _, b := n.recentKeys["b"]; len(n.recentKeys) != 3 || !b {
-		t.Errorf("%v", n.recentKeys)
+	if _, kept := keys.usedAt["b"]; len(keys.usedAt) != 3 || !kept {
+		t.Errorf("%v", keys.usedAt)
 	}
 }
 
-// Whatever is offered, cancelled and goes wrong: nothing is lost or done twice, and no more is held than there is room for.
-func TestHistories(t *testing.T) {
+// Whatever is offered, cancelled and goes wrong: no request is lost or completed twice, and the node never holds more than its
+// slots and its queue.
+func TestNoRequestIsLostOrCompletedTwice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := TypicalSpec("n", "k", "z", rapid.Float64Range(0.2, 2).Draw(t, "speed"))
 		s.Started = rapid.SampledFrom([]time.Duration{-1, 0}).Draw(t, "started")
 		n := New(s, rapid.Uint64().Draw(t, "seed"))
-		for _, k := range rapid.SliceOfN(rapid.SampledFrom(faultKinds), 0, 4).Draw(t, "troubles") {
+		for _, k := range rapid.SliceOfN(rapid.SampledFrom(faultKinds), 0, 4).Draw(t, "faults") {
 			from := time.Duration(rapid.IntRange(0, 2000).Draw(t, "from")) * time.Millisecond
 			tr := Fault{Kind: k, From: from, To: from + time.Second, Size: 0.5}
 			if k == Slow {
@@ -235,10 +241,10 @@
 			}
 			take(n.Advance(now))
 			if most := s.Cores + int(float64(s.Cores)*s.QueuePerCore); n.InFlight() > most {
-				t.Fatalf("%d held, room for %d", n.InFlight(), most)
+				t.Fatalf("%d held, %d allowed", n.InFlight(), most)
 			}
 			if n.NextEvent() <= n.now {
-				t.Fatalf("the next moment %v is not after %v", n.NextEvent(), n.now)
+				t.Fatalf("the next event %v is not after %v", n.NextEvent(), n.now)
 			}
 		}
 		take(n.Advance(now + time.Hour))
@@ -249,7 +255,7 @@
 	})
 }
 
-func TestTroubleChecks(t *testing.T) {
+func TestInvalidFaultsAreRejected(t *testing.T) {
 	for _, tr := range []Fault{{Kind: "plague", To: 1}, {Kind: Slow, From: 2, To: 1, Size: 2}, {Kind: Slow, To: 1, Size: 0.5}, {Kind: FastFail, To: 1},
 		{Kind: NoisyNeighbor, To: 1, Size: 1}, {Kind: DelayedResponse, To: 1}, {Kind: Slow, To: 1, Size: 2, Off: 1}, {Kind: Blackhole, From: -1, To: 1}} {
 		if tr.Check() == nil {
