--- a/internal/emulator/referee/referee.go
+++ b/internal/emulator/referee/referee.go
@@ -1,5 +1,3 @@
-// Package referee keeps the account of a run from what callers, nodes and discovery saw, each by itself. It never asks an
-// agent. It names the evidence for each breach of a rule.
 package referee
 
 import (
@@ -9,99 +7,37 @@
 	"time"
 )
 
-// Rules are the figures of the rules.
-type Rules struct {
-	DrainGrace   time.Duration // after an agent was told, something new may still reach a draining or gone node
-	TransitSlack time.Duration // more of that, for sockets and the way to the node
-	MaxRecorded  int           // breaches that are kept with their evidence; all are counted
-	// How long a request is remembered after its end, in which a second run of it is seen; 0 for all of the run.
-	RetainFor time.Duration
-}
-
-// DefaultRules are those of the platform on sockets.
-func DefaultRules() Rules {
-	return Rules{DrainGrace: 250 * time.Millisecond, TransitSlack: 50 * time.Millisecond, MaxRecorded: 100}
-}
-
-// Rule names a rule.
-type Rule string
-
-// The rules.
-const (
-	Lost              Rule = "lost"        // the agent ended a request without a whole answer, or served what no node made
-	Duplicate         Rule = "duplicates"  // a request that must not be repeated ran twice
-	AfterDrain        Rule = "after_drain" // new work came later than allowed after the agent was told
-	SlowStartOverload Rule = "toppled"     // a cold node was pushed over
-)
-
-// Violation is a broken rule with its evidence.
-type Violation struct {
-	Rule    Rule          `json:"rule"`
-	At      time.Duration `json:"at_ns"`
-	Request string        `json:"request,omitempty"`
-	Agent   string        `json:"agent,omitempty"`
-	Node    string        `json:"node,omitempty"`
-	Text    string        `json:"text"`
-}
-
-// String is a line for people.
-func (b Violation) String() string {
-	return fmt.Sprintf("%s at %.3fs: %s", b.Rule, b.At.Seconds(), b.Text)
-}
-
-// Account is what came of a run's requests. A request is one try of a client: a client's own repeat is another.
-type Account struct {
-	Requests           int `json:"requests"`
-	Completed          int `json:"completed"`
-	Rejected           int `json:"rejected"`
-	Failed             int `json:"failed"`
-	Unanswered         int `json:"unanswered"` // still owed an answer when their time was up
-	Lost               int `json:"lost"`
-	Duplicates         int `json:"duplicates"`
-	AfterDrain         int `json:"after_drain"`
-	SlowStartOverloads int `json:"toppled"`
-	Attempts           int `json:"attempts"` // requests that came to nodes
-	Effects            int `json:"effects"`  // times that a node began one
-	UnknownRequests    int `json:"strangers"`
-	// Not a rule: new work that came to a draining or gone node later than the rule allows after some agent was told, by an
-	// agent that had not been told itself.
-	Unnotified int `json:"unheard"`
-}
-
-// String is the account on one line, each count under its key in reports.
-func (a Account) String() string {
-	return fmt.Sprintf("requests %d, completed %d, rejected %d, failed %d, unanswered %d, lost %d, duplicates %d, after_drain %d, toppled %d, "+
-		"attempts %d, effects %d, strangers %d, unheard %d", a.Requests, a.Completed, a.Rejected, a.Failed, a.Unanswered, a.Lost, a.Duplicates,
-		a.AfterDrain, a.SlowStartOverloads, a.Attempts, a.Effects, a.UnknownRequests, a.Unnotified)
-}
-
-// RulesHold reports whether all rules held.
-func (a Account) RulesHold() bool {
-	return a.Lost == 0 && a.Duplicates == 0 && a.AfterDrain == 0 && a.SlowStartOverloads == 0
-}
-
-// Balanced reports whether each request has exactly one end.
-func (a Account) Balanced() bool {
-	return a.Requests == a.Completed+a.Rejected+a.Failed+a.Unanswered+a.Lost
-}
-
 // Request is a request as its caller sent it.
 type Request struct {
 	ID            string
-	Agent         string // to whom; empty where a caller chooses nodes by itself
-	NonIdempotent bool   // must never run twice
+	Agent         string // that it was sent to; empty where the caller chooses nodes itself
+	NonIdempotent bool   // must not be executed twice
 	At            time.Duration
 	Tenant        string
 	Class         string
 }
 
+// Outcome is how a request ended for its caller.
+type Outcome int
+
+// The outcomes of a request.
+const (
+	Served           Outcome = iota // a 200
+	Rejected                        // 429 or 503
+	Failed                          // any other response, or one that broke off so that the caller noticed
+	TimedOut                        // no response when the time was up
+	ConnectionClosed                // the connection ended before a response began
+	NotSent                         // it was never sent to its end
+)
+
+// requestRecord is what the referee knows of a request.
 type requestRecord struct {
 	Request
 	ended          bool
-	arrivals       int
-	executions     []execution // where and when it took effect
-	responseHashes []uint64
+	arrivals       int // at nodes
 	lastNode       string
+	executions     []execution
+	responseHashes []uint64 // of the bodies that nodes made for it
 }
 
 type execution struct {
@@ -109,56 +45,50 @@
 	at   time.Duration
 }
 
-type notificationKey struct{ agent, node string }
+type endedRequest struct {
+	id string
+	at time.Duration
+}
 
-// Referee keeps the account. It is safe for concurrent use. It holds what it knows of each request of a run.
+type interval struct{ from, to time.Duration }
+
+// Referee keeps the account of a run. It is safe for concurrent use. All times count from the same epoch.
 type Referee struct {
 	rules Rules
 
 	mu             sync.Mutex
 	account        Account
 	violations     []Violation
-	trustResponses bool // nodes are out of sight
+	trustResponses bool
 	requests       map[string]*requestRecord
-	notified       map[notificationKey]time.Duration // since when a node drains or is gone, as told to an agent
-	firstNotified  map[string]time.Duration          // and as told to any, by node
-	excused        map[string][]interval             // agents that were killed: what they had is nobody's fault
-	endedRequests  []endedRequest                    // in their order, where requests are not remembered for ever
-}
-
-type endedRequest struct {
-	id string
-	at time.Duration
+	notifications  notifications
+	excused        map[string][]interval // by agent: the times in which it was killed
+	endedRequests  []endedRequest        // in their order, where requests are not retained for the whole run
 }
 
-type interval struct{ from, to time.Duration }
-
 // New returns a referee at the start of a run.
 func New(rules Rules) *Referee {
-	return &Referee{rules: rules, requests: map[string]*requestRecord{}, notified: map[notificationKey]time.Duration{}, firstNotified: map[string]time.Duration{}, excused: map[string][]interval{}}
+	return &Referee{
+		rules:         rules,
+		requests:      map[string]*requestRecord{},
+		notifications: newNotifications(),
+		excused:       map[string][]interval{},
+	}
 }
 
-func (r *Referee) violated(b Violation) {
-	switch b.Rule {
-	case Lost:
-		r.account.Lost++
-	case Duplicate:
-		r.account.Duplicates++
-	case AfterDrain:
-		r.account.AfterDrain++
-	case SlowStartOverload:
-		r.account.SlowStartOverloads++
-	}
-	if len(r.violations) < r.rules.MaxRecorded {
-		r.violations = append(r.violations, b)
+// violated counts a violation, and records it unless there are too many. r.mu is held.
+func (r *Referee) violated(v Violation) {
+	r.account.countViolation(v.Rule)
+	if len(r.violations) < r.rules.MaxViolations {
+		r.violations = append(r.violations, v)
 	}
 }
 
-// RequestSent tells that a caller sends a request.
-func (r *Referee) RequestSent(a Request) {
+// RequestSent says that a caller sends a request.
+func (r *Referee) RequestSent(request Request) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.requests[a.ID] = &requestRecord{Request: a}
+	r.requests[request.ID] = &requestRecord{Request: request}
 	r.account.Requests++
 }
 
@@ -169,189 +99,206 @@
 	return r.requests[id] != nil
 }
 
-// AgentOf is the agent that a request was sent to; empty where it is not known, or its caller chose a node by itself.
+// AgentOf returns the agent that a request was sent to; empty where the request is not known or its caller chose a node itself.
 func (r *Referee) AgentOf(id string) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if q := r.requests[id]; q != nil {
-		return q.Agent
+	if record := r.requests[id]; record != nil {
+		return record.Agent
 	}
 	return ""
 }
 
-// TrustResponses lets each 200 count as made by a node, where nodes are out of sight.
+// TrustResponses counts each 200 as made by a node, for runs whose nodes the referee does not see.
 func (r *Referee) TrustResponses() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.trustResponses = true
 }
 
-// Notified tells that discovery has written to an agent whether a node takes new work.
-func (r *Referee) Notified(agent, node string, takes bool, at time.Duration) {
+// Notified says that an agent has been notified whether a node accepts new requests.
+func (r *Referee) Notified(agent, node string, accepts bool, at time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	key := notificationKey{agent, node}
-	if takes {
-		delete(r.notified, key)
-		delete(r.firstNotified, node)
-	} else if _, ok := r.notified[key]; !ok {
-		r.notified[key] = at
-		if _, ok := r.firstNotified[node]; !ok {
-			r.firstNotified[node] = at
-		}
-	}
+	r.notifications.set(agent, node, accepts, at)
 }
 
-// AgentKilled tells that an agent was killed and came back: what it had open then is not held against it, nor what it was
-// told in its earlier life.
+// AgentKilled says that an agent was killed, and when its next process was there: it is excused for what it had open, and the next
+// process for what the one before it was notified of.
 func (r *Referee) AgentKilled(agent string, from, to time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.excused[agent] = append(r.excused[agent], interval{from, to})
-	for key := range r.notified {
-		if key.agent == agent {
-			delete(r.notified, key)
-		}
-	}
+	r.notifications.forgetAgent(agent)
 }
 
-// RequestArrived tells that a request reached a node; first is when its first byte did.
-func (r *Referee) RequestArrived(id, node string, first time.Duration) {
+// RequestArrived says that a request reached a node, and when its first byte did. It checks the rule AfterDrain.
+func (r *Referee) RequestArrived(id, node string, firstByte time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	q := r.requests[id]
 	r.account.Attempts++
-	if q == nil {
+	record := r.requests[id]
+	if record == nil {
 		r.account.UnknownRequests++
 		return
 	}
-	q.arrivals++
-	q.lastNode = node
-	told, drains := r.notified[notificationKey{q.Agent, node}]
-	if any, ok := r.firstNotified[node]; ok && !drains && q.Agent != "" && first-any > r.rules.DrainGrace+r.rules.TransitSlack {
-		r.account.Unnotified++
+	record.arrivals++
+	record.lastNode = node
+	if record.Agent != "" {
+		r.checkDrain(record, node, firstByte)
+	}
+}
+
+// checkDrain checks that an agent does not send new requests to a node that it knows not to take any. r.mu is held.
+func (r *Referee) checkDrain(record *requestRecord, node string, arrived time.Duration) {
+	grace := r.rules.DrainGrace + r.rules.TransitSlack
+	notifiedAt, notified := r.notifications.byAgent[agentNode{record.Agent, node}]
+	if !notified {
+		if first, ok := r.notifications.first[node]; ok && arrived-first > grace {
+			r.account.Unnotified++
+		}
+		return
 	}
-	if late := first - told - r.rules.DrainGrace - r.rules.TransitSlack; drains && q.Agent != "" && late > 0 {
-		r.violated(Violation{AfterDrain, first, id, q.Agent, node, fmt.Sprintf(
-			"%s sent %s to %s %.3fs after it was told (at %.3fs) that this takes no new work", q.Agent, id, node, (first - told).Seconds(), told.Seconds())})
+	if arrived-notifiedAt <= grace {
+		return
 	}
+	r.violated(Violation{
+		Rule:    AfterDrain,
+		At:      arrived,
+		Request: record.ID,
+		Agent:   record.Agent,
+		Node:    node,
+		Text: fmt.Sprintf("%s sent %s to %s %.3fs after it was told (at %.3fs) that this takes no new work",
+			record.Agent, record.ID, node, (arrived - notifiedAt).Seconds(), notifiedAt.Seconds()),
+	})
 }
 
-// ExecutionStarted tells that a node began a request: from then on it may have taken effect there.
+// ExecutionStarted says that a node began to execute a request: from then on it may have taken effect there. It checks the rule
+// Duplicate.
 func (r *Referee) ExecutionStarted(id, node string, at time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.account.Effects++
-	q := r.requests[id]
-	if q == nil {
+	record := r.requests[id]
+	if record == nil {
 		return
 	}
-	q.executions = append(q.executions, execution{node, at})
-	if q.NonIdempotent && len(q.executions) > 1 {
-		first := q.executions[0]
-		r.violated(Violation{Duplicate, at, id, q.Agent, node, fmt.Sprintf(
-			"%s, which must not run twice, ran on %s at %.3fs and again on %s at %.3fs, sent by %s", id, first.node, first.at.Seconds(), node, at.Seconds(), q.Agent)})
+	record.executions = append(record.executions, execution{node, at})
+	if !record.NonIdempotent || len(record.executions) == 1 {
+		return
 	}
+	first := record.executions[0]
+	r.violated(Violation{
+		Rule:    Duplicate,
+		At:      at,
+		Request: id,
+		Agent:   record.Agent,
+		Node:    node,
+		Text: fmt.Sprintf("%s, which must not run twice, ran on %s at %.3fs and again on %s at %.3fs, sent by %s",
+			id, first.node, first.at.Seconds(), node, at.Seconds(), record.Agent),
+	})
 }
 
-// ResponseProduced tells what a node answered: a sum over the body of a 200.
-func (r *Referee) ResponseProduced(id string, sum uint64) {
+// ResponseProduced gives the hash of a body that a node made for a request.
+func (r *Referee) ResponseProduced(id string, bodyHash uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if q := r.requests[id]; q != nil {
-		q.responseHashes = append(q.responseHashes, sum)
+	if record := r.requests[id]; record != nil {
+		record.responseHashes = append(record.responseHashes, bodyHash)
 	}
 }
 
-// SlowStartOverloaded tells that a cold node fell over.
+// SlowStartOverloaded says that a node was overloaded in slow start.
 func (r *Referee) SlowStartOverloaded(node string, at time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.violated(Violation{Rule: SlowStartOverload, At: at, Node: node, Text: fmt.Sprintf("%s was cold and got more than it could bear", node)})
 }
 
-// Outcome is how a request ended for its caller.
-type Outcome int
-
-// The ends of a request.
-const (
-	Served           Outcome = iota // a 200
-	Rejected                        // 429 or 503
-	Failed                          // any other answer, or one that broke off so that the caller could tell
-	TimedOut                        // no answer when the time was up
-	ConnectionClosed                // the connection ended with no answer begun
-	NotSent                         // it never went out whole
-)
-
-// RequestEnded tells how a request ended; sum is that of a served body. It returns false when the request had ended before, which
-// callers must not do.
-func (r *Referee) RequestEnded(id string, end Outcome, sum uint64, at time.Duration) bool {
+// RequestEnded says how a request ended; bodyHash is that of a served body. It checks the rule Lost. It returns false, and counts
+// nothing, when the request is not known or had ended before.
+func (r *Referee) RequestEnded(id string, outcome Outcome, bodyHash uint64, at time.Duration) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	q := r.requests[id]
-	if q == nil || q.ended {
+	record := r.requests[id]
+	if record == nil || record.ended {
 		return false
 	}
-	q.ended = true
+	record.ended = true
 	r.expireRequests(id, at)
-	switch end {
+	switch outcome {
 	case Served:
-		if !r.trustResponses && !slices.Contains(q.responseHashes, sum) {
-			r.violated(Violation{Lost, at, id, q.Agent, q.lastNode, fmt.Sprintf(
-				"%s served %s with what no node made for it (%d attempts came to nodes)", q.Agent, id, q.arrivals)})
-			return true
-		}
-		r.account.Completed++
+		r.served(record, bodyHash, at)
 	case Rejected:
 		r.account.Rejected++
 	case TimedOut:
 		r.account.Unanswered++
 	case ConnectionClosed:
-		// One that was passed on was taken; of one that was not, nobody can say that the agent had read it.
-		if q.arrivals > 0 && !r.isExcused(q, at) {
-			r.violated(Violation{Lost, at, id, q.Agent, q.lastNode, fmt.Sprintf(
-				"%s closed the connection of %s without an answer, after sending it on to %s", q.Agent, id, q.lastNode)})
-			return true
-		}
-		r.account.Failed++
+		r.connectionClosed(record, at)
 	default:
 		r.account.Failed++
 	}
 	return true
 }
 
-// expireRequests notes a request's end, and forgets those that ended too long ago.
-func (r *Referee) expireRequests(id string, now time.Duration) {
+// served checks that a served body is one that a node made for the request. r.mu is held.
+func (r *Referee) served(record *requestRecord, bodyHash uint64, at time.Duration) {
+	if r.trustResponses || slices.Contains(record.responseHashes, bodyHash) {
+		r.account.Completed++
+		return
+	}
+	r.lost(record, at, fmt.Sprintf("%s served %s with what no node made for it (%d attempts came to nodes)", record.Agent, record.ID, record.arrivals))
+}
+
+// connectionClosed judges a connection that closed without a response. A request that was forwarded had been read by the agent; of
+// another nobody can say that. r.mu is held.
+func (r *Referee) connectionClosed(record *requestRecord, at time.Duration) {
+	if record.arrivals == 0 || r.isExcused(record, at) {
+		r.account.Failed++
+		return
+	}
+	r.lost(record, at, fmt.Sprintf("%s closed the connection of %s without an answer, after sending it on to %s", record.Agent, record.ID, record.lastNode))
+}
+
+func (r *Referee) lost(record *requestRecord, at time.Duration, text string) {
+	r.violated(Violation{Rule: Lost, At: at, Request: record.ID, Agent: record.Agent, Node: record.lastNode, Text: text})
+}
+
+// expireRequests drops the requests that ended longer ago than they are retained. r.mu is held.
+func (r *Referee) expireRequests(ended string, now time.Duration) {
 	if r.rules.RetainFor == 0 {
 		return
 	}
-	r.endedRequests = append(r.endedRequests, endedRequest{id, now})
+	r.endedRequests = append(r.endedRequests, endedRequest{ended, now})
 	for r.endedRequests[0].at < now-r.rules.RetainFor {
 		delete(r.requests, r.endedRequests[0].id)
 		r.endedRequests = r.endedRequests[1:]
 	}
 }
 
-func (r *Referee) isExcused(q *requestRecord, at time.Duration) bool {
-	return slices.ContainsFunc(r.excused[q.Agent], func(s interval) bool { return q.At <= s.to && at >= s.from })
+// isExcused reports whether a request was open while its agent was killed. r.mu is held.
+func (r *Referee) isExcused(record *requestRecord, endedAt time.Duration) bool {
+	return slices.ContainsFunc(r.excused[record.Agent], func(killed interval) bool {
+		return record.At <= killed.to && endedAt >= killed.from
+	})
 }
 
-// Forwarded reports whether a request has come to a node.
+// Forwarded reports whether a request has reached a node.
 func (r *Referee) Forwarded(id string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	q := r.requests[id]
-	return q != nil && q.arrivals > 0
+	record := r.requests[id]
+	return record != nil && record.arrivals > 0
 }
 
-// Account returns the account so far. Requests without an end are in Requests only.
+// Account returns the account so far. Requests that have not ended are in Requests only.
 func (r *Referee) Account() Account {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.account
 }
 
-// Violations returns the breaches that were kept, in the order of their discovery.
+// Violations returns the recorded violations, in the order in which they were found.
 func (r *Referee) Violations() []Violation {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/emulator/referee/service.go
+++ b/internal/emulator/referee/service.go
@@ -6,21 +6,21 @@
 	"time"
 )
 
-// CallResult is what a customer asked for, over all the tries of its client.
+// CallResult is what became of a customer's request, over all attempts of its client.
 type CallResult struct {
-	At               time.Duration // when it was to be sent, whether or not that was in time
+	At               time.Duration // when it was due, whether or not it was sent then
 	Agent            int           // that its client uses
 	Class            int
 	Tenant           int
-	PriorityWeight   float64 // of an answer within the aim
-	LateWeight       float64 // share of it for a later one
+	PriorityWeight   float64 // of a response within the objective
+	LateWeight       float64 // share of PriorityWeight that a later response earns
 	LatencyObjective time.Duration
-	Latency          time.Duration // from At to the whole answer
+	Latency          time.Duration // from At to the end of the response
 	Answered         bool          // served at all
 	Attempts         int
 }
 
-// EarnedWeight is what the call earned.
+// EarnedWeight returns the part of the priority weight that the call has earned.
 func (c CallResult) EarnedWeight() float64 {
 	switch {
 	case !c.Answered:
@@ -31,26 +31,34 @@
 	return c.PriorityWeight * c.LateWeight
 }
 
-// WorstWindowLength is the length of the window that the worst one is sought over.
+// WorstWindowLength is the length of the windows among which the worst is sought.
 const WorstWindowLength = 10 * time.Second
 
-// Service is the share of worth that was earned, as a whole and where it was worst.
+// Service is the earned share of the priority weight of all requests: overall, in the worst window, by class and by tenant.
 type Service struct {
-	Overall     float64   `json:"service"` // worth answered in time over worth asked for
+	Overall     float64   `json:"service"`
 	WorstWindow float64   `json:"worst_window"`
 	ByClass     []float64 `json:"by_class"`
 	ByTenant    []float64 `json:"by_tenant"`
 }
 
-// Goal weighs the parts as the deployment does: 35% the whole, 35% the worst 10 s, 20% the worst class and 10% the worst
-// tenant.
+// The weights of Goal, as the platform has them.
+const (
+	overallWeight     = 0.35
+	worstWindowWeight = 0.35
+	worstClassWeight  = 0.2
+	worstTenantWeight = 0.1
+)
+
+// Goal returns the weighted sum of the overall service, the worst window, the worst class and the worst tenant.
 func (s Service) Goal() float64 {
-	return 0.35*s.Overall + 0.35*s.WorstWindow + 0.2*lowest(s.ByClass) + 0.1*lowest(s.ByTenant)
+	return overallWeight*s.Overall + worstWindowWeight*s.WorstWindow + worstClassWeight*lowest(s.ByClass) + worstTenantWeight*lowest(s.ByTenant)
 }
 
-func lowest(xs []float64) float64 {
+// lowest returns the lowest of the values that are numbers, or 1 where there is none.
+func lowest(values []float64) float64 {
 	low := math.Inf(1)
-	for _, x := range xs {
+	for _, x := range values {
 		if !math.IsNaN(x) {
 			low = min(low, x)
 		}
@@ -61,88 +69,111 @@
 	return low
 }
 
-// share is earned over asked; 1 where nothing was asked for.
-type share struct{ earned, offered float64 }
+// weight is the priority weight that was earned, and that was offered by requests.
+type weight struct{ earned, offered float64 }
 
-func (s *share) add(c CallResult) {
-	s.earned, s.offered = s.earned+c.EarnedWeight(), s.offered+c.PriorityWeight
+func (w *weight) add(c CallResult) {
+	w.earned += c.EarnedWeight()
+	w.offered += c.PriorityWeight
 }
 
-func (s share) value() float64 {
-	if s.offered == 0 {
+func (w *weight) addWeight(other weight) {
+	w.earned += other.earned
+	w.offered += other.offered
+}
+
+// share returns the earned share; 1 where there was no request.
+func (w weight) share() float64 {
+	if w.offered == 0 {
 		return 1
 	}
-	return s.earned / s.offered
+	return w.earned / w.offered
+}
+
+// weightsBySecond are the weights of the calls of each second.
+type weightsBySecond []weight
+
+// add adds a call that was due at a time from the first second's beginning.
+func (s *weightsBySecond) add(c CallResult, at time.Duration) {
+	second := int(at / time.Second)
+	if second >= len(*s) {
+		*s = append(*s, make([]weight, second+1-len(*s))...)
+	}
+	(*s)[second].add(c)
+}
+
+// worstWindow returns the lowest share of all windows, or atMost where that is lower.
+func (s weightsBySecond) worstWindow(atMost float64) float64 {
+	worst := atMost
+	length := int(WorstWindowLength / time.Second)
+	for i := 0; i+length <= len(s); i++ {
+		var window weight
+		for _, second := range s[i : i+length] {
+			window.addWeight(second)
+		}
+		worst = min(worst, window.share())
+	}
+	return worst
 }
 
-// MeasureService counts the service of calls, of which those before from are left out. Seconds, classes and tenants without a call
-// count as served.
+// MeasureService returns the service of the calls that were due from a time on. Windows, classes and tenants without a call count
+// as fully served.
 func MeasureService(calls []CallResult, from time.Duration, classes, tenants int) Service {
-	var whole share
-	byClass, byTenant := make([]share, classes), make([]share, tenants)
-	var seconds []share
+	var overall weight
+	var seconds weightsBySecond
+	byClass, byTenant := make([]weight, classes), make([]weight, tenants)
 	for _, c := range calls {
 		if c.At < from {
 			continue
 		}
-		whole.add(c)
+		overall.add(c)
 		if c.Class >= 0 && c.Class < classes {
 			byClass[c.Class].add(c)
 		}
 		if c.Tenant >= 0 && c.Tenant < tenants {
 			byTenant[c.Tenant].add(c)
 		}
-		s := int((c.At - from) / time.Second)
-		if s >= len(seconds) {
-			seconds = append(seconds, make([]share, s+1-len(seconds))...)
-		}
-		seconds[s].add(c)
-	}
-	out := Service{Overall: whole.value(), WorstWindow: whole.value()}
-	for _, s := range byClass {
-		out.ByClass = append(out.ByClass, s.value())
+		seconds.add(c, c.At-from)
 	}
-	for _, s := range byTenant {
-		out.ByTenant = append(out.ByTenant, s.value())
+	return Service{
+		Overall:     overall.share(),
+		WorstWindow: seconds.worstWindow(overall.share()),
+		ByClass:     shares(byClass),
+		ByTenant:    shares(byTenant),
 	}
-	span := int(WorstWindowLength / time.Second)
-	for i := 0; i+span <= len(seconds); i++ {
-		var w share
-		for _, s := range seconds[i : i+span] {
-			w.earned, w.offered = w.earned+s.earned, w.offered+s.offered
-		}
-		out.WorstWindow = min(out.WorstWindow, w.value())
+}
+
+func shares(weights []weight) (shares []float64) {
+	for _, w := range weights {
+		shares = append(shares, w.share())
 	}
-	return out
+	return shares
 }
 
-// BySecond is the service of each second from the start; NaN where nothing was asked for.
+// BySecond returns the service of each second from the start; NaN where there was no request.
 func BySecond(calls []CallResult) []float64 {
-	var seconds []share
+	var seconds weightsBySecond
 	for _, c := range calls {
-		s := int(c.At / time.Second)
-		if s >= len(seconds) {
-			seconds = append(seconds, make([]share, s+1-len(seconds))...)
-		}
-		seconds[s].add(c)
+		seconds.add(c, c.At)
 	}
-	out := make([]float64, len(seconds))
-	for i, s := range seconds {
-		if out[i] = s.value(); s.offered == 0 {
-			out[i] = math.NaN()
+	service := make([]float64, len(seconds))
+	for i, second := range seconds {
+		service[i] = second.share()
+		if second.offered == 0 {
+			service[i] = math.NaN()
 		}
 	}
-	return out
+	return service
 }
 
-// Latencies are the latencies of the answered calls of a class (-1 for all), in rising order.
+// Latencies returns the latencies of the answered calls of a class (-1 for all), in ascending order.
 func Latencies(calls []CallResult, class int) []time.Duration {
-	var out []time.Duration
+	var latencies []time.Duration
 	for _, c := range calls {
 		if c.Answered && (class < 0 || c.Class == class) {
-			out = append(out, c.Latency)
+			latencies = append(latencies, c.Latency)
 		}
 	}
-	slices.Sort(out)
-	return out
+	slices.Sort(latencies)
+	return latencies
 }
