--- a/internal/faultshim/shim_test.go
+++ b/internal/faultshim/machine_test.go
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// pair is a connection through the machine, as an agent accepts and as it dials.
-func pair(t *testing.T, m *Machine) (accepted, dialled net.Conn) {
+// connect returns both ends of a connection through the machine: as an agent accepts it and as it dials it.
+func connect(t *testing.T, m *Machine) (accepted, dialled net.Conn) {
 	t.Helper()
 	raw, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -32,8 +32,9 @@
 	return accepted, dialled
 }
 
-// Calls fail as often and with the errors that commands say, and work again after that.
-func TestCallsFailOnCommand(t *testing.T) {
+// The soak counts on exact faults: calls fail as often and with the errors that commands say, and succeed after that. A command
+// with a mistake must not pass for one that was executed.
+func TestCallsFailAsOftenAsCommanded(t *testing.T) {
 	m := New(1)
 	raw, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -50,7 +51,7 @@
 	if _, err := m.Dial("")(t.Context(), "tcp", raw.Addr().String()); !errors.Is(err, syscall.EMFILE) {
 		t.Error(err)
 	}
-	accepted, dialled := pair(t, m)
+	accepted, dialled := connect(t, m)
 	for point, conn := range map[string]net.Conn{"clientread": accepted, "serverread": dialled} {
 		if err := m.Execute(point + " ETIMEDOUT 1"); err != nil {
 			t.Fatal(err)
@@ -59,32 +60,32 @@
 			t.Errorf("%s: %v", point, err)
 		}
 	}
-	_, dialled = pair(t, m)
+	_, dialled = connect(t, m)
 	m.Execute("serverwrite EPIPE 1")
 	if _, err := dialled.Write([]byte("x")); !errors.Is(err, syscall.EPIPE) {
 		t.Error(err)
 	}
 	for _, wrong := range []string{"accept", "accept ENONE", "fly away", "clock soon", "hold 1s many", "plant duplicate"} {
 		if m.Execute(wrong) == nil {
-			t.Errorf("%q was taken", wrong)
+			t.Errorf("%q was executed", wrong)
 		}
 	}
 }
 
-// The time of day is stepped, and writes are held up; no other clock is.
-func TestClockAndHolds(t *testing.T) {
+// A wall clock that steps must not touch timers, and writes that are held, or reads that return a few bytes, must still carry all.
+func TestClockStepsWritesAreHeldAndReadsAreShort(t *testing.T) {
 	m := New(1)
 	m.Execute("clock -1h")
 	if got := time.Until(m.Now()); got > -59*time.Minute {
 		t.Errorf("the clock is off by %v", got)
 	}
 	m.Execute("hold 60ms 1")
-	accepted, dialled := pair(t, m)
+	accepted, dialled := connect(t, m)
 	for _, least := range []time.Duration{60 * time.Millisecond, 0} {
 		before := time.Now()
 		dialled.Write([]byte("x"))
 		if took := time.Since(before); took < least {
-			t.Errorf("held up for %v", took)
+			t.Errorf("held for %v", took)
 		}
 	}
 	m.Execute("shortread 1m")
@@ -96,8 +97,8 @@
 	}
 }
 
-// A disk that fails leaves the file as it was; one that works replaces it whole.
-func TestDisk(t *testing.T) {
+// A disk that is full must leave the file as it was, or the agent would lose the state that it has; one that works again replaces it.
+func TestFailingDiskLeavesFileAsItWas(t *testing.T) {
 	m := New(1)
 	path := filepath.Join(t.TempDir(), "file")
 	if err := m.Replace(path, []byte("first")); err != nil {
@@ -117,10 +118,11 @@
 	}
 }
 
-// A planted fault strikes: here bytes go out twice, and a byte of an answer is another.
-func TestPlantedFaults(t *testing.T) {
+// The soak proves by planted faults that it notices bugs of the agent, so they must occur: here a byte of a response is changed, and
+// a request is sent twice.
+func TestPlantedFaultsOccur(t *testing.T) {
 	m := New(1)
-	accepted, dialled := pair(t, m)
+	accepted, dialled := connect(t, m)
 	m.Execute("plant wrong 1")
 	io.WriteString(accepted, "answer")
 	buf := make([]byte, 6)
--- a/internal/processrig/peer_addresses.go
+++ b/internal/processrig/peer_addresses.go
@@ -2,64 +2,62 @@
 
 import (
 	"fmt"
-	"math/rand/v2"
 	"net"
 
 	"ryeweir/internal/emulator/link"
 )
 
-// Peers lets agents of a day talk with each other through a mesh, which shapes the way of each pair. Each agent has an IP address
-// of its own in 127.0.0.0/8, by which the mesh tells who sends.
+// Peers are the addresses by which the agents of a scenario gossip through a mesh, which shapes each direction between two of them.
+// Each agent has an IP address of its own in 127.0.0.0/8, by which the mesh tells who sends.
 type Peers struct {
-	mesh      *link.Mesh
-	bindAddrs []string
-	meshAddrs []string
+	bindAddrs []string // where the agents listen
+	meshAddrs []string // where the others reach them
 }
 
-// seedCount are how many agents all others are told of at their start.
+// seedCount is how many agents all others get as seeds at their start.
 const seedCount = 3
 
-// NewPeers gives each host of a fleet a front in the mesh: the agents, and after them others that talk with them.
+// NewPeers gives each host an address in the mesh: the agents in the order of their numbers, and then others that gossip with them.
 func NewPeers(mesh *link.Mesh, hosts []string) (*Peers, error) {
-	p := &Peers{mesh: mesh}
-	// Another rig on the same machine has other addresses, but for a chance that the look for a free port covers.
-	net24 := fmt.Sprintf("127.%d.%d.", 64+rand.IntN(64), 1+rand.IntN(250))
+	p := &Peers{}
+	// Another rig on this machine most likely has another network; where it does not, the search for a free port covers it.
+	a, b, c := loopbackNet()
 	for i, name := range hosts {
-		ip := fmt.Sprint(net24, 1+i)
+		ip := net.IPv4(a, b, c, byte(1+i)).String()
 		bind, err := freeTCPAndUDPAddr(ip)
 		if err != nil {
 			return nil, err
 		}
-		front, err := mesh.Add(name, ip, bind)
+		meshAddr, err := mesh.Add(name, ip, bind)
 		if err != nil {
 			return nil, err
 		}
-		p.meshAddrs, p.bindAddrs = append(p.meshAddrs, front), append(p.bindAddrs, bind)
+		p.meshAddrs, p.bindAddrs = append(p.meshAddrs, meshAddr), append(p.bindAddrs, bind)
 	}
 	return p, nil
 }
 
-// Addresses is where one of them, by its number, listens, where the others reach it, and of whom it is told at its start.
-func (p *Peers) Addresses(i int) (bind, advertise string, told []string) {
-	for j, front := range p.meshAddrs[:min(seedCount, len(p.meshAddrs))] {
-		if j != i {
-			told = append(told, front)
+// Addresses returns where a host, by its number, listens, where the others reach it, and the seeds that it gets at its start.
+func (p *Peers) Addresses(host int) (bind, advertise string, seeds []string) {
+	for i, addr := range p.meshAddrs[:min(seedCount, len(p.meshAddrs))] {
+		if i != host {
+			seeds = append(seeds, addr)
 		}
 	}
-	return p.bindAddrs[i], p.meshAddrs[i], told
+	return p.bindAddrs[host], p.meshAddrs[host], seeds
 }
 
-// Args are an agent's further arguments.
+// Args returns the arguments by which an agent, by its number, joins the others.
 func (p *Peers) Args(agent int) []string {
-	bind, advertise, told := p.Addresses(agent)
+	bind, advertise, seeds := p.Addresses(agent)
 	args := []string{"--peer-bind", bind, "--peer-advertise", advertise}
-	for _, front := range told {
-		args = append(args, "--peer-seed", front)
+	for _, seed := range seeds {
+		args = append(args, "--peer-seed", seed)
 	}
 	return args
 }
 
-// freeTCPAndUDPAddr is an address at which a port was free for packets and streams a moment ago.
+// freeTCPAndUDPAddr returns an address whose port was free for both streams and datagrams a moment ago.
 func freeTCPAndUDPAddr(ip string) (addr string, err error) {
 	for range portAttempts {
 		var l net.Listener
