--- a/internal/faultshim/machine.go
+++ b/internal/faultshim/machine.go
@@ -31,7 +31,7 @@
 	IgnoresDiscovery PlantedFault = "deaf"      // what discovery sends is not read
 	WrongAnswers     PlantedFault = "wrong"     // a byte of a response is changed
 	DelaysAttempts   PlantedFault = "late"      // a request is written half a second after it was decided on
-	OverstatesTime   PlantedFault = "overstate" // a server is told ten times the timeout
+	OverstatesTime   PlantedFault = "overstate" // a server gets ten times the timeout
 	IgnoresClient    PlantedFault = "mute"      // a client's connection is not read any more
 )
 
