--- a/internal/emulator/callers/run.go
+++ b/internal/emulator/callers/run.go
@@ -38,7 +38,7 @@
 	slowWriteInterval = 40 * time.Millisecond // eight pieces: a request takes 280 ms to write
 )
 
-// Figures say how well a run kept to its plan.
+// Figures say how far a run was from its plan.
 type Figures struct {
 	Skipped int           // calls that were due while too many were open
 	Lag     time.Duration // the longest that a first attempt was sent after its time
--- a/internal/emulator/doc.go
+++ b/internal/emulator/doc.go
@@ -1,4 +1,4 @@
-// Package emulator runs what an agent lives among: order nodes, discovery, a network with faults, callers, and a referee
+// Package emulator runs the environment of an agent: order nodes, discovery, a network with faults, callers, and a referee
 // that judges the agent. It imports nothing of the agent.
 //
 // A ScenarioSpec says in a TOML file what a run is like. Draw turns it and a seed into a Scenario: the nodes, the plan of
--- a/internal/emulator/fleet_scenario.go
+++ b/internal/emulator/fleet_scenario.go
@@ -51,7 +51,7 @@
 	if f.Nodes < minFleetNodes || f.Nodes > maxNodes {
 		return config.Wrong(prefix+"nodes", "must be from 10 to 256, not %d", f.Nodes)
 	}
-	spec := f.Spec(trialSeed)
+	spec := f.Spec(checkSeed)
 	return spec.Check(prefix)
 }
 
--- a/internal/emulator/link/mesh.go
+++ b/internal/emulator/link/mesh.go
@@ -11,7 +11,7 @@
 
 // Mesh stands between processes that send to each other on loopback, each to all others, with datagrams and streams on one
 // port. Each host has a front: an address that the others know it by. What comes to a front goes on to where its host listens,
-// under the conditions of the direction from the sender, which is told by its IP address: 127.0.0.0/8 has one for each host. It
+// under the conditions of the direction from the sender, which is recognized by its IP address: 127.0.0.0/8 has one for each host. It
 // is safe for concurrent use.
 type Mesh struct {
 	goroutines sync.WaitGroup
--- a/internal/emulator/node/doc.go
+++ b/internal/emulator/node/doc.go
@@ -1,4 +1,4 @@
-// Package node is the model of an order node: which requests it accepts, how fast it executes them, and what goes wrong with it.
+// Package node is the model of an order node: which requests it accepts, how fast it executes them, and its faults.
 // It has no I/O and no clock; time is handed in, so that the same model stands behind sockets in real time, behind a network in
 // memory in fake time, and in a simulation that has no network.
 //
--- a/internal/emulator/node/fault.go
+++ b/internal/emulator/node/fault.go
@@ -30,7 +30,7 @@
 var faultKinds = []FaultKind{Slow, FastFail, NoisyNeighbor, Blackhole, ResetConn, IdleClose, MalformedResponse, OversizedResponse,
 	DelayedResponse, Flap, Drain, Restart, Replace}
 
-// Fault is what goes wrong with a node from one time to another.
+// Fault is a fault of a node from one time to another.
 type Fault struct {
 	Kind     FaultKind
 	From, To time.Duration
--- a/internal/emulator/node/node_test.go
+++ b/internal/emulator/node/node_test.go
@@ -202,7 +202,7 @@
 	}
 }
 
-// Whatever is offered, cancelled and goes wrong: no request is lost or completed twice, and the node never holds more than its
+// Whatever is offered and cancelled, and under whatever faults: no request is lost or completed twice, and the node never holds more than its
 // slots and its queue.
 func TestNoRequestIsLostOrCompletedTwice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/emulator/peer/peer.go
+++ b/internal/emulator/peer/peer.go
@@ -6,7 +6,7 @@
 //	p := peer.New(listener, []peer.Step{peer.Request(), peer.Send(peer.OK("hello")), peer.Close()})
 //	defer p.Close()
 //
-// Connection n follows script n. Err returns what kept scripts from being followed.
+// Connection n follows script n. Err returns the steps that failed.
 package peer
 
 import (
--- a/internal/emulator/scenario_check.go
+++ b/internal/emulator/scenario_check.go
@@ -23,11 +23,11 @@
 	maxSpeedSpread     = 0.5
 	maxRetries         = 10
 	maxMisbehavingRate = 1000    // clients a second, at each agent
-	maxPlannedRequests = 600_000 // those of 300 agents before 200 nodes for a minute, with room
+	maxPlannedRequests = 600_000 // those of 300 agents before 200 nodes for a minute, and some more
 )
 
-// trialSeed draws the scenario by which Check finds what only shows when a spec is drawn.
-const trialSeed = 1
+// checkSeed draws the scenario by which Check finds what shows only when a spec is drawn.
+const checkSeed = 1
 
 // reportFunc takes a problem of a spec and the key that it is at.
 type reportFunc func(key, format string, args ...any)
@@ -52,7 +52,7 @@
 	if len(errs) > 0 {
 		return errors.Join(errs...)
 	}
-	if _, err := spec.Draw(trialSeed); err != nil {
+	if _, err := spec.Draw(checkSeed); err != nil {
 		return &config.KeyError{Key: prefix + "name", Err: err}
 	}
 	return nil
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -47,7 +47,7 @@
 	replacedIDs       []string             // by node: its present id where it was replaced, else ""
 	startedAt         time.Duration        // when the scenario began
 	events            []Event
-	err               error // the first of those that kept a fault from being injected
+	err               error // the first that prevented a fault from being injected
 	linkFaults        []*linkFault
 	heldNotifications map[string]map[string]discovery.Entry // by agent and node id: what discovery wrote into a cut
 	notifiedStarts    map[[2]string]int64                   // by agent and node id: the start that the agent was last notified of, as Unix milliseconds
--- a/internal/emulator/world_events.go
+++ b/internal/emulator/world_events.go
@@ -37,7 +37,7 @@
 	}
 }
 
-// Err returns the first error that kept the world from injecting a fault, or nil.
+// Err returns the first error that prevented the world from injecting a fault, or nil.
 func (w *World) Err() error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
