--- a/internal/emulator/fleet_scenario.go
+++ b/internal/emulator/fleet_scenario.go
@@ -20,13 +20,23 @@
 
 // The kinds of FleetScenario.
 const (
-	CalmScenario           = "calm"  // a burst of half as much traffic again, and traffic that shifts between zones
-	RolloutScenario        = "roll"  // half of the nodes are replaced in steps while all agents restart, a tenth at a time
-	ThunderingHerdScenario = "herd"  // half of the nodes are replaced, seven in ten agents killed at once, one node of eight fails fast, and discovery handles half as many requests
-	ZoneOutageScenario     = "zone"  // a zone is lost for 5 s and returns in slow start, another is partitioned, and one node of eight is slow or fails fast
-	PartitionScenario      = "split" // a zone is partitioned for 6 s or a fifth of the nodes answer nothing; the list is delayed, responses are malformed or lost
-	ChurnScenario          = "join"  // six in ten nodes are replaced within 7 s, responses are malformed, and clients retry in a storm
-	MixedScenario          = "mixed" // any of the others together
+	// CalmScenario has a burst of half as much traffic again, and traffic that shifts between zones.
+	CalmScenario = "calm"
+	// RolloutScenario replaces half of the nodes in steps while all agents restart, a tenth at a time.
+	RolloutScenario = "roll"
+	// ThunderingHerdScenario replaces half of the nodes and kills seven in ten agents at once. One node of eight fails fast, and
+	// discovery handles half as many requests.
+	ThunderingHerdScenario = "herd"
+	// ZoneOutageScenario takes a zone away for 5 s, which returns in slow start, and partitions another. One node of eight is slow
+	// or fails fast.
+	ZoneOutageScenario = "zone"
+	// PartitionScenario partitions a zone for 6 s, or a fifth of the nodes answer nothing. The list is delayed, and responses are
+	// malformed or lost.
+	PartitionScenario = "split"
+	// ChurnScenario replaces six in ten nodes within 7 s. Responses are malformed, and clients retry in a storm.
+	ChurnScenario = "join"
+	// MixedScenario has any of the others together.
+	MixedScenario = "mixed"
 )
 
 func fleetScenarioKinds() []string {
--- a/internal/emulator/link/link_test.go
+++ b/internal/emulator/link/link_test.go
@@ -209,28 +209,36 @@
 	return l
 }
 
-// A relay is the network of a run on sockets: delay, a cut, a reset and a process that is down must show to an agent as they
-// would without the relay.
-func TestRelayShapesAndBreaksStreams(t *testing.T) {
+// startRelay starts a relay before a server that sends back what it reads.
+func startRelay(t *testing.T) *Relay {
+	t.Helper()
 	front, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	r := NewRelay(front, echo(t).Addr().String(), 1)
-	defer r.Close()
-	dial := func() net.Conn {
-		t.Helper()
-		c, err := net.Dial("tcp", r.Addr().String())
-		if err != nil {
-			t.Fatal(err)
-		}
-		t.Cleanup(func() { c.Close() })
-		c.SetDeadline(time.Now().Add(20 * time.Second))
-		return c
+	t.Cleanup(func() { r.Close() })
+	return r
+}
+
+func dialRelay(t *testing.T, r *Relay) net.Conn {
+	t.Helper()
+	c, err := net.Dial("tcp", r.Addr().String())
+	if err != nil {
+		t.Fatal(err)
 	}
+	t.Cleanup(func() { c.Close() })
+	c.SetDeadline(time.Now().Add(20 * time.Second))
+	return c
+}
+
+// A relay is the network of a run on sockets: delay and a cut must show to an agent as they would without the relay, and what was
+// sent into a cut must arrive after it.
+func TestRelayDelaysAndCutsStreams(t *testing.T) {
+	r := startRelay(t)
 	slow := Conditions{Delay: 30 * time.Millisecond}
 	r.Set(slow, slow)
-	c := dial()
+	c := dialRelay(t, r)
 	began := time.Now()
 	io.WriteString(c, "there and back")
 	if got, _, err := read(c); got != "there and back" || time.Since(began) < 60*time.Millisecond {
@@ -251,7 +259,12 @@
 	if _, _, err := read(c); err != io.EOF {
 		t.Errorf("after the end: %v", err)
 	}
-	broken := dial()
+}
+
+// A node whose process dies resets its connections, refuses new ones, and is back at the same address.
+func TestRelayResetsAndRejectsConnections(t *testing.T) {
+	r := startRelay(t)
+	broken := dialRelay(t, r)
 	io.WriteString(broken, "x")
 	read(broken)
 	r.Reset()
@@ -268,7 +281,7 @@
 	if err := r.RejectConnections(false); err != nil {
 		t.Fatal(err)
 	}
-	again := dial()
+	again := dialRelay(t, r)
 	io.WriteString(again, "again")
 	if got, _, _ := read(again); got != "again" {
 		t.Errorf("%q", got)
--- a/internal/emulator/scenario_defaults.go
+++ b/internal/emulator/scenario_defaults.go
@@ -53,8 +53,27 @@
 // second.
 func DefaultClasses() []ClassSpec {
 	return []ClassSpec{
-		{Name: "price-basket", Share: 0.6, Work: ms(35), CV: 1.1, LatencyObjective: ms(500), Deadline: ms(2000), PriorityWeight: 1, LateWeight: 0.5},
-		{Name: "place-order", Share: 0.4, Work: ms(18), CV: 1, LatencyObjective: ms(200), Deadline: ms(800), PriorityWeight: 8, LateWeight: 0.25, NonIdempotent: true},
+		{
+			Name:             "price-basket",
+			Share:            0.6,
+			Work:             ms(35),
+			CV:               1.1,
+			LatencyObjective: ms(500),
+			Deadline:         ms(2000),
+			PriorityWeight:   1,
+			LateWeight:       0.5,
+		},
+		{
+			Name:             "place-order",
+			Share:            0.4,
+			Work:             ms(18),
+			CV:               1,
+			LatencyObjective: ms(200),
+			Deadline:         ms(800),
+			PriorityWeight:   8,
+			LateWeight:       0.25,
+			NonIdempotent:    true,
+		},
 	}
 }
 
