--- a/internal/emulator/backend/handle.go
+++ b/internal/emulator/backend/handle.go
@@ -94,21 +94,21 @@
 	if b.cfg.Unnotified != nil { // the node's ID and start never change, so they are read without the lock
 		work.Unnotified = b.cfg.Unnotified(id, c.node.ID, c.node.Started)
 	}
-	a, ok := b.submit(c.node, id, work)
+	submitted, ok := b.submit(c.node, id, work)
 	if !ok {
 		return false
 	}
-	if a.executed && observer != nil {
+	if submitted.executed && observer != nil {
 		observer.ExecutionStarted(id, c.node.ID, b.now())
 	}
-	if a.verdict != node.Accepted {
-		return c.respondNotAccepted(a.verdict, ended)
+	if submitted.verdict != node.Accepted {
+		return c.respondNotAccepted(submitted.verdict, ended)
 	}
 	select {
-	case completion := <-a.done:
+	case completion := <-submitted.done:
 		return c.respondCompleted(id, completion, responseBytes, ended)
 	case <-ended:
-		b.cancel(c.node, a.ticket)
+		b.cancel(c.node, submitted.ticket)
 		return false
 	}
 }
