--- a/internal/emulator/link/datagram.go
+++ b/internal/emulator/link/packet_conn.go
@@ -9,20 +9,21 @@
 	"time"
 )
 
-// mostDatagrams is how many datagrams wait at a socket; more are lost, as a full socket buffer loses them.
-const mostDatagrams = 1024
+// maxQueuedDatagrams is how many datagrams wait at a socket; more are lost, as a full socket buffer loses them.
+const maxQueuedDatagrams = 1024
 
-// PacketConn sends and receives datagrams of a Network.
+// PacketConn sends and receives datagrams of a Network. It is a net.PacketConn.
 type PacketConn struct {
 	network *Network
 	addr    string
-	mu      sync.Mutex
-	changed chan struct{}
-	shapes  map[string]*shaper // to each host
-	waiting []datagram         // by the time that they arrive
-	lost    int
-	closed  bool
-	readBy  time.Time
+
+	mu           sync.Mutex
+	changed      chan struct{}      // closed at each change, and replaced
+	shapers      map[string]*shaper // by the host that is sent to
+	queue        []datagram         // those that arrive first come first
+	lost         int                // found the queue full
+	closed       bool
+	readDeadline time.Time
 }
 
 type datagram struct {
@@ -39,17 +40,18 @@
 	if err != nil {
 		return nil, err
 	}
-	p := &PacketConn{network: n, addr: at, changed: make(chan struct{}), shapes: map[string]*shaper{}}
+	p := &PacketConn{network: n, addr: at, changed: make(chan struct{}), shapers: map[string]*shaper{}}
 	n.packets[at] = p
 	return p, nil
 }
 
-func (p *PacketConn) wake() {
+// broadcast wakes all readers. p.mu is held.
+func (p *PacketConn) broadcast() {
 	close(p.changed)
 	p.changed = make(chan struct{})
 }
 
-// WriteTo sends a datagram. What is lost is not told.
+// WriteTo sends a datagram. A lost one is no error.
 func (p *PacketConn) WriteTo(b []byte, to net.Addr) (int, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -58,46 +60,52 @@
 	}
 	n := p.network
 	n.mu.Lock()
-	cond, peer := n.paths[path{host(p.addr), host(to.String())}], n.packets[to.String()]
-	shape := p.shapes[host(to.String())]
-	if shape == nil {
-		n.made++
-		shape = &shaper{rng: n.random(n.made, 3)}
-		p.shapes[host(to.String())] = shape
-	}
+	conditions, peer := n.paths[path{host(p.addr), host(to.String())}], n.packets[to.String()]
+	toPeer := p.shaperTo(host(to.String()))
 	n.mu.Unlock()
-	due, arrives := shape.datagram(time.Now(), len(b), cond)
+	due, arrives := toPeer.datagramArrival(time.Now(), len(b), conditions)
 	if peer == nil || !arrives {
 		return len(b), nil
 	}
 	d := datagram{append([]byte(nil), b...), p.addr, due}
 	if peer == p {
-		peer.put(d)
+		peer.enqueue(d)
 		return len(b), nil
 	}
 	peer.mu.Lock()
 	defer peer.mu.Unlock()
-	peer.put(d)
+	peer.enqueue(d)
 	return len(b), nil
 }
 
-// put lets a datagram wait until it arrives. The lock is held.
-func (p *PacketConn) put(d datagram) {
-	if len(p.waiting) >= mostDatagrams || p.closed {
+// shaperTo returns the shaper towards a host. Both locks are held.
+func (p *PacketConn) shaperTo(host string) *shaper {
+	s := p.shapers[host]
+	if s == nil {
+		p.network.connsMade++
+		s = &shaper{rng: p.network.newRand(p.network.connsMade, 3)}
+		p.shapers[host] = s
+	}
+	return s
+}
+
+// enqueue lets a datagram wait until it arrives. p.mu is held.
+func (p *PacketConn) enqueue(d datagram) {
+	if len(p.queue) >= maxQueuedDatagrams || p.closed {
 		p.lost++
 		return
 	}
-	i, _ := slices.BinarySearchFunc(p.waiting, d, func(x, y datagram) int {
+	i, _ := slices.BinarySearchFunc(p.queue, d, func(x, y datagram) int {
 		if x.due.After(y.due) {
 			return 1
 		}
 		return -1
 	})
-	p.waiting = slices.Insert(p.waiting, i, d)
-	p.wake()
+	p.queue = slices.Insert(p.queue, i, d)
+	p.broadcast()
 }
 
-// ReadFrom waits for a datagram. What does not fit into b is lost.
+// ReadFrom waits for a datagram. What does not fit into b is lost. It returns net.ErrClosed after Close.
 func (p *PacketConn) ReadFrom(b []byte) (int, net.Addr, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -106,29 +114,29 @@
 		switch {
 		case p.closed:
 			return 0, nil, net.ErrClosed
-		case !p.readBy.IsZero() && !now.Before(p.readBy):
+		case !p.readDeadline.IsZero() && !now.Before(p.readDeadline):
 			return 0, nil, os.ErrDeadlineExceeded
-		case len(p.waiting) > 0 && !p.waiting[0].due.After(now):
-			d := p.waiting[0]
-			p.waiting = p.waiting[1:]
+		case len(p.queue) > 0 && !p.queue[0].due.After(now):
+			d := p.queue[0]
+			p.queue = p.queue[1:]
 			return copy(b, d.data), Addr(d.from), nil
 		}
 		var next time.Time
-		if len(p.waiting) > 0 {
-			next = p.waiting[0].due
+		if len(p.queue) > 0 {
+			next = p.queue[0].due
 		}
-		wait(&p.mu, p.changed, p.readBy, next)
+		waitForChange(&p.mu, p.changed, p.readDeadline, next)
 	}
 }
 
-// Lost is how many datagrams found the socket full.
+// Lost returns how many datagrams found the socket's queue full.
 func (p *PacketConn) Lost() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.lost
 }
 
-// Close closes the socket.
+// Close closes the socket. Datagrams in its queue are lost.
 func (p *PacketConn) Close() error {
 	p.network.mu.Lock()
 	if p.network.packets[p.addr] == p {
@@ -141,22 +149,22 @@
 		return syscall.EBADF
 	}
 	p.closed = true
-	p.wake()
+	p.broadcast()
 	return nil
 }
 
-// LocalAddr is the socket's address.
+// LocalAddr returns the socket's address.
 func (p *PacketConn) LocalAddr() net.Addr { return Addr(p.addr) }
 
-// SetDeadline sets the time by which reads end; writes never wait.
+// SetDeadline sets the time at which reads fail; writes never wait.
 func (p *PacketConn) SetDeadline(t time.Time) error { return p.SetReadDeadline(t) }
 
-// SetReadDeadline sets the time by which reads end.
+// SetReadDeadline sets the time at which reads fail.
 func (p *PacketConn) SetReadDeadline(t time.Time) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.readBy = t
-	p.wake()
+	p.readDeadline = t
+	p.broadcast()
 	return nil
 }
 
--- a/internal/emulator/node/node.go
+++ b/internal/emulator/node/node.go
@@ -7,459 +7,169 @@
 	"time"
 )
 
-// tick is how often the model looks at what changes steadily: the ramp of a cold node, a choke, its load.
-const tick = 100 * time.Millisecond
+// tickInterval is how often the model looks at what changes steadily: slow start, degradation, its load.
+const tickInterval = 100 * time.Millisecond
 
-// Work is a request at a node.
-type Work struct {
-	Ticket     uint64 // the caller's own number for it, never used twice
-	Key        string
-	Cost       time.Duration // on a core of speed 1
-	Until      time.Duration // when its client stops waiting; 0 for never
-	Unnotified bool          // who sent it had not been told that the node has started anew
-}
-
-// Verdict is what a node does with a request that has come.
-type Verdict int
-
-// The verdicts.
-const (
-	Accepted   Verdict = iota // Done tells how it ends
-	Rejected                  // unseen: full, draining or over
-	FailedFast                // an error at once; Ran says whether it took effect before
-	Broken                    // its connection breaks; Ran likewise
-	Ignored                   // nothing will ever be said
-)
-
-// Form is how an answer comes out.
-type Form int
-
-// The forms of an answer.
-const (
-	Whole     Form = iota
-	Spoilt         // can't be read
-	Oversized      // is said to be far longer than any answer may be
-)
-
-// Done is the end of work that was accepted.
-type Done struct {
-	Ticket  uint64
-	At      time.Duration // when the answer goes out: later than the end of the work in a trouble
-	OK      bool          // false for an error
-	Expired bool          // its time was over before a slot was free: never ran
-	Form    Form
-	Used    time.Duration // work that went into it
-}
+// nodeStream keeps the random numbers of a node apart from those that other parts take from the same seed.
+const nodeStream = 0x6e6f6465
 
-// Figures count what a node has done.
-type Figures struct {
-	Offered, Rejected, Failed, Served, Expired, Cancelled int
-	HealthChecks, Handshakes                              int
-	Work, Wasted                                          time.Duration // done in all; and for answers that nobody got
-	Chokes                                                int
-	SlowStartPeak                                         float64 // the most that it was sent by those who knew it to be cold, of what topples it; chance aside
-}
-
-// Add adds up the figures of two lives.
-func (f Figures) Add(g Figures) Figures {
-	f.Offered, f.Rejected, f.Failed, f.Served = f.Offered+g.Offered, f.Rejected+g.Rejected, f.Failed+g.Failed, f.Served+g.Served
-	f.Expired, f.Cancelled, f.HealthChecks = f.Expired+g.Expired, f.Cancelled+g.Cancelled, f.HealthChecks+g.HealthChecks
-	f.Handshakes, f.Chokes = f.Handshakes+g.Handshakes, f.Chokes+g.Chokes
-	f.Work, f.Wasted = f.Work+g.Work, f.Wasted+g.Wasted
-	f.SlowStartPeak = max(f.SlowStartPeak, g.SlowStartPeak)
-	return f
-}
-
-type item struct {
-	Work
-	left, used float64 // seconds on a core of speed 1
-}
-
-// Node is one life of an order node. It is not safe for concurrent use. Times never go back.
+// Node is one incarnation of an order node. It is not safe for concurrent use. Times that are handed in never go back.
 type Node struct {
 	Spec
-	rng     *rand.Rand
-	now     time.Duration
-	running []*item
-	queue   []*item
-	done    []Done
-	began   []uint64
-	faults  []Fault
-	conns   int
-	figures Figures
-
-	ticked          time.Duration
-	rejections      []time.Duration // the latest ones turned away
-	overloadedSince time.Duration   // since when it is under pressure; below 0 when not
-	chokedSince     time.Duration   // since when; below 0 when not
-	idleSince       time.Duration   // since when it rests; below 0 when not
-	busy            float64         // smoothed share of its cores in use
-	overloaded      bool
-	blame           bool    // and those who were told that it is cold did it
-	offered         []offer // to a cold node, in the latest FallFor
-	met             map[string]time.Duration
-	probes          []time.Duration // the latest second's
-	reading         reading
-	busyTime        float64 // core-seconds in use since the last reading
-	usedTime        float64 // and since the last tick
-	completed       int     // since the last reading
-	pending         []reading
-}
-
-type offer struct {
-	at         time.Duration
-	work       float64
-	unnotified bool
-}
-
-// reading is a load report. Seen is when it can be seen.
-type reading struct {
-	taken, seen time.Duration
-	rate, util  float64
+	rng    *rand.Rand
+	now    time.Duration
+	faults []Fault
+
+	running     []*workItem // in slots
+	queue       []*workItem
+	completions []Completion // for the next Advance
+	started     []uint64     // for the next TakeStarted
+	conns       int
+	figures     Figures
+
+	lastTick            time.Duration
+	tickCoreSeconds     float64 // in use since the last tick
+	smoothedUtilization float64 // share of the cores in use
+	recentRejections    []time.Duration
+	recentHealthChecks  []time.Duration // of the latest second
+
+	degradation degradation
+	slowStart   slowStartLoad
+	keys        recentKeys
+	reports     loadReports
+
+	overloaded        bool
+	overloadAvoidable bool
+}
+
+// workItem is a request that was accepted.
+type workItem struct {
+	Work
+	remaining, workDone float64 // seconds on a core of speed 1
 }
 
-// New returns a node that nothing is wrong with yet. The spec must pass Check.
+// New returns a node without faults. The spec must pass Check.
 func New(spec Spec, seed uint64) *Node {
-	return &Node{Spec: spec, rng: rand.New(rand.NewPCG(seed, 0x6e6f6465)), overloadedSince: -1, chokedSince: -1, idleSince: -1,
-		met: map[string]time.Duration{}}
+	return &Node{
+		Spec:        spec,
+		rng:         rand.New(rand.NewPCG(seed, nodeStream)),
+		degradation: newDegradation(),
+		keys:        newRecentKeys(spec.Affinity),
+	}
 }
 
-// AddFault adds a trouble, which must pass its Check.
-func (n *Node) AddFault(t Fault) { n.faults = append(n.faults, t) }
+// AddFault adds a fault, which must pass its Check.
+func (n *Node) AddFault(fault Fault) { n.faults = append(n.faults, fault) }
 
 // Figures returns the counts so far.
 func (n *Node) Figures() Figures { return n.figures }
 
-// Overloaded reports whether the node was pushed over while cold. It stays down.
-func (n *Node) Overloaded() bool { return n.overloaded }
-
-// Blame reports whether at least blameFrom of what pushed it over came from those who had been told that it is cold.
-func (n *Node) Blame() bool { return n.blame }
-
-// blameFrom is the platform's: below it nobody could have known.
-const blameFrom = 2.0 / 3
-
-// Choked reports whether it is slow after an overload.
-func (n *Node) Choked() bool { return n.chokedSince >= 0 }
-
-// InFlight is what it holds: in work and waiting.
+// InFlight returns how many requests the node holds, executing and queued.
 func (n *Node) InFlight() int { return len(n.running) + len(n.queue) }
 
-// Backlog is how long a core would be busy with what the node holds, at its present pace, shared among its cores.
-func (n *Node) Backlog() time.Duration {
-	unit := n.unit()
-	if unit <= 0 {
-		return time.Hour
-	}
-	work := 0.0
-	for _, it := range n.running {
-		work += it.left
-	}
-	for _, it := range n.queue {
-		work += it.Cost.Seconds()
-	}
-	return time.Duration(work / unit / float64(n.Cores) * 1e9)
-}
-
-// Room reports whether another request would find a place.
-func (n *Node) Room() bool {
-	return len(n.queue) < int(float64(n.Cores)*n.QueuePerCore) || !n.slotsFull()
-}
-
-// Waiting is how many requests wait for a slot.
+// Waiting returns how many requests are queued for a slot.
 func (n *Node) Waiting() int { return len(n.queue) }
 
-// Warm is the share of its capacity that a node has for its age.
-func (n *Node) Warm() float64 {
-	age := n.now - n.Started
-	if n.Started < 0 || age >= n.SlowStartWindow {
-		return 1
-	}
-	return n.SlowStartInitialFraction + (1-n.SlowStartInitialFraction)*max(0, float64(age)/float64(n.SlowStartWindow))
-}
-
-// Capacity is the work it can do a second at present, crowding aside.
-func (n *Node) Capacity() float64 { return float64(n.Cores) * n.unit() }
+// Unresponsive reports whether the node answers nobody at present.
+func (n *Node) Unresponsive() bool { return n.overloaded || n.faultActive(Blackhole) }
 
-// unit is the speed of a core at present, before what crowding costs.
-func (n *Node) unit() float64 {
-	if n.overloaded {
-		return 0
-	}
-	speed := n.Speed * n.Warm() * (1 - n.size(Neighbour)) / max(1, n.size(Slow))
-	if n.chokedSince >= 0 {
-		speed /= n.Choke.Slower
-	}
-	if n.ConnCap > 0 {
-		speed *= 1 - n.FullTax*float64(min(n.conns, n.ConnCap))/float64(n.ConnCap)
-	}
-	return speed
+// draw returns true with a probability. It takes no random number for 0.
+func (n *Node) draw(probability float64) bool {
+	return probability > 0 && n.rng.Float64() < probability
 }
 
-// pace is the work that each request in a slot gets done a second.
-func (n *Node) pace() float64 {
-	if len(n.running) == 0 {
-		return 0
-	}
-	pace := n.unit() * min(1, float64(n.Cores)/float64(len(n.running)))
-	if held := float64(n.InFlight()) / float64(n.Cores); n.ThrashAt > 0 && held > n.ThrashAt {
-		pace *= 1 - n.Thrash*min(1, (held-n.ThrashAt)/n.ThrashAt)
-	}
-	return pace
-}
-
-// Next is when Advance has to be called next at the latest.
-func (n *Node) Next() time.Duration {
-	next := n.ticked + tick
-	if pace := n.pace(); pace > 0 {
+// NextEvent returns when Advance has to be called next, at the latest.
+func (n *Node) NextEvent() time.Duration {
+	next := n.lastTick + tickInterval
+	if rate := n.slotRate(); rate > 0 {
 		least := math.Inf(1)
-		for _, it := range n.running {
-			least = min(least, it.left)
+		for _, item := range n.running {
+			least = min(least, item.remaining)
 		}
-		next = min(next, n.now+max(1, time.Duration(math.Ceil(least/pace*1e9))))
+		next = min(next, n.now+max(1, time.Duration(math.Ceil(least/rate*1e9))))
 	}
-	for _, t := range n.faults {
-		if at := t.next(n.now); at > 0 {
+	for _, fault := range n.faults {
+		if at := fault.nextChange(n.now); at > 0 {
 			next = min(next, at)
 		}
 	}
 	return next
 }
 
-// Advance lets time pass and returns what has ended since the last call, in order.
-func (n *Node) Advance(now time.Duration) []Done {
-	n.step(now)
-	out := n.done
-	n.done = nil
-	return out
+// Advance lets time pass and returns what has completed since the last call, in order.
+func (n *Node) Advance(now time.Duration) []Completion {
+	n.advanceTo(now)
+	completions := n.completions
+	n.completions = nil
+	return completions
+}
+
+// TakeStarted returns the tickets of the requests whose execution has started since the last call: from then on they may have
+// taken effect.
+func (n *Node) TakeStarted() []uint64 {
+	started := n.started
+	n.started = nil
+	return started
 }
 
-// step lets time pass, and keeps what ends for the next Advance.
-func (n *Node) step(now time.Duration) {
-	for next := n.Next(); next <= now; next = n.Next() {
-		n.pass(next)
+// advanceTo lets time pass from event to event. Completions wait for the next Advance.
+func (n *Node) advanceTo(now time.Duration) {
+	for next := n.NextEvent(); next <= now; next = n.NextEvent() {
+		n.passTo(next)
 	}
 	if now > n.now {
-		n.pass(now)
+		n.passTo(now)
 	}
 }
 
-// Began returns the tickets whose work began since the last call: from then on they may have taken effect.
-func (n *Node) Began() []uint64 {
-	out := n.began
-	n.began = nil
-	return out
-}
-
-// pass lets time pass to a moment before which nothing else happens.
-func (n *Node) pass(to time.Duration) {
-	span, pace := (to - n.now).Seconds(), n.pace()
-	for _, it := range n.running {
-		it.left -= span * pace
-		it.used += span * pace
+// passTo lets time pass to a moment before which there is no event.
+func (n *Node) passTo(to time.Duration) {
+	span, rate := (to - n.now).Seconds(), n.slotRate()
+	for _, item := range n.running {
+		item.remaining -= span * rate
+		item.workDone += span * rate
 	}
 	used := span * float64(min(len(n.running), n.Cores))
-	n.busyTime, n.usedTime = n.busyTime+used, n.usedTime+used
+	n.reports.coreSeconds += used
+	n.tickCoreSeconds += used
 	n.now = to
-	for i := 0; i < len(n.running); {
-		if it := n.running[i]; it.left <= 1e-9 {
-			n.running = slices.Delete(n.running, i, i+1)
-			n.finish(it)
-			continue
-		}
-		i++
-	}
-	if n.now >= n.ticked+tick {
-		n.look()
+	n.completeFinished()
+	if n.now >= n.lastTick+tickInterval {
+		n.onTick()
 	}
-	n.fill()
+	n.startQueued()
 }
 
-// finish ends work that is done.
-func (n *Node) finish(it *item) {
-	used := time.Duration(it.used * 1e9)
-	n.figures.Work += used
-	n.completed++
-	d := Done{Ticket: it.Ticket, At: n.now, OK: !n.chance(n.ErrorRate), Used: used}
-	if d.OK {
-		n.figures.Served++
-	} else {
-		n.figures.Failed++
-		n.figures.Wasted += used
-	}
-	switch {
-	case n.chance(n.size(Spoil)):
-		d.Form = Spoilt
-	case n.chance(n.size(Oversize)):
-		d.Form = Oversized
-	}
-	d.At += time.Duration(n.size(LateAnswers) * 1e9)
-	n.remember(it.Key)
-	n.done = append(n.done, d)
-}
+// utilizationWindow is the time constant over which utilization is smoothed, in seconds.
+const utilizationWindow = 0.5
 
-// remember notes that a key was met, and forgets the oldest beyond the bound.
-func (n *Node) remember(key string) {
-	if key == "" || n.Affinity.Keys == 0 {
-		return
-	}
-	n.met[key] = n.now
-	if len(n.met) <= n.Affinity.Keys {
-		return
+// onTick updates what changes steadily. Utilization is measured over the whole tick: at its end a slot may just be free.
+func (n *Node) onTick() {
+	span := (n.now - n.lastTick).Seconds()
+	n.lastTick = n.now
+	utilization := n.tickCoreSeconds / span / float64(n.Cores)
+	n.tickCoreSeconds = 0
+	n.smoothedUtilization += min(1, span/utilizationWindow) * (utilization - n.smoothedUtilization)
+	for len(n.recentRejections) > 0 && n.recentRejections[0] <= n.now-time.Second {
+		n.recentRejections = n.recentRejections[1:]
 	}
-	oldest, at := "", time.Duration(math.MaxInt64)
-	for k, t := range n.met {
-		if t < at || t == at && k < oldest {
-			oldest, at = k, t
-		}
-	}
-	delete(n.met, oldest)
+	n.updateDegradation()
+	n.reports.update(n.now, n.Cores, n.LoadReporting, n.rng)
 }
 
-// fill gives free slots to what waits.
-func (n *Node) fill() {
-	slots := max(1, int(float64(n.Cores)*n.SlotsPerCore))
-	for len(n.running) < slots && len(n.queue) > 0 {
-		it := n.queue[0]
-		n.queue = n.queue[1:]
-		if it.Until > 0 && n.now >= it.Until && !n.KeepsExpired {
-			n.figures.Expired++
-			n.done = append(n.done, Done{Ticket: it.Ticket, At: n.now, Expired: true})
-			continue
-		}
-		work := it.Cost.Seconds() * max(0.05, 1+n.WorkNoise*n.rng.NormFloat64())
-		if at, ok := n.met[it.Key]; ok && it.Key != "" && n.now-at < n.Affinity.For {
-			work *= 1 - n.Affinity.Gain
-		}
-		it.left = work
-		n.running = append(n.running, it)
-		n.began = append(n.began, it.Ticket)
-	}
-}
-
-// Offer brings a request whose last byte has come. ran tells of a request that was not accepted whether it took effect.
-func (n *Node) Offer(now time.Duration, w Work) (v Verdict, ran bool) {
-	n.step(now)
-	n.figures.Offered++
-	n.count(w)
-	switch {
-	case n.overloaded, n.on(Vanish):
-		return Ignored, false
-	case n.on(Drain) || w.Until > 0 && now >= w.Until || !n.Room():
-		n.figures.Rejected++
-		n.rejections = append(n.rejections, now)
-		return Rejected, false
-	case n.chance(n.size(FastFail)):
-		n.figures.Failed++
-		return FailedFast, n.chance(0.5)
-	case n.chance(n.size(ResetConn)):
-		n.figures.Failed++
-		return Broken, n.chance(0.5)
+// HealthCheck counts a health check; false says that the node does not answer it, because it answers none or has had too many
+// within a second.
+func (n *Node) HealthCheck(now time.Duration) bool {
+	n.advanceTo(now)
+	n.recentHealthChecks = slices.DeleteFunc(n.recentHealthChecks, func(t time.Duration) bool { return t <= now-time.Second })
+	if n.HealthCheckRate > 0 && float64(len(n.recentHealthChecks)) >= n.HealthCheckRate || n.Unresponsive() {
+		return false
 	}
-	n.queue = append(n.queue, &item{Work: w})
-	n.fill()
-	return Accepted, false
-}
-
-func (n *Node) slotsFull() bool {
-	return len(n.running) >= max(1, int(float64(n.Cores)*n.SlotsPerCore))
-}
-
-// count adds what is sent to a cold node to its budget: more than Overload times its capacity over any FallFor topples it.
-// Three requests of slack stand for chance.
-func (n *Node) count(w Work) {
-	if n.SlowStartOverloadFactor == 0 || n.Warm() == 1 || n.overloaded {
-		n.offered = nil
-		return
-	}
-	n.offered = append(n.offered, offer{n.now, w.Cost.Seconds(), w.Unnotified})
-	for n.offered[0].at <= n.now-n.OverloadWindow {
-		n.offered = n.offered[1:]
-	}
-	sum, said, largest := 0.0, 0.0, 0.0
-	for _, o := range n.offered {
-		sum, largest = sum+o.work, max(largest, o.work)
-		if !o.unnotified {
-			said += o.work
-		}
-	}
-	budget := n.SlowStartOverloadFactor * float64(n.Cores) * n.Speed * n.Warm() * n.OverloadWindow.Seconds()
-	if said >= blameFrom*sum {
-		n.figures.SlowStartPeak = max(n.figures.SlowStartPeak, (sum-3*largest)/budget)
-	}
-	if sum > budget+3*largest {
-		n.overloaded, n.blame = true, said >= blameFrom*sum
-		n.running, n.queue = nil, nil
-	}
-}
-
-// Cancel tells that the client of a request has left. Work that has not begun is dropped.
-func (n *Node) Cancel(now time.Duration, ticket uint64) {
-	n.step(now)
-	same := func(it *item) bool { return it.Ticket == ticket }
-	if i := slices.IndexFunc(n.queue, same); i >= 0 {
-		n.queue = slices.Delete(n.queue, i, i+1)
-		n.figures.Cancelled++
-		return
-	}
-	if i := slices.IndexFunc(n.running, same); i >= 0 && !n.KeepsCancelled {
-		used := time.Duration(n.running[i].used * 1e9)
-		n.figures.Work += used
-		n.figures.Wasted += used
-		n.figures.Cancelled++
-		n.running = slices.Delete(n.running, i, i+1)
-		n.fill()
-	}
-}
-
-// overhead is work beside the requests. It delays them where no core is free for it.
-func (n *Node) overhead(work time.Duration) {
-	if len(n.running) < n.Cores {
-		return
-	}
-	for _, it := range n.running {
-		it.left += work.Seconds() / float64(len(n.running))
-	}
-}
-
-// Welcome is what a node does with a new connection.
-type Welcome int
-
-// The welcomes.
-const (
-	Admitted Welcome = iota
-	Full             // its requests are turned away unseen
-	Refused          // it is reset at once
-)
-
-// Connect brings a new connection. One that is admitted ends with Disconnect.
-func (n *Node) Connect(now time.Duration) Welcome {
-	n.step(now)
-	switch {
-	case n.on(Flap):
-		return Refused
-	case n.ConnCap > 0 && n.conns >= n.ConnCap:
-		return Full
-	}
-	n.conns++
-	n.figures.Handshakes++
-	n.overhead(n.Handshake)
-	return Admitted
-}
-
-// Disconnect tells that a connection has ended.
-func (n *Node) Disconnect(now time.Duration) {
-	n.step(now)
-	n.conns--
-}
-
-// Silent reports whether the node says nothing to anybody at present.
-func (n *Node) Silent() bool { return n.overloaded || n.on(Vanish) }
-
-// CloseIdle draws whether a connection that has been idle for this long since the last call is closed by the node.
-func (n *Node) CloseIdle(span time.Duration) bool {
-	return n.chance(1 - math.Pow(1-min(1, n.size(IdleClose)), span.Seconds()))
+	n.recentHealthChecks = append(n.recentHealthChecks, now)
+	n.figures.HealthChecks++
+	n.addOverhead(n.HealthCheckWork)
+	return true
 }
 
-// Conns is how many connections it holds.
-func (n *Node) Conns() int { return n.conns }
+// Load returns the latest load report that can be seen; false when there is none yet.
+func (n *Node) Load() (LoadReport, bool) { return n.reports.latest() }
