--- a/internal/budget/latency.go
+++ b/internal/budget/latency.go
@@ -24,6 +24,7 @@
 	b.advance(now)
 	b.latencyFraction, b.controller.latencySlack = 1, 0
 	ttl := max(minCounterAge, time.Duration(latencySignalTTL*float64(b.controller.latency)))
+	// The counter is read only as an attempt ends, so its last update is the end of the last attempt.
 	if now-b.controller.ended.updatedAt > ttl {
 		return
 	}
