--- a/cmd/ryeweir/demo.go
+++ b/cmd/ryeweir/demo.go
@@ -65,18 +65,18 @@
 		return err
 	}
 	fmt.Fprintf(out, "%d order nodes, %d agents, %.0f requests a second for %v (%d in all)\n", len(day.Nodes), len(day.Agents), day.Rate, length, len(day.Plan))
-	s := newScreen(out)
-	o, err := experiment.RunScenario(ctx, day, experiment.Variant{Name: "agent", Command: []string{self, "agent"}}, s.show)
+	screen := newScreen(out)
+	outcome, err := experiment.RunScenario(ctx, day, experiment.Variant{Name: "agent", Command: []string{self, "agent"}}, screen.show)
 	if err != nil {
 		return err
 	}
 	if file != "" {
-		if err := writeJSON(file, o); err != nil {
+		if err := writeJSON(file, outcome); err != nil {
 			return err
 		}
 	}
-	printOutcome(out, o)
-	if !o.Account.RulesHold() {
+	printOutcome(out, outcome)
+	if !outcome.Account.RulesHold() {
 		return errReported
 	}
 	return nil
@@ -148,18 +148,18 @@
 
 // show draws a look.
 func (s *screen) show(live experiment.Live) {
-	a := live.Account
+	account := live.Account
 	calls := live.Calls
 	latencies := referee.Latencies(calls, -1)
-	at := func(q float64) float64 {
+	elapsed := func(q float64) float64 {
 		if len(latencies) == 0 {
 			return 0
 		}
 		return float64(latencies[int(q*float64(len(latencies)-1))].Microseconds()) / 1e3
 	}
-	line := fmt.Sprintf("%4.0fs  %4d/s  served %4d  refused %3d  failed %3d  p50 %6.1f ms  p99 %7.1f ms", live.At.Seconds(), a.Requests-s.last.Requests,
-		a.Completed-s.last.Completed, a.Rejected-s.last.Rejected, a.Failed+a.Unanswered-s.last.Failed-s.last.Unanswered, at(0.5), at(0.99))
-	s.last = a
+	line := fmt.Sprintf("%4.0fs  %4d/s  served %4d  refused %3d  failed %3d  p50 %6.1f ms  p99 %7.1f ms", live.At.Seconds(), account.Requests-s.last.Requests,
+		account.Completed-s.last.Completed, account.Rejected-s.last.Rejected, account.Failed+account.Unanswered-s.last.Failed-s.last.Unanswered, elapsed(0.5), elapsed(0.99))
+	s.last = account
 	var news []string
 	for _, m := range live.Marks[min(s.marks, len(live.Marks)):] {
 		news = append(news, fmt.Sprintf("%s: %s for %.0f s", m.Node, m.Text, (m.To-m.At).Seconds()))
--- a/cmd/ryeweir/soak.go
+++ b/cmd/ryeweir/soak.go
@@ -19,7 +19,7 @@
 // soakFlags are what the soak's command is told.
 type soakFlags struct {
 	seed   uint64
-	plays  int
+	runs   int
 	length time.Duration
 	until  time.Duration
 	dir    string
@@ -43,7 +43,7 @@
 		},
 	}
 	cmd.Flags().Uint64Var(&f.seed, "seed", 1, "of the first play; the next ones count up")
-	cmd.Flags().IntVar(&f.plays, "plays", 1, "how many plays")
+	cmd.Flags().IntVar(&f.runs, "plays", 1, "how many plays")
 	cmd.Flags().DurationVar(&f.length, "length", 30*time.Second, "of a play")
 	cmd.Flags().DurationVar(&f.until, "for", 0, "begin no play after so long; 0: all plays")
 	cmd.Flags().StringVarP(&f.dir, "output", "o", "", "a folder for logs; none: a temporary one, kept where a rule was broken")
@@ -63,7 +63,7 @@
 		only = append(only, soak.FaultKind(kind))
 	}
 	began, broken := time.Now(), 0
-	for n := range flags.plays {
+	for n := range flags.runs {
 		if flags.until > 0 && time.Since(began) > flags.until {
 			break
 		}
@@ -103,20 +103,20 @@
 			return false, err
 		}
 	}
-	r, err := soak.Run(ctx, plan, soak.Options{Program: program, Dir: dir, PlantedFaults: flags.plant, Out: out})
+	result, err := soak.Run(ctx, plan, soak.Options{Program: program, Dir: dir, PlantedFaults: flags.plant, Out: out})
 	if err != nil {
 		return false, err
 	}
 	fmt.Fprintf(out, "seed %d: %d processes, %d requests, %d answered, %d served, %d attempts, %d troubles, latest by %v, %d MB at most, %d violations\n", plan.Seed,
-		r.Processes, r.Requests, r.Answered, r.Served, r.Attempts, len(plan.Faults), r.Lag.Round(time.Millisecond), r.MaxRSS>>20, len(r.Violations))
-	if len(r.Violations) == 0 {
+		result.Processes, result.Requests, result.Answered, result.Served, result.Attempts, len(plan.Faults), result.Lag.Round(time.Millisecond), result.MaxRSS>>20, len(result.Violations))
+	if len(result.Violations) == 0 {
 		if flags.dir == "" {
 			err = os.RemoveAll(dir)
 		}
 		return true, err
 	}
 	shown := map[string]int{}
-	for _, v := range r.Violations {
+	for _, v := range result.Violations {
 		if shown[v.Rule]++; shown[v.Rule] <= mostShown {
 			fmt.Fprintln(out, "  ", v)
 		}
@@ -127,7 +127,7 @@
 		}
 	}
 	fmt.Fprintln(out, "   logs in", dir)
-	return false, r.Save(dir)
+	return false, result.Save(dir)
 }
 
 // soakAgentCommand is an agent on a machine that fails on command.
