--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,4 +1,4 @@
-// Package config reads files into checked structs, and says of what is wrong where it stands: file, line and key.
+// Package config decodes configuration files into structs and validates them. Its errors name the file, the line and the key.
 package config
 
 import (
@@ -15,15 +15,15 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Error is something wrong with a file.
+// Error is an error in a configuration file, with its position.
 type Error struct {
 	File string
-	Line int    // from 1; 0 when it has no place of its own
-	Key  string // dotted, with the numbers of tables in arrays from 0; empty when it has none
+	Line int    // from 1; 0 if unknown
+	Key  string // dotted path, with the index of a table in an array in brackets, from 0; empty if no key is concerned
 	Err  error
 }
 
-// Error is the text: file:line: key: what is wrong.
+// Error returns the message in the form "file:line: key: cause".
 func (e *Error) Error() string {
 	text := e.File
 	if e.Line > 0 {
@@ -35,30 +35,30 @@
 	return text + ": " + e.Err.Error()
 }
 
-// Unwrap returns what is wrong.
+// Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
 
-// KeyError is what a Check returns of one key, for its place to be found in the file.
+// KeyError is an invalid value of one key, as Checker.Check returns it. At adds the position in the file.
 type KeyError struct {
-	Key string // as in Error
+	Key string // as in Error.Key
 	Err error
 }
 
-// Error is the text.
+// Error returns the message in the form "key: cause".
 func (e *KeyError) Error() string { return e.Key + ": " + e.Err.Error() }
 
-// Unwrap returns what is wrong.
+// Unwrap returns the cause.
 func (e *KeyError) Unwrap() error { return e.Err }
 
-// Wrong is a KeyError with a text.
+// Wrong returns a KeyError with a formatted message.
 func Wrong(key, format string, args ...any) error {
 	return &KeyError{Key: key, Err: fmt.Errorf(format, args...)}
 }
 
-// largest is the most that is read of a file.
-const largest = 4 << 20
+// maxFileSize is the maximum size of a configuration file, in bytes.
+const maxFileSize = 4 << 20
 
-// Read reads a file of a sensible size.
+// Read returns the contents of a file of at most maxFileSize bytes.
 func Read(file string) ([]byte, error) {
 	info, err := os.Stat(file)
 	if err != nil {
@@ -68,8 +68,8 @@
 		}
 		return nil, &Error{File: file, Err: err}
 	}
-	if info.IsDir() || info.Size() > largest {
-		return nil, &Error{File: file, Err: fmt.Errorf("is a folder, or holds more than %d bytes", largest)}
+	if info.IsDir() || info.Size() > maxFileSize {
+		return nil, &Error{File: file, Err: fmt.Errorf("is a folder, or holds more than %d bytes", maxFileSize)}
 	}
 	data, err := os.ReadFile(file)
 	if err != nil {
@@ -78,11 +78,11 @@
 	return data, nil
 }
 
-// Checker is a struct that can say what is wrong with what was read into it.
+// Checker is a decoded struct that validates its values. Check returns a KeyError for an invalid key; several errors are joined.
 type Checker interface{ Check() error }
 
-// TOML reads a file's text into a struct that holds its defaults. Unknown keys are errors. All that is wrong with it is
-// in one error, which errors.Join may have made of several.
+// TOML decodes a file's text into a struct that already holds the defaults, and validates it. Unknown keys are errors. Several errors
+// are joined by errors.Join.
 func TOML(file string, data []byte, into Checker) error {
 	dec := toml.NewDecoder(bytes.NewReader(data)).DisallowUnknownFields()
 	if err := dec.Decode(into); err != nil {
@@ -91,6 +91,7 @@
 	return At(file, data, into.Check())
 }
 
+// decodeErrors converts errors of the TOML decoder to Errors with their positions.
 func decodeErrors(file string, err error) error {
 	if strict, ok := errors.AsType[*toml.StrictMissingError](err); ok {
 		var all []error
@@ -108,7 +109,7 @@
 	return &Error{File: file, Err: err}
 }
 
-// At gives the errors of a Check their places in the file.
+// At converts the KeyErrors of a Check to Errors with their positions in the file.
 func At(file string, data []byte, err error) error {
 	if err == nil {
 		return nil
@@ -126,8 +127,8 @@
 	return &Error{File: file, Err: err}
 }
 
-// locate finds the line of a key in the text of a TOML file, or of the nearest table above it; 0 without either. A key is
-// dotted, with [N] behind the name of an array of tables.
+// locate returns the line of a key in the text of a TOML file, or of the nearest enclosing table; 0 without either. A key is a
+// dotted path, with [N] after the name of an array of tables.
 func locate(data []byte, key string) int {
 	found, best, table := 0, 0, ""
 	seen := map[string]int{}
@@ -166,7 +167,7 @@
 	return best
 }
 
-// indexed puts the numbers of the arrays that were last opened into a table's name.
+// indexed adds to a table's name the indexes of the enclosing arrays' current elements. seen counts the elements by array.
 func indexed(name string, seen map[string]int) string {
 	parts := strings.Split(name, ".")
 	path := ""
@@ -182,12 +183,12 @@
 	return path
 }
 
-// JSON reads a file's text into a struct. Unknown keys are passed over, as the platform may add some.
+// JSON decodes a file's text into a struct. Unknown keys are ignored, as the platform may add some.
 func JSON(file string, data []byte, into any) error {
 	return JSONError(file, data, json.Unmarshal(data, into))
 }
 
-// JSONError gives an error of encoding/json its place in the text.
+// JSONError converts an error of encoding/json to an Error with its position in the text.
 func JSONError(file string, data []byte, err error) error {
 	if err == nil {
 		return nil
@@ -201,16 +202,17 @@
 	return &Error{File: file, Err: err}
 }
 
+// lineAt returns the line of a byte offset, from 1.
 func lineAt(data []byte, offset int64) int {
 	return 1 + bytes.Count(data[:min(offset, int64(len(data)))], []byte("\n"))
 }
 
-// Duration is a time in a file, such as "250ms".
+// Duration is a time.Duration that is written as a string in a file, such as "250ms".
 type Duration time.Duration
 
 var _ encoding.TextUnmarshaler = (*Duration)(nil)
 
-// UnmarshalText reads what time.ParseDuration reads.
+// UnmarshalText parses the format of time.ParseDuration.
 func (d *Duration) UnmarshalText(text []byte) error {
 	v, err := time.ParseDuration(string(text))
 	if err != nil {
@@ -220,8 +222,8 @@
 	return nil
 }
 
-// MarshalText writes it as it is read.
+// MarshalText returns the format that UnmarshalText parses.
 func (d Duration) MarshalText() ([]byte, error) { return []byte(time.Duration(d).String()), nil }
 
-// D is the time.
+// D returns the duration as a time.Duration.
 func (d Duration) D() time.Duration { return time.Duration(d) }
