--- a/internal/experiment/choose.go
+++ b/internal/experiment/choose.go
@@ -13,19 +13,19 @@
 
 // View is a node as a caller that chooses by itself sees it.
 type View struct {
-	ID   string
-	Own  int // the chooser's own requests there
-	True *Truth
+	ID       string
+	InFlight int // the chooser's own requests there
+	Truth    *Truth
 }
 
 // Truth is what only the emulator knows of a node.
 type Truth struct {
-	Capacity float64 // work a second at present
-	Cores    int
-	Backlog  time.Duration // until all that it holds is done
-	Room     bool          // another request would find a place
-	Failing  float64       // share of what is sent that comes to nothing
-	Away     time.Duration // one way
+	Capacity        float64 // work a second at present
+	Cores           int
+	Backlog         time.Duration // until all that it holds is done
+	HasCapacity     bool          // another request would find a place
+	FailureFraction float64       // share of what is sent that comes to nothing
+	OneWayDelay     time.Duration // one way
 }
 
 // Chooser chooses a node for a try, or -1. tried are the nodes that the request has been to. It is used by one goroutine at
@@ -36,11 +36,11 @@
 
 // The reference arms.
 const (
-	Random     = "random"      // any node
-	RoundRobin = "round-robin" // one after the other
-	TwoChoices = "two-choices" // of two drawn evenly, the one with less of its own in flight
-	Oracle     = "oracle"      // sees the true state of all nodes, for all callers together
-	Late       = "late"        // likewise, as it was a while ago, and knows what has been sent since; in simulated time only
+	Random        = "random"      // any node
+	RoundRobin    = "round-robin" // one after the other
+	TwoChoices    = "two-choices" // of two drawn evenly, the one with less of its own in flight
+	Oracle        = "oracle"      // sees the true state of all nodes, for all callers together
+	DelayedOracle = "late"        // likewise, as it was a while ago, and knows what has been sent since; in simulated time only
 )
 
 // NewChooser returns the chooser of a reference arm, or nil for a name that is none.
@@ -53,14 +53,14 @@
 		return &roundRobin{next: rng.IntN(1 << 20)}
 	case TwoChoices:
 		return &twoChoices{rng}
-	case Oracle, Late:
-		return &oracle{last: map[string]met{}}
+	case Oracle, DelayedOracle:
+		return &oracle{lastByKey: map[string]keySighting{}}
 	}
 	return nil
 }
 
-// fresh are the nodes that were not tried, or all where all were.
-func fresh(nodes []View, tried []string) []int {
+// untried are the nodes that were not tried, or all where all were.
+func untried(nodes []View, tried []string) []int {
 	var out, all []int
 	for i, n := range nodes {
 		all = append(all, i)
@@ -77,7 +77,7 @@
 type random struct{ rng *rand.Rand }
 
 func (c *random) Choose(nodes []View, _ callers.PlannedRequest, tried []string) int {
-	among := fresh(nodes, tried)
+	among := untried(nodes, tried)
 	if len(among) == 0 {
 		return -1
 	}
@@ -97,12 +97,12 @@
 type twoChoices struct{ rng *rand.Rand }
 
 func (c *twoChoices) Choose(nodes []View, _ callers.PlannedRequest, tried []string) int {
-	among := fresh(nodes, tried)
+	among := untried(nodes, tried)
 	if len(among) == 0 {
 		return -1
 	}
 	a, b := among[c.rng.IntN(len(among))], among[c.rng.IntN(len(among))]
-	if nodes[b].Own < nodes[a].Own {
+	if nodes[b].InFlight < nodes[a].InFlight {
 		return b
 	}
 	return a
@@ -112,47 +112,47 @@
 // Where no answer would come in time it does not send at all; and what is worth less than the rest for its work is not sent
 // where it would make others wait.
 type oracle struct {
-	last  map[string]met // where a key was sent last
-	worth float64        // mean worth for the work, lately
+	lastByKey   map[string]keySighting // where a key was sent last
+	meanDensity float64                // mean worth for the work, lately
 }
 
-type met struct {
-	node string
-	at   time.Duration
+type keySighting struct {
+	node   string
+	sentAt time.Duration
 }
 
 const (
-	keyFor   = 5 * time.Second // how long the oracle takes a key for known
-	keyGain  = 0.5
-	mostKeys = 1 << 16
+	keyLifetime        = 5 * time.Second // how long the oracle takes a key for known
+	keyedWorkReduction = 0.5
+	maxKeys            = 1 << 16
 	// Work that is worth less than half of the mean waits for no more than this: more would delay the rest beyond its aim.
-	cheapWait = 60 * time.Millisecond
+	maxLowDensityWait = 60 * time.Millisecond
 )
 
-func (c *oracle) Choose(nodes []View, p callers.PlannedRequest, tried []string) int {
-	best, least := -1, math.Inf(1)
+func (c *oracle) Choose(nodes []View, planned callers.PlannedRequest, tried []string) int {
+	best, shortest := -1, math.Inf(1)
 	var wait time.Duration
-	for _, i := range fresh(nodes, tried) {
-		t := nodes[i].True
-		if t == nil || t.Capacity <= 0 || t.Failing >= 1 || !t.Room {
+	for _, i := range untried(nodes, tried) {
+		truth := nodes[i].Truth
+		if truth == nil || truth.Capacity <= 0 || truth.FailureFraction >= 1 || !truth.HasCapacity {
 			continue
 		}
-		work := p.Work.Seconds()
-		if m := c.last[p.Key]; p.Key != "" && m.node == nodes[i].ID && p.At-m.at < keyFor {
-			work *= 1 - keyGain
+		work := planned.Work.Seconds()
+		if m := c.lastByKey[planned.Key]; planned.Key != "" && m.node == nodes[i].ID && planned.At-m.sentAt < keyLifetime {
+			work *= 1 - keyedWorkReduction
 		}
-		takes := (t.Backlog + 2*t.Away).Seconds() + work*float64(t.Cores)/t.Capacity
-		if takes /= math.Pow(1-t.Failing, 4); takes < least {
-			best, least, wait = i, takes, t.Backlog
+		latency := (truth.Backlog + 2*truth.OneWayDelay).Seconds() + work*float64(truth.Cores)/truth.Capacity
+		if latency /= math.Pow(1-truth.FailureFraction, 4); latency < shortest {
+			best, shortest, wait = i, latency, truth.Backlog
 		}
 	}
-	density := p.PriorityWeight / p.Work.Seconds()
-	c.worth += 0.01 * (density - c.worth)
-	if best < 0 || wait > cheapWait && density < c.worth/2 {
+	density := planned.PriorityWeight / planned.Work.Seconds()
+	c.meanDensity += 0.01 * (density - c.meanDensity)
+	if best < 0 || wait > maxLowDensityWait && density < c.meanDensity/2 {
 		return -1
 	}
-	if len(c.last) < mostKeys {
-		c.last[p.Key] = met{nodes[best].ID, p.At}
+	if len(c.lastByKey) < maxKeys {
+		c.lastByKey[planned.Key] = keySighting{nodes[best].ID, planned.At}
 	}
 	return best
 }
--- a/internal/experiment/choosers.go
+++ b/internal/experiment/choosers.go
@@ -25,9 +25,9 @@
 	mu        *sync.Mutex
 	chooser   Chooser
 	clients   map[string]*callers.Client // by address
-	own       map[string]int             // in flight, by id
+	inFlight  map[string]int             // in flight, by id
 	addrs     []string
-	views     []View
+	nodes     []View
 	viewedAt  time.Time
 }
 
@@ -36,14 +36,14 @@
 
 func (p *scenarioRun) startChoosers() error {
 	var mu sync.Mutex // of the one who sees all there is only one
-	all := NewChooser(p.variant.Chooser, p.world.Scenario.Seed)
+	shared := NewChooser(p.variant.Chooser, p.world.Scenario.Seed)
 	for i := range p.world.Scenario.Agents {
-		chooser := all
+		chooser := shared
 		if p.variant.Chooser != Oracle {
 			chooser = NewChooser(p.variant.Chooser, p.world.Scenario.Seed+uint64(i))
 		}
 		c := &clientSideChoosers{run: p, agent: i, seesTruth: p.variant.Chooser == Oracle, chooser: chooser, mu: &mu,
-			clients: map[string]*callers.Client{}, own: map[string]int{}}
+			clients: map[string]*callers.Client{}, inFlight: map[string]int{}}
 		if c.chooser == nil {
 			return fmt.Errorf("arm %s: %q is no way to choose", p.variant.Name, p.variant.Chooser)
 		}
@@ -58,14 +58,14 @@
 	if c.seesTruth || time.Since(c.viewedAt) > viewInterval {
 		c.refresh()
 	}
-	for i := range c.views {
-		c.views[i].Own = c.own[c.views[i].ID]
+	for index := range c.nodes {
+		c.nodes[index].InFlight = c.inFlight[c.nodes[index].ID]
 	}
-	i := c.chooser.Choose(c.views, planned, tried)
-	if i < 0 {
+	index := c.chooser.Choose(c.nodes, planned, tried)
+	if index < 0 {
 		return "", nil, nil
 	}
-	id, addr := c.views[i].ID, c.addrs[i]
+	nodeID, addr := c.nodes[index].ID, c.addrs[index]
 	client := c.clients[addr]
 	if client == nil {
 		client = &callers.Client{Addr: addr, Dial: c.run.world.Network.Dialer("")}
@@ -74,11 +74,11 @@
 		c.run.clients = append(c.run.clients, client)
 		c.run.mu.Unlock()
 	}
-	c.own[id]++
-	return id, client, func(referee.Outcome) {
+	c.inFlight[nodeID]++
+	return nodeID, client, func(referee.Outcome) {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		c.own[id]--
+		c.inFlight[nodeID]--
 	}
 }
 
@@ -88,18 +88,18 @@
 	if c.seesTruth {
 		for _, s := range c.run.world.NodeStates() {
 			if s.Up {
-				truth[s.ID] = &Truth{Capacity: s.Capacity, Cores: s.Cores, Backlog: s.Backlog, Room: s.HasCapacity, Failing: s.FailureFraction}
+				truth[s.ID] = &Truth{Capacity: s.Capacity, Cores: s.Cores, Backlog: s.Backlog, HasCapacity: s.HasCapacity, FailureFraction: s.FailureFraction}
 			}
 		}
 	}
-	c.addrs, c.views, c.viewedAt = c.addrs[:0], c.views[:0], time.Now()
+	c.addrs, c.nodes, c.viewedAt = c.addrs[:0], c.nodes[:0], time.Now()
 	for _, e := range c.run.world.EndpointList(c.agent).Servers {
 		if t := truth[e.ID]; t != nil {
-			t.Away = c.run.world.Scenario.LinkTo(c.run.world.Scenario.AgentZone(c.agent), e.Zone).Delay
+			t.OneWayDelay = c.run.world.Scenario.LinkTo(c.run.world.Scenario.AgentZone(c.agent), e.Zone).Delay
 		}
 		if e.State == discovery.Ready {
 			c.addrs = append(c.addrs, e.Addr)
-			c.views = append(c.views, View{ID: e.ID, True: truth[e.ID]})
+			c.nodes = append(c.nodes, View{ID: e.ID, Truth: truth[e.ID]})
 		}
 	}
 }
--- a/internal/experiment/drill.go
+++ b/internal/experiment/drill.go
@@ -100,56 +100,58 @@
 // out what a node had done. Callers are 1 to 12 ms late and threads wait 0.001 to 0.014 ms on a machine with a core to spare; 20 and
 // 0.3 ms, with all still as expected, beside the project's other tests.
 const (
-	mostLag     = 40
-	mostStarved = 0.5
+	maxCallerLagMS     = 40
+	maxProcessorWaitMS = 0.5
 )
 
-func busy(o Outcome) bool { return o.Lag > mostLag || o.ProcessorWait > mostStarved }
+func machineOverloaded(o Outcome) bool {
+	return o.Lag > maxCallerLagMS || o.ProcessorWait > maxProcessorWaitMS
+}
 
 // RunDrill plays a drill's file with agents of a program, in its long form where asked to.
 func RunDrill(ctx context.Context, file, self string, long bool) (*DrillSpec, DrillResult, error) {
-	var s DrillSpec
+	var spec DrillSpec
 	data, err := config.Read(file)
 	if err != nil {
 		return nil, DrillResult{}, err
 	}
-	if err := config.TOML(file, data, &s); err != nil {
+	if err := config.TOML(file, data, &spec); err != nil {
 		return nil, DrillResult{}, err
 	}
-	arm := Variant{Name: s.Name, Command: []string{self, "agent"}, Limits: emulator.DefaultLimits()}
-	if s.Cores > 0 {
-		arm.Limits.Cores = s.Cores
+	variant := Variant{Name: spec.Name, Command: []string{self, "agent"}, Limits: emulator.DefaultLimits()}
+	if spec.Cores > 0 {
+		variant.Limits.Cores = spec.Cores
 	}
-	if s.Operator != "" {
-		if arm.Operator, err = filepath.Abs(filepath.Join(filepath.Dir(file), s.Operator)); err != nil {
+	if spec.Operator != "" {
+		if variant.Operator, err = filepath.Abs(filepath.Join(filepath.Dir(file), spec.Operator)); err != nil {
 			return nil, DrillResult{}, fmt.Errorf("the operators' file: %w", err)
 		}
-		if _, err := os.Stat(arm.Operator); err != nil {
+		if _, err := os.Stat(variant.Operator); err != nil {
 			return nil, DrillResult{}, &config.Error{File: file, Key: "operator", Err: err}
 		}
-		if _, err := operator.Load(arm.Operator); err != nil {
+		if _, err := operator.Load(variant.Operator); err != nil {
 			return nil, DrillResult{}, err
 		}
-		arm.Command = append(arm.Command, "--operator", arm.Operator)
+		variant.Command = append(variant.Command, "--operator", variant.Operator)
 	}
 	if long {
-		if s.Long.Agents > 0 {
-			s.Day.Agents = s.Long.Agents
+		if spec.Long.Agents > 0 {
+			spec.Day.Agents = spec.Long.Agents
 		}
-		if s.Long.Times > 0 {
-			s.Day.ScaleTimes(s.Long.Times)
+		if spec.Long.Times > 0 {
+			spec.Day.ScaleTimes(spec.Long.Times)
 		}
 	}
-	day, err := s.Day.Draw(s.Seed)
+	day, err := spec.Day.Draw(spec.Seed)
 	if err != nil {
 		return nil, DrillResult{}, err
 	}
-	o, err := RunScenario(ctx, day, arm, nil)
+	outcome, err := RunScenario(ctx, day, variant, nil)
 	if err != nil {
 		return nil, DrillResult{}, err
 	}
-	wrong, broken := s.judge(o)
-	return &s, DrillResult{Outcome: o, Wrong: wrong, Broken: broken, Busy: busy(o)}, nil
+	wrong, broken := spec.judge(outcome)
+	return &spec, DrillResult{Outcome: outcome, Wrong: wrong, Broken: broken, Busy: machineOverloaded(outcome)}, nil
 }
 
 // judge says what was expected and did not come, and whether a rule is of that.
@@ -163,7 +165,7 @@
 	a := o.Account
 	expect(a.Balanced() && a.RulesHold() && a.UnknownRequests == 0, "the rules, one answer each and no stranger: %+v %v", a, o.Breaches)
 	expect(!o.Interrupted, "it was interrupted")
-	if broken = len(wrong) > 0; broken || busy(o) {
+	if broken = len(wrong) > 0; broken || machineOverloaded(o) {
 		return wrong, broken
 	}
 	expect(e.MaxChokes == nil || o.Chokes <= *e.MaxChokes, "%d nodes choked", o.Chokes)
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -30,8 +30,8 @@
 	Failures    []string     `json:"failures,omitempty"` // runs that could not be played
 	Unfinished  bool         `json:"unfinished,omitempty"`
 
-	before []Outcome       // of that play
-	agents map[string]bool // the arms that are agents
+	baseline []Outcome       // of that play
+	agents   map[string]bool // the arms that are agents
 }
 
 // Held reports whether the rules held in all runs with an agent.
@@ -67,131 +67,131 @@
 // disk or a run that fails leaves it. Progress goes to out, a line a run. With against, the folder of another play of the same
 // days, as by an earlier program, each arm is compared with itself there, too.
 func Run(ctx context.Context, spec *Spec, self, dir, against string, out io.Writer) (Findings, error) {
-	f := Findings{Name: spec.Name, Question: spec.Question, Simulated: spec.Simulated, Began: time.Now().UTC(),
-		Planned: spec.Repeats * len(spec.Variants) * spec.days(), agents: map[string]bool{}}
+	findings := Findings{Name: spec.Name, Question: spec.Question, Simulated: spec.Simulated, Began: time.Now().UTC(),
+		Planned: spec.Repeats * len(spec.Variants) * spec.dayCount(), agents: map[string]bool{}}
 	for _, a := range spec.Variants {
-		f.agents[a.Name] = a.Kind == AgentKind
+		findings.agents[a.Name] = a.Kind == AgentKind
 	}
 	if against != "" {
 		var err error
-		if f.before, err = readOutcomes(against); err != nil { // before it is overwritten, where it is the same folder
-			return f, err
+		if findings.baseline, err = readOutcomes(against); err != nil { // before it is overwritten, where it is the same folder
+			return findings, err
 		}
-		f.Against = against
+		findings.Against = against
 	}
 	if err := os.MkdirAll(dir, 0o755); err != nil {
-		return f, fmt.Errorf("the folder for the report: %w", err)
+		return findings, fmt.Errorf("the folder for the report: %w", err)
 	}
-	if err := f.save(spec, dir); err != nil { // before an hour of runs finds that it can't
-		return f, err
+	if err := findings.save(spec, dir); err != nil { // before an hour of runs finds that it can't
+		return findings, err
 	}
 	began := time.Now()
 	runs := spec.runs()
-	results, stop := f.playAll(ctx, spec, self, runs)
+	results, stop := findings.startRuns(ctx, spec, self, runs)
 	defer stop()
-	for i, r := range runs {
+	for i, run := range runs {
 		if ctx.Err() != nil {
-			f.Unfinished = true
-			return f, f.write(spec, dir)
+			findings.Unfinished = true
+			return findings, findings.write(spec, dir)
 		}
-		o, err := results(i)
+		outcome, err := results(i)
 		if err != nil {
-			f.Failures = append(f.Failures, fmt.Sprintf("%s with %s, repeat %d: %v", spec.dayNames()[r.day], spec.Variants[r.arm].Name, r.repeat+1, err))
-			fmt.Fprintln(out, "FAILED:", f.Failures[len(f.Failures)-1])
+			findings.Failures = append(findings.Failures, fmt.Sprintf("%s with %s, repeat %d: %v", spec.dayNames()[run.day], spec.Variants[run.variant].Name, run.repeat+1, err))
+			fmt.Fprintln(out, "FAILED:", findings.Failures[len(findings.Failures)-1])
 			continue
 		}
-		f.Outcomes = append(f.Outcomes, o)
-		left := time.Since(began) / time.Duration(i+1) * time.Duration(f.Planned-i-1)
+		findings.Outcomes = append(findings.Outcomes, outcome)
+		left := time.Since(began) / time.Duration(i+1) * time.Duration(findings.Planned-i-1)
 		note := ""
-		if !o.Account.RulesHold() {
+		if !outcome.Account.RulesHold() {
 			note = "  RULE BROKEN"
 		}
-		fmt.Fprintf(out, "%3d of %d  %-12s %-12s repeat %d  service %.3f  p99 %.0f ms%s  (%v left)\n", len(f.Outcomes), f.Planned, o.Day, o.Variant,
-			r.repeat+1, o.Overall, o.Latency["all"].P99, note, left.Round(time.Second))
-		if err := f.save(spec, dir); err != nil {
-			return f, err
+		fmt.Fprintf(out, "%3d of %d  %-12s %-12s repeat %d  service %.3f  p99 %.0f ms%s  (%v left)\n", len(findings.Outcomes), findings.Planned, outcome.Day, outcome.Variant,
+			run.repeat+1, outcome.Overall, outcome.Latency["all"].P99, note, left.Round(time.Second))
+		if err := findings.save(spec, dir); err != nil {
+			return findings, err
 		}
 	}
-	return f, f.write(spec, dir)
+	return findings, findings.write(spec, dir)
 }
 
-// one is a run of an experiment, by index.
-type one struct{ repeat, day, arm int }
+// runIndex is a run of an experiment, by index.
+type runIndex struct{ repeat, day, variant int }
 
-func (s *Spec) runs() (out []one) {
+func (s *Spec) runs() (out []runIndex) {
 	for repeat := range s.Repeats {
-		for day := range s.days() {
-			for arm := range s.Variants {
-				out = append(out, one{repeat, day, arm})
+		for day := range s.dayCount() {
+			for variant := range s.Variants {
+				out = append(out, runIndex{repeat, day, variant})
 			}
 		}
 	}
 	return out
 }
 
-// playAll returns a function that gives the outcome of each run, to be asked for in order, and one that ends what is under
+// startRuns returns a function that gives the outcome of each run, to be asked for in order, and one that ends what is under
 // way. Runs on sockets are played when they are asked for, one by one, as they would disturb each other; simulated ones side
 // by side, a core each.
-func (f *Findings) playAll(ctx context.Context, spec *Spec, self string, runs []one) (next func(i int) (Outcome, error), stop func()) {
+func (f *Findings) startRuns(ctx context.Context, spec *Spec, self string, runs []runIndex) (next func(i int) (Outcome, error), stop func()) {
 	ctx, cancel := context.WithCancel(ctx)
-	play := func(i int) (Outcome, error) {
+	execute := func(i int) (Outcome, error) {
 		if err := ctx.Err(); err != nil {
 			return Outcome{}, err
 		}
-		return f.play(ctx, spec, self, runs[i].repeat, runs[i].day, runs[i].arm)
+		return f.execute(ctx, spec, self, runs[i].repeat, runs[i].day, runs[i].variant)
 	}
 	if !spec.Simulated {
-		return play, cancel
+		return execute, cancel
 	}
 	type result struct {
-		o   Outcome
-		err error
+		outcome Outcome
+		err     error
 	}
 	results := make([]chan result, len(runs))
 	for i := range results {
 		results[i] = make(chan result, 1)
 	}
-	var begun atomic.Int64
-	var players sync.WaitGroup
+	var started atomic.Int64
+	var workers sync.WaitGroup
 	for range runtime.GOMAXPROCS(0) {
-		players.Go(func() {
-			for i := int(begun.Add(1)) - 1; i < len(runs); i = int(begun.Add(1)) - 1 {
-				o, err := play(i)
-				results[i] <- result{o, err}
+		workers.Go(func() {
+			for i := int(started.Add(1)) - 1; i < len(runs); i = int(started.Add(1)) - 1 {
+				outcome, err := execute(i)
+				results[i] <- result{outcome, err}
 			}
 		})
 	}
 	next = func(i int) (Outcome, error) {
-		r := <-results[i]
-		return r.o, r.err
+		result := <-results[i]
+		return result.outcome, result.err
 	}
 	return next, func() {
 		cancel()
-		players.Wait()
+		workers.Wait()
 	}
 }
 
-func (f *Findings) play(ctx context.Context, spec *Spec, self string, repeat, d, a int) (Outcome, error) {
-	day, err := spec.draw(d, spec.Seed+uint64(repeat))
+func (f *Findings) execute(ctx context.Context, spec *Spec, self string, repeat, dayIndex, variantIndex int) (Outcome, error) {
+	day, err := spec.draw(dayIndex, spec.Seed+uint64(repeat))
 	if err != nil {
 		return Outcome{}, err
 	}
-	arm := spec.Variants[a].arm(self)
+	variant := spec.Variants[variantIndex].resolve(self)
 	if spec.Simulated {
-		return Simulate(day, arm)
+		return Simulate(day, variant)
 	}
-	return RunScenario(ctx, day, arm, nil)
+	return RunScenario(ctx, day, variant, nil)
 }
 
 // save writes the figures.
 func (f *Findings) save(spec *Spec, dir string) error {
-	f.Rows, f.Differences = rows(f.Outcomes, spec.dayNames(), spec.armNames()), nil
+	f.Rows, f.Differences = rows(f.Outcomes, spec.dayNames(), spec.variantNames()), nil
 	if len(spec.Variants) > 1 {
-		f.Differences = differences(f.Outcomes, spec.dayNames(), spec.armNames())
+		f.Differences = differences(f.Outcomes, spec.dayNames(), spec.variantNames())
 	}
-	f.Differences = append(f.Differences, differencesFrom(f.before, f.Outcomes, spec.dayNames(), spec.armNames())...)
+	f.Differences = append(f.Differences, differencesFromBaseline(f.baseline, f.Outcomes, spec.dayNames(), spec.variantNames())...)
 	if spec.Gate {
-		f.Gate = gate(f.Outcomes, spec.Variants, spec.calm())
+		f.Gate = gate(f.Outcomes, spec.Variants, spec.faultFreeDays())
 	}
 	text, err := json.MarshalIndent(f, "", " ")
 	if err != nil {
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -140,7 +140,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(f.Outcomes) != 6 || len(f.Rows) != 2 || len(f.Differences) != len(compared) || f.Unfinished {
+	if len(f.Outcomes) != 6 || len(f.Rows) != 2 || len(f.Differences) != len(comparedFigures) || f.Unfinished {
 		t.Errorf("%d outcomes, %d rows, %d differences", len(f.Outcomes), len(f.Rows), len(f.Differences))
 	}
 	if f.Outcomes[0].Calls != f.Outcomes[1].Calls {
--- a/internal/experiment/fleet.go
+++ b/internal/experiment/fleet.go
@@ -63,9 +63,9 @@
 }
 
 const (
-	mostFleetRequests = 5_000_000
-	startLook         = 5 * time.Second        // how long after its start a server is looked at
-	peakOver          = 100 * time.Millisecond // over which handshakes are counted for their peak
+	maxFleetRequests   = 5_000_000
+	restartObservation = 5 * time.Second        // how long after its start a server is looked at
+	peakWindow         = 100 * time.Millisecond // over which handshakes are counted for their peak
 )
 
 // Check says all that is wrong, and fills in what each arm leaves open.
@@ -80,19 +80,19 @@
 	wrong(s.Servers < 2 || s.Servers > 2000, "servers", "must be from 2 to 2000")
 	wrong(s.Subset < 1 || s.Subset > s.Servers, "subset", "must be from 1 to the number of servers")
 	wrong(s.Cores < 1 || s.Work <= 0 || s.Handshake < 0 || s.RTT <= 0 || s.Idle <= 0 || s.Patience <= 0, "cores", "cores and times must be above 0")
-	wrong(!(s.Rate > 0) || s.Rate*s.Length.D().Seconds()*float64(max(1, s.Repeats)) > mostFleetRequests, "rate", "must be above 0, and all arms' days together hold %d requests at most", mostFleetRequests)
+	wrong(!(s.Rate > 0) || s.Rate*s.Length.D().Seconds()*float64(max(1, s.Repeats)) > maxFleetRequests, "rate", "must be above 0, and all arms' days together hold %d requests at most", maxFleetRequests)
 	wrong(!(s.Careful >= 0 && s.Careful <= 1), "careful", "must be from 0 to 1")
 	wrong(!(s.Random >= 0), "random_close", "must not be below 0")
 	wrong(s.SlowStartWindow > 0 && !(s.SlowStartInitialFraction > 0 && s.SlowStartInitialFraction <= 1), "cold_from", "must be above 0 and at most 1")
-	wrong(s.Repeats < 1 || s.Repeats > mostRepeats, "repeats", "must be from 1 to %d", mostRepeats)
+	wrong(s.Repeats < 1 || s.Repeats > maxRepeats, "repeats", "must be from 1 to %d", maxRepeats)
 	wrong(len(s.Variants) == 0, "name", "a model needs a [[fleet_arm]]")
 	for i := range s.Variants {
-		arm := &s.Variants[i]
-		text, err := toml.Marshal(map[string]any{"connections": arm.Connections})
+		variant := &s.Variants[i]
+		text, err := toml.Marshal(map[string]any{"connections": variant.Connections})
 		if err == nil {
-			var f operator.File
-			f, err = operator.Parse(arm.Name, text)
-			arm.read = f.Connections
+			var file operator.File
+			file, err = operator.Parse(variant.Name, text)
+			variant.read = file.Connections
 		}
 		wrong(err != nil, fmt.Sprintf("fleet_arm[%d]", i), "%v", err)
 	}
@@ -116,66 +116,66 @@
 // Fleet plays the model and prints a table.
 func Fleet(spec *FleetSpec, out io.Writer) ([]FleetFigures, error) {
 	var all []FleetFigures
-	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
-	fmt.Fprintln(w, "arm\thandshakes/request\topen\tcrossed/million\tof these once only\ttimed out after cut\tpeak/100 ms at start\tcold share\tmean ms\tp99 ms")
-	for _, arm := range spec.Variants {
+	table := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
+	fmt.Fprintln(table, "arm\thandshakes/request\topen\tcrossed/million\tof these once only\ttimed out after cut\tpeak/100 ms at start\tcold share\tmean ms\tp99 ms")
+	for _, variant := range spec.Variants {
 		runs := make([]fleetRun, spec.Repeats)
 		for i := range runs {
-			f, err := newFleet(spec, arm, spec.Seed+uint64(i))
+			figures, err := newFleet(spec, variant, spec.Seed+uint64(i))
 			if err != nil {
 				return all, err
 			}
-			runs[i] = f.play()
+			runs[i] = figures.run()
 		}
-		of := func(get func(fleetRun) float64) Interval {
+		interval := func(get func(fleetRun) float64) Interval {
 			xs := make([]float64, len(runs))
 			for i, r := range runs {
 				xs[i] = get(r)
 			}
 			return bootstrap(xs)
 		}
-		f := FleetFigures{Variant: arm.Name,
-			Handshakes:     of(func(r fleetRun) float64 { return float64(r.handshakes) / float64(r.requests) }),
-			Open:           of(func(r fleetRun) float64 { return r.open }),
-			Crossed:        of(func(r fleetRun) float64 { return 1e6 * float64(r.crossed) / float64(r.requests) }),
-			CrossedOne:     of(func(r fleetRun) float64 { return float64(r.crossedOne) }),
-			TimedOut:       of(func(r fleetRun) float64 { return float64(r.dead) }),
-			Peak:           of(func(r fleetRun) float64 { return float64(r.peak) }),
-			SlowStartShare: of(func(r fleetRun) float64 { return r.coldShare }),
-			Mean:           of(func(r fleetRun) float64 { return r.mean }),
-			P99:            of(func(r fleetRun) float64 { return r.p99 })}
-		all = append(all, f)
-		show := func(i Interval, form string) string {
+		figures := FleetFigures{Variant: variant.Name,
+			Handshakes:     interval(func(r fleetRun) float64 { return float64(r.handshakes) / float64(r.requests) }),
+			Open:           interval(func(r fleetRun) float64 { return r.openConnections }),
+			Crossed:        interval(func(r fleetRun) float64 { return 1e6 * float64(r.crossed) / float64(r.requests) }),
+			CrossedOne:     interval(func(r fleetRun) float64 { return float64(r.crossedNonIdempotent) }),
+			TimedOut:       interval(func(r fleetRun) float64 { return float64(r.timedOutAfterCut) }),
+			Peak:           interval(func(r fleetRun) float64 { return float64(r.peakHandshakes) }),
+			SlowStartShare: interval(func(r fleetRun) float64 { return r.slowStartShare }),
+			Mean:           interval(func(r fleetRun) float64 { return r.mean }),
+			P99:            interval(func(r fleetRun) float64 { return r.p99 })}
+		all = append(all, figures)
+		formatInterval := func(i Interval, form string) string {
 			return fmt.Sprintf(form+" ("+form+"-"+form+")", i.Mean, i.Low, i.High)
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\n", f.Variant, show(f.Handshakes, "%.4f"), show(f.Open, "%.0f"), show(f.Crossed, "%.0f"),
-			show(f.CrossedOne, "%.1f"), show(f.TimedOut, "%.1f"), show(f.Peak, "%.1f"), show(f.SlowStartShare, "%.3f"), show(f.Mean, "%.1f"), show(f.P99, "%.1f"))
+		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\n", figures.Variant, formatInterval(figures.Handshakes, "%.4f"), formatInterval(figures.Open, "%.0f"), formatInterval(figures.Crossed, "%.0f"),
+			formatInterval(figures.CrossedOne, "%.1f"), formatInterval(figures.TimedOut, "%.1f"), formatInterval(figures.Peak, "%.1f"), formatInterval(figures.SlowStartShare, "%.3f"), formatInterval(figures.Mean, "%.1f"), formatInterval(figures.P99, "%.1f"))
 	}
-	return all, w.Flush()
+	return all, table.Flush()
 }
 
 // fleetRun is one play of one arm.
 type fleetRun struct {
-	requests, handshakes      int
-	crossed, crossedOne, dead int
-	peak                      int
-	coldShare, open           float64
-	mean, p99                 float64
+	requests, handshakes                            int
+	crossed, crossedNonIdempotent, timedOutAfterCut int
+	peakHandshakes                                  int
+	slowStartShare, openConnections                 float64
+	mean, p99                                       float64
 }
 
-// fleet is the model at play.
-type fleet struct {
-	spec    *FleetSpec
-	rng     *rand.Rand
-	now     time.Duration
-	events  simEvents
-	agents  []*fleetAgent
-	servers []*fleetServer
-	times   []float64
-	run     fleetRun
-	samples int
-	made    int
-	perPeak map[time.Duration]int
+// fleetModel is the model at play.
+type fleetModel struct {
+	spec                *FleetSpec
+	rng                 *rand.Rand
+	now                 time.Duration
+	events              simEvents
+	agents              []*fleetAgent
+	servers             []*fleetServer
+	latencies           []float64
+	totals              fleetRun
+	samples             int
+	scheduled           int
+	handshakesPerWindow map[time.Duration]int
 }
 
 // fleetAgent is an agent: its table, and its servers as nodes of that.
@@ -183,17 +183,17 @@
 	table   *pool.Table
 	nodes   []*pool.Endpoint
 	servers []*fleetServer
-	waiting map[*pool.Waiter]*fleetCall
+	waiting map[*pool.Waiter]*fleetRequest
 	conns   map[*pool.Slot]*fleetConn
 }
 
 // fleetServer does work in order of arrival on its cores.
 type fleetServer struct {
-	free    []time.Duration // when each core is
-	started time.Duration   // 0: long ago
-	cutFrom time.Duration
-	cutTo   time.Duration
-	shook   time.Duration // processor time of handshakes since the start, while it is looked at
+	coreFreeAt    []time.Duration // when each core is
+	started       time.Duration   // 0: long ago
+	cutFrom       time.Duration
+	cutTo         time.Duration
+	handshakeTime time.Duration // processor time of handshakes since the start, while it is looked at
 }
 
 // fleetConn is the far end of a connection.
@@ -202,50 +202,50 @@
 	closed time.Duration // when the server closes it, as things stand; it is idle from idle on
 }
 
-type fleetCall struct {
-	at      time.Duration
-	careful bool
-	server  int // of the agent's
+type fleetRequest struct {
+	at            time.Duration
+	nonIdempotent bool
+	server        int // of the agent's
 }
 
 const fleetStart = time.Second // times of 0 mean never
 
-func newFleet(spec *FleetSpec, arm FleetVariant, seed uint64) (*fleet, error) {
-	f := &fleet{spec: spec, rng: rand.New(rand.NewPCG(seed, 0x666c6565)), now: fleetStart, perPeak: map[time.Duration]int{}}
+func newFleet(spec *FleetSpec, variant FleetVariant, seed uint64) (*fleetModel, error) {
+	model := &fleetModel{spec: spec, rng: rand.New(rand.NewPCG(seed, 0x666c6565)), now: fleetStart, handshakesPerWindow: map[time.Duration]int{}}
 	for range spec.Servers {
-		f.servers = append(f.servers, &fleetServer{free: make([]time.Duration, spec.Cores)})
+		model.servers = append(model.servers, &fleetServer{coreFreeAt: make([]time.Duration, spec.Cores)})
 	}
-	set := pool.DefaultSettings(450)
-	set.ServerIdleTimeout, set.AcquireTimeout, set.Agents, set.SlowStartInitialFraction, set.SlowStartWindow = spec.Idle.D(), spec.Patience.D(), spec.Agents, spec.SlowStartInitialFraction, spec.SlowStartWindow.D()
-	set = arm.read.Settings(set)
-	if err := set.Validate(); err != nil {
-		return nil, fmt.Errorf("arm %s: %w", arm.Name, err)
+	settings := pool.DefaultSettings(450)
+	settings.ServerIdleTimeout, settings.AcquireTimeout, settings.Agents, settings.SlowStartInitialFraction, settings.SlowStartWindow = spec.Idle.D(), spec.Patience.D(), spec.Agents, spec.SlowStartInitialFraction, spec.SlowStartWindow.D()
+	settings = variant.read.Settings(settings)
+	if err := settings.Validate(); err != nil {
+		return nil, fmt.Errorf("arm %s: %w", variant.Name, err)
 	}
 	for i := range spec.Agents {
-		a := &fleetAgent{table: pool.NewTable(set, seed<<20+uint64(i)), waiting: map[*pool.Waiter]*fleetCall{}, conns: map[*pool.Slot]*fleetConn{}}
-		for _, s := range f.rng.Perm(spec.Servers)[:spec.Subset] {
-			n := a.table.AddEndpoint(f.now, fmt.Sprint(s), "", 0)
-			a.table.SetReady(f.now, n, true)
-			a.nodes, a.servers = append(a.nodes, n), append(a.servers, f.servers[s])
+		agent := &fleetAgent{table: pool.NewTable(settings, seed<<20+uint64(i)), waiting: map[*pool.Waiter]*fleetRequest{}, conns: map[*pool.Slot]*fleetConn{}}
+		for _, serverIndex := range model.rng.Perm(spec.Servers)[:spec.Subset] {
+			endpoint := agent.table.AddEndpoint(model.now, fmt.Sprint(serverIndex), "", 0)
+			agent.table.SetReady(model.now, endpoint, true)
+			agent.nodes, agent.servers = append(agent.nodes, endpoint), append(agent.servers, model.servers[serverIndex])
 		}
-		f.agents = append(f.agents, a)
+		model.agents = append(model.agents, agent)
 	}
-	return f, nil
+	return model, nil
 }
 
-func (f *fleet) at(t time.Duration, do func()) {
-	f.made++
-	heap.Push(&f.events, simEvent{at: t, seq: f.made, do: do})
+func (f *fleetModel) schedule(t time.Duration, action func()) {
+	f.scheduled++
+	heap.Push(&f.events, simEvent{at: t, seq: f.scheduled, do: action})
 }
 
-func (f *fleet) play() fleetRun {
+func (f *fleetModel) run() fleetRun {
 	end := fleetStart + f.spec.Length.D()
 	for _, a := range f.agents {
 		f.arrivals(a, end)
-		f.sweeps(a, end)
+		f.maintenance(a, end)
 	}
 	if start := f.spec.Start.D(); start > 0 {
-		f.at(fleetStart+start, f.restart)
+		f.schedule(fleetStart+start, f.restart)
 	}
 	if cut := f.spec.Cut.D(); cut > 0 {
 		s := f.servers[1]
@@ -256,31 +256,31 @@
 		f.now = e.at
 		e.do()
 	}
-	for _, n := range f.perPeak {
-		f.run.peak = max(f.run.peak, n)
+	for _, n := range f.handshakesPerWindow {
+		f.totals.peakHandshakes = max(f.totals.peakHandshakes, n)
 	}
 	if f.spec.Start > 0 {
-		f.run.coldShare = f.servers[0].shook.Seconds() / f.capacity(f.servers[0].started, startLook)
+		f.totals.slowStartShare = f.servers[0].handshakeTime.Seconds() / f.capacity(f.servers[0].started, restartObservation)
 	}
-	slices.Sort(f.times)
-	if len(f.times) > 0 {
-		f.run.mean, f.run.p99 = 1e3*mean(f.times), 1e3*f.times[len(f.times)*99/100]
+	slices.Sort(f.latencies)
+	if len(f.latencies) > 0 {
+		f.totals.mean, f.totals.p99 = 1e3*mean(f.latencies), 1e3*f.latencies[len(f.latencies)*99/100]
 	}
-	f.run.open /= float64(max(1, f.samples))
-	return f.run
+	f.totals.openConnections /= float64(max(1, f.samples))
+	return f.totals
 }
 
 // capacity is the processor time that a server has in the time after a start.
-func (f *fleet) capacity(from, over time.Duration) float64 {
+func (f *fleetModel) capacity(from, over time.Duration) float64 {
 	sum := 0.0
 	for t := time.Duration(0); t < over; t += 10 * time.Millisecond {
-		sum += f.warmth(t) * 0.01
+		sum += f.speedFraction(t) * 0.01
 	}
 	return sum * float64(f.spec.Cores)
 }
 
-// warmth is the share of its speed that a server has so long after its start.
-func (f *fleet) warmth(age time.Duration) float64 {
+// speedFraction is the share of its speed that a server has so long after its start.
+func (f *fleetModel) speedFraction(age time.Duration) float64 {
 	if f.spec.SlowStartWindow <= 0 || age >= f.spec.SlowStartWindow.D() {
 		return 1
 	}
@@ -288,20 +288,20 @@
 }
 
 // arrivals are an agent's requests, a Poisson process.
-func (f *fleet) arrivals(a *fleetAgent, end time.Duration) {
+func (f *fleetModel) arrivals(a *fleetAgent, end time.Duration) {
 	each := float64(f.spec.Agents) / f.spec.Rate
-	f.at(f.now+time.Duration(f.rng.ExpFloat64()*each*float64(time.Second)), func() {
+	f.schedule(f.now+time.Duration(f.rng.ExpFloat64()*each*float64(time.Second)), func() {
 		if f.now >= end {
 			return
 		}
-		f.run.requests++
-		f.send(a, &fleetCall{at: f.now, careful: f.rng.Float64() < f.spec.Careful})
+		f.totals.requests++
+		f.send(a, &fleetRequest{at: f.now, nonIdempotent: f.rng.Float64() < f.spec.Careful})
 		f.arrivals(a, end)
 	})
 }
 
-func (f *fleet) sweeps(a *fleetAgent, end time.Duration) {
-	f.at(f.now+time.Duration((0.5+f.rng.Float64())*float64(time.Second)), func() {
+func (f *fleetModel) maintenance(a *fleetAgent, end time.Duration) {
+	f.schedule(f.now+time.Duration((0.5+f.rng.Float64())*float64(time.Second)), func() {
 		if f.now >= end {
 			return
 		}
@@ -311,80 +311,80 @@
 				stale = append(stale, s)
 			}
 		}
-		f.do(a, a.table.Maintain(f.now, stale))
-		f.run.open += float64(a.table.Stats().Open) * float64(len(f.agents))
+		f.apply(a, a.table.Maintain(f.now, stale))
+		f.totals.openConnections += float64(a.table.Stats().Open) * float64(len(f.agents))
 		f.samples++
-		f.sweeps(a, end)
+		f.maintenance(a, end)
 	})
 }
 
 // restart starts the first server anew: all agents hear of it at once.
-func (f *fleet) restart() {
+func (f *fleetModel) restart() {
 	s := f.servers[0]
 	s.started = f.now
-	for i := range s.free {
-		s.free[i] = f.now
+	for i := range s.coreFreeAt {
+		s.coreFreeAt[i] = f.now
 	}
 	for _, a := range f.agents {
 		for i, at := range a.servers {
 			if at == s {
-				f.do(a, a.table.Retire(f.now, a.nodes[i]))
+				f.apply(a, a.table.Retire(f.now, a.nodes[i]))
 				a.nodes[i] = a.table.AddEndpoint(f.now, "0", "", f.now)
-				f.do(a, a.table.SetReady(f.now, a.nodes[i], true))
+				f.apply(a, a.table.SetReady(f.now, a.nodes[i], true))
 			}
 		}
 	}
 }
 
 // send picks a server by its warmth, as the module's draw does, and asks for a connection.
-func (f *fleet) send(a *fleetAgent, c *fleetCall) {
-	c.server = f.rng.IntN(len(a.nodes))
+func (f *fleetModel) send(agent *fleetAgent, request *fleetRequest) {
+	request.server = f.rng.IntN(len(agent.nodes))
 	for range 50 {
-		s := a.servers[c.server]
-		ejected := f.now >= s.cutFrom+f.spec.Patience.D() && f.now < s.cutTo // the module notices when nothing answers
-		if !ejected && (s.started == 0 || f.rng.Float64() < f.warmth(f.now-s.started)) {
+		server := agent.servers[request.server]
+		ejected := f.now >= server.cutFrom+f.spec.Patience.D() && f.now < server.cutTo // the module notices when nothing answers
+		if !ejected && (server.started == 0 || f.rng.Float64() < f.speedFraction(f.now-server.started)) {
 			break
 		}
-		c.server = f.rng.IntN(len(a.nodes))
+		request.server = f.rng.IntN(len(agent.nodes))
 	}
 	for {
-		s, w, actions := a.table.Acquire(f.now, a.nodes[c.server], c.careful)
-		if w != nil {
-			a.waiting[w] = c
+		slot, waiter, actions := agent.table.Acquire(f.now, agent.nodes[request.server], request.nonIdempotent)
+		if waiter != nil {
+			agent.waiting[waiter] = request
 		}
-		f.do(a, actions)
-		if s == nil {
+		f.apply(agent, actions)
+		if slot == nil {
 			return
 		}
-		if f.now < a.conns[s].closed {
-			f.carry(a, s, c)
+		if f.now < agent.conns[slot].closed {
+			f.transmit(agent, slot, request)
 			return
 		}
-		f.do(a, a.table.DiscardStale(f.now, s))
+		f.apply(agent, agent.table.DiscardStale(f.now, slot))
 	}
 }
 
-// do carries out a table's actions.
-func (f *fleet) do(a *fleetAgent, actions []pool.Action) {
-	for _, act := range slices.Clone(actions) {
-		switch act.Kind {
+// apply carries out a table's actions.
+func (f *fleetModel) apply(agent *fleetAgent, actions []pool.Action) {
+	for _, action := range slices.Clone(actions) {
+		switch action.Kind {
 		case pool.Open:
-			f.open(a, act.Slot)
+			f.open(agent, action.Slot)
 		case pool.Close:
-			delete(a.conns, act.Slot)
+			delete(agent.conns, action.Slot)
 		case pool.Grant:
-			c := a.waiting[act.Waiter]
-			delete(a.waiting, act.Waiter)
-			f.carry(a, act.Slot, c)
+			request := agent.waiting[action.Waiter]
+			delete(agent.waiting, action.Waiter)
+			f.transmit(agent, action.Slot, request)
 		case pool.Reject:
-			delete(a.waiting, act.Waiter)
+			delete(agent.waiting, action.Waiter)
 		case pool.ScheduleQuarantineEnd:
-			f.at(f.now+act.Delay, func() { f.do(a, a.table.QuarantineEnded(f.now, act.Slot)) })
+			f.schedule(f.now+action.Delay, func() { f.apply(agent, agent.table.QuarantineEnded(f.now, action.Slot)) })
 		}
 	}
 }
 
-func (f *fleet) serverOf(a *fleetAgent, n *pool.Endpoint) *fleetServer {
+func (f *fleetModel) serverOf(a *fleetAgent, n *pool.Endpoint) *fleetServer {
 	for i, have := range a.nodes {
 		if have == n {
 			return a.servers[i]
@@ -393,84 +393,84 @@
 	return nil // a life that is over
 }
 
-// work does something on a server's first free core and returns when it is done.
-func (f *fleet) work(s *fleetServer, from, amount time.Duration) time.Duration {
+// process does something on a server's first free core and returns when it is done.
+func (f *fleetModel) process(s *fleetServer, from, amount time.Duration) time.Duration {
 	core := 0
-	for i := range s.free {
-		if s.free[i] < s.free[core] {
+	for i := range s.coreFreeAt {
+		if s.coreFreeAt[i] < s.coreFreeAt[core] {
 			core = i
 		}
 	}
-	begin := max(from, s.free[core])
+	begin := max(from, s.coreFreeAt[core])
 	speed := 1.0
 	if s.started > 0 {
-		speed = f.warmth(begin - s.started)
+		speed = f.speedFraction(begin - s.started)
 	}
-	s.free[core] = begin + time.Duration(float64(amount)/speed)
-	return s.free[core]
+	s.coreFreeAt[core] = begin + time.Duration(float64(amount)/speed)
+	return s.coreFreeAt[core]
 }
 
-func (f *fleet) open(a *fleetAgent, s *pool.Slot) {
-	f.run.handshakes++
-	server := f.serverOf(a, s.Endpoint)
+func (f *fleetModel) open(agent *fleetAgent, slot *pool.Slot) {
+	f.totals.handshakes++
+	server := f.serverOf(agent, slot.Endpoint)
 	if server == nil || f.now >= server.cutFrom && f.now < server.cutTo {
-		f.at(f.now+100*time.Millisecond, func() { f.do(a, a.table.HandshakeFailed(f.now, s, false)) })
+		f.schedule(f.now+100*time.Millisecond, func() { f.apply(agent, agent.table.HandshakeFailed(f.now, slot, false)) })
 		return
 	}
-	if server.started > 0 && f.now-server.started < startLook {
-		f.perPeak[f.now/peakOver]++
-		server.shook += f.spec.Handshake.D()
+	if server.started > 0 && f.now-server.started < restartObservation {
+		f.handshakesPerWindow[f.now/peakWindow]++
+		server.handshakeTime += f.spec.Handshake.D()
 	}
-	done := f.work(server, f.now+f.spec.RTT.D()/2, f.spec.Handshake.D())
-	f.at(done+f.spec.RTT.D()/2, func() {
-		a.conns[s] = &fleetConn{opened: f.now}
-		f.rest(a.conns[s])
-		f.do(a, a.table.HandshakeSucceeded(f.now, s))
+	done := f.process(server, f.now+f.spec.RTT.D()/2, f.spec.Handshake.D())
+	f.schedule(done+f.spec.RTT.D()/2, func() {
+		agent.conns[slot] = &fleetConn{opened: f.now}
+		f.scheduleIdleClose(agent.conns[slot])
+		f.apply(agent, agent.table.HandshakeSucceeded(f.now, slot))
 	})
 }
 
-// rest says when the server will close a connection that stands idle from now on.
-func (f *fleet) rest(c *fleetConn) {
-	c.closed = f.now + f.spec.Idle.D()
+// scheduleIdleClose says when the server will close a connection that stands idle from now on.
+func (f *fleetModel) scheduleIdleClose(conn *fleetConn) {
+	conn.closed = f.now + f.spec.Idle.D()
 	if f.spec.Closes > 0 {
-		c.closed = f.now + f.spec.Closes.D()
+		conn.closed = f.now + f.spec.Closes.D()
 	}
 	if f.spec.Random > 0 {
-		c.closed = min(c.closed, f.now+time.Duration(f.rng.ExpFloat64()/f.spec.Random*float64(time.Second)))
+		conn.closed = min(conn.closed, f.now+time.Duration(f.rng.ExpFloat64()/f.spec.Random*float64(time.Second)))
 	}
 }
 
-// carry sends a request on a connection and gives it back.
-func (f *fleet) carry(a *fleetAgent, s *pool.Slot, c *fleetCall) {
-	server, conn := f.serverOf(a, s.Endpoint), a.conns[s]
-	half := f.spec.RTT.D() / 2
-	back := func(after time.Duration, how pool.ReleaseOutcome) {
-		f.at(f.now+after, func() {
-			if how == pool.Reusable {
-				f.times = append(f.times, (f.now - c.at).Seconds())
-				f.rest(conn)
+// transmit sends a request on a connection and gives it back.
+func (f *fleetModel) transmit(agent *fleetAgent, slot *pool.Slot, request *fleetRequest) {
+	server, conn := f.serverOf(agent, slot.Endpoint), agent.conns[slot]
+	oneWay := f.spec.RTT.D() / 2
+	finish := func(after time.Duration, outcome pool.ReleaseOutcome) {
+		f.schedule(f.now+after, func() {
+			if outcome == pool.Reusable {
+				f.latencies = append(f.latencies, (f.now - request.at).Seconds())
+				f.scheduleIdleClose(conn)
 			}
-			f.do(a, a.table.Release(f.now, s, how))
+			f.apply(agent, agent.table.Release(f.now, slot, outcome))
 		})
 	}
 	switch {
 	case server == nil:
-		back(half, pool.Broken)
+		finish(oneWay, pool.Broken)
 	case f.now >= server.cutFrom && f.now < server.cutTo || conn.opened < server.cutFrom && f.now >= server.cutTo && server.cutTo > 0:
 		if f.now >= server.cutTo {
-			f.run.dead++
+			f.totals.timedOutAfterCut++
 		}
-		back(f.spec.Patience.D(), pool.Broken)
-	case conn.closed < f.now+half: // the close crosses the request
-		f.run.crossed++
-		if c.careful {
-			f.run.crossedOne++
+		finish(f.spec.Patience.D(), pool.Broken)
+	case conn.closed < f.now+oneWay: // the close crosses the request
+		f.totals.crossed++
+		if request.nonIdempotent {
+			f.totals.crossedNonIdempotent++
 		}
-		back(2*half, pool.ClosedByServer)
+		finish(2*oneWay, pool.ClosedByServer)
 	default:
 		amount := time.Duration(f.rng.ExpFloat64() * float64(f.spec.Work.D()))
-		done := f.work(server, f.now+half, amount)
+		done := f.process(server, f.now+oneWay, amount)
 		conn.closed = time.Duration(math.MaxInt64) // in use
-		back(done+half-f.now, pool.Reusable)
+		finish(done+oneWay-f.now, pool.Reusable)
 	}
 }
--- a/internal/experiment/fleet_days_test.go
+++ b/internal/experiment/fleet_days_test.go
@@ -97,8 +97,8 @@
 			same++
 		}
 	}
-	if same != 2*len(compared) {
-		t.Errorf("%d of %d figures are the same in an equal play", same, 2*len(compared))
+	if same != 2*len(comparedFigures) {
+		t.Errorf("%d of %d figures are the same in an equal play", same, 2*len(comparedFigures))
 	}
 	if _, err := Run(t.Context(), readSpec(t, text), "", second, t.TempDir(), writer(func(string) {})); err == nil {
 		t.Error("compared with a folder that holds no play")
--- a/internal/experiment/gate.go
+++ b/internal/experiment/gate.go
@@ -18,50 +18,50 @@
 // What a fleet's day wants at least: a part of what the late policy serves, and on a calm day also the plainest policy's share less a
 // margin, or the late one's less another where that is lower.
 const (
-	gateOfLate    = 0.5
-	gatePlainLess = 0.05
-	gateLateLess  = 0.1
+	delayedOracleFraction = 0.5
+	randomMargin          = 0.05
+	delayedOracleMargin   = 0.1
 )
 
 // gate judges each run of an agent for which the late policy was played, too: no rule broken, each request with one end, and enough
 // served. calm names the days without a fault.
-func gate(outcomes []Outcome, arms []VariantSpec, calm map[string]bool) (rows []GateRow) {
+func gate(outcomes []Outcome, variants []VariantSpec, calm map[string]bool) (rows []GateRow) {
 	type run struct {
 		day  string
 		seed uint64
 	}
 	kinds := map[string]string{}
-	for _, a := range arms {
-		kinds[a.Name] = a.Kind
+	for _, variant := range variants {
+		kinds[variant.Name] = variant.Kind
 	}
-	late, plain := map[run]float64{}, map[run]float64{}
-	for _, o := range outcomes {
-		switch kinds[o.Variant] {
-		case Late:
-			late[run{o.Day, o.Seed}] = o.Overall
+	delayedOracle, random := map[run]float64{}, map[run]float64{}
+	for _, outcome := range outcomes {
+		switch kinds[outcome.Variant] {
+		case DelayedOracle:
+			delayedOracle[run{outcome.Day, outcome.Seed}] = outcome.Overall
 		case Random:
-			plain[run{o.Day, o.Seed}] = o.Overall
+			random[run{outcome.Day, outcome.Seed}] = outcome.Overall
 		}
 	}
-	for _, o := range outcomes {
-		sees, ok := late[run{o.Day, o.Seed}]
-		if kinds[o.Variant] != AgentKind || !ok {
+	for _, outcome := range outcomes {
+		reference, ok := delayedOracle[run{outcome.Day, outcome.Seed}]
+		if kinds[outcome.Variant] != AgentKind || !ok {
 			continue
 		}
-		r := GateRow{Day: o.Day, Variant: o.Variant, Seed: o.Seed, Served: o.Overall, Wanted: gateOfLate * sees}
-		if x, ok := plain[run{o.Day, o.Seed}]; ok && calm[o.Day] {
-			r.Wanted = max(r.Wanted, min(x-gatePlainLess, sees-gateLateLess))
+		row := GateRow{Day: outcome.Day, Variant: outcome.Variant, Seed: outcome.Seed, Served: outcome.Overall, Wanted: delayedOracleFraction * reference}
+		if randomServed, ok := random[run{outcome.Day, outcome.Seed}]; ok && calm[outcome.Day] {
+			row.Wanted = max(row.Wanted, min(randomServed-randomMargin, reference-delayedOracleMargin))
 		}
 		switch {
-		case !o.Account.RulesHold():
-			r.FailureReason = fmt.Sprintf("a rule broke: %v", o.Breaches[0])
-		case !o.Account.Balanced():
-			r.FailureReason = "not each request has one end"
-		case r.Served < r.Wanted:
-			r.FailureReason = "too little was served"
+		case !outcome.Account.RulesHold():
+			row.FailureReason = fmt.Sprintf("a rule broke: %v", outcome.Breaches[0])
+		case !outcome.Account.Balanced():
+			row.FailureReason = "not each request has one end"
+		case row.Served < row.Wanted:
+			row.FailureReason = "too little was served"
 		}
-		r.Passed = r.FailureReason == ""
-		rows = append(rows, r)
+		row.Passed = row.FailureReason == ""
+		rows = append(rows, row)
 	}
 	return rows
 }
--- a/internal/experiment/levels.go
+++ b/internal/experiment/levels.go
@@ -25,41 +25,41 @@
 	Pressed  int64
 }
 
-// levels sums up what agents told of their budgets; nil where none told anything.
-func levels(day *emulator.Scenario, sights [][]peerView) *Levels {
+// summarizeLevels sums up what agents told of their budgets; nil where none told anything.
+func summarizeLevels(day *emulator.Scenario, peerViews [][]peerView) *Levels {
 	end := day.Length
-	if i := surgeOf(day); i >= 0 {
+	if i := surgeShift(day); i >= 0 {
 		end = day.Spec.Fleet.TrafficShifts[i].To.D()
 	}
-	l := &Levels{}
+	levels := &Levels{}
 	var shares []float64
-	for _, each := range sights {
+	for _, agentViews := range peerViews {
 		var last overloadMetrics // of the present process
-		share, at := 0.0, time.Duration(-1)
-		for _, s := range each {
-			o := s.overload
-			if o == nil {
+		admitted, at := 0.0, time.Duration(-1)
+		for _, view := range agentViews {
+			metrics := view.overload
+			if metrics == nil {
 				continue
 			}
-			if o.Shed < last.Shed || o.Pressed < last.Pressed { // another process began in between
-				l.add(last)
+			if metrics.Shed < last.Shed || metrics.Pressed < last.Pressed { // another process began in between
+				levels.add(last)
 			}
-			last = *o
-			if s.at <= end-time.Second {
-				share, at = o.Admitted, s.at
+			last = *metrics
+			if view.at <= end-time.Second {
+				admitted, at = metrics.Admitted, view.at
 			}
 		}
-		l.add(last)
+		levels.add(last)
 		if at >= 0 {
-			shares = append(shares, share)
+			shares = append(shares, admitted)
 		}
 	}
 	if len(shares) == 0 {
 		return nil
 	}
 	slices.Sort(shares)
-	l.Least, l.Median, l.Most = shares[0], shares[len(shares)/2], shares[len(shares)-1]
-	return l
+	levels.Least, levels.Median, levels.Most = shares[0], shares[len(shares)/2], shares[len(shares)-1]
+	return levels
 }
 
 func (l *Levels) add(o overloadMetrics) {
--- a/internal/experiment/load.go
+++ b/internal/experiment/load.go
@@ -18,19 +18,19 @@
 func KindOf(file string, data []byte) (string, error) {
 	top := map[string]any{}
 	if err := toml.Unmarshal(data, &top); err != nil {
-		var any anything
-		if err := config.TOML(file, data, &any); err != nil {
+		var ignored anyKeys
+		if err := config.TOML(file, data, &ignored); err != nil {
 			return "", err
 		}
 	}
 	return FileKind(top), nil
 }
 
-// anything takes every key, for the place of a syntax error.
-type anything map[string]any
+// anyKeys takes every key, for the place of a syntax error.
+type anyKeys map[string]any
 
 // Check finds nothing wrong.
-func (*anything) Check() error { return nil }
+func (*anyKeys) Check() error { return nil }
 
 // Load sends a day's plan to agents that run already. Their nodes are out of sight: that an answer was made by a node, and
 // what ran there, is not checked.
@@ -41,11 +41,11 @@
 	}
 	dial := (&emulator.LoopbackNetwork{}).Dialer("")
 	clients := make([]*callers.Client, len(spec.Targets))
-	for i, t := range spec.Targets {
-		if _, _, err := net.SplitHostPort(t); err != nil {
-			return Outcome{}, fmt.Errorf("target %q: %w", t, err)
+	for i, target := range spec.Targets {
+		if _, _, err := net.SplitHostPort(target); err != nil {
+			return Outcome{}, fmt.Errorf("target %q: %w", target, err)
 		}
-		clients[i] = &callers.Client{Addr: t, Dial: dial}
+		clients[i] = &callers.Client{Addr: target, Dial: dial}
 		defer clients[i].Close()
 	}
 	ref := referee.New(referee.DefaultRules())
@@ -55,8 +55,8 @@
 	}
 	calls, figures := callers.Run(ctx, callers.Config{Plan: day.Plan, Classes: day.Classes, Tenants: day.Tenants, ClientProfileAt: day.ClientProfileAt, Route: route,
 		Referee: ref, Epoch: time.Now(), ResponseBytes: day.Spec.ResponseBytes, RequestBytes: day.Spec.RequestBytes, SlowFraction: day.Spec.Clients.SlowFraction, IDPrefix: uint64(time.Now().UnixNano())})
-	t := tallied{day: day, calls: calls, figures: figures, account: ref.Account(), kept: ref.Violations()}
-	o := t.sum("load", false)
-	o.Interrupted = ctx.Err() != nil
-	return o, nil
+	record := runRecord{day: day, calls: calls, figures: figures, account: ref.Account(), violations: ref.Violations()}
+	outcome := record.outcome("load", false)
+	outcome.Interrupted = ctx.Err() != nil
+	return outcome, nil
 }
--- a/internal/experiment/measured.go
+++ b/internal/experiment/measured.go
@@ -110,7 +110,7 @@
 	if err != nil {
 		return 0, err
 	}
-	latencies, failed, took := sendAtRate(ctx, rate, sliceLength, s.send)
+	latencies, failed, elapsed := sendAtRate(ctx, rate, sliceLength, s.send)
 	after, err := processorTime(s.cmd.Process.Pid)
 	if err != nil {
 		return 0, err
@@ -119,7 +119,7 @@
 		return 0, fmt.Errorf("%d answers and %d failures\n%s", len(latencies), failed, s.log.String())
 	}
 	cpu := float64((after - before).Microseconds()) / float64(len(latencies))
-	s.cpu, s.latencies, s.elapsed = append(s.cpu, cpu), append(s.latencies, latencies...), s.elapsed+took
+	s.cpu, s.latencies, s.elapsed = append(s.cpu, cpu), append(s.latencies, latencies...), s.elapsed+elapsed
 	return cpu, nil
 }
 
@@ -160,9 +160,9 @@
 }
 
 // sendAtRate sends at a steady rate, open loop, or over so many connections as fast as answers come.
-func sendAtRate(ctx context.Context, rate int, each time.Duration, send func(context.Context) callers.Response) (latencies []time.Duration, failed int, took time.Duration) {
+func sendAtRate(ctx context.Context, rate int, each time.Duration, send func(context.Context) callers.Response) (latencies []time.Duration, failed int, elapsed time.Duration) {
 	var mu sync.Mutex
-	note := func(from time.Time, a callers.Response) {
+	record := func(from time.Time, a callers.Response) {
 		mu.Lock()
 		defer mu.Unlock()
 		if a.Outcome == referee.Served {
@@ -178,7 +178,7 @@
 			all.Go(func() {
 				for time.Since(began) < each && ctx.Err() == nil {
 					at := time.Now()
-					note(at, send(ctx))
+					record(at, send(ctx))
 				}
 			})
 		}
@@ -189,7 +189,7 @@
 				break
 			}
 			time.Sleep(time.Until(at))
-			all.Go(func() { note(at, send(ctx)) })
+			all.Go(func() { record(at, send(ctx)) })
 		}
 	}
 	all.Wait()
--- a/internal/experiment/order.go
+++ b/internal/experiment/order.go
@@ -10,11 +10,11 @@
 // passedOver is the part of the worthiest class's requests that were served, and the part that nobody got an answer to while, in
 // the same second, nodes did work for lesser classes that would have served them: what an order by worth that holds across the
 // whole fleet brings to 0. Requests lost for other reasons, as by an agent that was killed, count too.
-func passedOver(day *emulator.Scenario, calls []referee.CallResult) (served, passed float64) {
-	best := 0
+func passedOver(day *emulator.Scenario, calls []referee.CallResult) (served, missedFraction float64) {
+	top := 0
 	for i, c := range day.Classes {
-		if c.PriorityWeight > day.Classes[best].PriorityWeight {
-			best = i
+		if c.PriorityWeight > day.Classes[top].PriorityWeight {
+			top = i
 		}
 	}
 	var asked, lost float64
@@ -25,21 +25,21 @@
 			missed, lesser = append(missed, 0), append(lesser, 0)
 		}
 		switch {
-		case c.Class == best:
+		case c.Class == top:
 			asked += work
 			if !c.Answered {
 				missed[second] += work
 				lost += work
 			}
-		case c.Answered && day.Classes[c.Class].PriorityWeight < day.Classes[best].PriorityWeight:
+		case c.Answered && day.Classes[c.Class].PriorityWeight < day.Classes[top].PriorityWeight:
 			lesser[second] += work
 		}
 	}
-	for second, m := range missed {
-		passed += min(m, lesser[second])
+	for second, work := range missed {
+		missedFraction += min(work, lesser[second])
 	}
 	if asked == 0 {
 		return 1, 0
 	}
-	return 1 - lost/asked, passed / asked
+	return 1 - lost/asked, missedFraction / asked
 }
--- a/internal/experiment/outcome.go
+++ b/internal/experiment/outcome.go
@@ -27,16 +27,16 @@
 
 // Histogram bounds: 10 µs to 10 minutes with three figures.
 const (
-	leastLatency = 10
-	mostLatency  = int64(10 * time.Minute / time.Microsecond)
+	minLatencyUS = 10
+	maxLatencyUS = int64(10 * time.Minute / time.Microsecond)
 	figures      = 3
 )
 
 // percentiles sums up latencies in a histogram of high dynamic range.
 func percentiles(latencies []time.Duration) Percentiles {
-	h := hdrhistogram.New(leastLatency, mostLatency, figures)
+	h := hdrhistogram.New(minLatencyUS, maxLatencyUS, figures)
 	for _, l := range latencies {
-		h.RecordValue(min(mostLatency, max(leastLatency, l.Microseconds())))
+		h.RecordValue(min(maxLatencyUS, max(minLatencyUS, l.Microseconds())))
 	}
 	at := func(q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1e3 }
 	return Percentiles{Count: h.TotalCount(), Mean: h.Mean() / 1e3, P50: at(50), P90: at(90), P99: at(99), P999: at(99.9), Max: float64(h.Max()) / 1e3}
@@ -93,64 +93,64 @@
 	Nodes   []string    `json:"nodes"`
 }
 
-// tallied is what a run hands over to be summed up.
-type tallied struct {
-	day     *emulator.Scenario
-	calls   []referee.CallResult
-	figures callers.Figures
-	account referee.Account
-	kept    []referee.Violation
-	nodes   []node.Figures
-	lists   int
-	load    [][]float64
-	goodput []float64
-	marks   []emulator.Event
+// runRecord is what a run hands over to be summed up.
+type runRecord struct {
+	day        *emulator.Scenario
+	calls      []referee.CallResult
+	figures    callers.Figures
+	account    referee.Account
+	violations []referee.Violation
+	nodes      []node.Figures
+	lists      int
+	load       [][]float64
+	goodput    []float64
+	marks      []emulator.Event
 }
 
 // settleTime at the beginning is left out of the service: nothing is known then.
 const settleTime = time.Second
 
-// sum makes an outcome of what a run handed over.
-func (t tallied) sum(arm string, simulated bool) Outcome {
+// outcome makes an outcome of what a run handed over.
+func (t runRecord) outcome(variant string, simulated bool) Outcome {
 	slices.SortFunc(t.calls, func(a, b referee.CallResult) int { return int(a.At - b.At) })
-	o := Outcome{Day: t.day.Spec.Name, Variant: arm, Seed: t.day.Seed, Simulated: simulated, Seconds: t.day.Length.Seconds(), Calls: len(t.calls),
-		Account: t.account, Breaches: t.kept, Service: referee.MeasureService(t.calls, settleTime, len(t.day.Classes), len(t.day.Tenants)),
+	outcome := Outcome{Day: t.day.Spec.Name, Variant: variant, Seed: t.day.Seed, Simulated: simulated, Seconds: t.day.Length.Seconds(), Calls: len(t.calls),
+		Account: t.account, Breaches: t.violations, Service: referee.MeasureService(t.calls, settleTime, len(t.day.Classes), len(t.day.Tenants)),
 		Latency: map[string]Percentiles{"all": percentiles(referee.Latencies(t.calls, -1))}, ListCalls: t.lists, Marks: t.marks,
 		Skipped: t.figures.Skipped, Lag: float64(t.figures.Lag.Microseconds()) / 1e3}
-	o.Goal = o.Service.Goal()
+	outcome.Goal = outcome.Service.Goal()
 	for i, c := range t.day.Classes {
-		o.Latency[c.Name] = percentiles(referee.Latencies(t.calls, i))
+		outcome.Latency[c.Name] = percentiles(referee.Latencies(t.calls, i))
 	}
 	if t.account.Requests > 0 {
-		o.Attempts = float64(t.account.Attempts) / float64(t.account.Requests)
+		outcome.Attempts = float64(t.account.Attempts) / float64(t.account.Requests)
 	}
-	var all node.Figures
+	var nodeTotals node.Figures
 	for _, f := range t.nodes {
-		all = all.Add(f)
+		nodeTotals = nodeTotals.Add(f)
 	}
-	if all.Work > 0 {
-		o.Waste = float64(all.Wasted) / float64(all.Work)
+	if nodeTotals.Work > 0 {
+		outcome.Waste = float64(nodeTotals.Wasted) / float64(nodeTotals.Work)
 	}
-	o.HealthChecks, o.Handshakes, o.Chokes = all.HealthChecks, all.Handshakes, all.Degradations
-	o.SlowStartPeak = all.SlowStartPeak
-	p, each := t.day.Spec.Fleet.Prices, 1/max(1, float64(len(t.calls)))
-	o.Priced = o.Goal - p.HealthCheck*float64(o.HealthChecks)*each - p.Handshake*float64(o.Handshakes)*each - p.List*float64(o.ListCalls)*each - p.Waste*o.Waste
-	o.HealthCheckWork = float64(all.HealthChecks) * t.day.Nodes[0].HealthCheckWork.Seconds() / (t.day.Capacity * t.day.Length.Seconds())
-	o.Series = series(t.calls)
-	o.Series.Load, o.Series.Goodput = t.load, t.goodput
-	o.Surge = surge(t.day, o)
-	o.TopPriorityServed, o.PassedOver = passedOver(t.day, t.calls)
-	befallen := t.day.AffectedAgents()
-	spared := slices.DeleteFunc(slices.Clone(t.calls), func(c referee.CallResult) bool { return befallen[c.Agent] })
-	o.Spared = referee.MeasureService(spared, settleTime, 0, 0).Overall
+	outcome.HealthChecks, outcome.Handshakes, outcome.Chokes = nodeTotals.HealthChecks, nodeTotals.Handshakes, nodeTotals.Degradations
+	outcome.SlowStartPeak = nodeTotals.SlowStartPeak
+	prices, perCall := t.day.Spec.Fleet.Prices, 1/max(1, float64(len(t.calls)))
+	outcome.Priced = outcome.Goal - prices.HealthCheck*float64(outcome.HealthChecks)*perCall - prices.Handshake*float64(outcome.Handshakes)*perCall - prices.List*float64(outcome.ListCalls)*perCall - prices.Waste*outcome.Waste
+	outcome.HealthCheckWork = float64(nodeTotals.HealthChecks) * t.day.Nodes[0].HealthCheckWork.Seconds() / (t.day.Capacity * t.day.Length.Seconds())
+	outcome.Series = summarizeSeries(t.calls)
+	outcome.Series.Load, outcome.Series.Goodput = t.load, t.goodput
+	outcome.Surge = summarizeSurge(t.day, outcome)
+	outcome.TopPriorityServed, outcome.PassedOver = passedOver(t.day, t.calls)
+	affected := t.day.AffectedAgents()
+	spared := slices.DeleteFunc(slices.Clone(t.calls), func(c referee.CallResult) bool { return affected[c.Agent] })
+	outcome.Spared = referee.MeasureService(spared, settleTime, 0, 0).Overall
 	for _, n := range t.day.Nodes {
-		o.Series.Nodes = append(o.Series.Nodes, n.ID)
+		outcome.Series.Nodes = append(outcome.Series.Nodes, n.ID)
 	}
-	return o
+	return outcome
 }
 
-// series are the calls' figures by the second in which they were to be sent.
-func series(calls []referee.CallResult) (s Series) {
+// summarizeSeries are the calls' figures by the second in which they were to be sent.
+func summarizeSeries(calls []referee.CallResult) (s Series) {
 	for _, x := range referee.BySecond(calls) {
 		if math.IsNaN(x) {
 			s.Service = append(s.Service, nil)
--- a/internal/experiment/report.go
+++ b/internal/experiment/report.go
@@ -28,7 +28,7 @@
 const (
 	plotWidth  = 8 * vg.Inch
 	plotHeight = 2.6 * vg.Inch
-	mostLines  = 40   // a line or a shade for each node up to so many
+	maxLines   = 40   // a line or a shade for each node up to so many
 	legendRoom = 1.18 // of the time axis: what is past the end has the names of the lines
 )
 
@@ -45,7 +45,7 @@
 }
 
 // report writes report.html and the plots of the first repeat.
-func report(f *Findings, spec *Spec, dir string) error {
+func report(findings *Findings, spec *Spec, dir string) error {
 	if err := os.MkdirAll(filepath.Join(dir, "plots"), 0o755); err != nil {
 		return fmt.Errorf("writing the report: %w", err)
 	}
@@ -53,35 +53,35 @@
 	var errs []error
 	for _, day := range spec.dayNames() {
 		first := map[string]Outcome{}
-		for _, o := range f.Outcomes {
-			if _, ok := first[o.Variant]; o.Day == day && !ok {
-				first[o.Variant] = o
+		for _, outcome := range findings.Outcomes {
+			if _, ok := first[outcome.Variant]; outcome.Day == day && !ok {
+				first[outcome.Variant] = outcome
 			}
 		}
 		if len(first) == 0 {
 			continue
 		}
-		for _, p := range dayPlots(day, first, spec.armNames()) {
-			svg, err := drawn(p.plot, filepath.Join(dir, "plots", fileName(p.name)+".png"))
+		for _, named := range dayPlots(day, first, spec.variantNames()) {
+			svg, err := renderPlot(named.plot, filepath.Join(dir, "plots", fileName(named.name)+".png"))
 			if err != nil {
 				errs = append(errs, err)
 				continue
 			}
-			figures = append(figures, figure{p.name, p.plot.Title.Text, svg})
+			figures = append(figures, figure{named.name, named.plot.Title.Text, svg})
 		}
 	}
-	if svg, err := drawn(acrossDays(f.Rows, spec.dayNames(), spec.armNames()), filepath.Join(dir, "plots", "days.png")); err != nil {
+	if svg, err := renderPlot(serviceByDay(findings.Rows, spec.dayNames(), spec.variantNames()), filepath.Join(dir, "plots", "days.png")); err != nil {
 		errs = append(errs, err)
 	} else {
 		figures = append([]figure{{Name: "days", SVG: svg}}, figures...)
 	}
-	for _, p := range slices.Backward(append(offeredPlots(f.Outcomes, spec.armNames()), talkPlots(f.Outcomes)...)) {
-		svg, err := drawn(p.plot, filepath.Join(dir, "plots", p.name+".png"))
+	for _, named := range slices.Backward(append(offeredPlots(findings.Outcomes, spec.variantNames()), gossipPlots(findings.Outcomes)...)) {
+		svg, err := renderPlot(named.plot, filepath.Join(dir, "plots", named.name+".png"))
 		if err != nil {
 			errs = append(errs, err)
 			continue
 		}
-		figures = slices.Insert(figures, min(1, len(figures)), figure{p.name, p.plot.Title.Text, svg})
+		figures = slices.Insert(figures, min(1, len(figures)), figure{named.name, named.plot.Title.Text, svg})
 	}
 	page, err := template.New("report").Funcs(template.FuncMap{
 		"f3": func(x float64) string { return fmt.Sprintf("%.3f", x) },
@@ -92,7 +92,7 @@
 		return err
 	}
 	var text bytes.Buffer
-	if err := page.Execute(&text, map[string]any{"F": f, "Spec": spec, "Figures": figures}); err != nil {
+	if err := page.Execute(&text, map[string]any{"F": findings, "Spec": spec, "Figures": figures}); err != nil {
 		return fmt.Errorf("the report: %w", err)
 	}
 	return errors.Join(append(errs, replace(filepath.Join(dir, "report.html"), text.Bytes()))...)
@@ -108,23 +108,23 @@
 	}, strings.ToLower(name))
 }
 
-type named struct {
+type namedPlot struct {
 	name string
 	plot *plot.Plot
 }
 
-// acrossDays is the service of each arm on each day, with its interval.
-func acrossDays(rows []Row, days, arms []string) *plot.Plot {
-	p := newPlot("service by day, with 95% intervals", "share of worth")
-	p.X.Label.Text = ""
-	p.Legend.Top = false
-	for i, arm := range arms {
+// serviceByDay is the service of each arm on each day, with its interval.
+func serviceByDay(rows []Row, days, variants []string) *plot.Plot {
+	chart := newPlot("service by day, with 95% intervals", "share of worth")
+	chart.X.Label.Text = ""
+	chart.Legend.Top = false
+	for i, variant := range variants {
 		var at intervals
 		for d, day := range days {
-			for _, r := range rows {
-				if r.Day == day && r.Variant == arm {
-					at.XYs = append(at.XYs, plotter.XY{X: float64(d) + 0.04*float64(i), Y: r.Service.Mean})
-					at.YErrors = append(at.YErrors, struct{ Low, High float64 }{r.Service.Mean - r.Service.Low, r.Service.High - r.Service.Mean})
+			for _, row := range rows {
+				if row.Day == day && row.Variant == variant {
+					at.XYs = append(at.XYs, plotter.XY{X: float64(d) + 0.04*float64(i), Y: row.Service.Mean})
+					at.YErrors = append(at.YErrors, struct{ Low, High float64 }{row.Service.Mean - row.Service.Low, row.Service.High - row.Service.Mean})
 				}
 			}
 		}
@@ -133,17 +133,17 @@
 			continue
 		}
 		line.Color, points.Color = palette()[i%len(palette())], palette()[i%len(palette())]
-		p.Add(line, points)
+		chart.Add(line, points)
 		if bars, err := plotter.NewYErrorBars(at); err == nil {
 			bars.Color = line.Color
-			p.Add(bars)
+			chart.Add(bars)
 		}
-		p.Legend.Add(arm, line)
+		chart.Legend.Add(variant, line)
 	}
-	p.NominalX(days...)
-	p.X.Tick.Label.Font.Size = vg.Points(7)
-	p.X.Max = float64(len(days)-1) * legendRoom
-	return p
+	chart.NominalX(days...)
+	chart.X.Tick.Label.Font.Size = vg.Points(7)
+	chart.X.Max = float64(len(days)-1) * legendRoom
+	return chart
 }
 
 // intervals are points with their intervals.
@@ -153,48 +153,48 @@
 }
 
 // dayPlots are service and latency over time for each arm, and each arm's load per node, of one day.
-func dayPlots(day string, outcomes map[string]Outcome, arms []string) []named {
+func dayPlots(day string, outcomes map[string]Outcome, variants []string) []namedPlot {
 	service, latency := newPlot(day+": service, by the second asked in", "share of worth"), newPlot(day+": latency, p50 and p99 (dashed)", "ms")
 	service.Y.Min, service.Y.Max = 0, 1.05
 	latency.Y.Scale, latency.Y.Tick.Marker = plot.LogScale{}, plot.LogTicks{Prec: -1}
-	out := []named{{day + "-service", service}, {day + "-latency", latency}}
-	for i, arm := range arms {
-		o, ok := outcomes[arm]
+	out := []namedPlot{{day + "-service", service}, {day + "-latency", latency}}
+	for i, variant := range variants {
+		outcome, ok := outcomes[variant]
 		if !ok {
 			continue
 		}
 		if i == 0 {
-			mark(service, o)
+			mark(service, outcome)
 		}
-		c := palette()[i%len(palette())]
-		addLine(service, arm, c, false, o.Series.Service)
-		addLine(latency, arm, c, false, o.Series.P50)
-		addLine(latency, "", c, true, o.Series.P99)
-		if len(o.Series.Nodes) > mostLines {
+		lineColor := palette()[i%len(palette())]
+		addLine(service, variant, lineColor, false, outcome.Series.Service)
+		addLine(latency, variant, lineColor, false, outcome.Series.P50)
+		addLine(latency, "", lineColor, true, outcome.Series.P99)
+		if len(outcome.Series.Nodes) > maxLines {
 			continue // nobody can tell so many lines apart
 		}
-		load := newPlot(day+", "+arm+": requests held at each node", "requests")
-		mark(load, o)
-		for n := range o.Series.Nodes {
+		load := newPlot(day+", "+variant+": requests held at each node", "requests")
+		mark(load, outcome)
+		for nodeIndex := range outcome.Series.Nodes {
 			var points plotter.XYs
-			for s, row := range o.Series.Load {
-				if n < len(row) {
-					points = append(points, plotter.XY{X: float64(s + 1), Y: row[n]})
+			for s, row := range outcome.Series.Load {
+				if nodeIndex < len(row) {
+					points = append(points, plotter.XY{X: float64(s + 1), Y: row[nodeIndex]})
 				}
 			}
 			if line, err := plotter.NewLine(points); err == nil {
-				line.Color = palette()[n%len(palette())]
-				if n >= len(palette()) {
+				line.Color = palette()[nodeIndex%len(palette())]
+				if nodeIndex >= len(palette()) {
 					line.Dashes = []vg.Length{vg.Points(3), vg.Points(2)}
 				}
 				load.Add(line)
-				load.Legend.Add(o.Series.Nodes[n], line)
+				load.Legend.Add(outcome.Series.Nodes[nodeIndex], line)
 			}
 		}
-		out = append(out, named{day + "-" + arm + "-load", load})
+		out = append(out, namedPlot{day + "-" + variant + "-load", load})
 	}
-	for _, p := range out {
-		p.plot.X.Max *= legendRoom
+	for _, named := range out {
+		named.plot.X.Max *= legendRoom
 	}
 	return out
 }
@@ -232,7 +232,7 @@
 // mark shades the times of troubles: each by itself or, where they are many, each kind from its first to its last.
 func mark(p *plot.Plot, o Outcome) {
 	marks := o.Marks
-	if len(marks) > mostLines {
+	if len(marks) > maxLines {
 		marks = nil
 		for _, m := range o.Marks {
 			i := slices.IndexFunc(marks, func(x emulator.Event) bool { return x.Text == m.Text })
@@ -270,8 +270,8 @@
 	c.FillText(style, vg.Point{X: a + vg.Points(6), Y: c.Min.Y + vg.Points(2)}, s.text)
 }
 
-// drawn draws a plot into a PNG file and returns it as SVG.
-func drawn(p *plot.Plot, file string) (template.HTML, error) {
+// renderPlot draws a plot into a PNG file and returns it as SVG.
+func renderPlot(p *plot.Plot, file string) (template.HTML, error) {
 	svg := vgsvg.New(plotWidth, plotHeight)
 	p.Draw(draw.New(svg))
 	var text bytes.Buffer
--- a/internal/experiment/scenario.go
+++ b/internal/experiment/scenario.go
@@ -153,24 +153,24 @@
 // result sums up a run that has ended.
 func (p *scenarioRun) result(calls []referee.CallResult, figures callers.Figures, processorWait time.Duration) Outcome {
 	day := p.world.Scenario
-	t := tallied{
-		day:     day,
-		calls:   calls,
-		figures: figures,
-		account: p.world.Referee.Account(),
-		kept:    p.world.Referee.Violations(),
-		nodes:   nodeFigures(p.world.NodeStates()),
-		lists:   p.world.DiscoveryFigures().FullLists + p.world.DiscoveryFigures().Watches,
-		load:    p.load,
-		goodput: p.goodput,
-		marks:   p.world.Events(),
-	}
-	outcome := t.sum(p.variant.Name, false)
+	t := runRecord{
+		day:        day,
+		calls:      calls,
+		figures:    figures,
+		account:    p.world.Referee.Account(),
+		violations: p.world.Referee.Violations(),
+		nodes:      nodeFigures(p.world.NodeStates()),
+		lists:      p.world.DiscoveryFigures().FullLists + p.world.DiscoveryFigures().Watches,
+		load:       p.load,
+		goodput:    p.goodput,
+		marks:      p.world.Events(),
+	}
+	outcome := t.outcome(p.variant.Name, false)
 	outcome.ProcessorWait = float64(processorWait.Microseconds()) / 1e3
 	if p.peers != nil {
-		outcome.Views = views(day, p.peerViews)
+		outcome.Views = summarizeViews(day, p.peerViews)
 	}
-	outcome.Levels = levels(day, p.peerViews)
+	outcome.Levels = summarizeLevels(day, p.peerViews)
 	outcome.Misbehaving = p.misbehaving
 	if requests := t.account.Requests; requests > 0 {
 		outcome.CPU = float64(p.cpu.Microseconds()) / float64(requests)
--- a/internal/experiment/scenario_agents.go
+++ b/internal/experiment/scenario_agents.go
@@ -54,44 +54,44 @@
 // faultAgent does to an agent's process what the day has for it, at its time: it kills it, ends it in order, pauses it or slows it, and
 // after the time away starts the next or lets it go on. A killed agent's requests are nobody's fault; a paused or slow one still
 // owes each of its requests an answer.
-func (p *scenarioRun) faultAgent(ctx context.Context, t emulator.AgentFault) {
-	if !callers.Sleep(ctx, t.At-p.world.Now()) {
+func (p *scenarioRun) faultAgent(ctx context.Context, fault emulator.AgentFault) {
+	if !callers.Sleep(ctx, fault.At-p.world.Now()) {
 		return
 	}
-	a, name := p.agents[t.Agent], p.world.Scenario.Agents[t.Agent]
+	agent, name := p.agents[fault.Agent], p.world.Scenario.Agents[fault.Agent]
 	p.mu.Lock()
-	away := p.away[t.Agent]
-	p.away[t.Agent] = true
+	away := p.away[fault.Agent]
+	p.away[fault.Agent] = true
 	p.mu.Unlock()
 	if away {
 		return // as in simulated time: one that is away is not befallen again
 	}
 	defer func() {
 		p.mu.Lock()
-		p.away[t.Agent] = false
+		p.away[fault.Agent] = false
 		p.mu.Unlock()
 	}()
 	now := p.world.Now()
-	p.world.RecordEvent(now, now+t.Duration, name, t.Kind)
+	p.world.RecordEvent(now, now+fault.Duration, name, fault.Kind)
 	var err error
-	switch t.Kind {
+	switch fault.Kind {
 	case emulator.AgentPause:
-		err = a.Pause()
+		err = agent.Pause()
 	case emulator.AgentSlow:
-		err = a.Throttle(ctx, t.RunFraction, t.Duration)
+		err = agent.Throttle(ctx, fault.RunFraction, fault.Duration)
 	case emulator.AgentKill:
-		p.world.Referee.AgentKilled(name, now, now+t.Duration)
-		a.Kill()
+		p.world.Referee.AgentKilled(name, now, now+fault.Duration)
+		agent.Kill()
 	default:
-		err = a.Terminate()
+		err = agent.Terminate()
 		now = p.world.Now()
-		p.world.Referee.AgentKilled(name, now, now+t.Duration) // no process listens until the next one does
+		p.world.Referee.AgentKilled(name, now, now+fault.Duration) // no process listens until the next one does
 	}
-	if err == nil && callers.Sleep(ctx, now+t.Duration-p.world.Now()) {
-		if t.Survives() {
-			err = a.Resume()
-		} else if err = a.Restart(!t.WithState); err == nil {
-			err = a.Ready(ctx)
+	if err == nil && callers.Sleep(ctx, now+fault.Duration-p.world.Now()) {
+		if fault.Survives() {
+			err = agent.Resume()
+		} else if err = agent.Restart(!fault.WithState); err == nil {
+			err = agent.Ready(ctx)
 		}
 	}
 	if err != nil && ctx.Err() == nil { // one that the end of the day finds on its way back is stopped as it is
--- a/internal/experiment/simulation.go
+++ b/internal/experiment/simulation.go
@@ -48,33 +48,33 @@
 
 // newSimulation places the day's nodes and agents.
 func newSimulation(day *emulator.Scenario, variant Variant) (*simulation, error) {
-	s := &simulation{
+	sim := &simulation{
 		day:     day,
 		referee: referee.New(referee.DefaultRules()),
 		rng:     rand.New(rand.NewPCG(day.Seed, 0x73696d)),
 		waiting: map[ticket]*simAttempt{},
-		open:    map[string]*clientAttempt{},
+		open:    map[string]*clientRequest{},
 		byID:    map[string]*simNode{},
 	}
 	for i, spec := range day.Nodes {
-		n := &simNode{Node: node.New(spec, day.Seed*1000+uint64(i)), number: i, up: true, wake: -1}
-		s.nodes, s.byID[n.ID] = append(s.nodes, n), n
-		s.list.entries = append(s.list.entries, s.entry(i, logic.Ready))
+		n := &simNode{Node: node.New(spec, day.Seed*1000+uint64(i)), number: i, up: true, nextAdvance: -1}
+		sim.nodes, sim.byID[n.ID] = append(sim.nodes, n), n
+		sim.list.entries = append(sim.list.entries, sim.entry(i, logic.Ready))
 	}
 	var err error
-	if s.operators, err = operator.Load(variant.Operator); err != nil {
+	if sim.operators, err = operator.Load(variant.Operator); err != nil {
 		return nil, err
 	}
 	for i := range day.Agents {
-		agent := s.newProcess(i)
-		if err := s.equip(agent, variant); err != nil {
+		agent := sim.newProcess(i)
+		if err := sim.equip(agent, variant); err != nil {
 			return nil, err
 		}
-		s.agents = append(s.agents, agent)
+		sim.agents = append(sim.agents, agent)
 	}
-	s.delayed.on, s.delayed.sent = variant.Chooser == Late, make([]float64, len(s.nodes))
-	s.viewTruths = make([]Truth, 0, len(s.nodes)) // views point into it
-	return s, nil
+	sim.delayed.on, sim.delayed.sent = variant.Chooser == DelayedOracle, make([]float64, len(sim.nodes))
+	sim.viewTruths = make([]Truth, 0, len(sim.nodes)) // views point into it
+	return sim, nil
 }
 
 // equip gives an agent the decision module, or the variant's chooser. Choosers that see the true state see all agents' sends, so that
@@ -83,7 +83,7 @@
 	if len(variant.Command) > 0 {
 		return s.newBalancer(agent)
 	}
-	if seesAll := variant.Chooser == Oracle || variant.Chooser == Late; seesAll && len(s.agents) > 0 {
+	if seesAll := variant.Chooser == Oracle || variant.Chooser == DelayedOracle; seesAll && len(s.agents) > 0 {
 		agent.chooser = s.agents[0].chooser
 		return nil
 	}
@@ -96,20 +96,20 @@
 
 // result sums up a simulation that has ended.
 func (s *simulation) result(variant string) Outcome {
-	t := tallied{
-		day:     s.day,
-		calls:   s.calls,
-		account: s.referee.Account(),
-		kept:    s.referee.Violations(),
-		lists:   s.list.calls,
-		load:    s.load,
-		goodput: s.goodput,
-		marks:   s.marks,
+	t := runRecord{
+		day:        s.day,
+		calls:      s.calls,
+		account:    s.referee.Account(),
+		violations: s.referee.Violations(),
+		lists:      s.list.calls,
+		load:       s.load,
+		goodput:    s.goodput,
+		marks:      s.marks,
 	}
 	for _, n := range s.nodes {
 		t.nodes = append(t.nodes, n.earlierIncarnations.Add(n.Figures()))
 	}
-	outcome := t.sum(variant, true)
+	outcome := t.outcome(variant, true)
 	outcome.Truths, outcome.Used, outcome.Busy = &s.truths, s.used, s.busy
 	return outcome
 }
@@ -133,7 +133,7 @@
 	nodes        []*simNode
 	agents       []*simAgent
 	byID         map[string]*simNode // that live
-	list         registry
+	list         discoveryModel
 	delayed      delayedView
 	views        []View // of the choice at hand, with what follows
 	viewNodes    []*simNode
@@ -141,7 +141,7 @@
 	incarnations int
 	lastTicket   uint64
 	waiting      map[ticket]*simAttempt
-	open         map[string]*clientAttempt
+	open         map[string]*clientRequest
 	calls        []referee.CallResult
 	load         [][]float64
 	goodput      []float64 // as Series has it
@@ -159,7 +159,7 @@
 func (s *simulation) scheduleDay() {
 	for _, agent := range s.agents {
 		if agent.balancer != nil {
-			s.carryOut(agent, agent.balancer.Start(s.clock()))
+			s.apply(agent, agent.balancer.Start(s.clock()))
 			s.sendFullList(agent, s.list.entries)
 			s.startGossip(agent)
 		}
--- a/internal/experiment/simulation_agent.go
+++ b/internal/experiment/simulation_agent.go
@@ -74,70 +74,70 @@
 
 // faultAgent ends an agent's process, planned or not, and begins the next, which knows the list that the one before it had and
 // nothing else.
-func (s *simulation) faultAgent(t emulator.AgentFault) {
-	old := s.agents[t.Agent]
-	if old.balancer == nil || old.away {
+func (s *simulation) faultAgent(fault emulator.AgentFault) {
+	previous := s.agents[fault.Agent]
+	if previous.balancer == nil || previous.away {
 		return // choosers have no processes; one that is away is not befallen again
 	}
-	old.away = true
-	name := s.day.Agents[t.Agent]
+	previous.away = true
+	name := s.day.Agents[fault.Agent]
 	text := emulator.AgentRestart
-	if t.Kind == emulator.AgentKill {
+	if fault.Kind == emulator.AgentKill {
 		text = emulator.AgentKill
-		s.referee.AgentKilled(name, s.now, s.now+t.Duration)
-		s.endAgent(old)
+		s.referee.AgentKilled(name, s.now, s.now+fault.Duration)
+		s.endAgent(previous)
 	} else {
-		s.schedule(s.now+maxShutdown, func() { s.endAgent(old) })
+		s.schedule(s.now+maxShutdown, func() { s.endAgent(previous) })
 	}
-	s.marks = append(s.marks, emulator.Event{At: s.now, To: s.now + t.Duration, Node: name, Text: text})
-	s.schedule(s.now+t.Duration, func() {
-		a := s.newProcess(t.Agent)
-		a.incarnation, a.version = old.incarnation+1, old.version
-		if s.err = s.newBalancer(a); s.err != nil {
+	s.marks = append(s.marks, emulator.Event{At: s.now, To: s.now + fault.Duration, Node: name, Text: text})
+	s.schedule(s.now+fault.Duration, func() {
+		next := s.newProcess(fault.Agent)
+		next.incarnation, next.version = previous.incarnation+1, previous.version
+		if s.err = s.newBalancer(next); s.err != nil {
 			return
 		}
-		s.agents[t.Agent] = a
-		s.carryOut(a, a.balancer.Start(s.clock()))
-		s.sendFullList(a, old.known)
-		s.startGossip(a)
+		s.agents[fault.Agent] = next
+		s.apply(next, next.balancer.Start(s.clock()))
+		s.sendFullList(next, previous.known)
+		s.startGossip(next)
 	})
 }
 
 // endAgent ends a process: its connections break, at both sides.
-func (s *simulation) endAgent(a *simAgent) {
-	a.ended = true
-	var had []*simAttempt
-	for _, at := range s.waiting {
-		if at.client.agent == a {
-			had = append(had, at)
+func (s *simulation) endAgent(agent *simAgent) {
+	agent.ended = true
+	var waiting []*simAttempt
+	for _, attempt := range s.waiting {
+		if attempt.request.agent == agent {
+			waiting = append(waiting, attempt)
 		}
 	}
-	slices.SortFunc(had, func(x, y *simAttempt) int { return int(x.ticket.number) - int(y.ticket.number) })
-	for _, at := range had {
-		delete(s.waiting, at.ticket)
-		if at.node.Node == at.incarnation {
-			at.node.Cancel(s.now, at.ticket.number)
-			s.advanceNode(at.node)
+	slices.SortFunc(waiting, func(x, y *simAttempt) int { return int(x.ticket.number) - int(y.ticket.number) })
+	for _, attempt := range waiting {
+		delete(s.waiting, attempt.ticket)
+		if attempt.node.Node == attempt.incarnation {
+			attempt.node.Cancel(s.now, attempt.ticket.number)
+			s.advanceNode(attempt.node)
 		}
-		s.endAttempt(at, logic.Cancelled)
+		s.endAttempt(attempt, logic.Cancelled)
 	}
 	for i, n := range s.nodes {
-		for range a.conns[i] {
+		for range agent.conns[i] {
 			if n.up {
 				n.Disconnect(s.now)
 			}
 		}
 	}
-	a.conns = map[int]int{}
-	var open []*clientAttempt
-	for _, t := range s.open {
-		if t.agent == a && !t.ended {
-			open = append(open, t)
+	agent.conns = map[int]int{}
+	var open []*clientRequest
+	for _, request := range s.open {
+		if request.agent == agent && !request.ended {
+			open = append(open, request)
 		}
 	}
-	slices.SortFunc(open, func(x, y *clientAttempt) int { return x.journey.Number - y.journey.Number })
-	for _, t := range open {
-		s.answer(t, referee.ConnectionClosed, 0, 0)
+	slices.SortFunc(open, func(x, y *clientRequest) int { return x.call.Number - y.call.Number })
+	for _, request := range open {
+		s.answer(request, referee.ConnectionClosed, 0, 0)
 	}
 }
 
@@ -145,6 +145,6 @@
 const reconnectDelay = 50 * time.Millisecond
 
 // reconnectLater lets a client come again that nobody listens to. It has not been heard, so it is no try.
-func (s *simulation) reconnectLater(j *callers.Call, tried []string) {
-	s.schedule(s.now+reconnectDelay, func() { s.beginAttempt(j, tried) })
+func (s *simulation) reconnectLater(call *callers.Call, tried []string) {
+	s.schedule(s.now+reconnectDelay, func() { s.beginAttempt(call, tried) })
 }
--- a/internal/experiment/simulation_attempts.go
+++ b/internal/experiment/simulation_attempts.go
@@ -12,228 +12,228 @@
 )
 
 type simAttempt struct {
-	client      *clientAttempt
+	request     *clientRequest
 	number      int
 	node        *simNode
 	incarnation *node.Node
 	id          string // of the node's life
 	sentAt      time.Duration
-	over        bool
+	ended       bool
 	ticket      ticket
 }
 
-func (s *simulation) handle(a *simAgent, ev logic.Event) {
-	if !a.ended {
-		s.carryOut(a, a.balancer.Handle(s.clock(), ev))
+func (s *simulation) handle(agent *simAgent, event logic.Event) {
+	if !agent.ended {
+		s.apply(agent, agent.balancer.Handle(s.clock(), event))
 	}
 }
 
-// carryOut carries out the module's actions as the real agent does.
-func (s *simulation) carryOut(a *simAgent, actions []logic.Action) {
-	for _, act := range slices.Clone(actions) {
-		t := s.open[act.Request]
-		switch act.Kind {
+// apply carries out the module's actions as the real agent does.
+func (s *simulation) apply(agent *simAgent, actions []logic.Action) {
+	for _, action := range slices.Clone(actions) {
+		request := s.open[action.Request]
+		switch action.Kind {
 		case logic.Send:
-			if t == nil {
+			if request == nil {
 				continue
 			}
-			to := s.byID[act.Endpoint]
-			if a.budget != nil && t.sends > 0 && !a.budget.AllowRetry(s.clock()) {
-				n := t.sends
-				t.sends++
-				t.inFlight++
+			target := s.byID[action.Endpoint]
+			if agent.budget != nil && request.sent > 0 && !agent.budget.AllowRetry(s.clock()) {
+				n := request.sent
+				request.sent++
+				request.inFlight++
 				s.schedule(s.now, func() {
-					s.endAttempt(&simAttempt{client: t, number: n, id: act.Endpoint, sentAt: s.now}, logic.NotSent)
+					s.endAttempt(&simAttempt{request: request, number: n, id: action.Endpoint, sentAt: s.now}, logic.NotSent)
 				})
 				continue
 			}
-			if to == nil { // a life that is over
-				n := t.sends
-				t.sends++
-				t.inFlight++
+			if target == nil { // a life that is over
+				n := request.sent
+				request.sent++
+				request.inFlight++
 				s.schedule(s.now+watchDelay, func() {
-					s.endAttempt(&simAttempt{client: t, number: n, id: act.Endpoint, sentAt: s.now}, logic.ConnectFailed)
+					s.endAttempt(&simAttempt{request: request, number: n, id: action.Endpoint, sentAt: s.now}, logic.ConnectFailed)
 				})
 				continue
 			}
-			s.send(t, to, act.Delay)
+			s.send(request, target, action.Delay)
 		case logic.Reject:
-			if t != nil {
-				if t.sends == 0 {
-					s.judgeRejection(a)
+			if request != nil {
+				if request.sent == 0 {
+					s.classifyRejection(agent)
 				}
-				s.answer(t, referee.Rejected, 0, act.Delay)
+				s.answer(request, referee.Rejected, 0, action.Delay)
 			}
 		case logic.Fail:
-			if t != nil {
-				s.answer(t, referee.Failed, 0, 0)
+			if request != nil {
+				s.answer(request, referee.Failed, 0, 0)
 			}
 		case logic.SetTimer:
-			s.schedule(s.now+act.Delay, func() { s.handle(a, logic.TimerFired{Token: act.Token}) })
+			s.schedule(s.now+action.Delay, func() { s.handle(agent, logic.TimerFired{Token: action.Token}) })
 		case logic.HealthCheck:
-			s.healthCheck(a, act.Endpoint)
+			s.healthCheck(agent, action.Endpoint)
 		case logic.Subscribe:
-			s.subscribe(a)
+			s.subscribe(agent)
 		}
 	}
 }
 
 // healthCheck asks a node for its load, over a connection that is there or a new one.
-func (s *simulation) healthCheck(a *simAgent, id string) {
+func (s *simulation) healthCheck(agent *simAgent, nodeID string) {
 	began := s.now
-	told := func(r logic.Result, report logic.LoadReport) {
-		s.handle(a, logic.HealthChecked{Endpoint: id, Result: r, Latency: s.now - began, LoadReport: report})
+	finish := func(result logic.Result, report logic.LoadReport) {
+		s.handle(agent, logic.HealthChecked{Endpoint: nodeID, Result: result, Latency: s.now - began, LoadReport: report})
 	}
-	if a.budget != nil && !a.budget.AllowHealthCheck() {
-		s.schedule(s.now, func() { told(logic.NotSent, logic.NoLoadReport) })
+	if agent.budget != nil && !agent.budget.AllowHealthCheck() {
+		s.schedule(s.now, func() { finish(logic.NotSent, logic.NoLoadReport) })
 		return
 	}
-	n := s.byID[id]
-	if n == nil || !n.up {
-		s.schedule(s.now+watchDelay, func() { told(logic.ConnectFailed, logic.NoLoadReport) })
+	target := s.byID[nodeID]
+	if target == nil || !target.up {
+		s.schedule(s.now+watchDelay, func() { finish(logic.ConnectFailed, logic.NoLoadReport) })
 		return
 	}
-	life := n.Node
-	way := s.oneWay(a, n)
-	s.schedule(s.now+way, func() {
+	incarnation := target.Node
+	oneWay := s.oneWay(agent, target)
+	s.schedule(s.now+oneWay, func() {
 		switch {
-		case n.Node != life || !n.up || n.Unresponsive() || s.day.Partitioned(a.zone, n.Zone, s.now):
-			s.schedule(began+emulator.HealthCheckTimeout, func() { told(logic.TimedOut, logic.NoLoadReport) })
+		case target.Node != incarnation || !target.up || target.Unresponsive() || s.day.Partitioned(agent.zone, target.Zone, s.now):
+			s.schedule(began+emulator.HealthCheckTimeout, func() { finish(logic.TimedOut, logic.NoLoadReport) })
 			return
-		case !n.HealthCheck(s.now):
-			s.schedule(s.now+way, func() { told(logic.Rejected, logic.NoLoadReport) })
+		case !target.HealthCheck(s.now):
+			s.schedule(s.now+oneWay, func() { finish(logic.Rejected, logic.NoLoadReport) })
 			return
 		}
 		report := logic.NoLoadReport
-		if l, ok := n.Load(); ok {
-			report.RequestRate, report.Utilization = l.Rate, l.Utilization
+		if load, ok := target.Load(); ok {
+			report.RequestRate, report.Utilization = load.Rate, load.Utilization
 		}
-		s.schedule(s.now+way, func() { told(logic.OK, report) })
+		s.schedule(s.now+oneWay, func() { finish(logic.OK, report) })
 	})
 }
 
 // send sends an attempt on its way, over a connection that is free or a new one.
-func (s *simulation) send(t *clientAttempt, n *simNode, after time.Duration) {
-	a := t.agent
-	at := &simAttempt{client: t, number: t.sends, node: n, incarnation: n.Node, id: n.ID, sentAt: s.now}
-	t.sends++
-	t.inFlight++
-	a.connsInUse[n.number]++
-	until := t.deadline
+func (s *simulation) send(request *clientRequest, target *simNode, after time.Duration) {
+	agent := request.agent
+	attempt := &simAttempt{request: request, number: request.sent, node: target, incarnation: target.Node, id: target.ID, sentAt: s.now}
+	request.sent++
+	request.inFlight++
+	agent.connsInUse[target.number]++
+	until := request.deadline
 	if after > 0 {
 		until = min(until, s.now+after)
 	}
-	s.schedule(until, func() { s.abandon(at) })
-	way := s.oneWay(a, n)
-	fresh := a.connsInUse[n.number] > a.conns[n.number]
+	s.schedule(until, func() { s.abandon(attempt) })
+	oneWay := s.oneWay(agent, target)
+	fresh := agent.connsInUse[target.number] > agent.conns[target.number]
 	switch {
-	case !n.up:
-		s.schedule(s.now+2*way, func() { s.endAttempt(at, logic.ConnectFailed) })
+	case !target.up:
+		s.schedule(s.now+2*oneWay, func() { s.endAttempt(attempt, logic.ConnectFailed) })
 		return
-	case fresh && (n.Unresponsive() || s.day.Partitioned(a.zone, n.Zone, s.now)):
-		s.schedule(s.now+emulator.ConnectTimeout, func() { s.endAttempt(at, logic.ConnectFailed) })
+	case fresh && (target.Unresponsive() || s.day.Partitioned(agent.zone, target.Zone, s.now)):
+		s.schedule(s.now+emulator.ConnectTimeout, func() { s.endAttempt(attempt, logic.ConnectFailed) })
 		return
 	}
-	arrive := s.now + way
+	arrive := s.now + oneWay
 	if fresh {
-		arrive += 2 * way
-		s.schedule(s.now+way, func() {
-			if n.Node == at.incarnation && n.up && n.Connect(s.now) == node.ConnAccepted {
-				a.conns[n.number]++
+		arrive += 2 * oneWay
+		s.schedule(s.now+oneWay, func() {
+			if target.Node == attempt.incarnation && target.up && target.Connect(s.now) == node.ConnAccepted {
+				agent.conns[target.number]++
 			}
 		})
 	}
-	s.schedule(arrive, func() { s.arriveAtNode(at) })
+	s.schedule(arrive, func() { s.arriveAtNode(attempt) })
 }
 
-func (s *simulation) arriveAtNode(at *simAttempt) {
-	t, n := at.client, at.node
-	if at.over || t.agent.ended || s.day.Partitioned(t.agent.zone, n.Zone, s.now) {
+func (s *simulation) arriveAtNode(attempt *simAttempt) {
+	request, target := attempt.request, attempt.node
+	if attempt.ended || request.agent.ended || s.day.Partitioned(request.agent.zone, target.Zone, s.now) {
 		return
 	}
-	if !n.up || n.Node != at.incarnation {
-		s.sendBack(at, logic.Reset, 0)
+	if !target.up || target.Node != attempt.incarnation {
+		s.sendBack(attempt, logic.Reset, 0)
 		return
 	}
-	s.referee.RequestArrived(t.id, n.ID, s.now)
-	s.judgeSend(at)
+	s.referee.RequestArrived(request.id, target.ID, s.now)
+	s.classifySend(attempt)
 	s.lastTicket++
-	at.ticket = ticket{n.number, s.lastTicket}
-	s.waiting[at.ticket] = at
-	verdict, ran := n.Offer(s.now, node.Work{Ticket: s.lastTicket, Key: t.journey.Key, Cost: t.journey.Work, Deadline: t.deadline,
-		Unnotified: !t.agent.notifiedOf(n)})
+	attempt.ticket = ticket{target.number, s.lastTicket}
+	s.waiting[attempt.ticket] = attempt
+	verdict, ran := target.Offer(s.now, node.Work{Ticket: s.lastTicket, Key: request.call.Key, Cost: request.call.Work, Deadline: request.deadline,
+		Unnotified: !request.agent.notifiedOf(target)})
 	if ran {
-		s.referee.ExecutionStarted(t.id, n.ID, s.now)
+		s.referee.ExecutionStarted(request.id, target.ID, s.now)
 	}
-	s.advanceNode(n)
+	s.advanceNode(target)
 	result := map[node.Verdict]logic.Result{node.Rejected: logic.Rejected, node.FailedFast: logic.Failed, node.ConnReset: logic.Reset}
 	if r, ok := result[verdict]; ok {
-		delete(s.waiting, at.ticket)
-		s.sendBack(at, r, 0)
+		delete(s.waiting, attempt.ticket)
+		s.sendBack(attempt, r, 0)
 	}
 }
 
 // sendBack sends an attempt's end on its way to the agent.
-func (s *simulation) sendBack(at *simAttempt, r logic.Result, late time.Duration) {
-	delete(s.waiting, at.ticket)
-	if s.day.Partitioned(at.client.agent.zone, at.node.Zone, s.now) {
+func (s *simulation) sendBack(attempt *simAttempt, result logic.Result, delay time.Duration) {
+	delete(s.waiting, attempt.ticket)
+	if s.day.Partitioned(attempt.request.agent.zone, attempt.node.Zone, s.now) {
 		return // nothing comes of it: the agent gives up by itself
 	}
-	s.schedule(s.now+late+s.oneWay(at.client.agent, at.node), func() { s.endAttempt(at, r) })
+	s.schedule(s.now+delay+s.oneWay(attempt.request.agent, attempt.node), func() { s.endAttempt(attempt, result) })
 }
 
 // abandon stops waiting for an attempt.
-func (s *simulation) abandon(at *simAttempt) {
-	if at.over {
+func (s *simulation) abandon(attempt *simAttempt) {
+	if attempt.ended {
 		return
 	}
-	if s.waiting[at.ticket] == at {
-		delete(s.waiting, at.ticket)
-		if at.node.Node == at.incarnation {
-			at.node.Cancel(s.now, at.ticket.number)
-			s.advanceNode(at.node)
+	if s.waiting[attempt.ticket] == attempt {
+		delete(s.waiting, attempt.ticket)
+		if attempt.node.Node == attempt.incarnation {
+			attempt.node.Cancel(s.now, attempt.ticket.number)
+			s.advanceNode(attempt.node)
 		}
 	}
 	// A connection that is given up is closed.
-	if c := at.client.agent.conns; c[at.node.number] > 0 {
-		c[at.node.number]--
-		if at.node.Node == at.incarnation && at.node.up {
-			at.node.Disconnect(s.now)
+	if conns := attempt.request.agent.conns; conns[attempt.node.number] > 0 {
+		conns[attempt.node.number]--
+		if attempt.node.Node == attempt.incarnation && attempt.node.up {
+			attempt.node.Disconnect(s.now)
 		}
 	}
-	s.endAttempt(at, logic.TimedOut)
+	s.endAttempt(attempt, logic.TimedOut)
 }
 
-func (s *simulation) endAttempt(at *simAttempt, r logic.Result) {
-	if at.over {
+func (s *simulation) endAttempt(attempt *simAttempt, result logic.Result) {
+	if attempt.ended {
 		return
 	}
-	at.over = true
-	t := at.client
-	t.inFlight--
-	if at.node != nil {
-		t.agent.connsInUse[at.node.number]--
+	attempt.ended = true
+	request := attempt.request
+	request.inFlight--
+	if attempt.node != nil {
+		request.agent.connsInUse[attempt.node.number]--
 	}
-	if t.agent.ended {
-		s.forget(t)
+	if request.agent.ended {
+		s.forget(request)
 		return
 	}
-	if t.agent.balancer == nil {
-		ends := map[logic.Result]referee.Outcome{logic.OK: referee.Served, logic.Rejected: referee.Rejected, logic.ConnectFailed: referee.NotSent}
-		end, ok := ends[r]
+	if request.agent.balancer == nil {
+		outcomes := map[logic.Result]referee.Outcome{logic.OK: referee.Served, logic.Rejected: referee.Rejected, logic.ConnectFailed: referee.NotSent}
+		outcome, ok := outcomes[result]
 		if !ok {
-			end = referee.Failed
+			outcome = referee.Failed
 		}
-		s.answer(t, end, at.ticket.number, 0)
-		s.forget(t)
+		s.answer(request, outcome, attempt.ticket.number, 0)
+		s.forget(request)
 		return
 	}
-	if r == logic.OK {
-		s.answer(t, referee.Served, at.ticket.number, 0)
+	if result == logic.OK {
+		s.answer(request, referee.Served, attempt.ticket.number, 0)
 	}
-	if b := t.agent.budget; b != nil && r != logic.NotSent {
-		b.AttemptEnded(s.clock(), budget.Outcome{Overloaded: r == logic.Rejected || r == logic.TimedOut, SentAt: at.sentAt + moduleStart})
+	if fleetBudget := request.agent.budget; fleetBudget != nil && result != logic.NotSent {
+		fleetBudget.AttemptEnded(s.clock(), budget.Outcome{Overloaded: result == logic.Rejected || result == logic.TimedOut, SentAt: attempt.sentAt + moduleStart})
 	}
-	s.handle(t.agent, logic.Outcome{Request: t.id, Attempt: at.number, Endpoint: at.id, Result: r, Latency: s.now - at.sentAt, Closed: t.ended, LoadReport: logic.NoLoadReport})
-	s.forget(t)
+	s.handle(request.agent, logic.Outcome{Request: request.id, Attempt: attempt.number, Endpoint: attempt.id, Result: result, Latency: s.now - attempt.sentAt, Closed: request.ended, LoadReport: logic.NoLoadReport})
+	s.forget(request)
 }
--- a/internal/experiment/simulation_callers.go
+++ b/internal/experiment/simulation_callers.go
@@ -8,130 +8,130 @@
 	"ryeweir/logic"
 )
 
-// clientAttempt is a try of a client, on its way.
-type clientAttempt struct {
+// clientRequest is a try of a client, on its way.
+type clientRequest struct {
 	id         string
 	agent      *simAgent
-	journey    *callers.Call
+	call       *callers.Call
 	triedNodes []string
 	deadline   time.Duration // when its agent stops, or its client where there is none
 	ended      bool          // for the client
-	sends      int
+	sent       int
 	inFlight   int
 }
 
 // beginAttempt begins a client's next try, or ends its journey.
-func (s *simulation) beginAttempt(j *callers.Call, tried []string) {
-	wait, leaves := j.Attempt(s.now)
+func (s *simulation) beginAttempt(call *callers.Call, tried []string) {
+	wait, patience := call.Attempt(s.now)
 	if wait == 0 {
-		s.finishCall(j)
+		s.finishCall(call)
 		return
 	}
-	a := s.agents[j.Agent]
-	if a.away { // nobody listens: the client learns it at once
+	agent := s.agents[call.Agent]
+	if agent.away { // nobody listens: the client learns it at once
 		s.truths.NotRunning++
-		s.reconnectLater(j, tried)
+		s.reconnectLater(call, tried)
 		return
 	}
-	t := &clientAttempt{id: callers.RequestID(s.day.Seed, j.Number, j.Attempts), agent: a, journey: j, triedNodes: tried, deadline: s.now + wait}
-	ask := referee.Request{ID: t.id, Agent: s.day.Agents[j.Agent], NonIdempotent: j.Class.NonIdempotent, At: s.now, Class: j.Class.Name}
-	if a.balancer == nil {
-		ask.Agent = ""
+	request := &clientRequest{id: callers.RequestID(s.day.Seed, call.Number, call.Attempts), agent: agent, call: call, triedNodes: tried, deadline: s.now + wait}
+	sent := referee.Request{ID: request.id, Agent: s.day.Agents[call.Agent], NonIdempotent: call.Class.NonIdempotent, At: s.now, Class: call.Class.Name}
+	if agent.balancer == nil {
+		sent.Agent = ""
 	}
-	s.referee.RequestSent(ask)
-	s.open[t.id] = t
-	s.schedule(s.now+leaves, func() { s.disconnectClient(t) })
-	if a.balancer == nil {
-		s.choose(t)
+	s.referee.RequestSent(sent)
+	s.open[request.id] = request
+	s.schedule(s.now+patience, func() { s.disconnectClient(request) })
+	if agent.balancer == nil {
+		s.choose(request)
 		return
 	}
-	t.deadline -= min(deadlineMargin, wait/4)
-	if a.budget != nil {
-		a.budget.SetLatencyOverload(s.clock(), a.balancer.OverloadLevel())
-		if v := a.budget.Admit(s.clock(), a.order.Priority(s.clock(), j.PlannedRequest.Class, j.Tenant)); !v.Admit {
-			s.judgeRejection(a)
-			s.answer(t, referee.Rejected, 0, v.RetryAfter)
+	request.deadline -= min(deadlineMargin, wait/4)
+	if agent.budget != nil {
+		agent.budget.SetLatencyOverload(s.clock(), agent.balancer.OverloadLevel())
+		if verdict := agent.budget.Admit(s.clock(), agent.order.Priority(s.clock(), call.PlannedRequest.Class, call.Tenant)); !verdict.Admit {
+			s.classifyRejection(agent)
+			s.answer(request, referee.Rejected, 0, verdict.RetryAfter)
 			return
 		}
 	}
-	s.handle(a, logic.Request{ID: t.id, Class: j.PlannedRequest.Class, Tenant: j.Tenant, Key: j.Key, Deadline: t.deadline + moduleStart})
+	s.handle(agent, logic.Request{ID: request.id, Class: call.PlannedRequest.Class, Tenant: call.Tenant, Key: call.Key, Deadline: request.deadline + moduleStart})
 }
 
-func (s *simulation) finishCall(j *callers.Call) {
+func (s *simulation) finishCall(call *callers.Call) {
 	s.callsLeft--
-	s.calls = append(s.calls, j.Result())
+	s.calls = append(s.calls, call.Result())
 }
 
 // disconnectClient is a client's end of waiting.
-func (s *simulation) disconnectClient(t *clientAttempt) {
-	if t.ended {
+func (s *simulation) disconnectClient(request *clientRequest) {
+	if request.ended {
 		return
 	}
-	s.answer(t, referee.TimedOut, 0, 0)
-	if t.agent.balancer != nil {
-		s.handle(t.agent, logic.ClientDisconnected{Request: t.id})
+	s.answer(request, referee.TimedOut, 0, 0)
+	if request.agent.balancer != nil {
+		s.handle(request.agent, logic.ClientDisconnected{Request: request.id})
 	} else {
-		for _, at := range s.attempts(t) {
-			s.abandon(at)
+		for _, inFlight := range s.waitingAttempts(request) {
+			s.abandon(inFlight)
 		}
 	}
 }
 
-func (s *simulation) attempts(t *clientAttempt) (out []*simAttempt) {
-	for _, at := range s.waiting {
-		if at.client == t {
-			out = append(out, at)
+func (s *simulation) waitingAttempts(request *clientRequest) (out []*simAttempt) {
+	for _, attempt := range s.waiting {
+		if attempt.request == request {
+			out = append(out, attempt)
 		}
 	}
 	return out
 }
 
 // answer gives a try its end, and lets the journey go on.
-func (s *simulation) answer(t *clientAttempt, end referee.Outcome, sum uint64, comeBack time.Duration) {
-	if t.ended {
+func (s *simulation) answer(request *clientRequest, outcome referee.Outcome, checksum uint64, retryAfter time.Duration) {
+	if request.ended {
 		return
 	}
-	t.ended = true
-	s.referee.RequestEnded(t.id, end, sum, s.now)
-	s.forget(t)
-	next, over := t.journey.Ended(s.now, end, comeBack)
+	request.ended = true
+	s.referee.RequestEnded(request.id, outcome, checksum, s.now)
+	s.forget(request)
+	next, over := request.call.Ended(s.now, outcome, retryAfter)
 	if over {
-		s.finishCall(t.journey)
+		s.finishCall(request.call)
 		return
 	}
-	s.schedule(next, func() { s.beginAttempt(t.journey, t.triedNodes) })
+	s.schedule(next, func() { s.beginAttempt(request.call, request.triedNodes) })
 }
 
-func (s *simulation) forget(t *clientAttempt) {
-	if t.ended && t.inFlight == 0 {
-		delete(s.open, t.id)
+func (s *simulation) forget(request *clientRequest) {
+	if request.ended && request.inFlight == 0 {
+		delete(s.open, request.id)
 	}
 }
 
 // choose sends a try where its chooser says.
-func (s *simulation) choose(t *clientAttempt) {
-	a := t.agent
-	views, among, truths := s.views[:0], s.viewNodes[:0], s.viewTruths[:0]
-	for _, e := range s.list.entries {
-		n := s.byID[e.ID]
-		if e.State != logic.Ready || n == nil {
+func (s *simulation) choose(request *clientRequest) {
+	agent := request.agent
+	views, candidates, truths := s.views[:0], s.viewNodes[:0], s.viewTruths[:0]
+	for _, entry := range s.list.entries {
+		candidate := s.byID[entry.ID]
+		if entry.State != logic.Ready || candidate == nil {
 			continue
 		}
-		v := View{ID: n.ID, Own: a.connsInUse[n.number]}
-		if n.up && !s.day.Partitioned(a.zone, n.Zone, s.now) {
-			truths = append(truths, s.visibleState(n))
-			v.True = &truths[len(truths)-1]
-			v.True.Away = s.day.LinkTo(a.zone, n.Zone).Delay
+		view := View{ID: candidate.ID, InFlight: agent.connsInUse[candidate.number]}
+		if candidate.up && !s.day.Partitioned(agent.zone, candidate.Zone, s.now) {
+			truths = append(truths, s.visibleState(candidate))
+			view.Truth = &truths[len(truths)-1]
+			view.Truth.OneWayDelay = s.day.LinkTo(agent.zone, candidate.Zone).Delay
 		}
-		views, among = append(views, v), append(among, n)
+		views, candidates = append(views, view), append(candidates, candidate)
 	}
-	s.views, s.viewNodes = views, among
-	i := a.chooser.Choose(views, t.journey.PlannedRequest, t.triedNodes)
-	if i < 0 {
-		s.answer(t, referee.NotSent, 0, 0)
+	s.views, s.viewNodes = views, candidates
+	chosen := agent.chooser.Choose(views, request.call.PlannedRequest, request.triedNodes)
+	if chosen < 0 {
+		s.answer(request, referee.NotSent, 0, 0)
 		return
 	}
-	t.triedNodes = append(t.triedNodes, views[i].ID)
-	s.delayed.sent[among[i].number] += t.journey.Work.Seconds()
-	s.send(t, among[i], 0)
+	request.triedNodes = append(request.triedNodes, views[chosen].ID)
+	s.delayed.sent[candidates[chosen].number] += request.call.Work.Seconds()
+	s.send(request, candidates[chosen], 0)
 }
--- a/internal/experiment/simulation_delayed.go
+++ b/internal/experiment/simulation_delayed.go
@@ -27,19 +27,19 @@
 
 // state is a node's state now.
 func (n *simNode) state() Truth {
-	return Truth{Capacity: n.Capacity(), Cores: n.Cores, Backlog: n.Backlog(), Room: n.HasCapacity(), Failing: n.FailureFraction()}
+	return Truth{Capacity: n.Capacity(), Cores: n.Cores, Backlog: n.Backlog(), HasCapacity: n.HasCapacity(), FailureFraction: n.FailureFraction()}
 }
 
 // recordState notes the state of all nodes again and again.
 func (s *simulation) recordState() {
-	v := &s.delayed
-	l := stateSnapshot{at: s.now, sent: slices.Clone(v.sent)}
+	view := &s.delayed
+	snapshot := stateSnapshot{at: s.now, sent: slices.Clone(view.sent)}
 	for _, n := range s.nodes {
-		l.truth, l.ids = append(l.truth, n.state()), append(l.ids, n.ID)
+		snapshot.truth, snapshot.ids = append(snapshot.truth, n.state()), append(snapshot.ids, n.ID)
 	}
-	v.snapshots = append(v.snapshots, l)
-	for len(v.snapshots) > 1 && v.snapshots[1].at <= s.now-delayedViewAge {
-		v.snapshots = v.snapshots[1:]
+	view.snapshots = append(view.snapshots, snapshot)
+	for len(view.snapshots) > 1 && view.snapshots[1].at <= s.now-delayedViewAge {
+		view.snapshots = view.snapshots[1:]
 	}
 	if s.now < s.day.Length+maxTail {
 		s.schedule(s.now+snapshotInterval, s.recordState)
@@ -51,13 +51,13 @@
 	if !s.delayed.on {
 		return n.state()
 	}
-	l := s.delayed.snapshots[0]
-	if l.ids[n.number] != n.ID { // it has started since: all that is known is that the list has it
+	snapshot := s.delayed.snapshots[0]
+	if snapshot.ids[n.number] != n.ID { // it has started since: all that is known is that the list has it
 		return n.state()
 	}
-	t := l.truth[n.number]
-	if work := s.delayed.sent[n.number] - l.sent[n.number]; t.Capacity > 0 {
-		t.Backlog += max(0, time.Duration(work/t.Capacity*1e9)-(s.now-l.at))
+	truth := snapshot.truth[n.number]
+	if work := s.delayed.sent[n.number] - snapshot.sent[n.number]; truth.Capacity > 0 {
+		truth.Backlog += max(0, time.Duration(work/truth.Capacity*1e9)-(s.now-snapshot.at))
 	}
-	return t
+	return truth
 }
--- a/internal/experiment/simulation_discovery.go
+++ b/internal/experiment/simulation_discovery.go
@@ -8,32 +8,32 @@
 	"ryeweir/logic"
 )
 
-// registry is discovery: the list, what has changed in it, and the calls that wait their turn.
-type registry struct {
-	entries []logic.Endpoint // in the order of the nodes
-	changes []logic.Endpoint // the list's version is their number
-	down    bool
-	free    time.Duration // when the call that is handled last will be through
-	calls   int
+// discoveryModel is discovery: the list, what has changed in it, and the calls that wait their turn.
+type discoveryModel struct {
+	entries   []logic.Endpoint // in the order of the nodes
+	changes   []logic.Endpoint // the list's version is their number
+	down      bool
+	busyUntil time.Duration // when the call that is handled last will be through
+	calls     int
 }
 
 // maxQueueTime is how long a call waits its turn at most.
 const maxQueueTime = time.Second
 
 // changeList changes the list, so much later, and tells those who watch.
-func (s *simulation) changeList(late time.Duration, e logic.Endpoint) {
-	s.schedule(s.now+late+s.day.ListDelay(s.now), func() {
-		l := &s.list
-		l.changes = append(l.changes, e)
-		i := slices.IndexFunc(l.entries, func(o logic.Endpoint) bool { return o.ID == e.ID })
+func (s *simulation) changeList(delay time.Duration, changed logic.Endpoint) {
+	s.schedule(s.now+delay+s.day.ListDelay(s.now), func() {
+		list := &s.list
+		list.changes = append(list.changes, changed)
+		i := slices.IndexFunc(list.entries, func(o logic.Endpoint) bool { return o.ID == changed.ID })
 		switch {
-		case e.State == logic.Removed && i >= 0:
-			l.entries = slices.Delete(l.entries, i, i+1)
-		case e.State == logic.Removed:
+		case changed.State == logic.Removed && i >= 0:
+			list.entries = slices.Delete(list.entries, i, i+1)
+		case changed.State == logic.Removed:
 		case i >= 0:
-			l.entries[i] = e
+			list.entries[i] = changed
 		default:
-			l.entries = append(l.entries, e)
+			list.entries = append(list.entries, changed)
 		}
 		for _, a := range s.agents {
 			s.notifyWatcher(a)
@@ -50,46 +50,46 @@
 	}
 	wait := time.Duration(0)
 	if rate := s.day.Spec.Discovery.Rate; rate > 0 {
-		wait = max(s.list.free, s.now) + time.Duration(float64(time.Second)/rate) - s.now
+		wait = max(s.list.busyUntil, s.now) + time.Duration(float64(time.Second)/rate) - s.now
 		if wait > maxQueueTime {
 			s.schedule(s.now+maxQueueTime, func() { then(false) })
 			return
 		}
-		s.list.free = s.now + wait
+		s.list.busyUntil = s.now + wait
 	}
 	s.schedule(s.now+max(wait, watchDelay), func() { then(!s.list.down) })
 }
 
 // subscribe lets an agent follow the list, as the agent's client of discovery does: in a large fleet the first call of a process that
 // has a list comes within a while, and a watch that brought nothing is made anew.
-func (s *simulation) subscribe(a *simAgent) {
-	pace := discovery.FleetTimingFor(len(s.day.Agents))
+func (s *simulation) subscribe(agent *simAgent) {
+	timing := discovery.FleetTimingFor(len(s.day.Agents))
 	spread := time.Duration(0)
-	if !a.subscribed {
-		a.subscribed = true
-		spread = time.Duration(a.rng.Float64() * float64(pace.StartSpread))
+	if !agent.subscribed {
+		agent.subscribed = true
+		spread = time.Duration(agent.rng.Float64() * float64(timing.StartSpread))
 	}
-	s.schedule(s.now+spread, func() { s.watch(a, pace) })
+	s.schedule(s.now+spread, func() { s.watch(agent, timing) })
 }
 
-func (s *simulation) watch(a *simAgent, pace discovery.FleetTiming) {
-	if a.ended {
+func (s *simulation) watch(agent *simAgent, timing discovery.FleetTiming) {
+	if agent.ended {
 		return
 	}
 	s.queueListCall(func(ok bool) {
 		switch {
-		case a.ended:
+		case agent.ended:
 		case !ok:
-			rush := time.Duration(a.rng.Float64() * float64(pace.RetrySpread))
-			s.schedule(s.now+rush, func() { s.handle(a, logic.DiscoveryUnavailable{}) })
+			backoff := time.Duration(agent.rng.Float64() * float64(timing.RetrySpread))
+			s.schedule(s.now+backoff, func() { s.handle(agent, logic.DiscoveryUnavailable{}) })
 		default:
-			a.watching = true
-			s.notifyWatcher(a)
-			since := a.version
+			agent.watching = true
+			s.notifyWatcher(agent)
+			since := agent.version
 			s.schedule(s.now+discovery.WatchTimeout, func() {
-				if a.watching && a.version == since && !a.ended {
-					a.watching = false
-					s.watch(a, pace)
+				if agent.watching && agent.version == since && !agent.ended {
+					agent.watching = false
+					s.watch(agent, timing)
 				}
 			})
 		}
@@ -97,46 +97,46 @@
 }
 
 // notifyWatcher tells an agent that watches what has changed since it was told last, and lets it watch on.
-func (s *simulation) notifyWatcher(a *simAgent) {
-	if !a.watching || s.list.down || a.version == len(s.list.changes) || a.balancer == nil {
+func (s *simulation) notifyWatcher(agent *simAgent) {
+	if !agent.watching || s.list.down || agent.version == len(s.list.changes) || agent.balancer == nil {
 		return
 	}
-	a.watching = false
+	agent.watching = false
 	s.schedule(s.now+watchDelay, func() {
-		if a.ended {
+		if agent.ended {
 			return
 		}
 		var entries []logic.Endpoint
-		for _, e := range s.list.changes[a.version:] {
-			entries = slices.DeleteFunc(entries, func(o logic.Endpoint) bool { return o.ID == e.ID })
-			entries = append(entries, e)
+		for _, entry := range s.list.changes[agent.version:] {
+			entries = slices.DeleteFunc(entries, func(o logic.Endpoint) bool { return o.ID == entry.ID })
+			entries = append(entries, entry)
 		}
-		a.version = len(s.list.changes)
-		for _, e := range entries {
-			a.known = slices.DeleteFunc(a.known, func(o logic.Endpoint) bool { return o.ID == e.ID })
-			if e.State != logic.Removed {
-				a.known = append(a.known, e)
+		agent.version = len(s.list.changes)
+		for _, entry := range entries {
+			agent.known = slices.DeleteFunc(agent.known, func(o logic.Endpoint) bool { return o.ID == entry.ID })
+			if entry.State != logic.Removed {
+				agent.known = append(agent.known, entry)
 			}
-			s.referee.Notified(s.day.Agents[a.number], e.ID, e.State == logic.Ready, s.now)
+			s.referee.Notified(s.day.Agents[agent.number], entry.ID, entry.State == logic.Ready, s.now)
 		}
-		s.handle(a, logic.EndpointList{Endpoints: entries})
-		s.watch(a, discovery.FleetTimingFor(len(s.day.Agents)))
+		s.handle(agent, logic.EndpointList{Endpoints: entries})
+		s.watch(agent, discovery.FleetTimingFor(len(s.day.Agents)))
 	})
 }
 
 // sendFullList gives an agent a whole list, as one that it has from before.
-func (s *simulation) sendFullList(a *simAgent, entries []logic.Endpoint) {
-	a.known = slices.Clone(entries)
-	for _, e := range entries {
-		s.referee.Notified(s.day.Agents[a.number], e.ID, e.State == logic.Ready, s.now)
+func (s *simulation) sendFullList(agent *simAgent, entries []logic.Endpoint) {
+	agent.known = slices.Clone(entries)
+	for _, entry := range entries {
+		s.referee.Notified(s.day.Agents[agent.number], entry.ID, entry.State == logic.Ready, s.now)
 	}
-	s.handle(a, logic.EndpointList{Full: true, Endpoints: slices.Clone(entries)})
+	s.handle(agent, logic.EndpointList{Full: true, Endpoints: slices.Clone(entries)})
 }
 
 // breakWatch breaks an agent's watch.
-func (s *simulation) breakWatch(a *simAgent) {
-	if a.watching {
-		a.watching = false
-		s.schedule(s.now+watchDelay, func() { s.handle(a, logic.DiscoveryUnavailable{}) })
+func (s *simulation) breakWatch(agent *simAgent) {
+	if agent.watching {
+		agent.watching = false
+		s.schedule(s.now+watchDelay, func() { s.handle(agent, logic.DiscoveryUnavailable{}) })
 	}
 }
--- a/internal/experiment/simulation_nodes.go
+++ b/internal/experiment/simulation_nodes.go
@@ -19,7 +19,7 @@
 	*node.Node
 	number              int
 	up                  bool
-	wake                time.Duration // when it is looked at next; below 0 when not
+	nextAdvance         time.Duration // when it is looked at next; below 0 when not
 	earlierIncarnations node.Figures
 	overloadReported    bool // that it toppled
 	offeredBefore       int  // what had been offered at the latest look
@@ -35,125 +35,125 @@
 	return e
 }
 
-func (s *simulation) scheduleFault(p emulator.NodeFault) {
-	list := s.day.Spec.Discovery
-	n := s.nodes[p.Node]
-	name := n.ID
-	s.schedule(p.From, func() {
-		s.marks = append(s.marks, emulator.Event{At: p.From, To: p.To, Node: name, Text: string(p.Kind)})
-		switch p.Kind {
+func (s *simulation) scheduleFault(fault emulator.NodeFault) {
+	discovery := s.day.Spec.Discovery
+	target := s.nodes[fault.Node]
+	name := target.ID
+	s.schedule(fault.From, func() {
+		s.marks = append(s.marks, emulator.Event{At: fault.From, To: fault.To, Node: name, Text: string(fault.Kind)})
+		switch fault.Kind {
 		case node.Drain:
-			n.AddFault(p.Fault)
-			s.changeList(list.RemovalDelay.D(), s.entry(p.Node, logic.Draining))
+			target.AddFault(fault.Fault)
+			s.changeList(discovery.RemovalDelay.D(), s.entry(fault.Node, logic.Draining))
 		case node.Restart, node.Replace:
-			s.killNode(n)
-			if p.Kind == node.Replace || list.RemovalDelay.D() < p.To-p.From+list.AdditionDelay.D() {
-				s.changeList(list.RemovalDelay.D(), s.entry(p.Node, logic.Removed))
+			s.killNode(target)
+			if fault.Kind == node.Replace || discovery.RemovalDelay.D() < fault.To-fault.From+discovery.AdditionDelay.D() {
+				s.changeList(discovery.RemovalDelay.D(), s.entry(fault.Node, logic.Removed))
 			}
 		default:
-			n.AddFault(p.Fault)
-			s.advanceNode(n)
+			target.AddFault(fault.Fault)
+			s.advanceNode(target)
 		}
 	})
-	s.schedule(p.To, func() {
-		switch p.Kind {
+	s.schedule(fault.To, func() {
+		switch fault.Kind {
 		case node.Drain:
-			s.killNode(n)
-			s.changeList(list.RemovalDelay.D(), s.entry(p.Node, logic.Removed))
+			s.killNode(target)
+			s.changeList(discovery.RemovalDelay.D(), s.entry(fault.Node, logic.Removed))
 		case node.Restart, node.Replace:
-			spec := n.Spec
+			spec := target.Spec
 			s.incarnations++
-			if p.Kind == node.Replace {
+			if fault.Kind == node.Replace {
 				spec.ID = fmt.Sprintf("%s-%d", spec.ID, s.incarnations)
 			}
 			spec.Started = s.now
-			n.earlierIncarnations = n.earlierIncarnations.Add(n.Figures())
-			delete(s.byID, n.ID)
-			n.Node, n.up, n.overloadReported, n.offeredBefore, n.workBefore = node.New(spec, s.day.Seed*1000+uint64(len(s.nodes)+n.number)), true, false, 0, 0
-			s.byID[n.ID] = n
-			n.Advance(s.now)
-			s.advanceNode(n)
-			s.changeList(list.AdditionDelay.D(), s.entry(p.Node, logic.Ready))
+			target.earlierIncarnations = target.earlierIncarnations.Add(target.Figures())
+			delete(s.byID, target.ID)
+			target.Node, target.up, target.overloadReported, target.offeredBefore, target.workBefore = node.New(spec, s.day.Seed*1000+uint64(len(s.nodes)+target.number)), true, false, 0, 0
+			s.byID[target.ID] = target
+			target.Advance(s.now)
+			s.advanceNode(target)
+			s.changeList(discovery.AdditionDelay.D(), s.entry(fault.Node, logic.Ready))
 		}
 	})
 }
 
 // killNode ends a node's process: what it had is reset.
-func (s *simulation) killNode(n *simNode) {
-	n.up = false
-	var had []*simAttempt
-	for _, t := range s.waiting {
-		if t.node == n {
-			had = append(had, t)
+func (s *simulation) killNode(target *simNode) {
+	target.up = false
+	var waiting []*simAttempt
+	for _, attempt := range s.waiting {
+		if attempt.node == target {
+			waiting = append(waiting, attempt)
 		}
 	}
-	slices.SortFunc(had, func(a, b *simAttempt) int { return int(a.ticket.number) - int(b.ticket.number) })
-	for _, t := range had {
-		s.sendBack(t, logic.Reset, 0)
+	slices.SortFunc(waiting, func(agent, b *simAttempt) int { return int(agent.ticket.number) - int(b.ticket.number) })
+	for _, attempt := range waiting {
+		s.sendBack(attempt, logic.Reset, 0)
 	}
-	for _, a := range s.agents {
-		delete(a.conns, n.number)
+	for _, agent := range s.agents {
+		delete(agent.conns, target.number)
 	}
 }
 
 // advanceNode looks at a node, and books the next look.
-func (s *simulation) advanceNode(n *simNode) {
-	s.settleNode(n)
-	next := n.NextEvent()
-	if n.wake >= 0 && n.wake <= next && n.wake > s.now {
+func (s *simulation) advanceNode(target *simNode) {
+	s.settleNode(target)
+	next := target.NextEvent()
+	if target.nextAdvance >= 0 && target.nextAdvance <= next && target.nextAdvance > s.now {
 		return
 	}
-	n.wake = next
-	life := n.Node
+	target.nextAdvance = next
+	incarnation := target.Node
 	s.schedule(next, func() {
-		if n.Node == life && n.wake == s.now {
-			n.wake = -1
-			s.advanceNode(n)
+		if target.Node == incarnation && target.nextAdvance == s.now {
+			target.nextAdvance = -1
+			s.advanceNode(target)
 		}
 	})
 }
 
 // settleNode lets a node's time pass and hands out what ended.
-func (s *simulation) settleNode(n *simNode) {
-	done := n.Advance(s.now)
-	for _, number := range n.TakeStarted() {
-		if t := s.waiting[ticket{n.number, number}]; t != nil {
-			s.referee.ExecutionStarted(t.client.id, n.ID, s.now)
+func (s *simulation) settleNode(target *simNode) {
+	done := target.Advance(s.now)
+	for _, number := range target.TakeStarted() {
+		if attempt := s.waiting[ticket{target.number, number}]; attempt != nil {
+			s.referee.ExecutionStarted(attempt.request.id, target.ID, s.now)
 		}
 	}
-	if n.Overloaded() && !n.overloadReported {
-		n.overloadReported = true
-		if n.OverloadWasAvoidable() {
-			s.referee.SlowStartOverloaded(n.ID, s.now)
+	if target.Overloaded() && !target.overloadReported {
+		target.overloadReported = true
+		if target.OverloadWasAvoidable() {
+			s.referee.SlowStartOverloaded(target.ID, s.now)
 		}
 	}
-	for _, d := range done {
-		t := s.waiting[ticket{n.number, d.Ticket}]
-		if t == nil {
+	for _, finished := range done {
+		attempt := s.waiting[ticket{target.number, finished.Ticket}]
+		if attempt == nil {
 			continue
 		}
-		delete(s.waiting, t.ticket)
-		late := max(0, d.At-s.now)
+		delete(s.waiting, attempt.ticket)
+		delay := max(0, finished.At-s.now)
 		switch {
-		case n.Unresponsive():
-		case d.Expired:
-			s.sendBack(t, logic.Rejected, late)
-		case !d.OK:
-			s.sendBack(t, logic.Failed, late)
-		case d.Form != node.Intact:
-			s.sendBack(t, logic.Reset, late)
+		case target.Unresponsive():
+		case finished.Expired:
+			s.sendBack(attempt, logic.Rejected, delay)
+		case !finished.OK:
+			s.sendBack(attempt, logic.Failed, delay)
+		case finished.Form != node.Intact:
+			s.sendBack(attempt, logic.Reset, delay)
 		default:
-			s.referee.ResponseProduced(t.client.id, d.Ticket)
-			s.sendBack(t, logic.OK, late)
+			s.referee.ResponseProduced(attempt.request.id, finished.Ticket)
+			s.sendBack(attempt, logic.OK, delay)
 		}
 	}
 }
 
-func (s *simulation) oneWay(a *simAgent, n *simNode) time.Duration {
-	c := s.day.LinkTo(a.zone, n.Zone)
-	d := c.Delay
-	if c.Jitter > 0 {
-		d += time.Duration(s.rng.Int64N(int64(c.Jitter)))
+func (s *simulation) oneWay(agent *simAgent, n *simNode) time.Duration {
+	conditions := s.day.LinkTo(agent.zone, n.Zone)
+	delay := conditions.Delay
+	if conditions.Jitter > 0 {
+		delay += time.Duration(s.rng.Int64N(int64(conditions.Jitter)))
 	}
-	return d
+	return delay
 }
--- a/internal/experiment/simulation_truths.go
+++ b/internal/experiment/simulation_truths.go
@@ -32,36 +32,36 @@
 	})
 }
 
-// judgeRejection holds a refusal of what was sent nowhere against what was true.
-func (s *simulation) judgeRejection(a *simAgent) {
+// classifyRejection holds a refusal of what was sent nowhere against what was true.
+func (s *simulation) classifyRejection(agent *simAgent) {
 	s.truths.Rejected++
 	if !s.idleCore() {
 		return
 	}
 	s.truths.RejectedWithCapacity++
-	near, cold := false, true
-	for _, id := range a.balancer.SubsetIDs() {
-		if n := s.byID[id]; n != nil && n.idle() && !s.day.Partitioned(a.zone, n.Zone, s.now) {
-			near, cold = true, cold && n.SlowStartFraction() < 1
+	near, slowStart := false, true
+	for _, id := range agent.balancer.SubsetIDs() {
+		if n := s.byID[id]; n != nil && n.idle() && !s.day.Partitioned(agent.zone, n.Zone, s.now) {
+			near, slowStart = true, slowStart && n.SlowStartFraction() < 1
 		}
 	}
 	if near {
 		s.truths.RejectedNearCapacity++
-		if cold {
+		if slowStart {
 			s.truths.RejectedInSlowStart++
 		}
 	}
 }
 
-// judgeSend holds an attempt that has come to a node against what was true there.
-func (s *simulation) judgeSend(at *simAttempt) {
-	n := at.node
+// classifySend holds an attempt that has come to a node against what was true there.
+func (s *simulation) classifySend(attempt *simAttempt) {
+	n := attempt.node
 	s.truths.Sent++
 	if n.Unresponsive() {
 		s.truths.ToDead++
 		return
 	}
-	if n.HasCapacity() && n.Backlog() <= at.client.journey.Class.LatencyObjective {
+	if n.HasCapacity() && n.Backlog() <= attempt.request.call.Class.LatencyObjective {
 		return
 	}
 	s.truths.SentIntoOverload++
--- a/internal/experiment/spec.go
+++ b/internal/experiment/spec.go
@@ -39,8 +39,8 @@
 }
 
 const (
-	mostRepeats = 200
-	mostRuns    = 2000
+	maxRepeats = 200
+	maxRuns    = 2000
 )
 
 // Check puts in the defaults and says what is wrong.
@@ -53,14 +53,14 @@
 	if s.Seed == 0 {
 		s.Seed = 1
 	}
-	if s.Repeats < 1 || s.Repeats > mostRepeats {
-		wrong("repeats", "must be from 1 to %d, not %d", mostRepeats, s.Repeats)
+	if s.Repeats < 1 || s.Repeats > maxRepeats {
+		wrong("repeats", "must be from 1 to %d, not %d", maxRepeats, s.Repeats)
 	}
-	if len(s.Variants) == 0 || s.days() == 0 {
+	if len(s.Variants) == 0 || s.dayCount() == 0 {
 		wrong("name", "an experiment needs an [[arm]], and a [[day]] or a [[fleet_day]]")
 	}
-	if n := s.Repeats * len(s.Variants) * s.days(); n > mostRuns {
-		wrong("repeats", "%d runs are more than %d", n, mostRuns)
+	if n := s.Repeats * len(s.Variants) * s.dayCount(); n > maxRuns {
+		wrong("repeats", "%d runs are more than %d", n, maxRuns)
 	}
 	names := map[string]bool{}
 	for i, a := range s.Variants {
@@ -72,7 +72,7 @@
 		if a.Kind != AgentKind && NewChooser(a.Kind, 1) == nil {
 			wrong(key+"kind", "%q is none of agent, random, round-robin, two-choices, oracle and late", a.Kind)
 		}
-		if a.Kind == Late && !s.Simulated {
+		if a.Kind == DelayedOracle && !s.Simulated {
 			wrong(key+"kind", "only simulated time knows what was true before")
 		}
 		if a.Kind != AgentKind && (a.Binary != "" || len(a.Flags) > 0 || a.Operator != "") {
@@ -117,26 +117,26 @@
 			wrong(prefix+"kind", "a fleet's days need simulated time")
 		}
 	}
-	if late := slices.ContainsFunc(s.Variants, func(a VariantSpec) bool { return a.Kind == Late }); s.Gate && !late {
-		wrong("gate", "needs an arm of the kind %q", Late)
+	if late := slices.ContainsFunc(s.Variants, func(a VariantSpec) bool { return a.Kind == DelayedOracle }); s.Gate && !late {
+		wrong("gate", "needs an arm of the kind %q", DelayedOracle)
 	}
 	return errors.Join(all...)
 }
 
-// days is how many there are, those of fleets behind the others.
-func (s *Spec) days() int { return len(s.Days) + len(s.Fleets) }
+// dayCount is how many there are, those of fleets behind the others.
+func (s *Spec) dayCount() int { return len(s.Days) + len(s.Fleets) }
 
 // draw draws a day by its number.
-func (s *Spec) draw(d int, seed uint64) (*emulator.Scenario, error) {
-	if d < len(s.Days) {
-		return s.Days[d].Draw(seed)
+func (s *Spec) draw(index int, seed uint64) (*emulator.Scenario, error) {
+	if index < len(s.Days) {
+		return s.Days[index].Draw(seed)
 	}
-	spec := s.Fleets[d-len(s.Days)].Spec(seed)
+	spec := s.Fleets[index-len(s.Days)].Spec(seed)
 	return spec.Draw(seed)
 }
 
-// calm are the days without a fault, for the gate.
-func (s *Spec) calm() map[string]bool {
+// faultFreeDays are the days without a fault, for the gate.
+func (s *Spec) faultFreeDays() map[string]bool {
 	out := map[string]bool{}
 	for _, f := range s.Fleets {
 		out[f.Name] = f.Kind == emulator.CalmScenario
@@ -152,31 +152,31 @@
 	return nil
 }
 
-// arm is the arm of a file's entry; self is the path of this program.
-func (a VariantSpec) arm(self string) Variant {
-	out := Variant{Name: a.Name, Chooser: a.Kind}
-	if a.Kind == AgentKind {
-		binary := a.Binary
+// resolve is the arm of a file's entry; self is the path of this program.
+func (spec VariantSpec) resolve(self string) Variant {
+	variant := Variant{Name: spec.Name, Chooser: spec.Kind}
+	if spec.Kind == AgentKind {
+		binary := spec.Binary
 		if binary == "" {
 			binary = self
 		}
-		out.Chooser, out.Command = "", append([]string{binary, "agent"}, a.Flags...)
-		out.Operator = a.Operator
-		if a.Operator != "" {
-			out.Command = append(out.Command, "--operator", a.Operator)
+		variant.Chooser, variant.Command = "", append([]string{binary, "agent"}, spec.Flags...)
+		variant.Operator = spec.Operator
+		if spec.Operator != "" {
+			variant.Command = append(variant.Command, "--operator", spec.Operator)
 		}
-		out.Limits = emulator.DefaultLimits()
-		if a.MemoryMB > 0 {
-			out.Limits.MemoryMB = a.MemoryMB
+		variant.Limits = emulator.DefaultLimits()
+		if spec.MemoryMB > 0 {
+			variant.Limits.MemoryMB = spec.MemoryMB
 		}
-		if a.Sockets > 0 {
-			out.Limits.Sockets = a.Sockets
+		if spec.Sockets > 0 {
+			variant.Limits.Sockets = spec.Sockets
 		}
-		if a.Cores > 0 {
-			out.Limits.Cores = a.Cores
+		if spec.Cores > 0 {
+			variant.Limits.Cores = spec.Cores
 		}
 	}
-	return out
+	return variant
 }
 
 func (s *Spec) dayNames() (out []string) {
@@ -189,7 +189,7 @@
 	return out
 }
 
-func (s *Spec) armNames() (out []string) {
+func (s *Spec) variantNames() (out []string) {
 	for _, a := range s.Variants {
 		out = append(out, a.Name)
 	}
@@ -209,11 +209,11 @@
 		s.Seed = 1
 	}
 	s.Day.ApplyDefaults()
-	return errors.Join(s.Day.Check("day."), checkProcesses("day.", &s.Day), checkAlone(&s.Day))
+	return errors.Join(s.Day.Check("day."), checkProcesses("day.", &s.Day), checkStandalone(&s.Day))
 }
 
-// checkAlone refuses what befalls agents where somebody else starts them.
-func checkAlone(d *emulator.ScenarioSpec) error {
+// checkStandalone refuses what befalls agents where somebody else starts them.
+func checkStandalone(d *emulator.ScenarioSpec) error {
 	if len(d.Fleet.AgentFaults) > 0 || len(d.Fleet.Paths) > 0 {
 		return config.Wrong("day.fleet", "what befalls agents and the ways between them is played by experiments, which start the agents")
 	}
@@ -236,7 +236,7 @@
 	if len(s.Targets) > 0 {
 		s.Day.Agents = len(s.Targets)
 	}
-	return errors.Join(s.Day.Check("day."), checkProcesses("day.", &s.Day), checkAlone(&s.Day))
+	return errors.Join(s.Day.Check("day."), checkProcesses("day.", &s.Day), checkStandalone(&s.Day))
 }
 
 // FileKind is what a TOML file is, by its first tables: an experiment, a model of a fleet, an operators' file, a drill, a world or load.
--- a/internal/experiment/statistics.go
+++ b/internal/experiment/statistics.go
@@ -18,7 +18,7 @@
 	confidence = 0.95
 	resamples  = 4000
 	// With fewer pairs than this, resampling can't tell a difference from chance: the interval is too short.
-	leastPairs = 3
+	minPairs = 3
 )
 
 // bootstrap is the mean of samples and its interval. Equal samples give equal intervals.
@@ -65,7 +65,7 @@
 // verdict says what an interval of differences shows.
 func verdict(i Interval) string {
 	switch {
-	case i.N < leastPairs:
+	case i.N < minPairs:
 		return "too few"
 	case i.Low > 0:
 		return "higher"
@@ -75,8 +75,8 @@
 	return "noise"
 }
 
-// compared are the figures that arms are compared by.
-var compared = []struct {
+// comparedFigures are the figures that arms are compared by.
+var comparedFigures = []struct {
 	name string
 	of   func(Outcome) float64
 }{
@@ -87,33 +87,33 @@
 	{"p99_ms", func(o Outcome) float64 { return o.Latency["all"].P99 }},
 	{"attempts_per_request", func(o Outcome) float64 { return o.Attempts }},
 	{"waste", func(o Outcome) float64 { return o.Waste }},
-	{"probes_per_request", Outcome.probesEach},
-	{"refused_with_room", Outcome.falselyRefused},
+	{"probes_per_request", Outcome.healthChecksPerRequest},
+	{"refused_with_room", Outcome.rejectedWithCapacityFraction},
 	{"priced", func(o Outcome) float64 { return o.Priced }},
-	{"refused", Outcome.refused},
-	{"nodes_used", Outcome.nodesUsed},
+	{"refused", Outcome.rejectedFraction},
+	{"nodes_used", Outcome.minNodesUsed},
 	{"cold_peak", func(o Outcome) float64 { return o.SlowStartPeak }},
 	{"chokes", func(o Outcome) float64 { return float64(o.Chokes) }},
 	{"unheard", func(o Outcome) float64 { return float64(o.Account.Unnotified) }},
 	{"completed", func(o Outcome) float64 { return float64(o.Account.Completed) }},
-	{"surge_goodput", func(o Outcome) float64 { return o.surged().Goodput }},
+	{"surge_goodput", func(o Outcome) float64 { return o.surgeOrZero().Goodput }},
 }
 
-// surged is the day's surge; nothing of a day without one.
-func (o Outcome) surged() Surge {
+// surgeOrZero is the day's surge; nothing of a day without one.
+func (o Outcome) surgeOrZero() Surge {
 	if o.Surge == nil {
 		return Surge{}
 	}
 	return *o.Surge
 }
 
-// refused is the share of requests that were refused.
-func (o Outcome) refused() float64 {
+// rejectedFraction is the share of requests that were refused.
+func (o Outcome) rejectedFraction() float64 {
 	return float64(o.Account.Rejected) / max(1, float64(o.Account.Requests))
 }
 
-// nodesUsed is the share of the nodes that something came to, in the worst ten seconds on end.
-func (o Outcome) nodesUsed() float64 {
+// minNodesUsed is the share of the nodes that something came to, in the worst ten seconds on end.
+func (o Outcome) minNodesUsed() float64 {
 	least := 1.0
 	for i := 10; i <= len(o.Used); i++ {
 		least = min(least, mean(o.Used[i-10:i]))
@@ -121,21 +121,21 @@
 	return least
 }
 
-func (o Outcome) probesEach() float64 {
+func (o Outcome) healthChecksPerRequest() float64 {
 	return float64(o.HealthChecks) / max(1, float64(o.Account.Requests))
 }
 
-// falselyRefused is the share of all requests that were refused unsent while a node that their agent knew had a core free; 0
+// rejectedWithCapacityFraction is the share of all requests that were refused unsent while a node that their agent knew had a core free; 0
 // where the truth is not known.
-func (o Outcome) falselyRefused() float64 {
+func (o Outcome) rejectedWithCapacityFraction() float64 {
 	if o.Truths == nil {
 		return 0
 	}
 	return float64(o.Truths.RejectedWithCapacity) / max(1, float64(o.Account.Requests))
 }
 
-// intoJam is the share of attempts that came to a node which had to turn them away or held work for longer than their aim.
-func (o Outcome) intoJam() float64 {
+// sentIntoOverloadFraction is the share of attempts that came to a node which had to turn them away or held work for longer than their aim.
+func (o Outcome) sentIntoOverloadFraction() float64 {
 	if o.Truths == nil {
 		return 0
 	}
@@ -143,51 +143,51 @@
 }
 
 // differences compares every arm with the first, day by day, in pairs of one seed.
-func differences(outcomes []Outcome, days, arms []string) (out []Difference) {
+func differences(outcomes []Outcome, days, variants []string) (out []Difference) {
 	for _, day := range days {
-		for _, arm := range arms[1:] {
-			out = append(out, paired(bySeed(outcomes, day, arms[0]), bySeed(outcomes, day, arm), Difference{Day: day, Variant: arm, Baseline: arms[0]})...)
+		for _, variant := range variants[1:] {
+			out = append(out, pairedDifferences(bySeed(outcomes, day, variants[0]), bySeed(outcomes, day, variant), Difference{Day: day, Variant: variant, Baseline: variants[0]})...)
 		}
 	}
 	return out
 }
 
-// differencesFrom compares each arm with itself in the outcomes of another play of the same days and seeds, as by an earlier
+// differencesFromBaseline compares each arm with itself in the outcomes of another play of the same days and seeds, as by an earlier
 // program.
-func differencesFrom(before, outcomes []Outcome, days, arms []string) (out []Difference) {
+func differencesFromBaseline(baseline, outcomes []Outcome, days, variants []string) (out []Difference) {
 	for _, day := range days {
-		for _, arm := range arms {
-			out = append(out, paired(bySeed(before, day, arm), bySeed(outcomes, day, arm), Difference{Day: day, Variant: arm, Baseline: arm + " before"})...)
+		for _, variant := range variants {
+			out = append(out, pairedDifferences(bySeed(baseline, day, variant), bySeed(outcomes, day, variant), Difference{Day: day, Variant: variant, Baseline: variant + " before"})...)
 		}
 	}
 	return out
 }
 
-// paired compares two arms of a day by all figures, seed by seed.
-func paired(base, other map[uint64]Outcome, d Difference) (out []Difference) {
-	for _, f := range compared {
+// pairedDifferences compares two arms of a day by all figures, seed by seed.
+func pairedDifferences(base, variant map[uint64]Outcome, difference Difference) (out []Difference) {
+	for _, figure := range comparedFigures {
 		var diffs []float64
-		for seed, a := range base {
-			if b, ok := other[seed]; ok {
-				diffs = append(diffs, f.of(b)-f.of(a))
+		for seed, before := range base {
+			if after, ok := variant[seed]; ok {
+				diffs = append(diffs, figure.of(after)-figure.of(before))
 			}
 		}
 		if len(diffs) == 0 {
 			continue
 		}
 		slices.Sort(diffs) // the order of a map must not change the interval
-		d.Figure, d.Interval = f.name, bootstrap(diffs)
-		d.Verdict = verdict(d.Interval)
-		out = append(out, d)
+		difference.Figure, difference.Interval = figure.name, bootstrap(diffs)
+		difference.Verdict = verdict(difference.Interval)
+		out = append(out, difference)
 	}
 	return out
 }
 
-func bySeed(outcomes []Outcome, day, arm string) map[uint64]Outcome {
+func bySeed(outcomes []Outcome, day, variant string) map[uint64]Outcome {
 	out := map[uint64]Outcome{}
-	for _, o := range outcomes {
-		if o.Day == day && o.Variant == arm && !o.Interrupted {
-			out[o.Seed] = o
+	for _, outcome := range outcomes {
+		if outcome.Day == day && outcome.Variant == variant && !outcome.Interrupted {
+			out[outcome.Seed] = outcome
 		}
 	}
 	return out
@@ -227,46 +227,46 @@
 }
 
 // rows sums up each arm on each day.
-func rows(outcomes []Outcome, days, arms []string) (out []Row) {
+func rows(outcomes []Outcome, days, variants []string) (out []Row) {
 	for _, day := range days {
-		for _, arm := range arms {
-			r := Row{Day: day, Variant: arm, Held: true}
+		for _, variant := range variants {
+			row := Row{Day: day, Variant: variant, Held: true}
 			var service, goodput []float64
-			for _, o := range outcomes {
-				if o.Day != day || o.Variant != arm || o.Interrupted {
+			for _, outcome := range outcomes {
+				if outcome.Day != day || outcome.Variant != variant || outcome.Interrupted {
 					continue
 				}
-				r.Runs++
-				r.Held = r.Held && o.Account.RulesHold()
-				service = append(service, o.Overall)
-				r.Worst, r.Goal = r.Worst+o.WorstWindow, r.Goal+o.Goal
-				r.P50, r.P99 = r.P50+o.Latency["all"].P50, r.P99+o.Latency["all"].P99
-				r.Attempts, r.Waste, r.CPU = r.Attempts+o.Attempts, r.Waste+o.Waste, r.CPU+o.CPU
-				r.HealthChecks, r.HealthCheckWork, r.Lists = r.HealthChecks+o.probesEach(), r.HealthCheckWork+o.HealthCheckWork, r.Lists+float64(o.ListCalls)
-				r.RejectedWithCapacity, r.SentIntoOverload = r.RejectedWithCapacity+o.falselyRefused(), r.SentIntoOverload+o.intoJam()
-				r.Rejected, r.Used, r.Priced, r.SlowStartPeak = r.Rejected+o.refused(), r.Used+o.nodesUsed(), r.Priced+o.Priced, max(r.SlowStartPeak, o.SlowStartPeak)
-				r.Chokes, r.Completed = r.Chokes+float64(o.Chokes), r.Completed+float64(o.Account.Completed)
-				r.Unnotified += float64(o.Account.Unnotified)
-				r.TopPriorityServed, r.PassedOver = r.TopPriorityServed+o.TopPriorityServed, r.PassedOver+o.PassedOver
-				if s := o.surged(); r.RecoverySeconds >= 0 && s.Back >= 0 {
-					r.RecoverySeconds = max(r.RecoverySeconds, s.Back)
+				row.Runs++
+				row.Held = row.Held && outcome.Account.RulesHold()
+				service = append(service, outcome.Overall)
+				row.Worst, row.Goal = row.Worst+outcome.WorstWindow, row.Goal+outcome.Goal
+				row.P50, row.P99 = row.P50+outcome.Latency["all"].P50, row.P99+outcome.Latency["all"].P99
+				row.Attempts, row.Waste, row.CPU = row.Attempts+outcome.Attempts, row.Waste+outcome.Waste, row.CPU+outcome.CPU
+				row.HealthChecks, row.HealthCheckWork, row.Lists = row.HealthChecks+outcome.healthChecksPerRequest(), row.HealthCheckWork+outcome.HealthCheckWork, row.Lists+float64(outcome.ListCalls)
+				row.RejectedWithCapacity, row.SentIntoOverload = row.RejectedWithCapacity+outcome.rejectedWithCapacityFraction(), row.SentIntoOverload+outcome.sentIntoOverloadFraction()
+				row.Rejected, row.Used, row.Priced, row.SlowStartPeak = row.Rejected+outcome.rejectedFraction(), row.Used+outcome.minNodesUsed(), row.Priced+outcome.Priced, max(row.SlowStartPeak, outcome.SlowStartPeak)
+				row.Chokes, row.Completed = row.Chokes+float64(outcome.Chokes), row.Completed+float64(outcome.Account.Completed)
+				row.Unnotified += float64(outcome.Account.Unnotified)
+				row.TopPriorityServed, row.PassedOver = row.TopPriorityServed+outcome.TopPriorityServed, row.PassedOver+outcome.PassedOver
+				if surge := outcome.surgeOrZero(); row.RecoverySeconds >= 0 && surge.Back >= 0 {
+					row.RecoverySeconds = max(row.RecoverySeconds, surge.Back)
 				} else {
-					r.RecoverySeconds = -1
+					row.RecoverySeconds = -1
 				}
-				goodput = append(goodput, o.surged().Goodput)
-				if o.Truths != nil {
-					r.RejectedNearCapacity += float64(o.Truths.RejectedNearCapacity) / max(1, float64(o.Account.Requests))
+				goodput = append(goodput, outcome.surgeOrZero().Goodput)
+				if outcome.Truths != nil {
+					row.RejectedNearCapacity += float64(outcome.Truths.RejectedNearCapacity) / max(1, float64(outcome.Account.Requests))
 				}
 			}
-			if r.Runs == 0 {
+			if row.Runs == 0 {
 				continue
 			}
-			r.Service, r.Goodput = bootstrap(service), bootstrap(goodput)
-			n := float64(r.Runs)
-			for _, x := range []*float64{&r.Worst, &r.Goal, &r.P50, &r.P99, &r.Attempts, &r.Waste, &r.CPU, &r.HealthChecks, &r.HealthCheckWork, &r.Lists, &r.RejectedWithCapacity, &r.SentIntoOverload, &r.Rejected, &r.RejectedNearCapacity, &r.Used, &r.Priced, &r.Chokes, &r.Completed, &r.Unnotified, &r.TopPriorityServed, &r.PassedOver} {
-				*x /= n
+			row.Service, row.Goodput = bootstrap(service), bootstrap(goodput)
+			runs := float64(row.Runs)
+			for _, sum := range []*float64{&row.Worst, &row.Goal, &row.P50, &row.P99, &row.Attempts, &row.Waste, &row.CPU, &row.HealthChecks, &row.HealthCheckWork, &row.Lists, &row.RejectedWithCapacity, &row.SentIntoOverload, &row.Rejected, &row.RejectedNearCapacity, &row.Used, &row.Priced, &row.Chokes, &row.Completed, &row.Unnotified, &row.TopPriorityServed, &row.PassedOver} {
+				*sum /= runs
 			}
-			out = append(out, r)
+			out = append(out, row)
 		}
 	}
 	return out
--- a/internal/experiment/surge.go
+++ b/internal/experiment/surge.go
@@ -19,67 +19,67 @@
 	Back    float64 `json:"back_s"`  // seconds from its end until service is at 0.9 of Before for three seconds on end; below 0 where it never is
 }
 
-// onset is how long a surge has lasted when its goodput begins to count.
-const onset = time.Second
+// goodputWarmUp is how long a surge has lasted when its goodput begins to count.
+const goodputWarmUp = time.Second
 
 const (
-	backTo  = 0.9
-	backFor = 3 // seconds on end
+	recoveredFraction = 0.9
+	recoveredSeconds  = 3 // seconds on end
 )
 
-// surgeOf is the number of the shift that is a day's surge; -1 where it has none.
-func surgeOf(day *emulator.Scenario) int {
+// surgeShift is the number of the shift that is a day's surge; -1 where it has none.
+func surgeShift(day *emulator.Scenario) int {
 	return slices.IndexFunc(day.Spec.Fleet.TrafficShifts, func(s emulator.TrafficShiftSpec) bool { return s.Zone == "" && s.Factor > 1 })
 }
 
-// surge sums up a day's surge; nil where it has none, or where nobody looked at the nodes.
-func surge(day *emulator.Scenario, o Outcome) *Surge {
-	i := surgeOf(day)
-	if i < 0 || len(o.Series.Goodput) == 0 {
+// summarizeSurge sums up a day's surge; nil where it has none, or where nobody looked at the nodes.
+func summarizeSurge(day *emulator.Scenario, outcome Outcome) *Surge {
+	shiftIndex := surgeShift(day)
+	if shiftIndex < 0 || len(outcome.Series.Goodput) == 0 {
 		return nil
 	}
-	shift := day.Spec.Fleet.TrafficShifts[i]
-	s := &Surge{Offered: day.Spec.Load * shift.Factor, Back: -1}
-	from, to := int((shift.From.D()+onset)/time.Second), int(shift.To.D()/time.Second)
-	if g := o.Series.Goodput; from < to && from < len(g) {
-		s.Goodput = mean(g[from:min(to, len(g))])
+	shift := day.Spec.Fleet.TrafficShifts[shiftIndex]
+	result := &Surge{Offered: day.Spec.Load * shift.Factor, Back: -1}
+	fromSecond, toSecond := int((shift.From.D()+goodputWarmUp)/time.Second), int(shift.To.D()/time.Second)
+	if goodput := outcome.Series.Goodput; fromSecond < toSecond && fromSecond < len(goodput) {
+		result.Goodput = mean(goodput[fromSecond:min(toSecond, len(goodput))])
 	}
 	service := func(second int) float64 {
-		if second < 0 || second >= len(o.Series.Service) || o.Series.Service[second] == nil {
+		if second < 0 || second >= len(outcome.Series.Service) || outcome.Series.Service[second] == nil {
 			return 1
 		}
-		return *o.Series.Service[second]
+		return *outcome.Series.Service[second]
 	}
 	start := int(shift.From.D() / time.Second)
-	s.Before = mean([]float64{service(start - 1), service(start - 2), service(start - 3)})
-	for second := to; second+backFor <= len(o.Series.Service); second++ {
-		well := true
-		for k := range backFor {
-			well = well && service(second+k) >= backTo*s.Before
+	result.Before = mean([]float64{service(start - 1), service(start - 2), service(start - 3)})
+	for second := toSecond; second+recoveredSeconds <= len(outcome.Series.Service); second++ {
+		recovered := true
+		for k := range recoveredSeconds {
+			recovered = recovered && service(second+k) >= recoveredFraction*result.Before
 		}
-		if well {
-			s.Back = float64(second - to)
+		if recovered {
+			result.Back = float64(second - toSecond)
 			break
 		}
 	}
-	return s
+	return result
 }
 
 // offeredPlots are goodput, and attempts at nodes a request, against what was offered in the days' surges, an arm a line; none
 // where fewer than two days have a surge.
-func offeredPlots(outcomes []Outcome, arms []string) []named {
+func offeredPlots(outcomes []Outcome, variants []string) []namedPlot {
 	goodput, attempts := newPlot("goodput in the surge, of what the nodes can do", "share"), newPlot("attempts at nodes, a request", "attempts")
 	points := 0
-	for i, arm := range arms {
+	for i, variant := range variants {
 		good, sent := map[float64][]float64{}, map[float64][]float64{}
-		for _, o := range outcomes {
-			if o.Variant == arm && o.Surge != nil && !o.Interrupted {
-				good[o.Surge.Offered] = append(good[o.Surge.Offered], o.Surge.Goodput)
-				sent[o.Surge.Offered] = append(sent[o.Surge.Offered], o.Attempts)
+		for _, outcome := range outcomes {
+			if outcome.Variant == variant && outcome.Surge != nil && !outcome.Interrupted {
+				good[outcome.Surge.Offered] = append(good[outcome.Surge.Offered], outcome.Surge.Goodput)
+				sent[outcome.Surge.Offered] = append(sent[outcome.Surge.Offered], outcome.Attempts)
 			}
 		}
-		addMeans(goodput, arm, palette()[i%len(palette())], good)
-		addMeans(attempts, arm, palette()[i%len(palette())], sent)
+		addMeans(goodput, variant, palette()[i%len(palette())], good)
+		addMeans(attempts, variant, palette()[i%len(palette())], sent)
 		points = max(points, len(good))
 	}
 	if points < 2 {
@@ -91,7 +91,7 @@
 		p.Y.Min = 0
 		p.X.Max *= legendRoom
 	}
-	return []named{{"surge-goodput", goodput}, {"surge-attempts", attempts}}
+	return []namedPlot{{"surge-goodput", goodput}, {"surge-attempts", attempts}}
 }
 
 // addMeans adds a line through the means by x, and each sample as a point.
@@ -104,15 +104,15 @@
 		}
 	}
 	slices.SortFunc(line, func(a, b plotter.XY) int { return int(1e6 * (a.X - b.X)) })
-	l, err := plotter.NewLine(line)
+	means, err := plotter.NewLine(line)
 	if err != nil {
 		return
 	}
-	s, err := plotter.NewScatter(all)
+	samples, err := plotter.NewScatter(all)
 	if err != nil {
 		return
 	}
-	l.Color, s.Color = c, c
-	p.Add(l, s)
-	p.Legend.Add(name, l)
+	means.Color, samples.Color = c, c
+	p.Add(means, samples)
+	p.Legend.Add(name, means)
 }
--- a/internal/experiment/views.go
+++ b/internal/experiment/views.go
@@ -44,10 +44,10 @@
 
 // peerView is what an agent told of its peers.
 type peerView struct {
-	at    time.Duration // of the day
-	names []string
-	bytes int64
-	more  peerMetrics
+	at        time.Duration // of the day
+	names     []string
+	bytesSent int64
+	metrics   peerMetrics
 
 	overload *overloadMetrics // of its budget; nil without one
 }
@@ -58,9 +58,9 @@
 	Digest   string   `json:"digest"`
 	HeldBack int64    `json:"held_back"`
 	Facts    struct {
-		Held    int   `json:"held"`
-		Refused int64 `json:"refused"`
-		Evicted int64 `json:"evicted"`
+		Held     int   `json:"held"`
+		Rejected int64 `json:"refused"`
+		Evicted  int64 `json:"evicted"`
 	} `json:"facts"`
 	Notices struct {
 		Count int64         `json:"count"`
@@ -70,26 +70,26 @@
 }
 
 const (
-	lookAtPeers = 250 * time.Millisecond
-	lookFor     = 200 * time.Millisecond // at one agent: a paused one does not answer
+	peerSampleInterval = 250 * time.Millisecond
+	peerSampleTimeout  = 200 * time.Millisecond // at one agent: a paused one does not answer
 )
 
 // samplePeers asks each agent for its view again and again, until the context ends.
 func (p *scenarioRun) samplePeers(ctx context.Context) {
-	client := &http.Client{Timeout: lookFor, Transport: &http.Transport{MaxIdleConnsPerHost: 1}}
+	client := &http.Client{Timeout: peerSampleTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: 1}}
 	defer client.CloseIdleConnections()
 	p.peerViews = make([][]peerView, len(p.agents))
 	began := time.Now()
 	var all sync.WaitGroup
 	defer all.Wait()
-	for i, a := range p.agents {
+	for i, agent := range p.agents {
 		all.Go(func() {
-			tick := time.NewTicker(lookAtPeers)
+			tick := time.NewTicker(peerSampleInterval)
 			defer tick.Stop()
 			for {
-				if s, err := seen(ctx, client, a.Control); err == nil {
-					s.at = time.Since(began)
-					p.peerViews[i] = append(p.peerViews[i], s)
+				if view, err := fetchPeerView(ctx, client, agent.Control); err == nil {
+					view.at = time.Since(began)
+					p.peerViews[i] = append(p.peerViews[i], view)
 				}
 				select {
 				case <-ctx.Done():
@@ -101,163 +101,163 @@
 	}
 }
 
-func seen(ctx context.Context, client *http.Client, control string) (s peerView, err error) {
+func fetchPeerView(ctx context.Context, client *http.Client, control string) (view peerView, err error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+control+"/v1/metrics", nil)
 	if err != nil {
-		return s, err
+		return view, err
 	}
 	resp, err := client.Do(req)
 	if err != nil {
-		return s, err
+		return view, err
 	}
 	defer resp.Body.Close()
-	var m struct {
+	var metrics struct {
 		Peers    *peerMetrics     `json:"peers"`
 		Overload *overloadMetrics `json:"overload"`
 	}
-	if err := json.NewDecoder(resp.Body).Decode(&m); err != nil {
-		return s, err
+	if err := json.NewDecoder(resp.Body).Decode(&metrics); err != nil {
+		return view, err
 	}
-	s.overload = m.Overload
-	if m.Peers != nil {
-		s.names, s.bytes, s.more = m.Peers.Names, m.Peers.Bytes, *m.Peers
+	view.overload = metrics.Overload
+	if metrics.Peers != nil {
+		view.names, view.bytesSent, view.metrics = metrics.Peers.Names, metrics.Peers.Bytes, *metrics.Peers
 	}
-	return s, nil
+	return view, nil
 }
 
-// ending is the end of a fault.
-type ending struct {
+// faultEnd is the end of a fault.
+type faultEnd struct {
 	fault string
 	at    time.Duration
 }
 
-// endings are those of the day's faults between and of agents, in order; the beginning of the day is the first.
-func endings(day *emulator.Scenario) []ending {
-	out := []ending{{"the start", 0}}
+// faultEnds are those of the day's faults between and of agents, in order; the beginning of the day is the first.
+func faultEnds(day *emulator.Scenario) []faultEnd {
+	out := []faultEnd{{"the start", 0}}
 	for _, p := range day.Spec.Fleet.Paths {
-		out = append(out, ending{p.String(), p.To.D()})
+		out = append(out, faultEnd{p.String(), p.To.D()})
 	}
-	by := map[ending]int{}
+	agentFaults := map[faultEnd]int{}
 	for _, t := range day.AgentFaults {
-		by[ending{t.Kind, t.At + t.Duration}]++
+		agentFaults[faultEnd{t.Kind, t.At + t.Duration}]++
 	}
-	for e, n := range by {
-		out = append(out, ending{fmt.Sprintf("%s of %d", e.fault, n), e.at})
+	for e, n := range agentFaults {
+		out = append(out, faultEnd{fmt.Sprintf("%s of %d", e.fault, n), e.at})
 	}
-	slices.SortFunc(out, func(a, b ending) int { return int(a.at - b.at) })
+	slices.SortFunc(out, func(a, b faultEnd) int { return int(a.at - b.at) })
 	return out
 }
 
-// views sums up what the agents saw. All agents are there after each ending, but for those that a later fault has away: the
+// summarizeViews sums up what the agents saw. All agents are there after each ending, but for those that a later fault has away: the
 // time until the next fault's beginning counts.
-func views(day *emulator.Scenario, sights [][]peerView) *Views {
-	v := &Views{Agents: len(day.Agents)}
-	all := len(day.Agents) + len(day.Spec.Fleet.ByzantinePeers)
-	whole := func(s peerView) bool { return len(s.names) == all-1 }
-	ends := endings(day)
-	for i, e := range ends {
+func summarizeViews(day *emulator.Scenario, peerViews [][]peerView) *Views {
+	views := &Views{Agents: len(day.Agents)}
+	members := len(day.Agents) + len(day.Spec.Fleet.ByzantinePeers)
+	seesAll := func(s peerView) bool { return len(s.names) == members-1 }
+	ends := faultEnds(day)
+	for i, end := range ends {
 		limit := day.Length
 		if i+1 < len(ends) {
 			limit = ends[i+1].at
 		}
-		h := Healed{Fault: e.fault, At: e.at.Seconds(), Least: all - 1}
+		healed := Healed{Fault: end.fault, At: end.at.Seconds(), Least: members - 1}
 		since := time.Duration(0)
 		if i > 0 {
 			since = ends[i-1].at
 		}
-		var took []float64
-		for _, each := range sights {
-			for _, s := range each {
-				if s.at >= since && s.at < e.at {
-					h.Least = min(h.Least, len(s.names))
+		var delays []float64
+		for _, agentViews := range peerViews {
+			for _, s := range agentViews {
+				if s.at >= since && s.at < end.at {
+					healed.Least = min(healed.Least, len(s.names))
 				}
 			}
-			k := slices.IndexFunc(each, func(s peerView) bool { return s.at >= e.at && s.at < limit && whole(s) })
+			k := slices.IndexFunc(agentViews, func(s peerView) bool { return s.at >= end.at && s.at < limit && seesAll(s) })
 			if k < 0 {
-				h.Never++
+				healed.Never++
 				continue
 			}
-			took = append(took, (each[k].at - e.at).Seconds())
+			delays = append(delays, (agentViews[k].at - end.at).Seconds())
 		}
-		if len(took) > 0 {
-			slices.Sort(took)
-			h.Median, h.Worst = took[len(took)/2], took[len(took)-1]
+		if len(delays) > 0 {
+			slices.Sort(delays)
+			healed.Median, healed.Worst = delays[len(delays)/2], delays[len(delays)-1]
 		}
-		v.Healed = append(v.Healed, h)
+		views.Healed = append(views.Healed, healed)
 	}
 	var sum time.Duration
-	for _, each := range sights {
-		if len(each) < 2 {
+	for _, agentViews := range peerViews {
+		if len(agentViews) < 2 {
 			continue
 		}
-		last := each[len(each)-1]
-		if whole(last) {
-			v.Whole += 1 / float64(len(day.Agents))
+		last := agentViews[len(agentViews)-1]
+		if seesAll(last) {
+			views.Whole += 1 / float64(len(day.Agents))
 		}
 		var bytes, span float64
-		for k := 1; k < len(each); k++ {
-			if d := each[k].bytes - each[k-1].bytes; d >= 0 { // else another process began in between
-				bytes, span = bytes+float64(d), span+(each[k].at-each[k-1].at).Seconds()
+		for k := 1; k < len(agentViews); k++ {
+			if d := agentViews[k].bytesSent - agentViews[k-1].bytesSent; d >= 0 { // else another process began in between
+				bytes, span = bytes+float64(d), span+(agentViews[k].at-agentViews[k-1].at).Seconds()
 			}
 		}
-		v.MeanBytesPerSecond += bytes / span / float64(len(day.Agents))
-		v.MaxBytesPerSecond = max(v.MaxBytesPerSecond, bytes/span)
-		v.Notices += last.more.Notices.Count
-		sum += last.more.Notices.Sum
-		v.NoticeMaxMS = max(v.NoticeMaxMS, float64(last.more.Notices.Most.Microseconds())/1e3)
-		v.Withheld += last.more.HeldBack
-		v.FactsRejected, v.FactsEvicted = v.FactsRejected+last.more.Facts.Refused, v.FactsEvicted+last.more.Facts.Evicted
-		for _, s := range each {
-			v.Facts = max(v.Facts, s.more.Facts.Held)
+		views.MeanBytesPerSecond += bytes / span / float64(len(day.Agents))
+		views.MaxBytesPerSecond = max(views.MaxBytesPerSecond, bytes/span)
+		views.Notices += last.metrics.Notices.Count
+		sum += last.metrics.Notices.Sum
+		views.NoticeMaxMS = max(views.NoticeMaxMS, float64(last.metrics.Notices.Most.Microseconds())/1e3)
+		views.Withheld += last.metrics.HeldBack
+		views.FactsRejected, views.FactsEvicted = views.FactsRejected+last.metrics.Facts.Rejected, views.FactsEvicted+last.metrics.Facts.Evicted
+		for _, s := range agentViews {
+			views.Facts = max(views.Facts, s.metrics.Facts.Held)
 		}
 	}
-	v.Copies, v.CopiesLast = copies(sights)
-	if v.Notices > 0 {
-		v.NoticeMeanMS = float64(sum.Microseconds()) / 1e3 / float64(v.Notices)
+	views.Copies, views.CopiesLast = countCopies(peerViews)
+	if views.Notices > 0 {
+		views.NoticeMeanMS = float64(sum.Microseconds()) / 1e3 / float64(views.Notices)
 	}
-	return v
+	return views
 }
 
-// copies is how many different copies of what is known of servers' ends the agents held, at the look with the most of them and at the
+// countCopies is how many different copies of what is known of servers' ends the agents held, at the look with the most of them and at the
 // last that all took.
-func copies(sights [][]peerView) (most, last int) {
-	looks := map[int]map[string]int{}
-	for _, each := range sights {
-		for _, s := range each {
-			n := int(s.at / lookAtPeers)
-			if looks[n] == nil {
-				looks[n] = map[string]int{}
+func countCopies(peerViews [][]peerView) (most, last int) {
+	digestsByTick := map[int]map[string]int{}
+	for _, agentViews := range peerViews {
+		for _, s := range agentViews {
+			tick := int(s.at / peerSampleInterval)
+			if digestsByTick[tick] == nil {
+				digestsByTick[tick] = map[string]int{}
 			}
-			looks[n][s.more.Digest]++
+			digestsByTick[tick][s.metrics.Digest]++
 		}
 	}
-	at := -1
-	for n, by := range looks {
-		most = max(most, len(by))
-		told := 0
-		for _, k := range by {
-			told += k
+	lastTick := -1
+	for tick, digests := range digestsByTick {
+		most = max(most, len(digests))
+		reporting := 0
+		for _, k := range digests {
+			reporting += k
 		}
-		if told >= len(sights) && n > at {
-			at, last = n, len(by)
+		if reporting >= len(peerViews) && tick > lastTick {
+			lastTick, last = tick, len(digests)
 		}
 	}
 	return most, last
 }
 
-// talkPlots are bytes a second of an agent, and how long the last agent took to see all others after a fault, against the number
+// gossipPlots are bytes a second of an agent, and how long the last agent took to see all others after a fault, against the number
 // of agents; none where fewer than two numbers were played.
-func talkPlots(outcomes []Outcome) []named {
+func gossipPlots(outcomes []Outcome) []namedPlot {
 	bytes, heals := newPlot("bytes a second that an agent sent its peers", "bytes a second"), newPlot("after a fault: until all see all others", "seconds")
 	sent, last, median := map[float64][]float64{}, map[float64][]float64{}, map[float64][]float64{}
-	for _, o := range outcomes {
-		if o.Views == nil || o.Interrupted {
+	for _, outcome := range outcomes {
+		if outcome.Views == nil || outcome.Interrupted {
 			continue
 		}
-		n := float64(o.Views.Agents)
-		sent[n] = append(sent[n], o.Views.MeanBytesPerSecond)
-		for _, h := range o.Views.Healed[1:] {
-			last[n], median[n] = append(last[n], h.Worst), append(median[n], h.Median)
+		agents := float64(outcome.Views.Agents)
+		sent[agents] = append(sent[agents], outcome.Views.MeanBytesPerSecond)
+		for _, h := range outcome.Views.Healed[1:] {
+			last[agents], median[agents] = append(last[agents], h.Worst), append(median[agents], h.Median)
 		}
 	}
 	if len(sent) < 2 {
@@ -270,5 +270,5 @@
 		p.X.Label.Text, p.Y.Min = "agents", 0
 		p.X.Max *= legendRoom
 	}
-	return []named{{"peers-bytes", bytes}, {"peers-heals", heals}}
+	return []namedPlot{{"peers-bytes", bytes}, {"peers-heals", heals}}
 }
--- a/internal/experiment/whole_fleet_test.go
+++ b/internal/experiment/whole_fleet_test.go
@@ -15,7 +15,7 @@
 // Each kind of a whole fleet's day, small, with the real decisions: it passes the gate, cold nodes are in use and get less than topples
 // them, and it is the same when played again.
 func TestWholeFleetDays(t *testing.T) {
-	arms := []VariantSpec{{Name: "agent", Kind: AgentKind}, {Name: "late", Kind: Late}, {Name: "random", Kind: Random}}
+	arms := []VariantSpec{{Name: "agent", Kind: AgentKind}, {Name: "late", Kind: DelayedOracle}, {Name: "random", Kind: Random}}
 	for _, kind := range []string{emulator.CalmScenario, emulator.RolloutScenario, emulator.ThunderingHerdScenario, emulator.ZoneOutageScenario, emulator.PartitionScenario, emulator.ChurnScenario} {
 		t.Run(kind, func(t *testing.T) {
 			t.Parallel()
@@ -33,7 +33,7 @@
 				if a.Kind == Random && kind != emulator.CalmScenario {
 					continue // only a calm day is held against it
 				}
-				outcomes = append(outcomes, simulate(t, day, a.arm("agent")))
+				outcomes = append(outcomes, simulate(t, day, a.resolve("agent")))
 			}
 			for _, r := range gate(outcomes, arms, map[string]bool{kind: kind == emulator.CalmScenario}) {
 				if !r.Passed {
@@ -41,8 +41,8 @@
 				}
 			}
 			o := outcomes[0]
-			if o.SlowStartPeak > 0.8 || o.nodesUsed() < 0.75 || o.Overall < 0.85 {
-				t.Errorf("cold peak %.2f, nodes used %.2f, service %.3f", o.SlowStartPeak, o.nodesUsed(), o.Overall)
+			if o.SlowStartPeak > 0.8 || o.minNodesUsed() < 0.75 || o.Overall < 0.85 {
+				t.Errorf("cold peak %.2f, nodes used %.2f, service %.3f", o.SlowStartPeak, o.minNodesUsed(), o.Overall)
 			}
 		})
 	}
@@ -50,7 +50,7 @@
 
 // A gate fails what breaks a rule, what leaves a request without an end and what serves too little, and a calm day wants more.
 func TestGate(t *testing.T) {
-	arms := []VariantSpec{{Name: "a", Kind: AgentKind}, {Name: "l", Kind: Late}, {Name: "r", Kind: Random}}
+	arms := []VariantSpec{{Name: "a", Kind: AgentKind}, {Name: "l", Kind: DelayedOracle}, {Name: "r", Kind: Random}}
 	play := func(calm bool, served float64, change func(*referee.Account)) GateRow {
 		o := Outcome{Day: "d", Variant: "a", Seed: 1, Account: referee.Account{Requests: 2, Completed: 1, Rejected: 1}}
 		o.Overall = served
@@ -91,7 +91,7 @@
 	if err != nil || h.Played != 2 || !strings.Contains(said, "2 days played") {
 		t.Fatalf("%+v, %v: %s", h, err, said)
 	}
-	f, err := keepPrey(7, "too little\nbecause", dir)
+	f, err := saveFound(7, "too little\nbecause", dir)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -104,7 +104,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := prey(7)
+	p := randomFleet(7)
 	first := p.Spec(7)
 	if want, err := first.Draw(7); err != nil || len(day.Plan) != len(want.Plan) || !slices.Equal(day.Faults, want.Faults) || !slices.Equal(day.AgentFaults, want.AgentFaults) {
 		t.Errorf("the file draws another day: %v", err)
