--- a/internal/experiment/byzantine.go
+++ b/internal/experiment/byzantine.go
@@ -17,22 +17,22 @@
 	"ryeweir/internal/fleetstate/membership"
 )
 
-// byzantinePeer is a stand-in for a peer that is wrong about all that it tells: a member of the agents' fleet without an agent.
+// byzantinePeer is a member of the agents' fleet without an agent: all that it sends is false.
 type byzantinePeer struct {
 	spec              emulator.ByzantinePeerSpec
 	name              string
 	world             *emulator.World
 	member            *membership.Member
 	clock             fleetstate.HybridClock
-	topPriorityWeight float64 // worth of the worthiest class
+	topPriorityWeight float64 // highest priority weight of all classes
 }
 
-// byzantineName is the host of a day's liar.
+// byzantineName is the host name of a day's i-th byzantine peer.
 func byzantineName(i int) string { return fmt.Sprint("liar-", i) }
 
 const falseFactInterval = 100 * time.Millisecond
 
-// newByzantinePeer lets a liar in among the peers; at are its arguments as an agent would get them.
+// newByzantinePeer starts a byzantine peer. cfg is its membership configuration, as an agent would get it.
 func newByzantinePeer(world *emulator.World, spec emulator.ByzantinePeerSpec, name string, cfg membership.Config, settings operator.Peers) (*byzantinePeer, error) {
 	peer := &byzantinePeer{spec: spec, name: name, world: world}
 	for _, c := range world.Scenario.Classes {
@@ -49,7 +49,7 @@
 func (l *byzantinePeer) Facts() []fleetstate.Fact                         { return nil }
 func (l *byzantinePeer) UpdatePeerState(string, uint64, budget.PeerState) {}
 
-// run is among the peers and lies, each at its time, until the context ends.
+// run is a member until the context ends, and sends its false facts and state in the interval that the day has for it.
 func (l *byzantinePeer) run(ctx context.Context) {
 	ended := make(chan struct{})
 	go func() { l.member.Run(ctx); close(ended) }()
--- a/internal/experiment/choose.go
+++ b/internal/experiment/choose.go
@@ -1,5 +1,3 @@
-// Package experiment plays days with one or more arms and says how they differ: agents against callers that choose nodes by
-// themselves, on sockets or in simulated time.
 package experiment
 
 import (
@@ -11,39 +9,39 @@
 	"ryeweir/internal/emulator/callers"
 )
 
-// View is a node as a caller that chooses by itself sees it.
+// View is a node as a client-side chooser sees it.
 type View struct {
 	ID       string
-	InFlight int // the chooser's own requests there
+	InFlight int // the chooser's own requests at the node
 	Truth    *Truth
 }
 
 // Truth is what only the emulator knows of a node.
 type Truth struct {
-	Capacity        float64 // work a second at present
+	Capacity        float64 // cores' worth of work that it can do at present, in seconds a second
 	Cores           int
-	Backlog         time.Duration // until all that it holds is done
-	HasCapacity     bool          // another request would find a place
-	FailureFraction float64       // share of what is sent that comes to nothing
-	OneWayDelay     time.Duration // one way
+	Backlog         time.Duration // time until all requests that it holds are done
+	HasCapacity     bool          // its queue has room for another request
+	FailureFraction float64       // fraction of the requests that fail
+	OneWayDelay     time.Duration // of the network, from the caller
 }
 
-// Chooser chooses a node for a try, or -1. tried are the nodes that the request has been to. It is used by one goroutine at
-// a time.
+// Chooser returns the index of a node for an attempt, or -1 for none. tried are the nodes of the request's earlier attempts. It is used by
+// one goroutine at a time.
 type Chooser interface {
 	Choose(nodes []View, p callers.PlannedRequest, tried []string) int
 }
 
-// The reference arms.
+// The kinds of reference variants.
 const (
 	Random        = "random"      // any node
-	RoundRobin    = "round-robin" // one after the other
-	TwoChoices    = "two-choices" // of two drawn evenly, the one with less of its own in flight
-	Oracle        = "oracle"      // sees the true state of all nodes, for all callers together
-	DelayedOracle = "late"        // likewise, as it was a while ago, and knows what has been sent since; in simulated time only
+	RoundRobin    = "round-robin" // each node in turn
+	TwoChoices    = "two-choices" // of two random nodes the one with fewer of its own requests in flight
+	Oracle        = "oracle"      // sees the true state of all nodes; one chooser serves all callers
+	DelayedOracle = "late"        // the oracle with a state of delayedViewAge ago and the work sent since; in simulated time only
 )
 
-// NewChooser returns the chooser of a reference arm, or nil for a name that is none.
+// NewChooser returns the chooser of a reference variant, or nil for an unknown kind.
 func NewChooser(name string, seed uint64) Chooser {
 	rng := rand.New(rand.NewPCG(seed, 0x63686f6f))
 	switch name {
@@ -59,7 +57,7 @@
 	return nil
 }
 
-// untried are the nodes that were not tried, or all where all were.
+// untried returns the indices of the nodes that were not tried, or of all where all were.
 func untried(nodes []View, tried []string) []int {
 	var out, all []int
 	for i, n := range nodes {
@@ -108,12 +106,11 @@
 	return a
 }
 
-// oracle sends where the answer will come soonest, by the true state, the true work and the keys that it sent there itself.
-// Where no answer would come in time it does not send at all; and what is worth less than the rest for its work is not sent
-// where it would make others wait.
+// oracle chooses the node with the lowest expected latency, by the true state, the true work and the keys that it sent there itself.
+// A request of low priority weight for its work is not sent to a queue: it would delay the others.
 type oracle struct {
-	lastByKey   map[string]keySighting // where a key was sent last
-	meanDensity float64                // mean worth for the work, lately
+	lastByKey   map[string]keySighting // where and when a key was sent last
+	meanDensity float64                // moving average of priority weight over seconds of work
 }
 
 type keySighting struct {
@@ -122,10 +119,10 @@
 }
 
 const (
-	keyLifetime        = 5 * time.Second // how long the oracle takes a key for known
+	keyLifetime        = 5 * time.Second // how long after a request the oracle takes its key as cached at the node
 	keyedWorkReduction = 0.5
 	maxKeys            = 1 << 16
-	// Work that is worth less than half of the mean waits for no more than this: more would delay the rest beyond its aim.
+	// Requests below half of the mean density wait for no longer than this: more would delay the rest beyond its latency objective.
 	maxLowDensityWait = 60 * time.Millisecond
 )
 
--- a/internal/experiment/choosers.go
+++ b/internal/experiment/choosers.go
@@ -17,7 +17,7 @@
 	return p.world.Scenario.Agents[c.Agent], p.clients[c.Agent], func(referee.Outcome) {}
 }
 
-// clientSideChoosers are those of the callers beside one agent's place, who choose nodes by themselves.
+// clientSideChoosers route the calls of one agent's callers, who choose nodes by themselves.
 type clientSideChoosers struct {
 	run       *scenarioRun
 	agent     int
@@ -31,7 +31,7 @@
 	viewedAt  time.Time
 }
 
-// viewInterval is how often the list, and for the oracle the true state, is looked at anew.
+// viewInterval is how often the endpoint list is read; the oracle reads it, and the true state, for each request.
 const viewInterval = 50 * time.Millisecond
 
 func (p *scenarioRun) startChoosers() error {
@@ -82,7 +82,7 @@
 	}
 }
 
-// refresh reads the list, which is late, and the true state, which is not.
+// refresh reads the endpoint list, which lags, and for the oracle the true state, which does not.
 func (c *clientSideChoosers) refresh() {
 	truth := map[string]*Truth{}
 	if c.seesTruth {
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -15,7 +15,7 @@
 	"time"
 )
 
-// Findings are what an experiment found.
+// Findings are the results of an experiment, as figures.json holds them.
 type Findings struct {
 	Name        string       `json:"name"`
 	Question    string       `json:"question"`
@@ -26,12 +26,12 @@
 	Differences []Difference `json:"differences"`
 	Outcomes    []Outcome    `json:"outcomes"`
 	Gate        []GateRow    `json:"gate,omitempty"`     // where the file asks for it
-	Against     string       `json:"against,omitempty"`  // the folder of the play that it is compared with
-	Failures    []string     `json:"failures,omitempty"` // runs that could not be played
+	Against     string       `json:"against,omitempty"`  // the folder of the earlier run that it is compared with
+	Failures    []string     `json:"failures,omitempty"` // runs that ended with an error
 	Unfinished  bool         `json:"unfinished,omitempty"`
 
-	baseline []Outcome       // of that play
-	agents   map[string]bool // the arms that are agents
+	baseline []Outcome       // the outcomes in that folder
+	agents   map[string]bool // names of the variants that are agents
 }
 
 // Held reports whether the rules held in all runs with an agent.
@@ -49,7 +49,7 @@
 	return !slices.ContainsFunc(f.Gate, func(r GateRow) bool { return !r.Passed })
 }
 
-// readOutcomes reads what another play of an experiment left in its folder.
+// readOutcomes reads the outcomes that an earlier run of an experiment left in its folder.
 func readOutcomes(dir string) ([]Outcome, error) {
 	text, err := os.ReadFile(filepath.Join(dir, "figures.json"))
 	if err != nil {
@@ -62,10 +62,10 @@
 	return f.Outcomes, nil
 }
 
-// Run plays an experiment: each day with each arm, repeated, paired by seed: equal repeats of all arms get the same
-// arrivals, work and troubles. What is finished is written to the folder as it comes, so that an interrupted run, a full
-// disk or a run that fails leaves it. Progress goes to out, a line a run. With against, the folder of another play of the same
-// days, as by an earlier program, each arm is compared with itself there, too.
+// Run runs an experiment: each day with each variant, repeated. The runs of one repeat have the same seed, and with it the same arrivals,
+// work and faults. self is the path of this program. figures.json in dir is rewritten after each run, so that an interruption, a full disk
+// or a failed run keeps what is finished. Progress goes to out, one line per run. against, where it is not empty, is the folder of an
+// earlier run of the same days: each variant is then compared with itself there, too.
 func Run(ctx context.Context, spec *Spec, self, dir, against string, out io.Writer) (Findings, error) {
 	findings := Findings{Name: spec.Name, Question: spec.Question, Simulated: spec.Simulated, Began: time.Now().UTC(),
 		Planned: spec.Repeats * len(spec.Variants) * spec.dayCount(), agents: map[string]bool{}}
--- a/internal/experiment/fleet.go
+++ b/internal/experiment/fleet.go
@@ -64,11 +64,11 @@
 
 const (
 	maxFleetRequests   = 5_000_000
-	restartObservation = 5 * time.Second        // how long after its start a server is looked at
+	restartObservation = 5 * time.Second        // how long after its start a server's handshakes are counted
 	peakWindow         = 100 * time.Millisecond // over which handshakes are counted for their peak
 )
 
-// Check says all that is wrong, and fills in what each arm leaves open.
+// Check reports all that is wrong, and parses the connection settings of each variant.
 func (s *FleetSpec) Check() error {
 	var all []error
 	wrong := func(bad bool, key, format string, args ...any) {
@@ -99,7 +99,7 @@
 	return errors.Join(all...)
 }
 
-// FleetFigures is what came of one arm.
+// FleetFigures are the results of one variant, over its repeats.
 type FleetFigures struct {
 	Variant        string   `json:"arm"`
 	Handshakes     Interval `json:"handshakes_per_request"`
@@ -113,7 +113,7 @@
 	P99            Interval `json:"p99_ms"`
 }
 
-// Fleet plays the model and prints a table.
+// Fleet runs the model with each variant and prints a table of the figures to out.
 func Fleet(spec *FleetSpec, out io.Writer) ([]FleetFigures, error) {
 	var all []FleetFigures
 	table := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
@@ -154,7 +154,7 @@
 	return all, table.Flush()
 }
 
-// fleetRun is one play of one arm.
+// fleetRun is the result of one run of one variant.
 type fleetRun struct {
 	requests, handshakes                            int
 	crossed, crossedNonIdempotent, timedOutAfterCut int
@@ -163,7 +163,7 @@
 	mean, p99                                       float64
 }
 
-// fleetModel is the model at play.
+// fleetModel is the state of one run in simulated time.
 type fleetModel struct {
 	spec                *FleetSpec
 	rng                 *rand.Rand
@@ -189,11 +189,11 @@
 
 // fleetServer does work in order of arrival on its cores.
 type fleetServer struct {
-	coreFreeAt    []time.Duration // when each core is
+	coreFreeAt    []time.Duration // by core
 	started       time.Duration   // 0: long ago
 	cutFrom       time.Duration
 	cutTo         time.Duration
-	handshakeTime time.Duration // processor time of handshakes since the start, while it is looked at
+	handshakeTime time.Duration // processor time of handshakes within restartObservation after its start
 }
 
 // fleetConn is the far end of a connection.
@@ -279,7 +279,7 @@
 	return sum * float64(f.spec.Cores)
 }
 
-// speedFraction is the share of its speed that a server has so long after its start.
+// speedFraction is the fraction of its full speed that a server has at an age since its start.
 func (f *fleetModel) speedFraction(age time.Duration) float64 {
 	if f.spec.SlowStartWindow <= 0 || age >= f.spec.SlowStartWindow.D() {
 		return 1
@@ -336,7 +336,7 @@
 	}
 }
 
-// send picks a server by its warmth, as the module's draw does, and asks for a connection.
+// send picks a server, warming ones with a probability of their speed as the decision module does, and acquires a connection.
 func (f *fleetModel) send(agent *fleetAgent, request *fleetRequest) {
 	request.server = f.rng.IntN(len(agent.nodes))
 	for range 50 {
@@ -364,7 +364,7 @@
 	}
 }
 
-// apply carries out a table's actions.
+// apply executes the actions of an agent's connection table.
 func (f *fleetModel) apply(agent *fleetAgent, actions []pool.Action) {
 	for _, action := range slices.Clone(actions) {
 		switch action.Kind {
@@ -390,7 +390,7 @@
 			return a.servers[i]
 		}
 	}
-	return nil // a life that is over
+	return nil // an incarnation that has ended
 }
 
 // process does something on a server's first free core and returns when it is done.
@@ -429,7 +429,7 @@
 	})
 }
 
-// scheduleIdleClose says when the server will close a connection that stands idle from now on.
+// scheduleIdleClose sets when the server closes a connection that is idle from now on.
 func (f *fleetModel) scheduleIdleClose(conn *fleetConn) {
 	conn.closed = f.now + f.spec.Idle.D()
 	if f.spec.Closes > 0 {
@@ -440,7 +440,7 @@
 	}
 }
 
-// transmit sends a request on a connection and gives it back.
+// transmit sends a request on a connection, and releases the connection when the request has ended.
 func (f *fleetModel) transmit(agent *fleetAgent, slot *pool.Slot, request *fleetRequest) {
 	server, conn := f.serverOf(agent, slot.Endpoint), agent.conns[slot]
 	oneWay := f.spec.RTT.D() / 2
--- a/internal/experiment/gate.go
+++ b/internal/experiment/gate.go
@@ -4,27 +4,27 @@
 	"fmt"
 )
 
-// GateRow is what an agent's arm served on a day, against what a policy serves that sees the true state late.
+// GateRow compares what an agent served in a run with what the delayed oracle served in the same day and seed.
 type GateRow struct {
 	Day           string  `json:"day"`
 	Variant       string  `json:"arm"`
 	Seed          uint64  `json:"seed"`
-	Served        float64 `json:"served"` // share of the day's worth, before prices
+	Served        float64 `json:"served"` // fraction of the priority weight asked for
 	Wanted        float64 `json:"wanted"`
 	Passed        bool    `json:"passed"`
-	FailureReason string  `json:"why,omitempty"` // not
+	FailureReason string  `json:"why,omitempty"` // empty where it passed
 }
 
-// What a fleet's day wants at least: a part of what the late policy serves, and on a calm day also the plainest policy's share less a
-// margin, or the late one's less another where that is lower.
+// The least that an agent must serve: a fraction of what the delayed oracle serves; on a day without faults also the random variant's
+// service, or the delayed oracle's where that is lower, each less a margin.
 const (
 	delayedOracleFraction = 0.5
 	randomMargin          = 0.05
 	delayedOracleMargin   = 0.1
 )
 
-// gate judges each run of an agent for which the late policy was played, too: no rule broken, each request with one end, and enough
-// served. calm names the days without a fault.
+// gate judges each run of an agent that the delayed oracle ran, too: no rule may break, each request must have one end, and enough must
+// be served. calm names the days without a fault.
 func gate(outcomes []Outcome, variants []VariantSpec, calm map[string]bool) (rows []GateRow) {
 	type run struct {
 		day  string
--- a/internal/experiment/hunt.go
+++ b/internal/experiment/hunt.go
@@ -17,14 +17,14 @@
 	"ryeweir/internal/emulator"
 )
 
-// Hunted is what a hunt found.
+// Hunted is the result of Hunt.
 type Hunted struct {
 	Played int     `json:"played"`
 	Found  []Found `json:"found,omitempty"`
-	Failed []error `json:"-"` // days that could not be played
+	Failed []error `json:"-"` // runs that ended with an error
 }
 
-// Found is a day that did not pass, with the file that plays it again.
+// Found is a day that did not pass, with the experiment's file that reproduces it.
 type Found struct {
 	Seed uint64 `json:"seed"`
 	Day  string `json:"day"`
@@ -32,17 +32,18 @@
 	File string `json:"file"`
 }
 
-// maxFound is how many days a hunt keeps: with more there is something to mend first.
+// maxFound is the number of days that did not pass after which a hunt ends.
 const maxFound = 50
 
-// randomFleet is the day of a seed: any mixture of what befalls a fleet, in a fleet of any size that plays within seconds.
+// randomFleet is the day of a seed: a random mixture of faults in a fleet of random size, small enough to run within seconds.
 func randomFleet(seed uint64) emulator.FleetScenario {
 	rng := rand.New(rand.NewPCG(seed, 0x70726579))
 	return emulator.FleetScenario{Name: fmt.Sprintf("mixed-%d", seed), Kind: emulator.MixedScenario, Agents: 20 + rng.IntN(180), Nodes: 12 + rng.IntN(88)}
 }
 
-// Hunt plays random days of whole fleets with the agent's decisions, from a seed on, until the context ends, most days are played (0: no
-// limit) or mostFound did not pass the gate. Each of these is left in dir as an experiment's file that plays it again. Progress goes to out.
+// Hunt runs random days of whole fleets with the agent's decisions in simulated time, for seed and those after it. It ends with the context,
+// after maxRuns days (0: no limit), or when maxFound did not pass the gate. Each of these is left in dir as an experiment's file that
+// reproduces it. Progress goes to out.
 func Hunt(ctx context.Context, seed, maxRuns uint64, dir string, out io.Writer) (Hunted, error) {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return Hunted{}, fmt.Errorf("the folder for what is found: %w", err)
@@ -86,7 +87,7 @@
 	return hunted, errors.Join(hunted.Failed...)
 }
 
-// runRandomFleet plays the day of a seed and says why it did not pass; a crash of the decisions is a reason, too.
+// runRandomFleet runs the day of a seed and returns why it did not pass the gate, or "". A panic of the decision module is a reason, too.
 func runRandomFleet(seed uint64) (why string, err error) {
 	defer func() {
 		if panicValue := recover(); panicValue != nil {
@@ -138,7 +139,7 @@
 nodes = %d
 `
 
-// saveFound leaves the file that plays a day again.
+// saveFound writes the experiment's file that reproduces a day.
 func saveFound(seed uint64, why, dir string) (Found, error) {
 	fleet := randomFleet(seed)
 	file := filepath.Join(dir, fmt.Sprintf("found-%d.toml", seed))
--- a/internal/experiment/levels.go
+++ b/internal/experiment/levels.go
@@ -7,14 +7,14 @@
 	"ryeweir/internal/emulator"
 )
 
-// Levels is what the fleet's budgets did in a day of processes that have them, as the agents told.
+// Levels sums up the admission budgets of a day's agent processes, as their metrics reported them.
 type Levels struct {
-	Least    float64 `json:"least"`    // share of its demand that an agent took, a second before the surge ended: the least of all agents
+	Least    float64 `json:"least"`    // fraction of its demand that an agent admitted one second before the surge ended: the lowest of all agents
 	Median   float64 `json:"median"`   //
 	Most     float64 `json:"most"`     //
-	Shed     int64   `json:"shed"`     // requests refused by the budget; a killed process's are counted as it last told
+	Shed     int64   `json:"shed"`     // requests rejected by the budget; a killed process counts with its last sample
 	Withheld int64   `json:"withheld"` // retries not sent
-	Pressed  int64   `json:"pressed"`  // looks at which an agent was over itself
+	Pressed  int64   `json:"pressed"`  // samples in which an agent found itself overloaded
 }
 
 // overloadMetrics are an agent's figures of its budget.
@@ -25,7 +25,7 @@
 	Pressed  int64
 }
 
-// summarizeLevels sums up what agents told of their budgets; nil where none told anything.
+// summarizeLevels sums up the budget metrics of all agents; nil where no agent has a budget.
 func summarizeLevels(day *emulator.Scenario, peerViews [][]peerView) *Levels {
 	end := day.Length
 	if i := surgeShift(day); i >= 0 {
--- a/internal/experiment/order.go
+++ b/internal/experiment/order.go
@@ -7,9 +7,9 @@
 	"ryeweir/internal/emulator/referee"
 )
 
-// passedOver is the part of the worthiest class's requests that were served, and the part that nobody got an answer to while, in
-// the same second, nodes did work for lesser classes that would have served them: what an order by worth that holds across the
-// whole fleet brings to 0. Requests lost for other reasons, as by an agent that was killed, count too.
+// passedOver returns the fraction of the top-priority class's work that was answered, and the fraction that was not while, in the same
+// second, nodes answered as much work of lower classes. A strict priority order across the fleet brings the second to 0. Requests lost for
+// other reasons, such as a killed agent, count too.
 func passedOver(day *emulator.Scenario, calls []referee.CallResult) (served, missedFraction float64) {
 	top := 0
 	for i, c := range day.Classes {
--- a/internal/experiment/outcome.go
+++ b/internal/experiment/outcome.go
@@ -42,43 +42,43 @@
 	return Percentiles{Count: h.TotalCount(), Mean: h.Mean() / 1e3, P50: at(50), P90: at(90), P99: at(99), P999: at(99.9), Max: float64(h.Max()) / 1e3}
 }
 
-// Outcome is what came of a day with an arm.
+// Outcome is the result of one run: a day with a variant.
 type Outcome struct {
 	Day       string              `json:"day"`
 	Variant   string              `json:"arm"`
 	Seed      uint64              `json:"seed"`
 	Simulated bool                `json:"simulated"`
 	Seconds   float64             `json:"seconds"`
-	Calls     int                 `json:"calls"` // customers' requests, over all the tries of their clients
+	Calls     int                 `json:"calls"` // callers' requests, with all attempts of a client counted as one
 	Account   referee.Account     `json:"account"`
 	Breaches  []referee.Violation `json:"breaches,omitempty"`
 	referee.Service
 	Goal              float64                    `json:"goal"`
 	Latency           map[string]Percentiles     `json:"latency"`              // a class each, and "all"
 	Attempts          float64                    `json:"attempts_per_request"` // that reached nodes
-	Waste             float64                    `json:"waste"`                // work that came to nothing, as a share of all work done
+	Waste             float64                    `json:"waste"`                // work for answers that nobody got, as a fraction of all work done
 	HealthChecks      int                        `json:"probes"`
 	Handshakes        int                        `json:"handshakes"`
 	ListCalls         int                        `json:"list_calls"`
 	Chokes            int                        `json:"chokes"`
 	Truths            *Truths                    `json:"truths,omitempty"`                   // of a simulation
-	SlowStartPeak     float64                    `json:"cold_peak"`                          // the most that a cold node was sent, of what topples it
+	SlowStartPeak     float64                    `json:"cold_peak"`                          // highest load of a node in slow start, as a fraction of what overloads it
 	Used              []float64                  `json:"nodes_used,omitempty"`               // of a simulation: share of the nodes, a second each
 	Busy              []float64                  `json:"nodes_busy,omitempty"`               // of a simulation: work done of what could be, a second each
 	Priced            float64                    `json:"priced"`                             // the goal less the day's prices
 	HealthCheckWork   float64                    `json:"probe_work"`                         // as a share of what the nodes could do
 	CPU               float64                    `json:"agent_cpu_us_per_request,omitempty"` // of all agents' processes
-	Skipped           int                        `json:"skipped"`                            // calls that found too many open
-	Lag               float64                    `json:"lag_ms"`                             // the latest that a call was sent after its time
+	Skipped           int                        `json:"skipped"`                            // calls that were not sent, as too many were open
+	Lag               float64                    `json:"lag_ms"`                             // longest delay of a call behind its planned time
 	ProcessorWait     float64                    `json:"starved_ms"`                         // mean wait of the rig's threads for a processor; on sockets
 	Levels            *Levels                    `json:"levels,omitempty"`                   // of agents with the fleet's budgets
 	Misbehaving       callers.MisbehavingFigures `json:"rude"`                               // clients that sent no requests
 	Interrupted       bool                       `json:"interrupted,omitempty"`
-	Views             *Views                     `json:"views,omitempty"`  // of agents that talk with each other
-	TopPriorityServed float64                    `json:"worthiest_served"` // of the worthiest class's requests
-	PassedOver        float64                    `json:"passed_over"`      // of the worthiest class's requests, those left unserved while lesser ones were
-	Spared            float64                    `json:"spared"`           // service of the requests at agents that no fault of their own befell; 1 where there are none
-	Surge             *Surge                     `json:"surge,omitempty"`  // of a day on sockets whose traffic shifts upwards everywhere
+	Views             *Views                     `json:"views,omitempty"`  // of agents that gossip
+	TopPriorityServed float64                    `json:"worthiest_served"` // fraction of the top-priority class that was answered
+	PassedOver        float64                    `json:"passed_over"`      // fraction of the top-priority class that was not answered while lower classes were
+	Spared            float64                    `json:"spared"`           // service of the requests at agents without a fault of their own; 1 where there are none
+	Surge             *Surge                     `json:"surge,omitempty"`  // of a day whose traffic shifts upwards at all agents
 	Series            Series                     `json:"series"`
 	Marks             []emulator.Event           `json:"marks"`
 }
@@ -89,11 +89,11 @@
 	P50     []*float64  `json:"p50_ms"`
 	P99     []*float64  `json:"p99_ms"`
 	Load    [][]float64 `json:"load"`              // requests held at each node
-	Goodput []float64   `json:"goodput,omitempty"` // on sockets: work done for answers that somebody got, of what all nodes can do when warm
+	Goodput []float64   `json:"goodput,omitempty"` // work for answers that somebody got, as a fraction of the warm nodes' capacity
 	Nodes   []string    `json:"nodes"`
 }
 
-// runRecord is what a run hands over to be summed up.
+// runRecord is what a run has recorded, from which its outcome is computed.
 type runRecord struct {
 	day        *emulator.Scenario
 	calls      []referee.CallResult
@@ -107,10 +107,10 @@
 	marks      []emulator.Event
 }
 
-// settleTime at the beginning is left out of the service: nothing is known then.
+// settleTime is how much of the beginning is left out of the service.
 const settleTime = time.Second
 
-// outcome makes an outcome of what a run handed over.
+// outcome computes the outcome of a run.
 func (t runRecord) outcome(variant string, simulated bool) Outcome {
 	slices.SortFunc(t.calls, func(a, b referee.CallResult) int { return int(a.At - b.At) })
 	outcome := Outcome{Day: t.day.Spec.Name, Variant: variant, Seed: t.day.Seed, Simulated: simulated, Seconds: t.day.Length.Seconds(), Calls: len(t.calls),
@@ -175,7 +175,7 @@
 	return s
 }
 
-// nodeFigures are those of all lives.
+// nodeFigures are the figures of all nodes, with those of their earlier incarnations.
 func nodeFigures(states []backend.State) (out []node.Figures) {
 	for _, s := range states {
 		out = append(out, s.Figures)
--- a/internal/experiment/report.go
+++ b/internal/experiment/report.go
@@ -32,7 +32,7 @@
 	legendRoom = 1.18 // of the time axis: what is past the end has the names of the lines
 )
 
-// palette tells arms apart, also for those who see few colours (Okabe and Ito).
+// palette has colours for the variants that colour-blind readers can tell apart (Okabe and Ito).
 func palette() []color.Color {
 	return []color.Color{color.RGBA{0, 114, 178, 255}, color.RGBA{213, 94, 0, 255}, color.RGBA{0, 158, 115, 255}, color.RGBA{204, 121, 167, 255},
 		color.RGBA{230, 159, 0, 255}, color.RGBA{86, 180, 233, 255}, color.RGBA{0, 0, 0, 255}}
@@ -113,7 +113,7 @@
 	plot *plot.Plot
 }
 
-// serviceByDay is the service of each arm on each day, with its interval.
+// serviceByDay plots the service of each variant on each day, with its interval.
 func serviceByDay(rows []Row, days, variants []string) *plot.Plot {
 	chart := newPlot("service by day, with 95% intervals", "share of worth")
 	chart.X.Label.Text = ""
@@ -152,7 +152,7 @@
 	plotter.YErrors
 }
 
-// dayPlots are service and latency over time for each arm, and each arm's load per node, of one day.
+// dayPlots plots one day: service and latency over time by variant, and for each variant the load of each node.
 func dayPlots(day string, outcomes map[string]Outcome, variants []string) []namedPlot {
 	service, latency := newPlot(day+": service, by the second asked in", "share of worth"), newPlot(day+": latency, p50 and p99 (dashed)", "ms")
 	service.Y.Min, service.Y.Max = 0, 1.05
@@ -217,7 +217,7 @@
 	}
 	line, err := plotter.NewLine(points)
 	if err != nil || len(points) == 0 {
-		return // an arm that served nothing has no line
+		return // a variant that served nothing has no line
 	}
 	line.Color = c
 	if dashed {
@@ -229,7 +229,7 @@
 	}
 }
 
-// mark shades the times of troubles: each by itself or, where they are many, each kind from its first to its last.
+// mark shades the intervals of faults. Where there are more than maxLines, each kind is shaded from its first to its last.
 func mark(p *plot.Plot, o Outcome) {
 	marks := o.Marks
 	if len(marks) > maxLines {
--- a/internal/experiment/scenario.go
+++ b/internal/experiment/scenario.go
@@ -16,16 +16,16 @@
 	"ryeweir/internal/processrig"
 )
 
-// Variant is a way to get requests to nodes.
+// Variant is a way to route requests to nodes: the agent's processes, or a client-side chooser.
 type Variant struct {
 	Name     string
 	Command  []string // of an agent's process; empty for callers that choose by themselves
-	Chooser  string   // the reference arm's name
+	Chooser  string   // kind of the reference variant; empty for an agent
 	Operator string   // of an agent: its operators' file; empty for the defaults
 	Limits   emulator.Limits
 }
 
-// RunScenario runs a day with a variant on loopback sockets. watch, where there is one, gets a look each second. When the context ends the
+// RunScenario runs a day with a variant on loopback sockets. watch, where it is not nil, gets a sample each second. When the context ends the
 // day ends early, and the outcome so far is returned, marked as interrupted. The error names agents whose processes misbehaved.
 func RunScenario(ctx context.Context, day *emulator.Scenario, variant Variant, watch func(Live)) (outcome Outcome, err error) {
 	dir, err := os.MkdirTemp("", "ryeweir-")
@@ -110,7 +110,7 @@
 	faults      []error // what could not be done to agents' processes
 	away        []bool  // by agent: killed, ended or paused, and not yet back
 	clients     []*callers.Client
-	ended       []referee.CallResult // that ended since the last look
+	ended       []referee.CallResult // that ended since the last sample
 }
 
 // usesAgents reports whether agents' processes stand between callers and nodes; else the callers choose nodes by themselves.
--- a/internal/experiment/scenario_agents.go
+++ b/internal/experiment/scenario_agents.go
@@ -34,7 +34,7 @@
 	return nil
 }
 
-// startByzantinePeers lets the day's liars in among the peers, where there are any.
+// startByzantinePeers starts the day's byzantine peers, if there are any.
 func (p *scenarioRun) startByzantinePeers(set operator.Peers) (out []*byzantinePeer, err error) {
 	if p.peers == nil {
 		return nil, nil
@@ -64,7 +64,7 @@
 	p.away[fault.Agent] = true
 	p.mu.Unlock()
 	if away {
-		return // as in simulated time: one that is away is not befallen again
+		return // as in simulated time: an agent that is away gets no second fault
 	}
 	defer func() {
 		p.mu.Lock()
--- a/internal/experiment/scenario_watch.go
+++ b/internal/experiment/scenario_watch.go
@@ -10,11 +10,11 @@
 	"ryeweir/internal/emulator/referee"
 )
 
-// Live is what a run has come to, for those who watch it.
+// Live is the state of a run in progress, sampled each second.
 type Live struct {
 	At      time.Duration // since the day began
 	Account referee.Account
-	Calls   []referee.CallResult // that ended since the last look
+	Calls   []referee.CallResult // that ended since the last sample
 	States  []backend.State
 	Marks   []emulator.Event
 }
@@ -27,7 +27,7 @@
 	}
 }
 
-// addMisbehaving adds up what rude clients got.
+// addMisbehaving adds the figures of a run of misbehaving clients.
 func (p *scenarioRun) addMisbehaving(f callers.MisbehavingFigures) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/experiment/simulation.go
+++ b/internal/experiment/simulation.go
@@ -155,7 +155,7 @@
 	err          error
 }
 
-// scheduleDay schedules what the day brings: agents, faults, outages, clients, and a look at all nodes each second.
+// scheduleDay schedules the day's events: agents, faults, outages, calls, and a sample of all nodes each second.
 func (s *simulation) scheduleDay() {
 	for _, agent := range s.agents {
 		if agent.balancer != nil {
--- a/internal/experiment/simulation_agent.go
+++ b/internal/experiment/simulation_agent.go
@@ -23,15 +23,15 @@
 	balancer    *logic.Balancer
 	budget      *budget.Budget // the fleet's, where the operators' file switches it on
 	order       *budget.PriorityOrder
-	peerStates  map[int]peerState // that other agents told, by their number
+	peerStates  map[int]peerState // received from other agents, by their number
 	chooser     Chooser
 	conns       map[int]int // to each node
 	connsInUse  map[int]int // of those, in use
 	away        bool        // it takes no clients
 	ended       bool        // it has ended
-	version     int         // of the list that it was told
+	version     int         // of the endpoint list that it has
 	subscribed  bool        // for the list, once
-	watching    bool        // a call of its own waits for news
+	watching    bool        // a watch call of its own is open
 	known       []logic.Endpoint
 	rng         *rand.Rand
 }
@@ -41,7 +41,7 @@
 		rng: rand.New(rand.NewPCG(s.day.Seed*64+uint64(i)+1, 0x6c697374))}
 }
 
-// notifiedOf reports whether the agent has been told of a node's present life. Choosers go by the list itself.
+// notifiedOf reports whether the agent has been notified of a node's present incarnation. Choosers read the list itself.
 func (a *simAgent) notifiedOf(n *simNode) bool {
 	return a.balancer == nil || n.Started < 0 || slices.ContainsFunc(a.known, func(e logic.Endpoint) bool {
 		return e.ID == n.ID && e.StartedAt == n.Started+moduleStart
@@ -69,7 +69,7 @@
 	return err
 }
 
-// maxShutdown is how long a process that ends as planned has for what it took.
+// maxShutdown is how long a graceful shutdown may take for the requests in flight.
 const maxShutdown = 3 * time.Second
 
 // faultAgent ends an agent's process, planned or not, and begins the next, which knows the list that the one before it had and
@@ -77,7 +77,7 @@
 func (s *simulation) faultAgent(fault emulator.AgentFault) {
 	previous := s.agents[fault.Agent]
 	if previous.balancer == nil || previous.away {
-		return // choosers have no processes; one that is away is not befallen again
+		return // choosers have no processes; an agent that is away gets no second fault
 	}
 	previous.away = true
 	name := s.day.Agents[fault.Agent]
@@ -141,10 +141,10 @@
 	}
 }
 
-// reconnectDelay is how soon a client comes again whose connection was refused.
+// reconnectDelay is how long a client whose connection failed waits before it connects again.
 const reconnectDelay = 50 * time.Millisecond
 
-// reconnectLater lets a client come again that nobody listens to. It has not been heard, so it is no try.
+// reconnectLater lets a client connect again when no process listens. It does not count as an attempt.
 func (s *simulation) reconnectLater(call *callers.Call, tried []string) {
 	s.schedule(s.now+reconnectDelay, func() { s.beginAttempt(call, tried) })
 }
--- a/internal/experiment/simulation_attempts.go
+++ b/internal/experiment/simulation_attempts.go
@@ -11,12 +11,13 @@
 	"ryeweir/logic"
 )
 
+// simAttempt is one attempt of a request at a node.
 type simAttempt struct {
 	request     *clientRequest
 	number      int
 	node        *simNode
 	incarnation *node.Node
-	id          string // of the node's life
+	id          string // of the node's incarnation
 	sentAt      time.Duration
 	ended       bool
 	ticket      ticket
@@ -28,7 +29,7 @@
 	}
 }
 
-// apply carries out the module's actions as the real agent does.
+// apply executes the decision module's actions as the agent does.
 func (s *simulation) apply(agent *simAgent, actions []logic.Action) {
 	for _, action := range slices.Clone(actions) {
 		request := s.open[action.Request]
@@ -47,7 +48,7 @@
 				})
 				continue
 			}
-			if target == nil { // a life that is over
+			if target == nil { // an incarnation that has ended
 				n := request.sent
 				request.sent++
 				request.inFlight++
@@ -78,7 +79,7 @@
 	}
 }
 
-// healthCheck asks a node for its load, over a connection that is there or a new one.
+// healthCheck sends a node a health check and reports the result, with its load report, to the agent.
 func (s *simulation) healthCheck(agent *simAgent, nodeID string) {
 	began := s.now
 	finish := func(result logic.Result, report logic.LoadReport) {
@@ -173,7 +174,7 @@
 	}
 }
 
-// sendBack sends an attempt's end on its way to the agent.
+// sendBack delivers the result of an attempt to the agent, after a delay and the way back.
 func (s *simulation) sendBack(attempt *simAttempt, result logic.Result, delay time.Duration) {
 	delete(s.waiting, attempt.ticket)
 	if s.day.Partitioned(attempt.request.agent.zone, attempt.node.Zone, s.now) {
--- a/internal/experiment/simulation_callers.go
+++ b/internal/experiment/simulation_callers.go
@@ -8,7 +8,7 @@
 	"ryeweir/logic"
 )
 
-// clientRequest is a try of a client, on its way.
+// clientRequest is one attempt of a client's call, as an agent or a chooser gets it.
 type clientRequest struct {
 	id         string
 	agent      *simAgent
@@ -20,7 +20,7 @@
 	inFlight   int
 }
 
-// beginAttempt begins a client's next try, or ends its journey.
+// beginAttempt begins a call's next attempt, or ends the call when its time is up.
 func (s *simulation) beginAttempt(call *callers.Call, tried []string) {
 	wait, patience := call.Attempt(s.now)
 	if wait == 0 {
@@ -62,7 +62,7 @@
 	s.calls = append(s.calls, call.Result())
 }
 
-// disconnectClient is a client's end of waiting.
+// disconnectClient ends a request whose client no longer waits.
 func (s *simulation) disconnectClient(request *clientRequest) {
 	if request.ended {
 		return
@@ -86,7 +86,7 @@
 	return out
 }
 
-// answer gives a try its end, and lets the journey go on.
+// answer ends a request for its client, which then retries or ends the call.
 func (s *simulation) answer(request *clientRequest, outcome referee.Outcome, checksum uint64, retryAfter time.Duration) {
 	if request.ended {
 		return
@@ -108,7 +108,7 @@
 	}
 }
 
-// choose sends a try where its chooser says.
+// choose sends a request to the node that its chooser returns.
 func (s *simulation) choose(request *clientRequest) {
 	agent := request.agent
 	views, candidates, truths := s.views[:0], s.viewNodes[:0], s.viewTruths[:0]
--- a/internal/experiment/simulation_delayed.go
+++ b/internal/experiment/simulation_delayed.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// delayedViewAge is how old what the late chooser sees is.
+// delayedViewAge is the age of the state that the delayed oracle sees.
 const delayedViewAge = 500 * time.Millisecond
 
-// snapshotInterval is how often it is noted.
+// snapshotInterval is how often the state is recorded for it.
 const snapshotInterval = 100 * time.Millisecond
 
-// delayedView is what a chooser that sees the state late goes by.
+// delayedView holds the recorded states of the delayed oracle.
 type delayedView struct {
 	on        bool
 	snapshots []stateSnapshot // the latest, oldest first
@@ -30,7 +30,7 @@
 	return Truth{Capacity: n.Capacity(), Cores: n.Cores, Backlog: n.Backlog(), HasCapacity: n.HasCapacity(), FailureFraction: n.FailureFraction()}
 }
 
-// recordState notes the state of all nodes again and again.
+// recordState records the state of all nodes, and schedules the next record.
 func (s *simulation) recordState() {
 	view := &s.delayed
 	snapshot := stateSnapshot{at: s.now, sent: slices.Clone(view.sent)}
@@ -46,7 +46,7 @@
 	}
 }
 
-// visibleState is a node's state as the arm sees it: at present or, late, with what has been sent there since.
+// visibleState is a node's state as the variant sees it: the present one, or a delayed one with the work that was sent there since.
 func (s *simulation) visibleState(n *simNode) Truth {
 	if !s.delayed.on {
 		return n.state()
--- a/internal/experiment/simulation_discovery.go
+++ b/internal/experiment/simulation_discovery.go
@@ -8,7 +8,7 @@
 	"ryeweir/logic"
 )
 
-// discoveryModel is discovery: the list, what has changed in it, and the calls that wait their turn.
+// discoveryModel models discovery: the endpoint list, its changes, and the queue of calls.
 type discoveryModel struct {
 	entries   []logic.Endpoint // in the order of the nodes
 	changes   []logic.Endpoint // the list's version is their number
@@ -20,7 +20,7 @@
 // maxQueueTime is how long a call waits its turn at most.
 const maxQueueTime = time.Second
 
-// changeList changes the list, so much later, and tells those who watch.
+// changeList applies a change of the endpoint list after a delay, and notifies the watching agents.
 func (s *simulation) changeList(delay time.Duration, changed logic.Endpoint) {
 	s.schedule(s.now+delay+s.day.ListDelay(s.now), func() {
 		list := &s.list
@@ -41,7 +41,8 @@
 	})
 }
 
-// queueListCall gives a call its turn: all take the same time, one after the other, and one that would wait for too long is turned away.
+// queueListCall queues a call of discovery, which serves calls one by one at a fixed rate. A call that would wait longer than
+// maxQueueTime fails.
 func (s *simulation) queueListCall(then func(ok bool)) {
 	s.list.calls++
 	if s.list.down {
@@ -96,7 +97,7 @@
 	})
 }
 
-// notifyWatcher tells an agent that watches what has changed since it was told last, and lets it watch on.
+// notifyWatcher sends a watching agent the changes since its version of the list, and begins its next watch.
 func (s *simulation) notifyWatcher(agent *simAgent) {
 	if !agent.watching || s.list.down || agent.version == len(s.list.changes) || agent.balancer == nil {
 		return
@@ -124,7 +125,7 @@
 	})
 }
 
-// sendFullList gives an agent a whole list, as one that it has from before.
+// sendFullList gives an agent a full snapshot of the list.
 func (s *simulation) sendFullList(agent *simAgent, entries []logic.Endpoint) {
 	agent.known = slices.Clone(entries)
 	for _, entry := range entries {
--- a/internal/experiment/simulation_gossip.go
+++ b/internal/experiment/simulation_gossip.go
@@ -6,14 +6,14 @@
 	"ryeweir/internal/budget"
 )
 
-// peerState is a part of the fleet's level, and when it was told.
+// peerState is what a peer sent of its budget, and when it was received.
 type peerState struct {
 	at    time.Duration
 	state budget.PeerState
 }
 
-// startGossip lets an agent tell some others its part of the fleet's level again and again, where the operators' file has agents talk.
-// Facts of servers are not told in simulated time.
+// startGossip lets an agent send its budget's state to budget.GossipFanout peers every budget.GossipInterval, where the operators' file
+// enables it. Facts about servers are not gossiped in simulated time.
 func (s *simulation) startGossip(agent *simAgent) {
 	if agent.budget == nil || !s.operators.Peers.Enabled || !s.operators.Peers.ShareBudget {
 		return
--- a/internal/experiment/simulation_nodes.go
+++ b/internal/experiment/simulation_nodes.go
@@ -19,10 +19,10 @@
 	*node.Node
 	number              int
 	up                  bool
-	nextAdvance         time.Duration // when it is looked at next; below 0 when not
+	nextAdvance         time.Duration // when it is advanced next; below 0: not scheduled
 	earlierIncarnations node.Figures
-	overloadReported    bool // that it toppled
-	offeredBefore       int  // what had been offered at the latest look
+	overloadReported    bool // to the referee
+	offeredBefore       int  // requests offered until the last sample
 	workBefore          time.Duration
 }
 
@@ -78,7 +78,7 @@
 	})
 }
 
-// killNode ends a node's process: what it had is reset.
+// killNode ends a node's process: the connections of its requests are reset.
 func (s *simulation) killNode(target *simNode) {
 	target.up = false
 	var waiting []*simAttempt
@@ -96,7 +96,7 @@
 	}
 }
 
-// advanceNode looks at a node, and books the next look.
+// advanceNode advances a node to the present, and schedules its next event.
 func (s *simulation) advanceNode(target *simNode) {
 	s.settleNode(target)
 	next := target.NextEvent()
@@ -113,7 +113,7 @@
 	})
 }
 
-// settleNode lets a node's time pass and hands out what ended.
+// settleNode advances a node's model and delivers the results of the requests that ended.
 func (s *simulation) settleNode(target *simNode) {
 	done := target.Advance(s.now)
 	for _, number := range target.TakeStarted() {
--- a/internal/experiment/simulation_truths.go
+++ b/internal/experiment/simulation_truths.go
@@ -6,25 +6,25 @@
 	"ryeweir/logic"
 )
 
-// Truths hold what an agent did against what was true at the time, which only a simulation knows.
+// Truths compare an agent's decisions with the true state of the nodes at the time, which only a simulation knows.
 type Truths struct {
-	Rejected             int `json:"refused"`       // tries refused without having been sent anywhere
-	RejectedWithCapacity int `json:"refused_room"`  // of them, while a node of the list that was ready had a core free
-	RejectedNearCapacity int `json:"refused_near"`  // of them, while one of those that its agent spreads its requests over had
-	RejectedInSlowStart  int `json:"refused_cold"`  // of them, a cold one
-	Sent                 int `json:"sent"`          // attempts that came to a node
-	SentIntoOverload     int `json:"sent_into_jam"` // of them, to a node that had to turn them away or held work for longer than their aim
-	SentDespiteCapacity  int `json:"sent_aside"`    // of these, while another ready node had a core free
-	ToDead               int `json:"to_dead"`       // attempts at a node that says nothing
-	NotRunning           int `json:"unheard"`       // tries that came while the agent's process was away
+	Rejected             int `json:"refused"`       // requests rejected without an attempt
+	RejectedWithCapacity int `json:"refused_room"`  // of these, while a ready node of the list had a free core
+	RejectedNearCapacity int `json:"refused_near"`  // of these, while a node in the agent's subset had one
+	RejectedInSlowStart  int `json:"refused_cold"`  // of these, only nodes in slow start
+	Sent                 int `json:"sent"`          // attempts that arrived at a node
+	SentIntoOverload     int `json:"sent_into_jam"` // of these, at a node that was full or whose backlog exceeded their latency objective
+	SentDespiteCapacity  int `json:"sent_aside"`    // of these, while another ready node had a free core
+	ToDead               int `json:"to_dead"`       // attempts at an unresponsive node
+	NotRunning           int `json:"unheard"`       // connections while the agent's process was away
 }
 
-// idle reports whether a node would begin a request at once.
+// idle reports whether a node would start a request without queueing.
 func (n *simNode) idle() bool {
 	return n.up && !n.Unresponsive() && n.FailureFraction() == 0 && n.InFlight() < n.Cores
 }
 
-// idleCore reports whether some node that the list has as ready would begin a request at once.
+// idleCore reports whether some ready node of the list is idle.
 func (s *simulation) idleCore() bool {
 	return slices.ContainsFunc(s.list.entries, func(e logic.Endpoint) bool {
 		n := s.byID[e.ID]
@@ -32,7 +32,7 @@
 	})
 }
 
-// classifyRejection holds a refusal of what was sent nowhere against what was true.
+// classifyRejection counts a request that was rejected without an attempt, by the true state of the nodes.
 func (s *simulation) classifyRejection(agent *simAgent) {
 	s.truths.Rejected++
 	if !s.idleCore() {
@@ -53,7 +53,7 @@
 	}
 }
 
-// classifySend holds an attempt that has come to a node against what was true there.
+// classifySend counts an attempt that has arrived at a node, by the true state of the node.
 func (s *simulation) classifySend(attempt *simAttempt) {
 	n := attempt.node
 	s.truths.Sent++
--- a/internal/experiment/spec.go
+++ b/internal/experiment/spec.go
@@ -10,10 +10,10 @@
 	"ryeweir/internal/emulator"
 )
 
-// VariantSpec is an arm in an experiment's file.
+// VariantSpec is a variant in an experiment's file, an [[arm]] there.
 type VariantSpec struct {
 	Name     string   `toml:"name"`
-	Kind     string   `toml:"kind"`     // agent, random, round-robin, two-choices or oracle
+	Kind     string   `toml:"kind"`     // agent, random, round-robin, two-choices, oracle or late
 	Binary   string   `toml:"binary"`   // of an agent: another build of this program; empty for this one
 	Flags    []string `toml:"flags"`    // of an agent: more arguments
 	Operator string   `toml:"operator"` // of an agent: its operators' file
@@ -22,7 +22,7 @@
 	Cores    float64  `toml:"cores"`
 }
 
-// AgentKind is the kind of arm that is an agent's process.
+// AgentKind is the kind of a variant that is the agent.
 const AgentKind = "agent"
 
 // Spec is an experiment's file.
@@ -35,7 +35,7 @@
 	Variants  []VariantSpec            `toml:"arm"`
 	Days      []emulator.ScenarioSpec  `toml:"day"`
 	Fleets    []emulator.FleetScenario `toml:"fleet_day"` // drawn anew for each seed; in simulated time
-	Gate      bool                     `toml:"gate"`      // judge the agents' runs against the arm that sees the state late
+	Gate      bool                     `toml:"gate"`      // judge the agents' runs against the delayed oracle
 }
 
 const (
@@ -43,84 +43,105 @@
 	maxRuns    = 2000
 )
 
-// Check puts in the defaults and says what is wrong.
+// Check applies the defaults and reports all that is wrong.
 func (s *Spec) Check() error {
-	var all []error
-	wrong := func(key, format string, args ...any) { all = append(all, config.Wrong(key, format, args...)) }
 	if s.Repeats == 0 {
 		s.Repeats = 5
 	}
 	if s.Seed == 0 {
 		s.Seed = 1
 	}
+	errs := []error{s.checkRuns()}
+	variantNames := map[string]bool{}
+	for i, variant := range s.Variants {
+		errs = append(errs, variant.check(fmt.Sprintf("arm[%d].", i), s.Simulated, variantNames))
+	}
+	dayNames := map[string]bool{}
+	for i := range s.Days {
+		errs = append(errs, s.checkDay(i, dayNames))
+	}
+	for i := range s.Fleets {
+		errs = append(errs, s.checkFleet(i, dayNames))
+	}
+	delayed := slices.ContainsFunc(s.Variants, func(v VariantSpec) bool { return v.Kind == DelayedOracle })
+	if s.Gate && !delayed {
+		errs = append(errs, config.Wrong("gate", "needs an arm of the kind %q", DelayedOracle))
+	}
+	return errors.Join(errs...)
+}
+
+// checkRuns checks the number of runs.
+func (s *Spec) checkRuns() error {
+	var errs []error
 	if s.Repeats < 1 || s.Repeats > maxRepeats {
-		wrong("repeats", "must be from 1 to %d, not %d", maxRepeats, s.Repeats)
+		errs = append(errs, config.Wrong("repeats", "must be from 1 to %d, not %d", maxRepeats, s.Repeats))
 	}
 	if len(s.Variants) == 0 || s.dayCount() == 0 {
-		wrong("name", "an experiment needs an [[arm]], and a [[day]] or a [[fleet_day]]")
+		errs = append(errs, config.Wrong("name", "an experiment needs an [[arm]], and a [[day]] or a [[fleet_day]]"))
 	}
 	if n := s.Repeats * len(s.Variants) * s.dayCount(); n > maxRuns {
-		wrong("repeats", "%d runs are more than %d", n, maxRuns)
+		errs = append(errs, config.Wrong("repeats", "%d runs are more than %d", n, maxRuns))
 	}
-	names := map[string]bool{}
-	for i, a := range s.Variants {
-		key := fmt.Sprintf("arm[%d].", i)
-		if a.Name == "" || names[a.Name] {
-			wrong(key+"name", "%q is missing or there already", a.Name)
-		}
-		names[a.Name] = true
-		if a.Kind != AgentKind && NewChooser(a.Kind, 1) == nil {
-			wrong(key+"kind", "%q is none of agent, random, round-robin, two-choices, oracle and late", a.Kind)
-		}
-		if a.Kind == DelayedOracle && !s.Simulated {
-			wrong(key+"kind", "only simulated time knows what was true before")
-		}
-		if a.Kind != AgentKind && (a.Binary != "" || len(a.Flags) > 0 || a.Operator != "") {
-			wrong(key+"binary", "only an agent is a program")
-		}
-		if s.Simulated && a.Binary != "" {
-			wrong(key+"binary", "simulated time has no processes")
-		}
-		if _, err := operator.Load(a.Operator); err != nil {
-			wrong(key+"operator", "%v", err)
-		}
-		if a.MemoryMB < 0 || a.Sockets < 0 || a.Cores < 0 {
-			wrong(key+"memory_mb", "limits must not be below 0")
-		}
+	return errors.Join(errs...)
+}
+
+// check checks one variant, whose keys begin with prefix, and adds its name to those in use.
+func (spec VariantSpec) check(prefix string, simulated bool, names map[string]bool) error {
+	var errs []error
+	wrong := func(key, format string, args ...any) { errs = append(errs, config.Wrong(prefix+key, format, args...)) }
+	if spec.Name == "" || names[spec.Name] {
+		wrong("name", "%q is missing or there already", spec.Name)
 	}
-	names = map[string]bool{}
-	for i := range s.Days {
-		d := &s.Days[i]
-		d.ApplyDefaults()
-		if names[d.Name] {
-			wrong(fmt.Sprintf("day[%d].name", i), "%q is there already", d.Name)
-		}
-		names[d.Name] = true
-		prefix := fmt.Sprintf("day[%d].", i)
-		if err := d.Check(prefix); err != nil {
-			all = append(all, err)
-		}
-		if !s.Simulated {
-			all = append(all, checkProcesses(prefix, d))
-		}
+	names[spec.Name] = true
+	if spec.Kind != AgentKind && NewChooser(spec.Kind, 1) == nil {
+		wrong("kind", "%q is none of agent, random, round-robin, two-choices, oracle and late", spec.Kind)
 	}
-	for i := range s.Fleets {
-		prefix := fmt.Sprintf("fleet_day[%d].", i)
-		if err := s.Fleets[i].Check(prefix); err != nil {
-			all = append(all, err)
-		}
-		if names[s.Fleets[i].Name] {
-			wrong(prefix+"name", "%q is there already", s.Fleets[i].Name)
-		}
-		names[s.Fleets[i].Name] = true
-		if !s.Simulated {
-			wrong(prefix+"kind", "a fleet's days need simulated time")
-		}
+	if spec.Kind == DelayedOracle && !simulated {
+		wrong("kind", "only simulated time knows what was true before")
+	}
+	if spec.Kind != AgentKind && (spec.Binary != "" || len(spec.Flags) > 0 || spec.Operator != "") {
+		wrong("binary", "only an agent is a program")
+	}
+	if simulated && spec.Binary != "" {
+		wrong("binary", "simulated time has no processes")
+	}
+	if _, err := operator.Load(spec.Operator); err != nil {
+		wrong("operator", "%v", err)
+	}
+	if spec.MemoryMB < 0 || spec.Sockets < 0 || spec.Cores < 0 {
+		wrong("memory_mb", "limits must not be below 0")
+	}
+	return errors.Join(errs...)
+}
+
+// checkDay applies a day's defaults, checks it, and adds its name to those in use.
+func (s *Spec) checkDay(index int, names map[string]bool) error {
+	var errs []error
+	day, prefix := &s.Days[index], fmt.Sprintf("day[%d].", index)
+	day.ApplyDefaults()
+	if names[day.Name] {
+		errs = append(errs, config.Wrong(prefix+"name", "%q is there already", day.Name))
+	}
+	names[day.Name] = true
+	errs = append(errs, day.Check(prefix))
+	if !s.Simulated {
+		errs = append(errs, checkProcesses(prefix, day))
+	}
+	return errors.Join(errs...)
+}
+
+// checkFleet does the same for the day of a whole fleet.
+func (s *Spec) checkFleet(index int, names map[string]bool) error {
+	fleet, prefix := &s.Fleets[index], fmt.Sprintf("fleet_day[%d].", index)
+	errs := []error{fleet.Check(prefix)} // it applies the default name, too
+	if names[fleet.Name] {
+		errs = append(errs, config.Wrong(prefix+"name", "%q is there already", fleet.Name))
 	}
-	if late := slices.ContainsFunc(s.Variants, func(a VariantSpec) bool { return a.Kind == DelayedOracle }); s.Gate && !late {
-		wrong("gate", "needs an arm of the kind %q", DelayedOracle)
+	names[fleet.Name] = true
+	if !s.Simulated {
+		errs = append(errs, config.Wrong(prefix+"kind", "a fleet's days need simulated time"))
 	}
-	return errors.Join(all...)
+	return errors.Join(errs...)
 }
 
 // dayCount is how many there are, those of fleets behind the others.
@@ -144,7 +165,7 @@
 	return out
 }
 
-// checkProcesses refuses a day with more agents than there can be processes.
+// checkProcesses rejects a day with more agents than emulator.MaxProcesses.
 func checkProcesses(prefix string, d *emulator.ScenarioSpec) error {
 	if d.Agents > emulator.MaxProcesses {
 		return config.Wrong(prefix+"agents", "more than %d need simulated time", emulator.MaxProcesses)
@@ -152,7 +173,7 @@
 	return nil
 }
 
-// resolve is the arm of a file's entry; self is the path of this program.
+// resolve returns the variant with its defaults; self is the path of this program.
 func (spec VariantSpec) resolve(self string) Variant {
 	variant := Variant{Name: spec.Name, Chooser: spec.Kind}
 	if spec.Kind == AgentKind {
@@ -196,14 +217,14 @@
 	return out
 }
 
-// WorldSpec is the file of a world that stands by itself.
+// WorldSpec is the file of nodes and discovery without agents or callers.
 type WorldSpec struct {
 	Seed uint64                `toml:"seed"`
 	Dir  string                `toml:"dir"` // where the agents' configurations are written
 	Day  emulator.ScenarioSpec `toml:"day"`
 }
 
-// Check puts in the defaults and says what is wrong.
+// Check applies the defaults and reports all that is wrong.
 func (s *WorldSpec) Check() error {
 	if s.Seed == 0 {
 		s.Seed = 1
@@ -212,7 +233,7 @@
 	return errors.Join(s.Day.Check("day."), checkProcesses("day.", &s.Day), checkStandalone(&s.Day))
 }
 
-// checkStandalone refuses what befalls agents where somebody else starts them.
+// checkStandalone rejects faults of agents, which only an experiment can inject: it starts their processes.
 func checkStandalone(d *emulator.ScenarioSpec) error {
 	if len(d.Fleet.AgentFaults) > 0 || len(d.Fleet.Paths) > 0 {
 		return config.Wrong("day.fleet", "what befalls agents and the ways between them is played by experiments, which start the agents")
@@ -227,7 +248,7 @@
 	Day     emulator.ScenarioSpec `toml:"day"`
 }
 
-// Check puts in the defaults and says what is wrong.
+// Check applies the defaults and reports all that is wrong.
 func (s *LoadSpec) Check() error {
 	if s.Seed == 0 {
 		s.Seed = 1
--- a/internal/experiment/statistics.go
+++ b/internal/experiment/statistics.go
@@ -52,7 +52,7 @@
 	return sum / float64(len(xs))
 }
 
-// Difference compares two arms on the same days and seeds.
+// Difference is one figure of a variant less that of the baseline, on the same day and seeds.
 type Difference struct {
 	Day      string `json:"day"`
 	Variant  string `json:"arm"`
@@ -75,7 +75,7 @@
 	return "noise"
 }
 
-// comparedFigures are the figures that arms are compared by.
+// comparedFigures are the figures by which variants are compared.
 var comparedFigures = []struct {
 	name string
 	of   func(Outcome) float64
@@ -107,7 +107,7 @@
 	return *o.Surge
 }
 
-// rejectedFraction is the share of requests that were refused.
+// rejectedFraction is the fraction of the requests that were rejected.
 func (o Outcome) rejectedFraction() float64 {
 	return float64(o.Account.Rejected) / max(1, float64(o.Account.Requests))
 }
@@ -125,8 +125,8 @@
 	return float64(o.HealthChecks) / max(1, float64(o.Account.Requests))
 }
 
-// rejectedWithCapacityFraction is the share of all requests that were refused unsent while a node that their agent knew had a core free; 0
-// where the truth is not known.
+// rejectedWithCapacityFraction is the fraction of the requests that were rejected without an attempt while a ready node had a free core;
+// 0 where the truth is not known.
 func (o Outcome) rejectedWithCapacityFraction() float64 {
 	if o.Truths == nil {
 		return 0
@@ -134,7 +134,8 @@
 	return float64(o.Truths.RejectedWithCapacity) / max(1, float64(o.Account.Requests))
 }
 
-// sentIntoOverloadFraction is the share of attempts that came to a node which had to turn them away or held work for longer than their aim.
+// sentIntoOverloadFraction is the fraction of the attempts that arrived at a full node or at one whose backlog exceeded their latency
+// objective.
 func (o Outcome) sentIntoOverloadFraction() float64 {
 	if o.Truths == nil {
 		return 0
@@ -142,7 +143,7 @@
 	return float64(o.Truths.SentIntoOverload) / max(1, float64(o.Truths.Sent))
 }
 
-// differences compares every arm with the first, day by day, in pairs of one seed.
+// differences compares every variant with the first, by day, in pairs of one seed.
 func differences(outcomes []Outcome, days, variants []string) (out []Difference) {
 	for _, day := range days {
 		for _, variant := range variants[1:] {
@@ -152,8 +153,7 @@
 	return out
 }
 
-// differencesFromBaseline compares each arm with itself in the outcomes of another play of the same days and seeds, as by an earlier
-// program.
+// differencesFromBaseline compares each variant with itself in the outcomes of an earlier run of the same days and seeds.
 func differencesFromBaseline(baseline, outcomes []Outcome, days, variants []string) (out []Difference) {
 	for _, day := range days {
 		for _, variant := range variants {
@@ -163,7 +163,7 @@
 	return out
 }
 
-// pairedDifferences compares two arms of a day by all figures, seed by seed.
+// pairedDifferences compares two variants of a day by all figures, in pairs of one seed.
 func pairedDifferences(base, variant map[uint64]Outcome, difference Difference) (out []Difference) {
 	for _, figure := range comparedFigures {
 		var diffs []float64
@@ -193,7 +193,7 @@
 	return out
 }
 
-// Row is an arm on a day, over its repeats.
+// Row summarizes a variant on a day, over its repeats. Figures without an interval are means.
 type Row struct {
 	Day                  string   `json:"day"`
 	Variant              string   `json:"arm"`
@@ -210,23 +210,23 @@
 	HealthChecks         float64  `json:"probes_per_request"`
 	HealthCheckWork      float64  `json:"probe_work"`        // as a share of what the nodes could do
 	Lists                float64  `json:"list_calls"`        // of all agents
-	RejectedWithCapacity float64  `json:"refused_with_room"` // requests refused unsent while a node had a core free, of all
-	SentIntoOverload     float64  `json:"sent_into_jam"`     // of the attempts that came to a node
-	Rejected             float64  `json:"refused"`           // requests refused, of all
-	RejectedNearCapacity float64  `json:"refused_near"`      // of all, unsent while a node that the agent uses had a core free
+	RejectedWithCapacity float64  `json:"refused_with_room"` // fraction of the requests rejected without an attempt while a ready node had a free core
+	SentIntoOverload     float64  `json:"sent_into_jam"`     // fraction of the attempts that arrived at a node
+	Rejected             float64  `json:"refused"`           // fraction of the requests
+	RejectedNearCapacity float64  `json:"refused_near"`      // fraction rejected without an attempt while a node in the agent's subset had a free core
 	Used                 float64  `json:"nodes_used"`        // share of the nodes in use, in the worst ten seconds
 	SlowStartPeak        float64  `json:"cold_peak"`         // the highest of all runs
 	Priced               float64  `json:"priced"`            // the goal less the day's prices
 	Chokes               float64  `json:"chokes"`            // nodes that choked
 	Goodput              Interval `json:"surge_goodput"`     // see Surge; 0 without one
-	RecoverySeconds      float64  `json:"surge_back_s"`      // the latest of all runs; below 0 where one never came back
+	RecoverySeconds      float64  `json:"surge_back_s"`      // the longest of all runs; below 0 where one never recovered
 	Completed            float64  `json:"completed"`
-	TopPriorityServed    float64  `json:"worthiest_served"` // of the worthiest class's requests
+	TopPriorityServed    float64  `json:"worthiest_served"` // fraction of the top-priority class that was answered
 	PassedOver           float64  `json:"passed_over"`      // see Outcome
-	Unnotified           float64  `json:"unheard"`          // sent to ending nodes by agents that were not told; see referee.Account
+	Unnotified           float64  `json:"unheard"`          // requests sent to draining nodes by agents that were not notified; see referee.Account
 }
 
-// rows sums up each arm on each day.
+// rows summarizes each variant on each day.
 func rows(outcomes []Outcome, days, variants []string) (out []Row) {
 	for _, day := range days {
 		for _, variant := range variants {
--- a/internal/experiment/surge.go
+++ b/internal/experiment/surge.go
@@ -11,7 +11,7 @@
 	"ryeweir/internal/emulator"
 )
 
-// Surge is what came of a day's first shift upwards of the traffic at all agents.
+// Surge has the figures of a day's first upward shift of the traffic at all agents.
 type Surge struct {
 	Offered float64 `json:"offered"` // asked for while it lasted, as a multiple of what the nodes can do
 	Goodput float64 `json:"goodput"` // work done for answers that somebody got, of what the nodes can do; from a second in
@@ -19,20 +19,20 @@
 	Back    float64 `json:"back_s"`  // seconds from its end until service is at 0.9 of Before for three seconds on end; below 0 where it never is
 }
 
-// goodputWarmUp is how long a surge has lasted when its goodput begins to count.
+// goodputWarmUp is how much of the beginning of a surge is left out of its goodput.
 const goodputWarmUp = time.Second
 
 const (
 	recoveredFraction = 0.9
-	recoveredSeconds  = 3 // seconds on end
+	recoveredSeconds  = 3 // seconds in a row
 )
 
-// surgeShift is the number of the shift that is a day's surge; -1 where it has none.
+// surgeShift is the index of the traffic shift that is a day's surge; -1 where it has none.
 func surgeShift(day *emulator.Scenario) int {
 	return slices.IndexFunc(day.Spec.Fleet.TrafficShifts, func(s emulator.TrafficShiftSpec) bool { return s.Zone == "" && s.Factor > 1 })
 }
 
-// summarizeSurge sums up a day's surge; nil where it has none, or where nobody looked at the nodes.
+// summarizeSurge computes the figures of a day's surge; nil where it has none, or where the nodes were not sampled.
 func summarizeSurge(day *emulator.Scenario, outcome Outcome) *Surge {
 	shiftIndex := surgeShift(day)
 	if shiftIndex < 0 || len(outcome.Series.Goodput) == 0 {
@@ -65,7 +65,7 @@
 	return result
 }
 
-// offeredPlots are goodput, and attempts at nodes a request, against what was offered in the days' surges, an arm a line; none
+// offeredPlots plots goodput, and attempts at nodes a request, against what was offered in the days' surges, a line per variant; none
 // where fewer than two days have a surge.
 func offeredPlots(outcomes []Outcome, variants []string) []namedPlot {
 	goodput, attempts := newPlot("goodput in the surge, of what the nodes can do", "share"), newPlot("attempts at nodes, a request", "attempts")
--- a/internal/experiment/views.go
+++ b/internal/experiment/views.go
@@ -14,7 +14,7 @@
 	"ryeweir/internal/emulator"
 )
 
-// Views is what the agents of a day that talk with each other saw of their peers.
+// Views sums up what agents that gossip saw of their peers in a day.
 type Views struct {
 	Agents             int      `json:"agents"`
 	Healed             []Healed `json:"healed"`                // after each fault has ended
@@ -22,17 +22,17 @@
 	MeanBytesPerSecond float64  `json:"bytes_per_second"`      // sent by an agent, mean
 	MaxBytesPerSecond  float64  `json:"bytes_per_second_most"` // by the one that sent most
 	Notices            int64    `json:"notices"`               // of servers' ends that came by a peer first
-	NoticeMeanMS       float64  `json:"notice_mean_ms"`        // from when the first agent was told until they came
+	NoticeMeanMS       float64  `json:"notice_mean_ms"`        // from the notification of the first agent until they arrived
 	NoticeMaxMS        float64  `json:"notice_worst_ms"`       //
-	Withheld           int64    `json:"held_back"`             // times that a server got nothing new on peers' word, before the own list's
+	Withheld           int64    `json:"held_back"`             // times that an agent sent a server nothing new on a peer's notice, before its own list said so
 	FactsRejected      int64    `json:"facts_refused"`         // malformed, or too many of one agent
 	FactsEvicted       int64    `json:"facts_evicted"`         // as a replica was full
 	Facts              int      `json:"facts_most"`            // held by an agent at once
-	Copies             int      `json:"copies_most"`           // different ones of what is known of servers' ends that agents held at a look
-	CopiesLast         int      `json:"copies_at_end"`         // likewise, at the last look
+	Copies             int      `json:"copies_most"`           // most different states of the facts on servers' ends that agents held in one sample
+	CopiesLast         int      `json:"copies_at_end"`         // likewise, in the last sample of all agents
 }
 
-// Healed is how long the agents took to see all that are there after a fault had ended.
+// Healed is how long the agents took to see all others after a fault had ended, in seconds.
 type Healed struct {
 	Fault  string  `json:"fault"`
 	At     float64 `json:"at_s"` // of the day: when it ended
@@ -42,7 +42,7 @@
 	Least  int     `json:"least"` // fewest peers that an agent saw in the fault and since the one before had ended
 }
 
-// peerView is what an agent told of its peers.
+// peerView is a sample of what an agent sees of its peers.
 type peerView struct {
 	at        time.Duration // of the day
 	names     []string
@@ -74,7 +74,7 @@
 	peerSampleTimeout  = 200 * time.Millisecond // at one agent: a paused one does not answer
 )
 
-// samplePeers asks each agent for its view again and again, until the context ends.
+// samplePeers polls the metrics of each agent every peerSampleInterval until the context ends.
 func (p *scenarioRun) samplePeers(ctx context.Context) {
 	client := &http.Client{Timeout: peerSampleTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: 1}}
 	defer client.CloseIdleConnections()
@@ -148,78 +148,108 @@
 	return out
 }
 
-// summarizeViews sums up what the agents saw. All agents are there after each ending, but for those that a later fault has away: the
-// time until the next fault's beginning counts.
+// summarizeViews summarizes what the agents saw of each other.
 func summarizeViews(day *emulator.Scenario, peerViews [][]peerView) *Views {
-	views := &Views{Agents: len(day.Agents)}
-	members := len(day.Agents) + len(day.Spec.Fleet.ByzantinePeers)
-	seesAll := func(s peerView) bool { return len(s.names) == members-1 }
+	views := &Views{Agents: len(day.Agents), Healed: healedAfterFaults(day, peerViews)}
+	var noticeSum time.Duration
+	for _, agentViews := range peerViews {
+		if len(agentViews) < 2 {
+			continue
+		}
+		views.addAgent(day, agentViews)
+		noticeSum += agentViews[len(agentViews)-1].metrics.Notices.Sum
+	}
+	views.Copies, views.CopiesLast = countCopies(peerViews)
+	if views.Notices > 0 {
+		views.NoticeMeanMS = float64(noticeSum.Microseconds()) / 1e3 / float64(views.Notices)
+	}
+	return views
+}
+
+// members is the number of a day's peers, the byzantine ones among them.
+func members(day *emulator.Scenario) int {
+	return len(day.Agents) + len(day.Spec.Fleet.ByzantinePeers)
+}
+
+// seesAll reports whether an agent saw all its peers.
+func (v peerView) seesAll(day *emulator.Scenario) bool { return len(v.names) == members(day)-1 }
+
+// healedAfterFaults returns, for each fault, how long the agents took to see all others after it had ended. Only the time until the next
+// fault ends counts.
+func healedAfterFaults(day *emulator.Scenario, peerViews [][]peerView) (out []Healed) {
 	ends := faultEnds(day)
 	for i, end := range ends {
-		limit := day.Length
-		if i+1 < len(ends) {
-			limit = ends[i+1].at
-		}
-		healed := Healed{Fault: end.fault, At: end.at.Seconds(), Least: members - 1}
-		since := time.Duration(0)
+		since, limit := time.Duration(0), day.Length
 		if i > 0 {
 			since = ends[i-1].at
 		}
-		var delays []float64
-		for _, agentViews := range peerViews {
-			for _, s := range agentViews {
-				if s.at >= since && s.at < end.at {
-					healed.Least = min(healed.Least, len(s.names))
-				}
-			}
-			k := slices.IndexFunc(agentViews, func(s peerView) bool { return s.at >= end.at && s.at < limit && seesAll(s) })
-			if k < 0 {
-				healed.Never++
-				continue
-			}
-			delays = append(delays, (agentViews[k].at - end.at).Seconds())
-		}
-		if len(delays) > 0 {
-			slices.Sort(delays)
-			healed.Median, healed.Worst = delays[len(delays)/2], delays[len(delays)-1]
+		if i+1 < len(ends) {
+			limit = ends[i+1].at
 		}
-		views.Healed = append(views.Healed, healed)
+		out = append(out, healedAfter(day, peerViews, end, since, limit))
 	}
-	var sum time.Duration
+	return out
+}
+
+// healedAfter is the same for one fault: since is when the one before it ended, limit when the next one does.
+func healedAfter(day *emulator.Scenario, peerViews [][]peerView, end faultEnd, since, limit time.Duration) Healed {
+	healed := Healed{Fault: end.fault, At: end.at.Seconds(), Least: members(day) - 1}
+	var delays []float64
 	for _, agentViews := range peerViews {
-		if len(agentViews) < 2 {
-			continue
-		}
-		last := agentViews[len(agentViews)-1]
-		if seesAll(last) {
-			views.Whole += 1 / float64(len(day.Agents))
-		}
-		var bytes, span float64
-		for k := 1; k < len(agentViews); k++ {
-			if d := agentViews[k].bytesSent - agentViews[k-1].bytesSent; d >= 0 { // else another process began in between
-				bytes, span = bytes+float64(d), span+(agentViews[k].at-agentViews[k-1].at).Seconds()
+		for _, view := range agentViews {
+			if view.at >= since && view.at < end.at {
+				healed.Least = min(healed.Least, len(view.names))
 			}
 		}
-		views.MeanBytesPerSecond += bytes / span / float64(len(day.Agents))
-		views.MaxBytesPerSecond = max(views.MaxBytesPerSecond, bytes/span)
-		views.Notices += last.metrics.Notices.Count
-		sum += last.metrics.Notices.Sum
-		views.NoticeMaxMS = max(views.NoticeMaxMS, float64(last.metrics.Notices.Most.Microseconds())/1e3)
-		views.Withheld += last.metrics.HeldBack
-		views.FactsRejected, views.FactsEvicted = views.FactsRejected+last.metrics.Facts.Rejected, views.FactsEvicted+last.metrics.Facts.Evicted
-		for _, s := range agentViews {
-			views.Facts = max(views.Facts, s.metrics.Facts.Held)
+		first := slices.IndexFunc(agentViews, func(v peerView) bool { return v.at >= end.at && v.at < limit && v.seesAll(day) })
+		if first < 0 {
+			healed.Never++
+			continue
 		}
+		delays = append(delays, (agentViews[first].at - end.at).Seconds())
 	}
-	views.Copies, views.CopiesLast = countCopies(peerViews)
-	if views.Notices > 0 {
-		views.NoticeMeanMS = float64(sum.Microseconds()) / 1e3 / float64(views.Notices)
+	if len(delays) > 0 {
+		slices.Sort(delays)
+		healed.Median, healed.Worst = delays[len(delays)/2], delays[len(delays)-1]
 	}
-	return views
+	return healed
+}
+
+// addAgent adds one agent's samples, of which there are two at least.
+func (v *Views) addAgent(day *emulator.Scenario, agentViews []peerView) {
+	last := agentViews[len(agentViews)-1]
+	agents := float64(len(day.Agents))
+	if last.seesAll(day) {
+		v.Whole += 1 / agents
+	}
+	bytes, seconds := bytesSent(agentViews)
+	v.MeanBytesPerSecond += bytes / seconds / agents
+	v.MaxBytesPerSecond = max(v.MaxBytesPerSecond, bytes/seconds)
+	v.Notices += last.metrics.Notices.Count
+	v.NoticeMaxMS = max(v.NoticeMaxMS, float64(last.metrics.Notices.Most.Microseconds())/1e3)
+	v.Withheld += last.metrics.HeldBack
+	v.FactsRejected += last.metrics.Facts.Rejected
+	v.FactsEvicted += last.metrics.Facts.Evicted
+	for _, view := range agentViews {
+		v.Facts = max(v.Facts, view.metrics.Facts.Held)
+	}
+}
+
+// bytesSent is what an agent sent its peers, and over how many seconds. A pair of samples between which another process began is left
+// out: its counter began at 0.
+func bytesSent(agentViews []peerView) (bytes, seconds float64) {
+	for i := 1; i < len(agentViews); i++ {
+		before, after := agentViews[i-1], agentViews[i]
+		if sent := after.bytesSent - before.bytesSent; sent >= 0 {
+			bytes += float64(sent)
+			seconds += (after.at - before.at).Seconds()
+		}
+	}
+	return bytes, seconds
 }
 
-// countCopies is how many different copies of what is known of servers' ends the agents held, at the look with the most of them and at the
-// last that all took.
+// countCopies returns how many different states of the facts on servers' ends the agents held: in the sample with the most, and in the
+// last sample that all agents have.
 func countCopies(peerViews [][]peerView) (most, last int) {
 	digestsByTick := map[int]map[string]int{}
 	for _, agentViews := range peerViews {
@@ -246,7 +276,7 @@
 }
 
 // gossipPlots are bytes a second of an agent, and how long the last agent took to see all others after a fault, against the number
-// of agents; none where fewer than two numbers were played.
+// of agents; none where fewer than two numbers ran.
 func gossipPlots(outcomes []Outcome) []namedPlot {
 	bytes, heals := newPlot("bytes a second that an agent sent its peers", "bytes a second"), newPlot("after a fault: until all see all others", "seconds")
 	sent, last, median := map[float64][]float64{}, map[float64][]float64{}, map[float64][]float64{}
