--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -16,7 +16,8 @@
 	"ryeweir/internal/emulator"
 )
 
-func day(t *testing.T, change func(*emulator.ScenarioSpec)) *emulator.Scenario {
+// drawDay draws a day of 15 s with the default specification, changed by change where it is not nil.
+func drawDay(t *testing.T, change func(*emulator.ScenarioSpec)) *emulator.Scenario {
 	t.Helper()
 	spec := emulator.DefaultScenario()
 	spec.Length = config.Duration(15 * time.Second)
@@ -30,20 +31,23 @@
 	return d
 }
 
-var module = Variant{Name: "agent", Command: []string{"-", "agent"}}
+// agentVariant is the agent's decision module; simulated time starts no program.
+var agentVariant = Variant{Name: "agent", Command: []string{"-", "agent"}}
 
-func simulate(t *testing.T, d *emulator.Scenario, a Variant) Outcome {
+// simulate runs a day in simulated time and fails the test on an error.
+func simulate(t *testing.T, day *emulator.Scenario, variant Variant) Outcome {
 	t.Helper()
-	o, err := Simulate(d, a)
+	outcome, err := Simulate(day, variant)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return o
+	return outcome
 }
 
-// Equal days and arms give equal outcomes, to the last call.
-func TestSimulationRepeats(t *testing.T) {
-	trouble := func(d *emulator.ScenarioSpec) {
+// A failure found in simulated time is debugged by running it again. That works only where the same day and variant give the same
+// outcome, down to the last call, also through slow, unresponsive, replaced and draining nodes and an outage of discovery.
+func TestEqualDaysAndVariantsGiveEqualOutcomes(t *testing.T) {
+	withFaults := func(d *emulator.ScenarioSpec) {
 		d.Faults = []emulator.FaultSpec{
 			{Kind: "slow", Nodes: 2, From: config.Duration(2 * time.Second), To: config.Duration(9 * time.Second), Size: 5},
 			{Kind: "vanish", Nodes: 1, From: config.Duration(3 * time.Second), To: config.Duration(8 * time.Second)},
@@ -52,32 +56,35 @@
 		}
 		d.Outages = []emulator.OutageSpec{{From: config.Duration(7 * time.Second), To: config.Duration(9 * time.Second)}}
 	}
-	for _, arm := range []Variant{module, {Name: "r", Chooser: Random}, {Name: "o", Chooser: Oracle}} {
-		a, b := simulate(t, day(t, trouble), arm), simulate(t, day(t, trouble), arm)
-		if !reflect.DeepEqual(a, b) {
-			t.Errorf("%s: %+v and %+v", arm.Name, a.Account, b.Account)
+	for _, variant := range []Variant{agentVariant, {Name: "r", Chooser: Random}, {Name: "o", Chooser: Oracle}} {
+		first, second := simulate(t, drawDay(t, withFaults), variant), simulate(t, drawDay(t, withFaults), variant)
+		if !reflect.DeepEqual(first, second) {
+			t.Errorf("%s: %+v and %+v", variant.Name, first.Account, second.Account)
 		}
-		if !a.Account.Balanced() || !a.Account.RulesHold() || a.Account.UnknownRequests > 0 {
-			t.Errorf("%s: %+v %v", arm.Name, a.Account, a.Breaches)
+		if !first.Account.Balanced() || !first.Account.RulesHold() || first.Account.UnknownRequests > 0 {
+			t.Errorf("%s: %+v %v", variant.Name, first.Account, first.Breaches)
 		}
 	}
 }
 
-// The arms stand in the order that their knowledge gives them, where that matters.
-func TestArmsAreOrdered(t *testing.T) {
-	trouble := func(d *emulator.ScenarioSpec) {
+// On a loaded day with slow nodes a variant that knows more about the nodes must serve more: random less than two choices, that
+// less than the agent, and the agent no more than the oracle by a margin. If not, the comparison of variants says nothing.
+func TestVariantsRankByWhatTheyKnow(t *testing.T) {
+	withFaults := func(d *emulator.ScenarioSpec) {
 		d.Load = 0.7
 		d.Faults = []emulator.FaultSpec{{Kind: "slow", Nodes: 3, From: config.Duration(2 * time.Second), To: config.Duration(14 * time.Second), Size: 6}}
 	}
-	service := func(a Variant) float64 { return simulate(t, day(t, trouble), a).Overall }
-	random, two, agent, top := service(Variant{Chooser: Random}), service(Variant{Chooser: TwoChoices}), service(module), service(Variant{Chooser: Oracle})
-	if !(random < two && two < agent && agent <= top+0.02) {
-		t.Errorf("random %.3f, two choices %.3f, agent %.3f, top %.3f", random, two, agent, top)
+	service := func(variant Variant) float64 { return simulate(t, drawDay(t, withFaults), variant).Overall }
+	random, twoChoices, agent, oracle := service(Variant{Chooser: Random}), service(Variant{Chooser: TwoChoices}), service(agentVariant), service(Variant{Chooser: Oracle})
+	if !(random < twoChoices && twoChoices < agent && agent <= oracle+0.02) {
+		t.Errorf("random %.3f, two choices %.3f, agent %.3f, oracle %.3f", random, twoChoices, agent, oracle)
 	}
 }
 
-// A difference that chance makes is called noise, one that is there is not, and few pairs say nothing.
-func TestVerdicts(t *testing.T) {
+// A report that calls chance a difference leads to a wrong decision. Differences around 0 are noise, those clearly on one side
+// are higher or lower, and fewer than three pairs are too few. The 95% intervals of samples with a known mean cover it about that
+// often.
+func TestVerdictTellsDifferencesFromNoise(t *testing.T) {
 	for want, diffs := range map[string][]float64{
 		"noise":   {0.02, -0.01, 0.015, -0.02, 0.005},
 		"higher":  {0.2, 0.25, 0.22, 0.19, 0.3},
@@ -88,19 +95,19 @@
 			t.Errorf("%v: %s, not %s", diffs, got, want)
 		}
 	}
-	// 95% intervals of 20 normal samples hold the true mean about that often.
-	held, rng := 0, rand.New(rand.NewPCG(1, 2))
+	// 95% intervals of 20 normal samples cover the true mean about that often.
+	covered, rng := 0, rand.New(rand.NewPCG(1, 2))
 	for range 200 {
-		var xs []float64
+		var samples []float64
 		for range 20 {
-			xs = append(xs, rng.NormFloat64())
+			samples = append(samples, rng.NormFloat64())
 		}
-		if b := bootstrap(xs); b.Low <= 0 && 0 <= b.High {
-			held++
+		if interval := bootstrap(samples); interval.Low <= 0 && 0 <= interval.High {
+			covered++
 		}
 	}
-	if held < 170 {
-		t.Errorf("%d of 200 intervals held the mean", held)
+	if covered < 170 {
+		t.Errorf("%d of 200 intervals cover the mean", covered)
 	}
 }
 
@@ -125,6 +132,7 @@
 size = 5.0
 `
 
+// readSpec parses and checks an experiment's file.
 func readSpec(t *testing.T, text string) *Spec {
 	t.Helper()
 	var s Spec
@@ -134,17 +142,19 @@
 	return &s
 }
 
-func TestExperiment(t *testing.T) {
+// An experiment of two variants and three repeats leaves figures.json, one plot per view, and a report.html that needs no other
+// file and escapes the names that users gave.
+func TestExperimentWritesFiguresReportAndPlots(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "out")
-	f, err := Run(t.Context(), readSpec(t, experimentText), "", dir, "", io.Discard)
+	findings, err := Run(t.Context(), readSpec(t, experimentText), "", dir, "", io.Discard)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(f.Outcomes) != 6 || len(f.Rows) != 2 || len(f.Differences) != len(comparedFigures) || f.Unfinished {
-		t.Errorf("%d outcomes, %d rows, %d differences", len(f.Outcomes), len(f.Rows), len(f.Differences))
+	if len(findings.Outcomes) != 6 || len(findings.Rows) != 2 || len(findings.Differences) != len(comparedFigures) || findings.Unfinished {
+		t.Errorf("%d outcomes, %d rows, %d differences", len(findings.Outcomes), len(findings.Rows), len(findings.Differences))
 	}
-	if f.Outcomes[0].Calls != f.Outcomes[1].Calls {
-		t.Error("the arms of a repeat were not asked for the same")
+	if findings.Outcomes[0].Calls != findings.Outcomes[1].Calls {
+		t.Error("the variants of a repeat got different calls")
 	}
 	page, err := os.ReadFile(filepath.Join(dir, "report.html"))
 	if err != nil {
@@ -162,47 +172,49 @@
 	if len(plots) != 5 {
 		t.Errorf("plots %v", plots)
 	}
-	var back Findings
+	var decoded Findings
 	text, err := os.ReadFile(filepath.Join(dir, "figures.json"))
-	if err != nil || json.Unmarshal(text, &back) != nil || len(back.Outcomes) != 6 {
+	if err != nil || json.Unmarshal(text, &decoded) != nil || len(decoded.Outcomes) != 6 {
 		t.Errorf("figures.json: %v", err)
 	}
 }
 
-// An interrupted experiment leaves what was finished; one that can't write says so before it begins.
-func TestExperimentBroken(t *testing.T) {
+// An experiment may run for hours. When it is interrupted, its report holds the runs that were finished and says so. When its
+// folder can't be written, it ends before the first run. When a program does not start, only the runs with that program fail.
+func TestExperimentKeepsFinishedRunsAfterFailure(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	dir := t.TempDir()
-	stop := writer(func(line string) {
+	cancelAfterTwo := writer(func(line string) {
 		if strings.Contains(line, "2 of 6") {
 			cancel()
 		}
 	})
-	f, err := Run(ctx, readSpec(t, experimentText), "", dir, "", stop)
-	if err != nil || !f.Unfinished || len(f.Outcomes) != 2 {
-		t.Errorf("%d outcomes, unfinished %v, %v", len(f.Outcomes), f.Unfinished, err)
+	findings, err := Run(ctx, readSpec(t, experimentText), "", dir, "", cancelAfterTwo)
+	if err != nil || !findings.Unfinished || len(findings.Outcomes) != 2 {
+		t.Errorf("%d outcomes, unfinished %v, %v", len(findings.Outcomes), findings.Unfinished, err)
 	}
 	if page, err := os.ReadFile(filepath.Join(dir, "report.html")); err != nil || !strings.Contains(string(page), "interrupted") {
-		t.Error("the report does not tell of the interruption")
+		t.Error("the report does not say that the experiment was interrupted")
 	}
 	file := filepath.Join(dir, "a-file")
 	if err := os.WriteFile(file, nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if f, err := Run(t.Context(), readSpec(t, experimentText), "", file, "", io.Discard); err == nil || len(f.Outcomes) > 0 {
-		t.Errorf("%d runs into a file, %v", len(f.Outcomes), err)
+	if findings, err := Run(t.Context(), readSpec(t, experimentText), "", file, "", io.Discard); err == nil || len(findings.Outcomes) > 0 {
+		t.Errorf("%d runs into a file, %v", len(findings.Outcomes), err)
 	}
-	// A binary that is none fails its runs and not the others.
-	s := readSpec(t, strings.Replace(strings.Replace(experimentText, "simulated = true", "", 1), `kind = "random"`, "kind = \"agent\"\nbinary = \"/no/such/program\"", 1))
-	s.Repeats = 1
-	s.Days[0].Length = config.Duration(time.Second)
-	s.Days[0].Faults = nil
-	f, err = Run(t.Context(), s, "", t.TempDir(), "", io.Discard)
-	if err != nil || len(f.Outcomes) != 1 || len(f.Failures) != 1 || !strings.Contains(f.Failures[0], "no such file") {
-		t.Errorf("%d outcomes, failures %v, %v", len(f.Outcomes), f.Failures, err)
+	// A binary that does not exist fails its own runs only.
+	spec := readSpec(t, strings.Replace(strings.Replace(experimentText, "simulated = true", "", 1), `kind = "random"`, "kind = \"agent\"\nbinary = \"/no/such/program\"", 1))
+	spec.Repeats = 1
+	spec.Days[0].Length = config.Duration(time.Second)
+	spec.Days[0].Faults = nil
+	findings, err = Run(t.Context(), spec, "", t.TempDir(), "", io.Discard)
+	if err != nil || len(findings.Outcomes) != 1 || len(findings.Failures) != 1 || !strings.Contains(findings.Failures[0], "no such file") {
+		t.Errorf("%d outcomes, failures %v, %v", len(findings.Outcomes), findings.Failures, err)
 	}
 }
 
+// writer is an io.Writer that passes each write to a function.
 type writer func(string)
 
 func (w writer) Write(p []byte) (int, error) {
@@ -210,7 +222,9 @@
 	return len(p), nil
 }
 
-func TestSpecErrors(t *testing.T) {
+// A user who mistypes a key or value of an experiment's file gets an error that names the place. Each case replaces one string in
+// a valid file and expects the place or the reason in the error.
+func TestSpecErrorsNameFileLineAndKey(t *testing.T) {
 	for want, change := range map[string][2]string{
 		"x.toml:7: arm[0].kind":      {`"two-choices"`, `"best"`},
 		"x.toml:3: repeats":          {"repeats = 3", "repeats = 5000"},
--- a/internal/experiment/fleet_test.go
+++ b/internal/experiment/fleet_test.go
@@ -9,20 +9,22 @@
 	"ryeweir/internal/config"
 )
 
-func smallFleet(t *testing.T, more string) FleetSpec {
+// smallFleet is a model of 30 agents and 6 servers with the variants of a file's text.
+func smallFleet(t *testing.T, variants string) FleetSpec {
 	t.Helper()
 	spec := DefaultFleet()
-	text := "agents = 30\nservers = 6\nsubset = 4\nrate = 400.0\nlength = \"8s\"\nstart = \"2s\"\nrepeats = 3\n" + more
+	text := "agents = 30\nservers = 6\nsubset = 4\nrate = 400.0\nlength = \"8s\"\nstart = \"2s\"\nrepeats = 3\n" + variants
 	if err := config.TOML("fleet.toml", []byte(text), &spec); err != nil {
 		t.Fatal(err)
 	}
 	return spec
 }
 
-// The same file gives the same figures, and an agent that keeps a connection to each server whatever comes opens more of them
-// at a server's start than one that opens what it needs.
-func TestFleet(t *testing.T) {
-	spec := smallFleet(t, "[[fleet_arm]]\nname = \"needed\"\n[[fleet_arm]]\nname = \"kept\"\n[fleet_arm.connections]\nahead_per_second = 1000000.0\nahead_keep = 4\n")
+// When a server starts, all agents connect to it. Agents that open connections ahead of their need must show as more handshakes
+// at its start and as more open connections than agents that open what they need; else the model can't tell the two apart. The
+// same file gives the same figures.
+func TestConnectionModelRepeatsAndShowsCostOfOpeningAhead(t *testing.T) {
+	spec := smallFleet(t, "[[fleet_arm]]\nname = \"needed\"\n[[fleet_arm]]\nname = \"ahead\"\n[fleet_arm.connections]\nahead_per_second = 1000000.0\nahead_keep = 4\n")
 	first, err := Fleet(&spec, io.Discard)
 	if err != nil {
 		t.Fatal(err)
@@ -39,25 +41,27 @@
 			t.Errorf("%+v", f)
 		}
 	}
-	if needed, kept := first[0], first[1]; kept.Peak.Low <= needed.Peak.High || kept.Open.Low <= needed.Open.High {
-		t.Errorf("needed %+v, kept %+v", needed, kept)
+	if needed, ahead := first[0], first[1]; ahead.Peak.Low <= needed.Peak.High || ahead.Open.Low <= needed.Open.High {
+		t.Errorf("needed %+v, ahead %+v", needed, ahead)
 	}
 }
 
-// Servers that close earlier than the settings say lose fewer requests to an agent that learns.
-func TestFleetLearns(t *testing.T) {
+// Servers may close idle connections earlier than the settings say, and a request sent at that moment is lost. An agent that
+// learns the real timeout must lose fewer requests to it than one that trusts the settings.
+func TestLearningTheIdleTimeoutLosesFewerRequests(t *testing.T) {
 	spec := smallFleet(t, "closes = \"3s\"\nrtt = \"20ms\"\n[[fleet_arm]]\nname = \"learns\"\n[[fleet_arm]]\nname = \"trusts\"\n[fleet_arm.connections]\nidle_least = \"10s\"\nsure_part = 1.0\n")
 	spec.Length = config.Duration(300 * time.Second) // in 30 s an arm has one such close or none
-	f, err := Fleet(&spec, io.Discard)
+	figures, err := Fleet(&spec, io.Discard)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if f[0].Crossed.High >= f[1].Crossed.Low {
-		t.Errorf("learns %+v, trusts %+v", f[0].Crossed, f[1].Crossed)
+	if figures[0].Crossed.High >= figures[1].Crossed.Low {
+		t.Errorf("learns %+v, trusts %+v", figures[0].Crossed, figures[1].Crossed)
 	}
 }
 
-func TestFleetErrors(t *testing.T) {
+// A user who mistypes a key or value of a fleet's file gets an error that names the place and the bounds.
+func TestFleetSpecErrorsNameFileLineAndKey(t *testing.T) {
 	for text, want := range map[string]string{
 		"agents = 0\n[[fleet_arm]]\nname = \"a\"": "f.toml:1: agents: must be from 1 to 20000",
 		"agents = 3": "a model needs a [[fleet_arm]]",
--- a/internal/experiment/keys_test.go
+++ b/internal/experiment/keys_test.go
@@ -10,9 +10,9 @@
 	"ryeweir/internal/testkit"
 )
 
-// A field that is renamed in Go but has no tag changes a key of a report or of a file that users have written, and nothing fails: the old
-// key is an error or reads as zero. The golden lists hold every key that the release of 2 December 2026 read from TOML files and wrote
-// into JSON reports.
+// A field that is renamed in Go but has no tag changes a key of a report or of a file that users have written, and nothing fails:
+// the old key is an error or reads as zero. The golden lists hold every key that the release of 2 December 2026 read from TOML
+// files and wrote into JSON reports.
 func TestKeysOfFilesAndReportsStay(t *testing.T) {
 	for name, got := range map[string][]string{
 		"findings":      testkit.EncodedKeys(Findings{}, "json"),
