--- a/internal/experiment/scenario.go
+++ b/internal/experiment/scenario.go
@@ -16,16 +16,16 @@
 	"ryeweir/internal/processrig"
 )
 
-// Variant is a way to get requests to nodes.
+// Variant is a way to route requests to nodes: the agent's processes, or a client-side chooser.
 type Variant struct {
 	Name     string
 	Command  []string // of an agent's process; empty for callers that choose by themselves
-	Chooser  string   // the reference arm's name
+	Chooser  string   // kind of the reference variant; empty for an agent
 	Operator string   // of an agent: its operators' file; empty for the defaults
 	Limits   emulator.Limits
 }
 
-// RunScenario runs a day with a variant on loopback sockets. watch, where there is one, gets a look each second. When the context ends the
+// RunScenario runs a day with a variant on loopback sockets. watch, where it is not nil, gets a sample each second. When the context ends the
 // day ends early, and the outcome so far is returned, marked as interrupted. The error names agents whose processes misbehaved.
 func RunScenario(ctx context.Context, day *emulator.Scenario, variant Variant, watch func(Live)) (outcome Outcome, err error) {
 	dir, err := os.MkdirTemp("", "ryeweir-")
@@ -110,7 +110,7 @@
 	faults      []error // what could not be done to agents' processes
 	away        []bool  // by agent: killed, ended or paused, and not yet back
 	clients     []*callers.Client
-	ended       []referee.CallResult // that ended since the last look
+	ended       []referee.CallResult // that ended since the last sample
 }
 
 // usesAgents reports whether agents' processes stand between callers and nodes; else the callers choose nodes by themselves.
@@ -153,24 +153,24 @@
 // result sums up a run that has ended.
 func (p *scenarioRun) result(calls []referee.CallResult, figures callers.Figures, processorWait time.Duration) Outcome {
 	day := p.world.Scenario
-	t := tallied{
-		day:     day,
-		calls:   calls,
-		figures: figures,
-		account: p.world.Referee.Account(),
-		kept:    p.world.Referee.Violations(),
-		nodes:   nodeFigures(p.world.NodeStates()),
-		lists:   p.world.DiscoveryFigures().FullLists + p.world.DiscoveryFigures().Watches,
-		load:    p.load,
-		goodput: p.goodput,
-		marks:   p.world.Events(),
-	}
-	outcome := t.sum(p.variant.Name, false)
+	t := runRecord{
+		day:        day,
+		calls:      calls,
+		figures:    figures,
+		account:    p.world.Referee.Account(),
+		violations: p.world.Referee.Violations(),
+		nodes:      nodeFigures(p.world.NodeStates()),
+		lists:      p.world.DiscoveryFigures().FullLists + p.world.DiscoveryFigures().Watches,
+		load:       p.load,
+		goodput:    p.goodput,
+		marks:      p.world.Events(),
+	}
+	outcome := t.outcome(p.variant.Name, false)
 	outcome.ProcessorWait = float64(processorWait.Microseconds()) / 1e3
 	if p.peers != nil {
-		outcome.Views = views(day, p.peerViews)
+		outcome.Views = summarizeViews(day, p.peerViews)
 	}
-	outcome.Levels = levels(day, p.peerViews)
+	outcome.Levels = summarizeLevels(day, p.peerViews)
 	outcome.Misbehaving = p.misbehaving
 	if requests := t.account.Requests; requests > 0 {
 		outcome.CPU = float64(p.cpu.Microseconds()) / float64(requests)
--- a/internal/experiment/simulation_agent.go
+++ b/internal/experiment/simulation_agent.go
@@ -23,15 +23,15 @@
 	balancer    *logic.Balancer
 	budget      *budget.Budget // the fleet's, where the operators' file switches it on
 	order       *budget.PriorityOrder
-	peerStates  map[int]peerState // that other agents told, by their number
+	peerStates  map[int]peerState // received from other agents, by their number
 	chooser     Chooser
 	conns       map[int]int // to each node
 	connsInUse  map[int]int // of those, in use
 	away        bool        // it takes no clients
 	ended       bool        // it has ended
-	version     int         // of the list that it was told
+	version     int         // of the endpoint list that it has
 	subscribed  bool        // for the list, once
-	watching    bool        // a call of its own waits for news
+	watching    bool        // a watch call of its own is open
 	known       []logic.Endpoint
 	rng         *rand.Rand
 }
@@ -41,7 +41,7 @@
 		rng: rand.New(rand.NewPCG(s.day.Seed*64+uint64(i)+1, 0x6c697374))}
 }
 
-// notifiedOf reports whether the agent has been told of a node's present life. Choosers go by the list itself.
+// notifiedOf reports whether the agent has been notified of a node's present incarnation. Choosers read the list itself.
 func (a *simAgent) notifiedOf(n *simNode) bool {
 	return a.balancer == nil || n.Started < 0 || slices.ContainsFunc(a.known, func(e logic.Endpoint) bool {
 		return e.ID == n.ID && e.StartedAt == n.Started+moduleStart
@@ -69,82 +69,82 @@
 	return err
 }
 
-// maxShutdown is how long a process that ends as planned has for what it took.
+// maxShutdown is how long a graceful shutdown may take for the requests in flight.
 const maxShutdown = 3 * time.Second
 
 // faultAgent ends an agent's process, planned or not, and begins the next, which knows the list that the one before it had and
 // nothing else.
-func (s *simulation) faultAgent(t emulator.AgentFault) {
-	old := s.agents[t.Agent]
-	if old.balancer == nil || old.away {
-		return // choosers have no processes; one that is away is not befallen again
+func (s *simulation) faultAgent(fault emulator.AgentFault) {
+	previous := s.agents[fault.Agent]
+	if previous.balancer == nil || previous.away {
+		return // choosers have no processes; an agent that is away gets no second fault
 	}
-	old.away = true
-	name := s.day.Agents[t.Agent]
+	previous.away = true
+	name := s.day.Agents[fault.Agent]
 	text := emulator.AgentRestart
-	if t.Kind == emulator.AgentKill {
+	if fault.Kind == emulator.AgentKill {
 		text = emulator.AgentKill
-		s.referee.AgentKilled(name, s.now, s.now+t.Duration)
-		s.endAgent(old)
+		s.referee.AgentKilled(name, s.now, s.now+fault.Duration)
+		s.endAgent(previous)
 	} else {
-		s.schedule(s.now+maxShutdown, func() { s.endAgent(old) })
+		s.schedule(s.now+maxShutdown, func() { s.endAgent(previous) })
 	}
-	s.marks = append(s.marks, emulator.Event{At: s.now, To: s.now + t.Duration, Node: name, Text: text})
-	s.schedule(s.now+t.Duration, func() {
-		a := s.newProcess(t.Agent)
-		a.incarnation, a.version = old.incarnation+1, old.version
-		if s.err = s.newBalancer(a); s.err != nil {
+	s.marks = append(s.marks, emulator.Event{At: s.now, To: s.now + fault.Duration, Node: name, Text: text})
+	s.schedule(s.now+fault.Duration, func() {
+		next := s.newProcess(fault.Agent)
+		next.incarnation, next.version = previous.incarnation+1, previous.version
+		if s.err = s.newBalancer(next); s.err != nil {
 			return
 		}
-		s.agents[t.Agent] = a
-		s.carryOut(a, a.balancer.Start(s.clock()))
-		s.sendFullList(a, old.known)
-		s.startGossip(a)
+		s.agents[fault.Agent] = next
+		s.apply(next, next.balancer.Start(s.clock()))
+		s.sendFullList(next, previous.known)
+		s.startGossip(next)
 	})
 }
 
 // endAgent ends a process: its connections break, at both sides.
-func (s *simulation) endAgent(a *simAgent) {
-	a.ended = true
-	var had []*simAttempt
-	for _, at := range s.waiting {
-		if at.client.agent == a {
-			had = append(had, at)
+func (s *simulation) endAgent(agent *simAgent) {
+	agent.ended = true
+	var waiting []*simAttempt
+	for _, attempt := range s.waiting {
+		if attempt.request.agent == agent {
+			waiting = append(waiting, attempt)
 		}
 	}
-	slices.SortFunc(had, func(x, y *simAttempt) int { return int(x.ticket.number) - int(y.ticket.number) })
-	for _, at := range had {
-		delete(s.waiting, at.ticket)
-		if at.node.Node == at.incarnation {
-			at.node.Cancel(s.now, at.ticket.number)
-			s.advanceNode(at.node)
+	slices.SortFunc(waiting, func(x, y *simAttempt) int { return int(x.ticket.number) - int(y.ticket.number) })
+	for _, attempt := range waiting {
+		delete(s.waiting, attempt.ticket)
+		if attempt.node.Node == attempt.incarnation {
+			attempt.node.Cancel(s.now, attempt.ticket.number)
+			s.advanceNode(attempt.node)
 		}
-		s.endAttempt(at, logic.Cancelled)
+		s.endAttempt(attempt, logic.Cancelled)
 	}
 	for i, n := range s.nodes {
-		for range a.conns[i] {
+		for range agent.conns[i] {
 			if n.up {
 				n.Disconnect(s.now)
 			}
 		}
 	}
-	a.conns = map[int]int{}
-	var open []*clientAttempt
-	for _, t := range s.open {
-		if t.agent == a && !t.ended {
-			open = append(open, t)
+	agent.conns = map[int]int{}
+	var open []*clientRequest
+	for _, request := range s.open {
+		if request.agent == agent && !request.ended {
+			open = append(open, request)
 		}
 	}
-	slices.SortFunc(open, func(x, y *clientAttempt) int { return x.journey.Number - y.journey.Number })
-	for _, t := range open {
-		s.answer(t, referee.ConnectionClosed, 0, 0)
+	slices.SortFunc(open, func(x, y *clientRequest) int { return x.call.Number - y.call.Number })
+	for _, request := range open {
+		s.answer(request, referee.ConnectionClosed, 0, 0)
 	}
 }
 
-// reconnectDelay is how soon a client comes again whose connection was refused.
+// reconnectDelay is how long a client whose connection failed waits before it connects again.
 const reconnectDelay = 50 * time.Millisecond
 
-// reconnectLater lets a client come again that nobody listens to. It has not been heard, so it is no try.
-func (s *simulation) reconnectLater(j *callers.Call, tried []string) {
-	s.schedule(s.now+reconnectDelay, func() { s.beginAttempt(j, tried) })
+// reconnectLater lets a client connect again when no process listens. It does not count as an attempt.
+func (s *simulation) reconnectLater(call *callers.Call, tried []string) {
+	s.schedule(s.now+reconnectDelay, func() { s.beginAttempt(call, tried) })
 }
--- a/internal/experiment/simulation_delayed.go
+++ b/internal/experiment/simulation_delayed.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// delayedViewAge is how old what the late chooser sees is.
+// delayedViewAge is the age of the state that the delayed oracle sees.
 const delayedViewAge = 500 * time.Millisecond
 
-// snapshotInterval is how often it is noted.
+// snapshotInterval is how often the state is recorded for it.
 const snapshotInterval = 100 * time.Millisecond
 
-// delayedView is what a chooser that sees the state late goes by.
+// delayedView holds the recorded states of the delayed oracle.
 type delayedView struct {
 	on        bool
 	snapshots []stateSnapshot // the latest, oldest first
@@ -27,37 +27,37 @@
 
 // state is a node's state now.
 func (n *simNode) state() Truth {
-	return Truth{Capacity: n.Capacity(), Cores: n.Cores, Backlog: n.Backlog(), Room: n.HasCapacity(), Failing: n.FailureFraction()}
+	return Truth{Capacity: n.Capacity(), Cores: n.Cores, Backlog: n.Backlog(), HasCapacity: n.HasCapacity(), FailureFraction: n.FailureFraction()}
 }
 
-// recordState notes the state of all nodes again and again.
+// recordState records the state of all nodes, and schedules the next record.
 func (s *simulation) recordState() {
-	v := &s.delayed
-	l := stateSnapshot{at: s.now, sent: slices.Clone(v.sent)}
+	view := &s.delayed
+	snapshot := stateSnapshot{at: s.now, sent: slices.Clone(view.sent)}
 	for _, n := range s.nodes {
-		l.truth, l.ids = append(l.truth, n.state()), append(l.ids, n.ID)
+		snapshot.truth, snapshot.ids = append(snapshot.truth, n.state()), append(snapshot.ids, n.ID)
 	}
-	v.snapshots = append(v.snapshots, l)
-	for len(v.snapshots) > 1 && v.snapshots[1].at <= s.now-delayedViewAge {
-		v.snapshots = v.snapshots[1:]
+	view.snapshots = append(view.snapshots, snapshot)
+	for len(view.snapshots) > 1 && view.snapshots[1].at <= s.now-delayedViewAge {
+		view.snapshots = view.snapshots[1:]
 	}
 	if s.now < s.day.Length+maxTail {
 		s.schedule(s.now+snapshotInterval, s.recordState)
 	}
 }
 
-// visibleState is a node's state as the arm sees it: at present or, late, with what has been sent there since.
+// visibleState is a node's state as the variant sees it: the present one, or a delayed one with the work that was sent there since.
 func (s *simulation) visibleState(n *simNode) Truth {
 	if !s.delayed.on {
 		return n.state()
 	}
-	l := s.delayed.snapshots[0]
-	if l.ids[n.number] != n.ID { // it has started since: all that is known is that the list has it
+	snapshot := s.delayed.snapshots[0]
+	if snapshot.ids[n.number] != n.ID { // it has started since: all that is known is that the list has it
 		return n.state()
 	}
-	t := l.truth[n.number]
-	if work := s.delayed.sent[n.number] - l.sent[n.number]; t.Capacity > 0 {
-		t.Backlog += max(0, time.Duration(work/t.Capacity*1e9)-(s.now-l.at))
+	truth := snapshot.truth[n.number]
+	if work := s.delayed.sent[n.number] - snapshot.sent[n.number]; truth.Capacity > 0 {
+		truth.Backlog += max(0, time.Duration(work/truth.Capacity*1e9)-(s.now-snapshot.at))
 	}
-	return t
+	return truth
 }
