--- a/internal/agent/doc.go
+++ b/internal/agent/doc.go
@@ -19,9 +19,9 @@
 // Two contexts order the end of a process:
 //
 //  1. The context of Run ends (SIGTERM). The front drains: it reports that it is not ready, goes on accepting for
-//     platform.Config.AcceptFor, and answers what is pending. The snapshot is saved once more.
+//     platform.Config.AcceptFor, closes the client listener, and answers what is pending. The snapshot is saved once more, at
+//     the signal: what is learned during the drain is not kept.
 //  2. When the front returns, the background context ends. It is not derived from the cancellation of the first, because
 //     pending calls still need the core, the pool and discovery while the front drains.
 //  3. Run waits for all goroutines. The core waits for its attempts; the pool closes its connections last.
-//  4. The client listener is closed.
 package agent
--- a/internal/core/attempts.go
+++ b/internal/core/attempts.go
@@ -37,7 +37,7 @@
 		Now:               c.clock.Now(),
 		MayHaveRun:        first > 0,
 		FirstSentAt:       first,
-		Idempotent:        !call.NonIdempotent,
+		Idempotent:        !call.RepeatRestricted,
 		IdempotencyWindow: call.IdempotencyWindow,
 	}.Check()
 	if verdict.Denied {
--- a/internal/core/call.go
+++ b/internal/core/call.go
@@ -27,8 +27,9 @@
 
 	// BodyPending says that the message is still arriving and can be read once only: no attempt after the first that read it.
 	BodyPending bool
-	// NonIdempotent says that the request must not run twice.
-	NonIdempotent bool
+	// RepeatRestricted is true for every class but the idempotent ones: another attempt is allowed only if none can have run, or
+	// within IdempotencyWindow.
+	RepeatRestricted bool
 	// IdempotencyWindow, of a class with idempotency keys, is how long after the first attempt that may have run another may
 	// begin; 0 for other classes.
 	IdempotencyWindow time.Duration
--- a/internal/front/http/request.go
+++ b/internal/front/http/request.go
@@ -87,7 +87,7 @@
 		Timeout:          timeout - margin,
 		TimeoutSlack:     margin,
 		LatencyObjective: class.LatencyObjective,
-		NonIdempotent:    class.Idempotency != logic.Idempotent,
+		RepeatRestricted: class.Idempotency != logic.Idempotent,
 	}
 	if class.Idempotency == logic.IdempotentWithKey {
 		call.IdempotencyWindow = class.IdempotencyWindow
--- a/internal/pool/get.go
+++ b/internal/pool/get.go
@@ -8,16 +8,16 @@
 
 // Request says which connection Get is to return.
 type Request struct {
-	Endpoint      *Endpoint
-	NonIdempotent bool            // must not be repeated: see Table.Acquire
-	Deadline      time.Time       // until which to wait
-	Abandoned     <-chan struct{} // closed when nobody waits for the answer any more; may be nil
+	Endpoint         *Endpoint
+	RepeatRestricted bool            // must not be repeated: see Table.Acquire
+	Deadline         time.Time       // until which to wait
+	Abandoned        <-chan struct{} // closed when nobody waits for the answer any more; may be nil
 }
 
 // Get returns a connection for one request, which Put must give back. The error wraps one of the package's reasons.
 func (p *Pool) Get(ctx context.Context, request Request) (*Conn, error) {
 	for {
-		conn, waiter, timeout := p.acquire(request.Endpoint, request.NonIdempotent)
+		conn, waiter, timeout := p.acquire(request.Endpoint, request.RepeatRestricted)
 		if conn != nil {
 			return conn, nil
 		}
--- a/internal/snapshot/file_test.go
+++ b/internal/snapshot/file_test.go
@@ -20,7 +20,7 @@
 		MeanPriority:    12,
 		Endpoints: []logic.EndpointKnowledge{
 			{ID: "s-1", MeanLatency: 0.03, Samples: 9, LogCapacity: 3.2, LogCapacityVariance: 0.04},
-			{ID: "s-2", Age: time.Minute, FailureRate: 0.4, EjectedFor: time.Second},
+			{ID: "s-2", Age: time.Minute, FailureRate: 0.4, EjectionRemaining: time.Second},
 		},
 	}
 }
--- a/internal/snapshot/format.go
+++ b/internal/snapshot/format.go
@@ -45,7 +45,7 @@
 	MeanLatency         float64       `json:"Took"` // seconds
 	Samples             float64       `json:"Known"`
 	FailureRate         float64       `json:"Failing"`
-	EjectedFor          time.Duration `json:"Out"` // nanoseconds
+	EjectionRemaining   time.Duration `json:"Out"` // nanoseconds
 	LogCapacity         float64       `json:"Polled"`
 	LogCapacityVariance float64       `json:"Error"`
 }
--- a/internal/snapshot/format_test.go
+++ b/internal/snapshot/format_test.go
@@ -28,7 +28,7 @@
 		BaselineLatency: []time.Duration{30 * time.Millisecond, 70 * time.Millisecond},
 		MeanPriority:    12.5,
 		Endpoints: []logic.EndpointKnowledge{
-			{ID: "s-1", Age: time.Minute, MeanLatency: 0.03, Samples: 9, FailureRate: 0.25, EjectedFor: 1500 * time.Millisecond, LogCapacity: 3.2, LogCapacityVariance: 0.04},
+			{ID: "s-1", Age: time.Minute, MeanLatency: 0.03, Samples: 9, FailureRate: 0.25, EjectionRemaining: 1500 * time.Millisecond, LogCapacity: 3.2, LogCapacityVariance: 0.04},
 			{ID: "s-2", MeanLatency: 0.07, Samples: 41.5},
 		},
 	}
--- a/internal/upstream/http/upstream.go
+++ b/internal/upstream/http/upstream.go
@@ -67,10 +67,10 @@
 // connect gets a connection for the attempt.
 func (u *Upstream) connect(ctx context.Context, attempt *core.Attempt, endpoint *pool.Endpoint) (*pool.Conn, error) {
 	return u.Pool.Get(ctx, pool.Request{
-		Endpoint:      endpoint,
-		NonIdempotent: attempt.Call.NonIdempotent,
-		Deadline:      u.Clock.At(attempt.Deadline()),
-		Abandoned:     attempt.Call.Done(),
+		Endpoint:         endpoint,
+		RepeatRestricted: attempt.Call.RepeatRestricted,
+		Deadline:         u.Clock.At(attempt.Deadline()),
+		Abandoned:        attempt.Call.Done(),
 	})
 }
 
--- a/logic/action.go
+++ b/logic/action.go
@@ -36,11 +36,13 @@
 // Action is something that the owner of a Balancer has to do. Actions take effect in order.
 type Action struct {
 	Kind     ActionKind
-	Reason   Reason        // of Send, Reject and Fail
-	Request  string        // ID, of Send, Reject and Fail
-	Endpoint string        // ID, of Send and HealthCheck
-	Delay    time.Duration // of SetTimer; of Reject and Fail the Retry-After, 0 for none
-	Token    uint64        // of SetTimer
+	Reason   Reason // of Send, Reject and Fail
+	Request  string // ID, of Send, Reject and Fail
+	Endpoint string // ID, of Send and HealthCheck
+	// Delay is the time to the timer (SetTimer), the Retry-After (Reject and Fail; 0 for none), or the timeout
+	// of the attempt alone (Send; 0 for the request's deadline, which is what the present rules use).
+	Delay time.Duration
+	Token uint64 // of SetTimer
 }
 
 func (b *Balancer) emit(a Action) { b.actions = append(b.actions, a) }
--- a/logic/capacity.go
+++ b/logic/capacity.go
@@ -30,11 +30,11 @@
 
 // capacityEstimate is what is known of the capacity of one endpoint.
 type capacityEstimate struct {
-	requestRate float64 // requests a second at full utilization, or 1/s of latency; 0 without an estimate
-	certainty   float64 // of requestRate: from 0 to 1, fading with time
-	answers     answerLatency
-	reports     reportedLoad
-	checked     checkedCapacity
+	rate      float64 // requests a second at full utilization, or 1/s of latency; 0 without an estimate
+	certainty float64 // of requestRate: from 0 to 1, fading with time
+	answers   answerLatency
+	reports   reportedLoad
+	checked   checkedCapacity
 }
 
 // answerLatency is the mean latency of this balancer's own answers.
@@ -70,7 +70,7 @@
 	load.requestRate = retained*load.requestRate + (1-retained)*r.RequestRate
 	load.utilization = retained*load.utilization + (1-retained)*r.Utilization
 	if load.utilization > minUtilization {
-		c.requestRate, c.certainty = load.requestRate/load.utilization, 1
+		c.rate, c.certainty = load.requestRate/load.utilization, 1
 	}
 }
 
@@ -87,7 +87,7 @@
 	own := &c.answers
 	own.samples++
 	own.mean += max(averageSampleWeight, 1/own.samples) * (latency.Seconds() - own.mean)
-	c.requestRate, c.certainty = 1/own.mean, own.samples/(own.samples+priorAnswers)
+	c.rate, c.certainty = 1/own.mean, own.samples/(own.samples+priorAnswers)
 }
 
 // fadeEstimates lets what is known of the capacities age by a number of ticks.
@@ -121,7 +121,7 @@
 func (set *endpointSet) meanCapacity(now time.Duration) fleetCapacity {
 	rate, weight, checkedLog, checkedAnswers := 0.0, 0.0, 0.0, 0.0
 	for _, e := range set.listed {
-		rate += e.estimate.requestRate * e.estimate.certainty
+		rate += e.estimate.rate * e.estimate.certainty
 		weight += e.Weight * e.estimate.certainty
 		if n := e.estimate.checked.equivalentAnswers(now); n > 0 {
 			checkedLog += n * e.estimate.checked.logCapacity
@@ -143,7 +143,7 @@
 // nothing by which to correct it, and a balancer with few requests would follow chance.
 func (c *capacityEstimate) combine(listedWeight float64, mean fleetCapacity, now time.Duration) float64 {
 	typical := mean.ratePerWeight * listedWeight
-	capacity := typical + (c.requestRate-typical)*c.certainty
+	capacity := typical + (c.rate-typical)*c.certainty
 	if n := c.checked.equivalentAnswers(now); n > 0 {
 		checked := typical * math.Exp(c.checked.logCapacity-mean.checkedLog)
 		capacity += (checked - capacity) * n / (n + c.answers.samples + priorAnswers)
@@ -160,7 +160,7 @@
 		e.weight = e.capacity * b.slowStartFraction(e) * (1 - e.health.failureRate)
 	}
 	b.endpoints.chooseSubset()
-	b.endpoints.sumCapacity()
+	b.endpoints.sumWeights()
 	b.preferOwnZone()
 }
 
--- a/logic/doc.go
+++ b/logic/doc.go
@@ -78,7 +78,7 @@
 //	latency ratio     latency over the latency objective of the class
 //	subset            the endpoints over which a balancer spreads its requests in a large fleet
 //	warming           in slow start: started less than SlowStartWindow ago
-//	ejected           gets no requests, as an outlier
+//	ejected           avoided as an outlier while another endpoint may get the request
 //	half-open         ejected, but one request tests whether it has recovered
 //	hedged request    a second attempt while the first is in flight
 //	shed              reject a request to reduce an overload
--- a/logic/endpoints.go
+++ b/logic/endpoints.go
@@ -17,8 +17,8 @@
 	subset subsetSize
 
 	// Set by updateWeights, over the subset.
-	totalCapacity   float64
-	healthyCapacity float64 // the part of it that is not ejected
+	subsetWeight  float64
+	healthyWeight float64 // the part of it that is not ejected
 }
 
 // applyEndpointList applies a full snapshot or a change of the list. All that it says counts from this
--- a/logic/endpoints_test.go
+++ b/logic/endpoints_test.go
@@ -112,7 +112,7 @@
 	e.health.failureRate = 0.9
 	h.eject(e)
 	h.list(Endpoint{ID: "s0", StartedAt: h.clock})
-	if e.estimate.requestRate != 0 || e.health.failureRate != 0 || e.health.state != healthy {
+	if e.estimate.rate != 0 || e.health.failureRate != 0 || e.health.state != healthy {
 		t.Errorf("after a restart: %+v, %+v", e.estimate, e.health)
 	}
 }
--- a/logic/healthcheck.go
+++ b/logic/healthcheck.go
@@ -7,7 +7,7 @@
 
 // Health checks: which endpoint is checked next, and what the result says. They find out about an endpoint
 // at less than the cost of a request. Two limits bound them: a budget that each request adds to, and the
-// time between two checks of an endpoint. Endpoints with the highest priority go first.
+// time between two checks of an endpoint. The most urgent go first.
 
 const (
 	// initialHealthChecks is the budget of a new balancer, before its first request.
@@ -101,22 +101,22 @@
 	}
 }
 
-// nextToCheck returns the endpoint with the highest priority above noCheck, or nil.
+// nextToCheck returns the endpoint with the highest urgency above noCheck, or nil.
 func (b *Balancer) nextToCheck() (next *endpoint) {
 	highest := noCheck
 	for _, e := range b.endpoints.listed {
-		if priority := b.checkPriority(e); priority > highest {
-			next, highest = e, priority
+		if urgency := b.checkUrgency(e); urgency > highest {
+			next, highest = e, urgency
 		}
 	}
 	return next
 }
 
-// checkPriority is how useful a check of the endpoint is now. One that misses answers may be dead. One whose
+// checkUrgency is how useful a check of the endpoint is now. One that misses answers may be dead. One whose
 // ejection ends is checked before it costs a request. In what looks like an overload the utilization of the
 // endpoints decides on shedding. Otherwise a capacity that is not known well is worth a check, where requests
 // are served.
-func (b *Balancer) checkPriority(e *endpoint) float64 {
+func (b *Balancer) checkUrgency(e *endpoint) float64 {
 	if !e.inSubset || e.check.inFlight || b.now < e.check.nextAt || b.slowStartFraction(e) < 1 {
 		return noCheck
 	}
--- a/logic/healthcheck_test.go
+++ b/logic/healthcheck_test.go
@@ -178,10 +178,10 @@
 	unknown.check.nextAt, known.check.nextAt = 0, 0
 	h.learnFromHealthCheck(known, loadReport(0.5, 50))
 	h.overload.excess = 0.1
-	if got := h.checkPriority(unknown); got != checkForOverload {
+	if got := h.checkUrgency(unknown); got != checkForOverload {
 		t.Errorf("the priority is %v without a known utilization, want %v", got, checkForOverload)
 	}
-	if got := h.checkPriority(known); got >= checkForOverload-1 {
+	if got := h.checkUrgency(known); got >= checkForOverload-1 {
 		t.Errorf("the priority is %v with a known utilization", got)
 	}
 }
--- a/logic/hedge.go
+++ b/logic/hedge.go
@@ -13,8 +13,8 @@
 	maxHedgingUtilization = 0.65
 )
 
-// hedgeLateRequests sends a hedged request for each late attempt, while half of the retry budget is left,
-// to an endpoint that the request has not met. None is sent where endpoints are busy: all answers are late
+// hedgeLateRequests sends a hedged request for each late attempt, while half of the retry budget is left, to
+// an endpoint that the request was not sent to. None is sent where endpoints are busy: all answers are late
 // there, and more attempts make it worse.
 func (b *Balancer) hedgeLateRequests() {
 	if b.overload.level > 0 || b.overload.utilization > maxHedgingUtilization {
--- a/logic/knowledge.go
+++ b/logic/knowledge.go
@@ -23,7 +23,7 @@
 	MeanLatency         float64       // of this balancer's own answers, in seconds
 	Samples             float64       // answers behind MeanLatency
 	FailureRate         float64       // of the latest outcomes, 0 to 1
-	EjectedFor          time.Duration // time until the ejection ends; 0: not ejected, or due for a test
+	EjectionRemaining   time.Duration // time until it may be tested; 0: healthy, or due, and restored as healthy
 	LogCapacity         float64       // logarithm of the requests a second that health checks reported
 	LogCapacityVariance float64       // variance of LogCapacity; 0: nothing was reported
 }
@@ -53,11 +53,11 @@
 
 func (b *Balancer) knowledgeOf(e *endpoint) EndpointKnowledge {
 	k := EndpointKnowledge{
-		ID:          e.ID,
-		MeanLatency: e.estimate.answers.mean,
-		Samples:     e.estimate.answers.samples,
-		FailureRate: e.health.failureRate,
-		EjectedFor:  max(0, e.health.ejectedUntil-b.now),
+		ID:                e.ID,
+		MeanLatency:       e.estimate.answers.mean,
+		Samples:           e.estimate.answers.samples,
+		FailureRate:       e.health.failureRate,
+		EjectionRemaining: max(0, e.health.ejectedUntil-b.now),
 	}
 	if e.StartedAt != 0 {
 		k.Age = b.now - e.StartedAt
@@ -71,7 +71,7 @@
 // Restore starts from what an earlier Balancer with the same settings had learned, ago before now. It must
 // be called before the first event. What concerns an endpoint is used when the list brings it with the same
 // start time. The latencies and the priority are ignored where the number of classes differs.
-func (b *Balancer) Restore(now time.Duration, k Knowledge, ago time.Duration) {
+func (b *Balancer) Restore(now time.Duration, k Knowledge, age time.Duration) {
 	if len(k.BaselineLatency) == len(b.baseline) {
 		for i, latency := range k.BaselineLatency {
 			if latency > 0 && latency <= b.settings.Classes[i].Timeout {
@@ -81,7 +81,7 @@
 		b.meanPriority = max(0, k.MeanPriority)
 	}
 	for _, e := range k.Endpoints {
-		b.remembered.add(e, now-ago)
+		b.remembered.add(e, now-age)
 	}
 }
 
@@ -142,12 +142,12 @@
 	passed := b.now - k.at
 	if k.MeanLatency > 0 && k.Samples > 0 && !b.loadReported {
 		e.estimate.answers = answerLatency{mean: k.MeanLatency, samples: k.Samples}
-		e.estimate.requestRate = 1 / k.MeanLatency
+		e.estimate.rate = 1 / k.MeanLatency
 		e.estimate.fade(ticksPerHorizon*float64(passed)/float64(b.horizon), b.loadReported)
 	}
 	e.health.failureRate = min(1, max(0, k.FailureRate))
-	if k.EjectedFor > 0 {
-		e.health.restoreEjection(b.now + max(0, min(k.EjectedFor-passed, b.horizon)))
+	if k.EjectionRemaining > 0 {
+		e.health.restoreEjection(b.now + max(0, min(k.EjectionRemaining-passed, b.horizon)))
 	}
 	if k.LogCapacityVariance > 0 {
 		e.estimate.checked = checkedCapacity{logCapacity: k.LogCapacity, variance: k.LogCapacityVariance, at: k.at}
--- a/logic/outlier.go
+++ b/logic/outlier.go
@@ -16,7 +16,8 @@
 	ejectionFailureRate = 0.6
 	// maxMissedAnswers is the number of missed answers above which an endpoint is ejected.
 	maxMissedAnswers = 16
-	// minHealthyFraction is the part of the subset's capacity that must not be ejected for ejections to count.
+	// minHealthyFraction is the part of the subset's weight that healthy endpoints must have for ejections to
+	// count. In the sum an ejected endpoint has its weight, which its failure rate has lowered already.
 	minHealthyFraction = 0.5
 )
 
@@ -83,15 +84,17 @@
 // eject ejects an endpoint on own evidence for one horizon from now.
 func (b *Balancer) eject(e *endpoint) { e.health.eject(b.now + b.horizon) }
 
-// isEjected reports whether the endpoint gets no requests but the one that tests it. While most of the
-// subset's capacity is ejected, no ejection counts: in an overload all endpoints are late, and to eject
-// them leaves the load to the few others.
+// isEjected reports whether the endpoint is avoided: it gets the half-open request that tests it, and others
+// only where no other endpoint may get them. While healthy endpoints have less than minHealthyFraction of
+// the subset's weight, no ejection counts: in an overload all endpoints are late, and to eject them leaves
+// the load to the few others.
 func (b *Balancer) isEjected(e *endpoint) bool {
 	set := &b.endpoints
-	return e.health.state != healthy && set.healthyCapacity >= minHealthyFraction*set.totalCapacity
+	return e.health.state != healthy && set.healthyWeight >= minHealthyFraction*set.subsetWeight
 }
 
-// Unavailable returns the number of listed endpoints that get no requests now: draining or ejected.
+// Unavailable returns the number of listed endpoints that are avoided now: draining, or ejected where
+// ejections count. It falls to the draining ones when most endpoints fail and ejections stop counting.
 func (b *Balancer) Unavailable() (n int) {
 	for _, e := range b.endpoints.listed {
 		if e.State != Ready || b.isEjected(e) {
@@ -112,7 +115,8 @@
 )
 
 // evidenceOf classifies the outcome of an attempt. A timeout at an endpoint that has answered others
-// meanwhile shows a costly request or an overload, no fault.
+// meanwhile shows a costly request or an overload, no fault. A rejection counts as a fault: an endpoint
+// that rejects several requests in a row is avoided for a horizon, whatever the cause.
 func evidenceOf(a *attempt, result Result) evidence {
 	switch result {
 	case OK:
@@ -172,7 +176,8 @@
 	h.failureRate += outcomeWeight * (failure - h.failureRate)
 	switch h.state {
 	case healthy:
-		// Where load is shed outside, rejections are its signal: it may hold no request to test an ejected one.
+		// With ExternalAdmission the owner sheds by rejections. If they also ejected, the owner might then admit
+		// no request that could test the endpoint.
 		shedOutside := b.settings.ExternalAdmission && result == Rejected
 		if h.failureRate > ejectionFailureRate && !shedOutside {
 			b.eject(e)
--- a/logic/selection.go
+++ b/logic/selection.go
@@ -4,7 +4,7 @@
 
 // Selection: Algorithm 1 of "Balls into non-uniform bins", a power of d choices for endpoints of different
 // capacity. It draws endpoints with probability capacity over total capacity, and takes the one with the
-// lowest load after the request; of several the one with the largest capacity; of several at random.
+// lowest load after the request; of several the one with the largest weight; of several at random.
 
 const (
 	// endpointsDrawn is the number of draws for a request, the paper's d.
@@ -18,7 +18,7 @@
 	ready       []*endpoint // at full capacity
 	readyWeight float64     // sum of their weights
 	warming     []*endpoint // in slow start
-	// visitedCapacity is the warm capacity of all Ready endpoints that were visited, ejected ones too.
+	// visitedCapacity is the capacity after slow start of all Ready endpoints that were visited, ejected too.
 	visitedCapacity float64
 }
 
@@ -57,7 +57,7 @@
 }
 
 // drawCandidates collects the endpoints that may get the request in b.candidates, and returns one that is
-// in slow start and drawn for it, or nil. Healthy endpoints that the request has not met go first; where
+// in slow start and drawn for it, or nil. Healthy endpoints that the request was not sent to go first; where
 // there are none, any that the guard allows.
 func (b *Balancer) drawCandidates(r *request) (warming *endpoint) {
 	chance := b.random.Float64()
--- a/logic/settings.go
+++ b/logic/settings.go
@@ -42,7 +42,7 @@
 	// this one among them, the same after a restart.
 	Balancers     int
 	BalancerIndex int
-	// TimerResolution is the time to which timers are exact.
+	// TimerResolution is the most by which a timer may be late.
 	TimerResolution time.Duration
 	// Classes are the classes of requests. A Request names its class by the index here.
 	Classes []Class
@@ -77,7 +77,7 @@
 	// not known.
 	SlowStartOverloadFactor float64
 
-	// TenantQuotas are fractions of the service, one for each tenant; may be empty.
+	// TenantQuotas are fractions of all requests, one for each tenant; may be empty.
 	TenantQuotas []float64
 	// OverQuotaWeight is the factor, from 0 to 1, of the priority of a request over its tenant's quota.
 	OverQuotaWeight float64
--- a/logic/slowstart.go
+++ b/logic/slowstart.go
@@ -20,11 +20,11 @@
 }
 
 // drawWarming draws one of the warming endpoints, or none. The probability of each is its present capacity
-// over the warm capacity of all endpoints that were visited, times slowStartLoadFraction of what overloads
-// it. The endpoints that were visited are about the subset. Each endpoint is in the subsets of about as
-// many balancers, so that together they send it that fraction of their requests. With the capacity of the
-// whole list it would be drawn the more rarely the larger the fleet, and be idle after a release. The
-// chance is drawn by the caller, from 0 to 1.
+// over the capacity after slow start of all endpoints that were visited, times slowStartLoadFraction of
+// what overloads it. The endpoints that were visited are about the subset. Each endpoint is in the subsets
+// of about as many balancers, so that together they send it that fraction of their requests. With the
+// capacity of the whole list it would be drawn the more rarely the larger the fleet, and be idle after a
+// release. The chance is drawn by the caller, from 0 to 1.
 func (b *Balancer) drawWarming(candidates *candidateSet, chance float64) *endpoint {
 	factor := max(1, b.settings.SlowStartOverloadFactor*slowStartLoadFraction)
 	remaining := chance * candidates.visitedCapacity / factor
--- a/logic/subset.go
+++ b/logic/subset.go
@@ -40,16 +40,16 @@
 	}
 }
 
-// sumCapacity adds up the weights of the subset.
-func (set *endpointSet) sumCapacity() {
-	set.totalCapacity, set.healthyCapacity = 0, 0
+// sumWeights adds up the weights of the subset.
+func (set *endpointSet) sumWeights() {
+	set.subsetWeight, set.healthyWeight = 0, 0
 	for _, e := range set.listed {
 		if !e.inSubset {
 			continue
 		}
-		set.totalCapacity += e.weight
+		set.subsetWeight += e.weight
 		if e.health.state == healthy {
-			set.healthyCapacity += e.weight
+			set.healthyWeight += e.weight
 		}
 	}
 }
