--- a/cmd/ryeweir/drill.go
+++ b/cmd/ryeweir/drill.go
@@ -41,9 +41,9 @@
 				}
 				printDrill(command.OutOrStdout(), spec, d)
 				switch {
-				case len(d.Wrong) == 0:
+				case len(d.FailedExpectations) == 0:
 					return nil
-				case d.Broken || play >= plays:
+				case d.RuleBroken || play >= plays:
 					return errReported
 				}
 			}
@@ -66,18 +66,18 @@
 	}
 	fmt.Fprintf(out, ", passed over %.3f of the worthiest, at agents that nothing befell %.3f\n", o.PassedOver, o.Spared)
 	if s := o.Surge; s != nil {
-		fmt.Fprintf(out, "surge of %.1f times: goodput %.3f, service back after %.0f s\n", s.Offered, s.Goodput, s.Back)
+		fmt.Fprintf(out, "surge of %.1f times: goodput %.3f, service back after %.0f s\n", s.Offered, s.Goodput, s.RecoverySeconds)
 	}
 	if l := o.Levels; l != nil {
 		fmt.Fprintf(out, "budgets: an agent took %.2f of its demand in the surge (median; %.2f to %.2f), %d requests shed, %d retries withheld, over themselves at %d looks\n",
-			l.Median, l.Least, l.Most, l.Shed, l.Withheld, l.Pressed)
+			l.Median, l.Least, l.Most, l.Shed, l.Withheld, l.SelfOverloaded)
 	}
 	fmt.Fprintf(out, "the rig waited %.3f ms for a processor (mean), callers were up to %.0f ms late\n", o.ProcessorWait, o.Lag)
 	printViews(out, o)
-	for _, w := range drilled.Wrong {
+	for _, w := range drilled.FailedExpectations {
 		fmt.Fprintln(out, "not as expected:", w)
 	}
-	if len(drilled.Wrong) == 0 {
+	if len(drilled.FailedExpectations) == 0 {
 		fmt.Fprintln(out, "as expected")
 	}
 }
--- a/cmd/ryeweir/experiment.go
+++ b/cmd/ryeweir/experiment.go
@@ -146,10 +146,10 @@
 // printRow prints the figures of one day with one variant.
 func printRow(out io.Writer, simulated bool, row *experiment.Row) {
 	fmt.Fprintf(out, "%-12s %-12s service %.3f (%.3f to %.3f)  worst 10 s %.3f  p50 %.1f ms  p99 %.0f ms", row.Day, row.Variant, row.Service.Mean,
-		row.Service.Low, row.Service.High, row.Worst, row.P50, row.P99)
+		row.Service.Low, row.Service.High, row.WorstWindow, row.P50, row.P99)
 	if simulated {
 		fmt.Fprintf(out, "  refused %.3f, with room %.4f, of its own %.4f  into a jam %.4f  probes %.3f  nodes used %.2f  cold peak %.2f",
-			row.Rejected, row.RejectedWithCapacity, row.RejectedNearCapacity, row.SentIntoOverload, row.HealthChecks, row.Used, row.SlowStartPeak)
+			row.Rejected, row.RejectedWithCapacity, row.RejectedNearCapacity, row.SentIntoOverload, row.HealthChecks, row.NodesUsed, row.SlowStartPeak)
 	}
 	if row.Goodput.Mean > 0 {
 		fmt.Fprintf(out, "  surge: goodput %.3f (%.3f to %.3f), back after %.0f s, chokes %.1f, done %.0f, attempts %.2f, probe work %.4f, worthiest served %.3f, passed over %.3f, cold peak %.2f",
@@ -168,9 +168,9 @@
 		return
 	}
 	fmt.Fprintf(out, "%-12s %-12s seed %d: an agent sent %.0f bytes a second (%.0f at most); %d notices came by peers in %.0f ms (%.0f at most), held back %d times; facts: %d at most, %d refused, %d evicted\n",
-		outcome.Day, outcome.Variant, outcome.Seed, views.MeanBytesPerSecond, views.MaxBytesPerSecond, views.Notices, views.NoticeMeanMS, views.NoticeMaxMS, views.Withheld, views.Facts, views.FactsRejected, views.FactsEvicted)
+		outcome.Day, outcome.Variant, outcome.Seed, views.MeanBytesPerSecond, views.MaxBytesPerSecond, views.Notices, views.NoticeMeanMS, views.NoticeMaxMS, views.Withheld, views.MaxFacts, views.FactsRejected, views.FactsEvicted)
 	for _, heal := range views.Healed {
 		fmt.Fprintf(out, "  after %s (%.1f s; an agent saw as few as %d): all others seen after %.2f s, the last agent after %.2f s, never by %d\n", heal.Fault, heal.At,
-			heal.Least, heal.Median, heal.Worst, heal.Never)
+			heal.MinPeersSeen, heal.Median, heal.Worst, heal.NeverHealed)
 	}
 }
--- a/cmd/ryeweir/faults_test.go
+++ b/cmd/ryeweir/faults_test.go
@@ -104,10 +104,10 @@
 				d := drill(t, program, file)
 				o := d.Outcome
 				t.Logf("%+v; attempts a request %.2f, chokes %d, by class %.3f, surge %+v, budgets %+v, views %+v", o.Account, o.Attempts, o.Chokes, o.ByClass, o.Surge, o.Levels, o.Views)
-				if d.Busy {
+				if d.MachineOverloaded {
 					t.Logf("the machine was too busy to judge more than the rules: %.2f ms for a processor, callers %.0f ms late", o.ProcessorWait, o.Lag)
 				}
-				for _, w := range d.Wrong {
+				for _, w := range d.FailedExpectations {
 					t.Error("not as expected:", w)
 				}
 			})
@@ -134,7 +134,7 @@
 	if err != nil {
 		t.Fatalf("%v, %v: %s", failed, err, out)
 	}
-	if n := strings.Count(string(out), "not as expected:"); n > len(d.Wrong) {
+	if n := strings.Count(string(out), "not as expected:"); n > len(d.FailedExpectations) {
 		t.Logf("of the plays before: %s", out)
 	}
 	return d
--- a/cmd/ryeweir/load.go
+++ b/cmd/ryeweir/load.go
@@ -75,7 +75,7 @@
 		fmt.Fprintf(out, "%-8s %-12s %10.0f %8.1f (%5.1f to %5.1f) %10.1f %9.2f %9.2f %9.2f\n", cost.Process, cost.Rate, cost.PerSecond, cost.CPU, cost.Low, cost.High, cost.MemoryMB,
 			cost.P50, cost.P99, cost.P999)
 		if ratio := ratios[i/2]; i%2 == 1 {
-			fmt.Fprintf(out, "the agent had %d connections open, %.2f handshakes per 1,000 answers\n", costs[i-1].Open, costs[i-1].Opened)
+			fmt.Fprintf(out, "the agent had %d connections open, %.2f handshakes per 1,000 answers\n", costs[i-1].OpenConnections, costs[i-1].HandshakesPerThousand)
 			fmt.Fprintf(out, "the agent takes %.3f (%.3f to %.3f) of the proxy's processor time, slice by slice\n", ratio.Mean, ratio.Low, ratio.High)
 		}
 	}
--- a/internal/experiment/byzantine.go
+++ b/internal/experiment/byzantine.go
@@ -44,7 +44,7 @@
 	return peer, err
 }
 
-// MergeFacts, Whole and Part: it listens to nobody.
+// MergeFacts, Facts and UpdatePeerState ignore what the other peers send, and have nothing of their own.
 func (l *byzantinePeer) MergeFacts([]fleetstate.Fact) []fleetstate.Fact   { return nil }
 func (l *byzantinePeer) Facts() []fleetstate.Fact                         { return nil }
 func (l *byzantinePeer) UpdatePeerState(string, uint64, budget.PeerState) {}
@@ -67,6 +67,7 @@
 	<-ctx.Done()
 }
 
+// claims reports whether the day has the peer send this kind of false claim.
 func (l *byzantinePeer) claims(lie string) bool { return slices.Contains(l.spec.Says, lie) }
 
 // falseFacts are what it says of the servers.
--- a/internal/experiment/choose.go
+++ b/internal/experiment/choose.go
@@ -74,6 +74,7 @@
 
 type random struct{ rng *rand.Rand }
 
+// Choose returns a random node that was not tried.
 func (c *random) Choose(nodes []View, _ callers.PlannedRequest, tried []string) int {
 	among := untried(nodes, tried)
 	if len(among) == 0 {
@@ -84,6 +85,7 @@
 
 type roundRobin struct{ next int }
 
+// Choose returns the next node.
 func (c *roundRobin) Choose(nodes []View, _ callers.PlannedRequest, _ []string) int {
 	if len(nodes) == 0 {
 		return -1
@@ -94,6 +96,7 @@
 
 type twoChoices struct{ rng *rand.Rand }
 
+// Choose returns the one of two random nodes with fewer requests in flight.
 func (c *twoChoices) Choose(nodes []View, _ callers.PlannedRequest, tried []string) int {
 	among := untried(nodes, tried)
 	if len(among) == 0 {
@@ -126,6 +129,7 @@
 	maxLowDensityWait = 60 * time.Millisecond
 )
 
+// Choose returns the node with the lowest expected latency, or -1 where none is fit or the request is not worth the delay of others.
 func (c *oracle) Choose(nodes []View, planned callers.PlannedRequest, tried []string) int {
 	best, shortest := -1, math.Inf(1)
 	var wait time.Duration
--- a/internal/experiment/choosers.go
+++ b/internal/experiment/choosers.go
@@ -10,6 +10,8 @@
 	"ryeweir/internal/emulator/referee"
 )
 
+// route returns where a planned request goes: the id of the agent or node, the client of its address, and what to call at its end. The
+// client is nil where the chooser chose no node.
 func (p *scenarioRun) route(c callers.PlannedRequest, tried []string) (string, *callers.Client, func(referee.Outcome)) {
 	if p.choosers != nil {
 		return p.choosers[c.Agent].route(c, tried)
@@ -34,6 +36,7 @@
 // viewInterval is how often the endpoint list is read; the oracle reads it, and the true state, for each request.
 const viewInterval = 50 * time.Millisecond
 
+// startChoosers makes a chooser for each agent's callers. The oracle is one for all, behind one mutex.
 func (p *scenarioRun) startChoosers() error {
 	var mu sync.Mutex // of the one who sees all there is only one
 	shared := NewChooser(p.variant.Chooser, p.world.Scenario.Seed)
@@ -52,6 +55,7 @@
 	return nil
 }
 
+// route does the same by the chooser, and counts the request as in flight until its end.
 func (c *clientSideChoosers) route(planned callers.PlannedRequest, tried []string) (string, *callers.Client, func(referee.Outcome)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/experiment/compare.go
+++ b/internal/experiment/compare.go
@@ -27,18 +27,18 @@
 
 // Cost is what it takes to pass a request through.
 type Cost struct {
-	Process   string  `json:"through"`
-	Rate      string  `json:"rate"`
-	PerSecond float64 `json:"answers_per_second"`
-	CPU       float64 `json:"cpu_us_per_answer"`
-	Low       float64 `json:"cpu_low"` // of its 95% interval over slices
-	High      float64 `json:"cpu_high"`
-	MemoryMB  float64 `json:"memory_mb"`               // resident, at the end
-	Open      int     `json:"connections"`             // of the agent to the stand-ins, at the end
-	Opened    float64 `json:"handshakes_per_thousand"` // answers
-	P50       float64 `json:"p50_ms"`
-	P99       float64 `json:"p99_ms"`
-	P999      float64 `json:"p99_9_ms"`
+	Process               string  `json:"through"`
+	Rate                  string  `json:"rate"`
+	PerSecond             float64 `json:"answers_per_second"`
+	CPU                   float64 `json:"cpu_us_per_answer"`
+	Low                   float64 `json:"cpu_low"` // of its 95% interval over slices
+	High                  float64 `json:"cpu_high"`
+	MemoryMB              float64 `json:"memory_mb"`               // resident, at the end
+	OpenConnections       int     `json:"connections"`             // of the agent to the stand-ins, at the end
+	HandshakesPerThousand float64 `json:"handshakes_per_thousand"` // answers
+	P50                   float64 `json:"p50_ms"`
+	P99                   float64 `json:"p99_ms"`
+	P999                  float64 `json:"p99_9_ms"`
 }
 
 const (
--- a/internal/experiment/drill.go
+++ b/internal/experiment/drill.go
@@ -44,8 +44,8 @@
 	AllSeeAll          bool               `toml:"whole"`            // at the end all agents see all others, and after each fault each does at least once
 	SplitTo            float64            `toml:"split_to"`         // some agent sees no more than this share of the others in a fault: it did bite
 	MinWithheld        int64              `toml:"held_back_least"`
-	MinCopies          int                `toml:"copies_least"`   // different ones that agents held at once: the faults did set them apart
-	CopiesAgree        bool               `toml:"copies_agree"`   // at the end all agents hold the same
+	MinReplicaStates   int                `toml:"copies_least"`   // different ones that agents held at once: the faults did set them apart
+	ReplicasAgree      bool               `toml:"copies_agree"`   // at the end all agents hold the same
 	MaxUnnotified      *int               `toml:"unheard_most"`   // see referee.Account
 	MaxNoticeMS        float64            `toml:"notice_ms_most"` // the latest that came by a peer
 	MaxSlowStartPeak   float64            `toml:"cold_peak_most"` // of the load that overloads a node in slow start
@@ -77,6 +77,7 @@
 	return errors.Join(all...)
 }
 
+// class returns the index of a class by its name, or -1.
 func (s *DrillSpec) class(name string) int {
 	for i, c := range s.Day.Classes {
 		if c.Name == name {
@@ -88,10 +89,10 @@
 
 // DrillResult is the outcome of a drill and its judgement.
 type DrillResult struct {
-	Outcome Outcome  `json:"outcome"`
-	Wrong   []string `json:"wrong,omitempty"`  // the expectations that failed; empty: it passed
-	Broken  bool     `json:"broken,omitempty"` // a rule broke, or the drill was interrupted: a second run is no remedy
-	Busy    bool     `json:"busy,omitempty"`   // the machine was overloaded: only the rules were judged
+	Outcome            Outcome  `json:"outcome"`
+	FailedExpectations []string `json:"wrong,omitempty"`  // the expectations that failed; empty: it passed
+	RuleBroken         bool     `json:"broken,omitempty"` // a rule broke, or the drill was interrupted: a second run is no remedy
+	MachineOverloaded  bool     `json:"busy,omitempty"`   // the machine was overloaded: only the rules were judged
 }
 
 // A machine counts as overloaded in a drill where a call was sent later than maxCallerLagMS behind its planned time, or the drill's threads
@@ -150,5 +151,5 @@
 		return nil, DrillResult{}, err
 	}
 	wrong, broken := spec.judge(outcome)
-	return &spec, DrillResult{Outcome: outcome, Wrong: wrong, Broken: broken, Busy: machineOverloaded(outcome)}, nil
+	return &spec, DrillResult{Outcome: outcome, FailedExpectations: wrong, RuleBroken: broken, MachineOverloaded: machineOverloaded(outcome)}, nil
 }
--- a/internal/experiment/drill_judge.go
+++ b/internal/experiment/drill_judge.go
@@ -60,8 +60,8 @@
 		return
 	}
 	j.expect(surge.Goodput >= e.MinGoodput, "goodput %.3f in the surge", surge.Goodput)
-	recovered := surge.Back >= 0 && surge.Back <= e.RecoveredWithin.D().Seconds()
-	j.expect(e.RecoveredWithin == 0 || recovered, "service came back %.0f s after the surge (-1: never)", surge.Back)
+	recovered := surge.RecoverySeconds >= 0 && surge.RecoverySeconds <= e.RecoveredWithin.D().Seconds()
+	j.expect(e.RecoveredWithin == 0 || recovered, "service came back %.0f s after the surge (-1: never)", surge.RecoverySeconds)
 }
 
 // checkPriorities checks the agents without faults, and the order by priority weight.
@@ -75,7 +75,7 @@
 func (j *drillJudge) checkLevels() {
 	least := j.spec.Expect.MinSelfOverloaded
 	if levels := j.outcome.Levels; levels != nil {
-		j.expect(levels.Pressed >= least, "agents were over themselves at %d looks", levels.Pressed)
+		j.expect(levels.SelfOverloaded >= least, "agents were over themselves at %d looks", levels.SelfOverloaded)
 		return
 	}
 	j.expect(least == 0, "the agents told nothing of budgets")
@@ -97,12 +97,12 @@
 func (j *drillJudge) checkPeers() {
 	e, views := j.spec.Expect, j.outcome.Views
 	if views == nil {
-		none := !e.AllSeeAll && e.SplitTo == 0 && e.MinWithheld == 0 && e.MaxNoticeMS == 0 && e.MinCopies == 0 && !e.CopiesAgree
+		none := !e.AllSeeAll && e.SplitTo == 0 && e.MinWithheld == 0 && e.MaxNoticeMS == 0 && e.MinReplicaStates == 0 && !e.ReplicasAgree
 		j.expect(none, "the agents told nothing of their peers")
 		return
 	}
-	j.expect(views.Copies >= e.MinCopies, "agents held %d different copies at the most", views.Copies)
-	j.expect(!e.CopiesAgree || views.CopiesLast == 1, "agents held %d different copies at the end", views.CopiesLast)
+	j.expect(views.MaxReplicaStates >= e.MinReplicaStates, "agents held %d different copies at the most", views.MaxReplicaStates)
+	j.expect(!e.ReplicasAgree || views.ReplicaStatesAtEnd == 1, "agents held %d different copies at the end", views.ReplicaStatesAtEnd)
 	j.expect(views.Withheld >= e.MinWithheld, "nodes were held back %d times on peers' word", views.Withheld)
 	j.expect(e.MaxNoticeMS == 0 || views.NoticeMaxMS <= e.MaxNoticeMS, "a notice took %.0f ms", views.NoticeMaxMS)
 	if e.AllSeeAll {
@@ -115,11 +115,11 @@
 
 // checkMembershipHealed checks that each agent saw all others at the end, and at least once after each fault.
 func (j *drillJudge) checkMembershipHealed(views *Views) {
-	j.expect(views.Whole >= 1-1e-9, "%.2f of the agents saw all others at the end", views.Whole)
+	j.expect(views.AllSeenAtEnd >= 1-1e-9, "%.2f of the agents saw all others at the end", views.AllSeenAtEnd)
 	for i, healed := range views.Healed {
 		// Where the next fault ends at the same time there is no interval to see it in.
 		if i+1 == len(views.Healed) || views.Healed[i+1].At > healed.At {
-			j.expect(healed.Never == 0, "after %s %d agents never saw all others", healed.Fault, healed.Never)
+			j.expect(healed.NeverHealed == 0, "after %s %d agents never saw all others", healed.Fault, healed.NeverHealed)
 		}
 	}
 }
@@ -128,7 +128,7 @@
 func (j *drillJudge) checkMembershipSplit(views *Views) {
 	least := j.spec.Day.Agents
 	for _, healed := range views.Healed {
-		least = min(least, healed.Least)
+		least = min(least, healed.MinPeersSeen)
 	}
 	most := j.spec.Expect.SplitTo * float64(j.spec.Day.Agents-1)
 	j.expect(float64(least) <= most, "no agent saw fewer than %d others: the cut did not bite", least)
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -118,6 +118,7 @@
 // runIndex is a run of an experiment, by index.
 type runIndex struct{ repeat, day, variant int }
 
+// runs lists the runs in their order: by repeat, then day, then variant.
 func (s *Spec) runs() (out []runIndex) {
 	for repeat := range s.Repeats {
 		for day := range s.dayCount() {
@@ -171,6 +172,7 @@
 	}
 }
 
+// execute draws the day of a run and runs it, on sockets or in simulated time.
 func (f *Findings) execute(ctx context.Context, spec *Spec, self string, repeat, dayIndex, variantIndex int) (Outcome, error) {
 	day, err := spec.draw(dayIndex, spec.Seed+uint64(repeat))
 	if err != nil {
--- a/internal/experiment/fleet.go
+++ b/internal/experiment/fleet.go
@@ -26,21 +26,21 @@
 	Servers                  int             `toml:"servers"`
 	Subset                   int             `toml:"subset"`    // servers that an agent sends to
 	Rate                     float64         `toml:"rate"`      // requests a second of all agents
-	Careful                  float64         `toml:"careful"`   // part of them that must not repeat
+	NonIdempotentFraction    float64         `toml:"careful"`   // part of them that must not repeat
 	Length                   config.Duration `toml:"length"`    // of the day
 	Cores                    int             `toml:"cores"`     // of a server
 	Work                     config.Duration `toml:"work"`      // mean processor time of a request
 	Handshake                config.Duration `toml:"handshake"` // and of a handshake
 	RTT                      config.Duration `toml:"rtt"`
-	Idle                     config.Duration `toml:"idle"`         // servers close what is idle for longer, as the settings say
-	Closes                   config.Duration `toml:"closes"`       // and as they do; 0s: the same
-	Random                   float64         `toml:"random_close"` // closes a second of an idle connection, at random
-	Start                    config.Duration `toml:"start"`        // the first server starts anew then; 0s: never
+	IdleTimeout              config.Duration `toml:"idle"`         // servers close what is idle for longer, as the settings say
+	ActualIdleTimeout        config.Duration `toml:"closes"`       // and as they do; 0s: the same
+	RandomCloseRate          float64         `toml:"random_close"` // closes a second of an idle connection, at random
+	RestartAt                config.Duration `toml:"start"`        // the first server starts anew then; 0s: never
 	SlowStartInitialFraction float64         `toml:"cold_from"`
 	SlowStartWindow          config.Duration `toml:"cold_for"`
-	Cut                      config.Duration `toml:"cut"`     // the second one is cut off then; 0s: never
-	CutFor                   config.Duration `toml:"cut_for"` // what was open stays open and is dead from then on
-	Patience                 config.Duration `toml:"patience"`
+	PartitionAt              config.Duration `toml:"cut"`     // the second one is cut off then; 0s: never
+	PartitionDuration        config.Duration `toml:"cut_for"` // what was open stays open and is dead from then on
+	ClientTimeout            config.Duration `toml:"patience"`
 	Repeats                  int             `toml:"repeats"`
 	Seed                     uint64          `toml:"seed"`
 	Variants                 []FleetVariant  `toml:"fleet_arm"`
@@ -57,9 +57,9 @@
 // DefaultFleet holds the defaults.
 func DefaultFleet() FleetSpec {
 	d := func(t time.Duration) config.Duration { return config.Duration(t) }
-	return FleetSpec{Agents: 200, Servers: 20, Subset: 6, Rate: 2000, Careful: 0.4, Length: d(30 * time.Second), Cores: 8,
-		Work: d(30 * time.Millisecond), Handshake: d(4 * time.Millisecond), RTT: d(time.Millisecond), Idle: d(10 * time.Second),
-		SlowStartInitialFraction: 0.2, SlowStartWindow: d(15 * time.Second), Patience: d(800 * time.Millisecond), Repeats: 5, Seed: 1}
+	return FleetSpec{Agents: 200, Servers: 20, Subset: 6, Rate: 2000, NonIdempotentFraction: 0.4, Length: d(30 * time.Second), Cores: 8,
+		Work: d(30 * time.Millisecond), Handshake: d(4 * time.Millisecond), RTT: d(time.Millisecond), IdleTimeout: d(10 * time.Second),
+		SlowStartInitialFraction: 0.2, SlowStartWindow: d(15 * time.Second), ClientTimeout: d(800 * time.Millisecond), Repeats: 5, Seed: 1}
 }
 
 const (
@@ -79,10 +79,10 @@
 	wrong(s.Agents < 1 || s.Agents > 20000, "agents", "must be from 1 to 20000")
 	wrong(s.Servers < 2 || s.Servers > 2000, "servers", "must be from 2 to 2000")
 	wrong(s.Subset < 1 || s.Subset > s.Servers, "subset", "must be from 1 to the number of servers")
-	wrong(s.Cores < 1 || s.Work <= 0 || s.Handshake < 0 || s.RTT <= 0 || s.Idle <= 0 || s.Patience <= 0, "cores", "cores and times must be above 0")
+	wrong(s.Cores < 1 || s.Work <= 0 || s.Handshake < 0 || s.RTT <= 0 || s.IdleTimeout <= 0 || s.ClientTimeout <= 0, "cores", "cores and times must be above 0")
 	wrong(!(s.Rate > 0) || s.Rate*s.Length.D().Seconds()*float64(max(1, s.Repeats)) > maxFleetRequests, "rate", "must be above 0, and all arms' days together hold %d requests at most", maxFleetRequests)
-	wrong(!(s.Careful >= 0 && s.Careful <= 1), "careful", "must be from 0 to 1")
-	wrong(!(s.Random >= 0), "random_close", "must not be below 0")
+	wrong(!(s.NonIdempotentFraction >= 0 && s.NonIdempotentFraction <= 1), "careful", "must be from 0 to 1")
+	wrong(!(s.RandomCloseRate >= 0), "random_close", "must not be below 0")
 	wrong(s.SlowStartWindow > 0 && !(s.SlowStartInitialFraction > 0 && s.SlowStartInitialFraction <= 1), "cold_from", "must be above 0 and at most 1")
 	wrong(s.Repeats < 1 || s.Repeats > maxRepeats, "repeats", "must be from 1 to %d", maxRepeats)
 	wrong(len(s.Variants) == 0, "name", "a model needs a [[fleet_arm]]")
@@ -101,16 +101,16 @@
 
 // FleetFigures are the results of one variant, over its repeats.
 type FleetFigures struct {
-	Variant        string   `json:"arm"`
-	Handshakes     Interval `json:"handshakes_per_request"`
-	Open           Interval `json:"connections_open"`        // of all agents, on average
-	Crossed        Interval `json:"crossed_per_million"`     // requests that a server's close crossed
-	CrossedOne     Interval `json:"crossed_must_not_repeat"` // and those of them that must not repeat
-	TimedOut       Interval `json:"timed_out_after_the_cut"` // requests sent on dead connections after the server was back
-	Peak           Interval `json:"start_peak_handshakes"`   // at the started server, in a tenth of a second
-	SlowStartShare Interval `json:"start_cold_share"`        // of its capacity in the first 5 s that handshakes took
-	Mean           Interval `json:"mean_ms"`
-	P99            Interval `json:"p99_ms"`
+	Variant              string   `json:"arm"`
+	Handshakes           Interval `json:"handshakes_per_request"`
+	Open                 Interval `json:"connections_open"`        // of all agents, on average
+	Crossed              Interval `json:"crossed_per_million"`     // requests that a server's close crossed
+	CrossedNonIdempotent Interval `json:"crossed_must_not_repeat"` // and those of them that must not repeat
+	TimedOut             Interval `json:"timed_out_after_the_cut"` // requests sent on dead connections after the server was back
+	Peak                 Interval `json:"start_peak_handshakes"`   // at the started server, in a tenth of a second
+	SlowStartShare       Interval `json:"start_cold_share"`        // of its capacity in the first 5 s that handshakes took
+	Mean                 Interval `json:"mean_ms"`
+	P99                  Interval `json:"p99_ms"`
 }
 
 // Fleet runs the model with each variant and prints a table of the figures to out.
@@ -135,21 +135,21 @@
 			return bootstrap(xs)
 		}
 		figures := FleetFigures{Variant: variant.Name,
-			Handshakes:     interval(func(r fleetRun) float64 { return float64(r.handshakes) / float64(r.requests) }),
-			Open:           interval(func(r fleetRun) float64 { return r.openConnections }),
-			Crossed:        interval(func(r fleetRun) float64 { return 1e6 * float64(r.crossed) / float64(r.requests) }),
-			CrossedOne:     interval(func(r fleetRun) float64 { return float64(r.crossedNonIdempotent) }),
-			TimedOut:       interval(func(r fleetRun) float64 { return float64(r.timedOutAfterCut) }),
-			Peak:           interval(func(r fleetRun) float64 { return float64(r.peakHandshakes) }),
-			SlowStartShare: interval(func(r fleetRun) float64 { return r.slowStartShare }),
-			Mean:           interval(func(r fleetRun) float64 { return r.mean }),
-			P99:            interval(func(r fleetRun) float64 { return r.p99 })}
+			Handshakes:           interval(func(r fleetRun) float64 { return float64(r.handshakes) / float64(r.requests) }),
+			Open:                 interval(func(r fleetRun) float64 { return r.openConnections }),
+			Crossed:              interval(func(r fleetRun) float64 { return 1e6 * float64(r.crossed) / float64(r.requests) }),
+			CrossedNonIdempotent: interval(func(r fleetRun) float64 { return float64(r.crossedNonIdempotent) }),
+			TimedOut:             interval(func(r fleetRun) float64 { return float64(r.timedOutAfterCut) }),
+			Peak:                 interval(func(r fleetRun) float64 { return float64(r.peakHandshakes) }),
+			SlowStartShare:       interval(func(r fleetRun) float64 { return r.slowStartShare }),
+			Mean:                 interval(func(r fleetRun) float64 { return r.mean }),
+			P99:                  interval(func(r fleetRun) float64 { return r.p99 })}
 		all = append(all, figures)
 		formatInterval := func(i Interval, form string) string {
 			return fmt.Sprintf(form+" ("+form+"-"+form+")", i.Mean, i.Low, i.High)
 		}
 		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\n", figures.Variant, formatInterval(figures.Handshakes, "%.4f"), formatInterval(figures.Open, "%.0f"), formatInterval(figures.Crossed, "%.0f"),
-			formatInterval(figures.CrossedOne, "%.1f"), formatInterval(figures.TimedOut, "%.1f"), formatInterval(figures.Peak, "%.1f"), formatInterval(figures.SlowStartShare, "%.3f"), formatInterval(figures.Mean, "%.1f"), formatInterval(figures.P99, "%.1f"))
+			formatInterval(figures.CrossedNonIdempotent, "%.1f"), formatInterval(figures.TimedOut, "%.1f"), formatInterval(figures.Peak, "%.1f"), formatInterval(figures.SlowStartShare, "%.3f"), formatInterval(figures.Mean, "%.1f"), formatInterval(figures.P99, "%.1f"))
 	}
 	return all, table.Flush()
 }
@@ -189,17 +189,17 @@
 
 // fleetServer does work in order of arrival on its cores.
 type fleetServer struct {
-	coreFreeAt    []time.Duration // by core
-	started       time.Duration   // 0: long ago
-	cutFrom       time.Duration
-	cutTo         time.Duration
-	handshakeTime time.Duration // processor time of handshakes within restartObservation after its start
+	coreFreeAt      []time.Duration // by core
+	started         time.Duration   // 0: long ago
+	partitionedFrom time.Duration
+	partitionedTo   time.Duration
+	handshakeTime   time.Duration // processor time of handshakes within restartObservation after its start
 }
 
 // fleetConn is the far end of a connection.
 type fleetConn struct {
-	opened time.Duration
-	closed time.Duration // when the server closes it, as things stand; it is idle from idle on
+	opened   time.Duration
+	closesAt time.Duration // when the server closes it, as things stand; it is idle from idle on
 }
 
 type fleetRequest struct {
@@ -210,13 +210,14 @@
 
 const fleetStart = time.Second // times of 0 mean never
 
+// newFleet places the servers, and the agents with random subsets of them.
 func newFleet(spec *FleetSpec, variant FleetVariant, seed uint64) (*fleetModel, error) {
 	model := &fleetModel{spec: spec, rng: rand.New(rand.NewPCG(seed, 0x666c6565)), now: fleetStart, handshakesPerWindow: map[time.Duration]int{}}
 	for range spec.Servers {
 		model.servers = append(model.servers, &fleetServer{coreFreeAt: make([]time.Duration, spec.Cores)})
 	}
 	settings := pool.DefaultSettings(450)
-	settings.ServerIdleTimeout, settings.AcquireTimeout, settings.Agents, settings.SlowStartInitialFraction, settings.SlowStartWindow = spec.Idle.D(), spec.Patience.D(), spec.Agents, spec.SlowStartInitialFraction, spec.SlowStartWindow.D()
+	settings.ServerIdleTimeout, settings.AcquireTimeout, settings.Agents, settings.SlowStartInitialFraction, settings.SlowStartWindow = spec.IdleTimeout.D(), spec.ClientTimeout.D(), spec.Agents, spec.SlowStartInitialFraction, spec.SlowStartWindow.D()
 	settings = variant.read.Settings(settings)
 	if err := settings.Validate(); err != nil {
 		return nil, fmt.Errorf("arm %s: %w", variant.Name, err)
@@ -233,23 +234,25 @@
 	return model, nil
 }
 
+// schedule adds an event.
 func (f *fleetModel) schedule(t time.Duration, action func()) {
 	f.scheduled++
 	heap.Push(&f.events, simEvent{at: t, seq: f.scheduled, do: action})
 }
 
+// run handles all events in order of time and returns the figures.
 func (f *fleetModel) run() fleetRun {
 	end := fleetStart + f.spec.Length.D()
 	for _, a := range f.agents {
-		f.arrivals(a, end)
-		f.maintenance(a, end)
+		f.scheduleArrivals(a, end)
+		f.scheduleMaintenance(a, end)
 	}
-	if start := f.spec.Start.D(); start > 0 {
+	if start := f.spec.RestartAt.D(); start > 0 {
 		f.schedule(fleetStart+start, f.restart)
 	}
-	if cut := f.spec.Cut.D(); cut > 0 {
+	if cut := f.spec.PartitionAt.D(); cut > 0 {
 		s := f.servers[1]
-		s.cutFrom, s.cutTo = fleetStart+cut, fleetStart+cut+f.spec.CutFor.D()
+		s.partitionedFrom, s.partitionedTo = fleetStart+cut, fleetStart+cut+f.spec.PartitionDuration.D()
 	}
 	for len(f.events) > 0 {
 		e := heap.Pop(&f.events).(simEvent)
@@ -259,7 +262,7 @@
 	for _, n := range f.handshakesPerWindow {
 		f.totals.peakHandshakes = max(f.totals.peakHandshakes, n)
 	}
-	if f.spec.Start > 0 {
+	if f.spec.RestartAt > 0 {
 		f.totals.slowStartShare = f.servers[0].handshakeTime.Seconds() / f.capacity(f.servers[0].started, restartObservation)
 	}
 	slices.Sort(f.latencies)
@@ -287,34 +290,35 @@
 	return f.spec.SlowStartInitialFraction + (1-f.spec.SlowStartInitialFraction)*float64(age)/float64(f.spec.SlowStartWindow.D())
 }
 
-// arrivals are an agent's requests, a Poisson process.
-func (f *fleetModel) arrivals(a *fleetAgent, end time.Duration) {
+// scheduleArrivals are an agent's requests, a Poisson process.
+func (f *fleetModel) scheduleArrivals(a *fleetAgent, end time.Duration) {
 	each := float64(f.spec.Agents) / f.spec.Rate
 	f.schedule(f.now+time.Duration(f.rng.ExpFloat64()*each*float64(time.Second)), func() {
 		if f.now >= end {
 			return
 		}
 		f.totals.requests++
-		f.send(a, &fleetRequest{at: f.now, nonIdempotent: f.rng.Float64() < f.spec.Careful})
-		f.arrivals(a, end)
+		f.send(a, &fleetRequest{at: f.now, nonIdempotent: f.rng.Float64() < f.spec.NonIdempotentFraction})
+		f.scheduleArrivals(a, end)
 	})
 }
 
-func (f *fleetModel) maintenance(a *fleetAgent, end time.Duration) {
+// scheduleMaintenance lets an agent's table drop stale connections about every second, and samples the open ones.
+func (f *fleetModel) scheduleMaintenance(a *fleetAgent, end time.Duration) {
 	f.schedule(f.now+time.Duration((0.5+f.rng.Float64())*float64(time.Second)), func() {
 		if f.now >= end {
 			return
 		}
 		var stale []*pool.Slot
 		for _, s := range a.table.AppendIdle(nil) {
-			if f.now >= a.conns[s].closed {
+			if f.now >= a.conns[s].closesAt {
 				stale = append(stale, s)
 			}
 		}
 		f.apply(a, a.table.Maintain(f.now, stale))
 		f.totals.openConnections += float64(a.table.Stats().Open) * float64(len(f.agents))
 		f.samples++
-		f.maintenance(a, end)
+		f.scheduleMaintenance(a, end)
 	})
 }
 
@@ -341,7 +345,7 @@
 	request.server = f.rng.IntN(len(agent.nodes))
 	for range 50 {
 		server := agent.servers[request.server]
-		ejected := f.now >= server.cutFrom+f.spec.Patience.D() && f.now < server.cutTo // the module notices when nothing answers
+		ejected := f.now >= server.partitionedFrom+f.spec.ClientTimeout.D() && f.now < server.partitionedTo // the module notices when nothing answers
 		if !ejected && (server.started == 0 || f.rng.Float64() < f.speedFraction(f.now-server.started)) {
 			break
 		}
@@ -356,7 +360,7 @@
 		if slot == nil {
 			return
 		}
-		if f.now < agent.conns[slot].closed {
+		if f.now < agent.conns[slot].closesAt {
 			f.transmit(agent, slot, request)
 			return
 		}
@@ -384,6 +388,7 @@
 	}
 }
 
+// serverOf returns the server behind a table's endpoint, or nil for one that was retired.
 func (f *fleetModel) serverOf(a *fleetAgent, n *pool.Endpoint) *fleetServer {
 	for i, have := range a.nodes {
 		if have == n {
@@ -410,10 +415,11 @@
 	return s.coreFreeAt[core]
 }
 
+// open begins a handshake. To a partitioned or retired server it fails.
 func (f *fleetModel) open(agent *fleetAgent, slot *pool.Slot) {
 	f.totals.handshakes++
 	server := f.serverOf(agent, slot.Endpoint)
-	if server == nil || f.now >= server.cutFrom && f.now < server.cutTo {
+	if server == nil || f.now >= server.partitionedFrom && f.now < server.partitionedTo {
 		f.schedule(f.now+100*time.Millisecond, func() { f.apply(agent, agent.table.HandshakeFailed(f.now, slot, false)) })
 		return
 	}
@@ -431,12 +437,12 @@
 
 // scheduleIdleClose sets when the server closes a connection that is idle from now on.
 func (f *fleetModel) scheduleIdleClose(conn *fleetConn) {
-	conn.closed = f.now + f.spec.Idle.D()
-	if f.spec.Closes > 0 {
-		conn.closed = f.now + f.spec.Closes.D()
+	conn.closesAt = f.now + f.spec.IdleTimeout.D()
+	if f.spec.ActualIdleTimeout > 0 {
+		conn.closesAt = f.now + f.spec.ActualIdleTimeout.D()
 	}
-	if f.spec.Random > 0 {
-		conn.closed = min(conn.closed, f.now+time.Duration(f.rng.ExpFloat64()/f.spec.Random*float64(time.Second)))
+	if f.spec.RandomCloseRate > 0 {
+		conn.closesAt = min(conn.closesAt, f.now+time.Duration(f.rng.ExpFloat64()/f.spec.RandomCloseRate*float64(time.Second)))
 	}
 }
 
@@ -456,12 +462,12 @@
 	switch {
 	case server == nil:
 		finish(oneWay, pool.Broken)
-	case f.now >= server.cutFrom && f.now < server.cutTo || conn.opened < server.cutFrom && f.now >= server.cutTo && server.cutTo > 0:
-		if f.now >= server.cutTo {
+	case f.now >= server.partitionedFrom && f.now < server.partitionedTo || conn.opened < server.partitionedFrom && f.now >= server.partitionedTo && server.partitionedTo > 0:
+		if f.now >= server.partitionedTo {
 			f.totals.timedOutAfterCut++
 		}
-		finish(f.spec.Patience.D(), pool.Broken)
-	case conn.closed < f.now+oneWay: // the close crosses the request
+		finish(f.spec.ClientTimeout.D(), pool.Broken)
+	case conn.closesAt < f.now+oneWay: // the close crosses the request
 		f.totals.crossed++
 		if request.nonIdempotent {
 			f.totals.crossedNonIdempotent++
@@ -470,7 +476,7 @@
 	default:
 		amount := time.Duration(f.rng.ExpFloat64() * float64(f.spec.Work.D()))
 		done := f.process(server, f.now+oneWay, amount)
-		conn.closed = time.Duration(math.MaxInt64) // in use
+		conn.closesAt = time.Duration(math.MaxInt64) // in use
 		finish(done+oneWay-f.now, pool.Reusable)
 	}
 }
--- a/internal/experiment/levels.go
+++ b/internal/experiment/levels.go
@@ -9,20 +9,20 @@
 
 // Levels sums up the admission budgets of a day's agent processes, as their metrics reported them.
 type Levels struct {
-	Least    float64 `json:"least"`    // fraction of its demand that an agent admitted one second before the surge ended: the lowest of all agents
-	Median   float64 `json:"median"`   //
-	Most     float64 `json:"most"`     //
-	Shed     int64   `json:"shed"`     // requests rejected by the budget; a killed process counts with its last sample
-	Withheld int64   `json:"withheld"` // retries not sent
-	Pressed  int64   `json:"pressed"`  // samples in which an agent found itself overloaded
+	Least          float64 `json:"least"`    // fraction of its demand that an agent admitted one second before the surge ended: the lowest of all agents
+	Median         float64 `json:"median"`   //
+	Most           float64 `json:"most"`     //
+	Shed           int64   `json:"shed"`     // requests rejected by the budget; a killed process counts with its last sample
+	Withheld       int64   `json:"withheld"` // retries not sent
+	SelfOverloaded int64   `json:"pressed"`  // samples in which an agent found itself overloaded
 }
 
 // overloadMetrics are an agent's figures of its budget.
 type overloadMetrics struct {
-	Admitted float64
-	Shed     int64
-	Withheld int64
-	Pressed  int64
+	Admitted       float64
+	Shed           int64
+	Withheld       int64
+	SelfOverloaded int64 `json:"Pressed"`
 }
 
 // summarizeLevels sums up the budget metrics of all agents; nil where no agent has a budget.
@@ -41,7 +41,7 @@
 			if metrics == nil {
 				continue
 			}
-			if metrics.Shed < last.Shed || metrics.Pressed < last.Pressed { // another process began in between
+			if metrics.Shed < last.Shed || metrics.SelfOverloaded < last.SelfOverloaded { // another process began in between
 				levels.add(last)
 			}
 			last = *metrics
@@ -62,6 +62,7 @@
 	return levels
 }
 
+// add adds the counters of one process.
 func (l *Levels) add(o overloadMetrics) {
-	l.Shed, l.Withheld, l.Pressed = l.Shed+o.Shed, l.Withheld+o.Withheld, l.Pressed+o.Pressed
+	l.Shed, l.Withheld, l.SelfOverloaded = l.Shed+o.Shed, l.Withheld+o.Withheld, l.SelfOverloaded+o.SelfOverloaded
 }
--- a/internal/experiment/measured.go
+++ b/internal/experiment/measured.go
@@ -56,6 +56,7 @@
 	return s, nil
 }
 
+// stop terminates the process, and kills it after processrig.StopTimeout.
 func (s *measuredProcess) stop() {
 	s.client.Close()
 	s.cmd.Process.Signal(syscall.SIGTERM)
@@ -67,6 +68,7 @@
 	}
 }
 
+// send sends one request through the process.
 func (s *measuredProcess) send(ctx context.Context) callers.Response {
 	ctx, cancel := context.WithTimeout(ctx, 2*time.Second)
 	defer cancel()
@@ -135,7 +137,7 @@
 	}
 	p, cpu := percentiles(s.latencies), bootstrap(s.cpu)
 	c := Cost{Process: s.name, Rate: "full speed", PerSecond: float64(len(s.latencies)) / s.elapsed.Seconds(), CPU: cpu.Mean, Low: cpu.Low, High: cpu.High,
-		MemoryMB: memory, Open: open, Opened: 1000 * float64(opened-s.opened) / float64(len(s.latencies)), P50: p.P50, P99: p.P99, P999: p.P999}
+		MemoryMB: memory, OpenConnections: open, HandshakesPerThousand: 1000 * float64(opened-s.opened) / float64(len(s.latencies)), P50: p.P50, P99: p.P99, P999: p.P999}
 	if rate > 0 {
 		c.Rate = fmt.Sprintf("%d/s", rate)
 	}
--- a/internal/experiment/outcome.go
+++ b/internal/experiment/outcome.go
@@ -63,8 +63,8 @@
 	Chokes            int                        `json:"chokes"`
 	Truths            *Truths                    `json:"truths,omitempty"`                   // of a simulation
 	SlowStartPeak     float64                    `json:"cold_peak"`                          // highest load of a node in slow start, as a fraction of what overloads it
-	Used              []float64                  `json:"nodes_used,omitempty"`               // of a simulation: share of the nodes, a second each
-	Busy              []float64                  `json:"nodes_busy,omitempty"`               // of a simulation: work done of what could be, a second each
+	NodesUsed         []float64                  `json:"nodes_used,omitempty"`               // of a simulation: share of the nodes, a second each
+	NodesBusy         []float64                  `json:"nodes_busy,omitempty"`               // of a simulation: work done of what could be, a second each
 	Priced            float64                    `json:"priced"`                             // the goal less the day's prices
 	HealthCheckWork   float64                    `json:"probe_work"`                         // as a share of what the nodes could do
 	CPU               float64                    `json:"agent_cpu_us_per_request,omitempty"` // of all agents' processes
--- a/internal/experiment/report.go
+++ b/internal/experiment/report.go
@@ -199,6 +199,7 @@
 	return out
 }
 
+// newPlot returns an empty plot over the seconds of a day.
 func newPlot(title, y string) *plot.Plot {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, "seconds", y
@@ -208,6 +209,7 @@
 	return p
 }
 
+// addLine adds a series with a point a second. Seconds without a value, and zeros in dashed or unnamed lines, are left out.
 func addLine(p *plot.Plot, name string, c color.Color, dashed bool, ys []*float64) {
 	var points plotter.XYs
 	for s, y := range ys {
--- a/internal/experiment/scenario_agents.go
+++ b/internal/experiment/scenario_agents.go
@@ -13,6 +13,7 @@
 	"ryeweir/internal/processrig"
 )
 
+// startAgents starts an agent's process for each agent of the day, and waits until all are ready.
 func (p *scenarioRun) startAgents(ctx context.Context, dir string) error {
 	limits := p.variant.Limits
 	if limits == (emulator.Limits{}) {
@@ -101,6 +102,7 @@
 	}
 }
 
+// stopAgents stops all agents, adds up their processor time, and returns the errors of those that misbehaved.
 func (p *scenarioRun) stopAgents() error {
 	var mu sync.Mutex
 	var errs []error
--- a/internal/experiment/scenario_watch.go
+++ b/internal/experiment/scenario_watch.go
@@ -19,6 +19,7 @@
 	Marks   []emulator.Event
 }
 
+// callEnded keeps a call's result for the next sample.
 func (p *scenarioRun) callEnded(c referee.CallResult) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/experiment/simulation.go
+++ b/internal/experiment/simulation.go
@@ -110,7 +110,7 @@
 		t.nodes = append(t.nodes, n.earlierIncarnations.Add(n.Figures()))
 	}
 	outcome := t.outcome(variant, true)
-	outcome.Truths, outcome.Used, outcome.Busy = &s.truths, s.used, s.busy
+	outcome.Truths, outcome.NodesUsed, outcome.NodesBusy = &s.truths, s.used, s.busy
 	return outcome
 }
 
@@ -244,6 +244,7 @@
 // maxTail is how long after the last call a simulation goes on at most.
 const maxTail = time.Minute
 
+// run handles events in order of time until all calls have ended, or maxTail after the day.
 func (s *simulation) run() {
 	for len(s.events) > 0 && (s.callsLeft > 0 || len(s.open) > 0) && s.now < s.day.Length+maxTail {
 		e := heap.Pop(&s.events).(simEvent)
@@ -252,4 +253,5 @@
 	}
 }
 
+// clock is the time on the decision module's clock.
 func (s *simulation) clock() time.Duration { return s.now + moduleStart }
--- a/internal/experiment/simulation_agent.go
+++ b/internal/experiment/simulation_agent.go
@@ -36,6 +36,7 @@
 	rng         *rand.Rand
 }
 
+// newProcess returns a process in the i-th agent's place, without decisions yet.
 func (s *simulation) newProcess(i int) *simAgent {
 	return &simAgent{number: i, zone: s.day.AgentZone(i), conns: map[int]int{}, connsInUse: map[int]int{},
 		rng: rand.New(rand.NewPCG(s.day.Seed*64+uint64(i)+1, 0x6c697374))}
--- a/internal/experiment/simulation_attempts.go
+++ b/internal/experiment/simulation_attempts.go
@@ -23,6 +23,7 @@
 	ticket      ticket
 }
 
+// handle passes an event to an agent's decision module and executes the actions.
 func (s *simulation) handle(agent *simAgent, event logic.Event) {
 	if !agent.ended {
 		s.apply(agent, agent.balancer.Handle(s.clock(), event))
@@ -147,6 +148,7 @@
 	s.schedule(arrive, func() { s.arriveAtNode(attempt) })
 }
 
+// arriveAtNode offers an attempt to its node.
 func (s *simulation) arriveAtNode(attempt *simAttempt) {
 	request, target := attempt.request, attempt.node
 	if attempt.ended || request.agent.ended || s.day.Partitioned(request.agent.zone, target.Zone, s.now) {
@@ -205,6 +207,7 @@
 	s.endAttempt(attempt, logic.TimedOut)
 }
 
+// endAttempt reports an attempt's result: to the agent, or to the client where it chose the node itself.
 func (s *simulation) endAttempt(attempt *simAttempt, result logic.Result) {
 	if attempt.ended {
 		return
--- a/internal/experiment/simulation_callers.go
+++ b/internal/experiment/simulation_callers.go
@@ -29,7 +29,7 @@
 	}
 	agent := s.agents[call.Agent]
 	if agent.away { // nobody listens: the client learns it at once
-		s.truths.NotRunning++
+		s.truths.AgentNotRunning++
 		s.reconnectLater(call, tried)
 		return
 	}
@@ -57,6 +57,7 @@
 	s.handle(agent, logic.Request{ID: request.id, Class: call.PlannedRequest.Class, Tenant: call.Tenant, Key: call.Key, Deadline: request.deadline + moduleStart})
 }
 
+// finishCall records the result of a call.
 func (s *simulation) finishCall(call *callers.Call) {
 	s.callsLeft--
 	s.calls = append(s.calls, call.Result())
@@ -77,6 +78,7 @@
 	}
 }
 
+// waitingAttempts returns a request's attempts that nodes hold.
 func (s *simulation) waitingAttempts(request *clientRequest) (out []*simAttempt) {
 	for _, attempt := range s.waiting {
 		if attempt.request == request {
@@ -102,6 +104,7 @@
 	s.schedule(next, func() { s.beginAttempt(request.call, request.triedNodes) })
 }
 
+// forget drops a request that has ended for its client and has no attempt in flight.
 func (s *simulation) forget(request *clientRequest) {
 	if request.ended && request.inFlight == 0 {
 		delete(s.open, request.id)
--- a/internal/experiment/simulation_discovery.go
+++ b/internal/experiment/simulation_discovery.go
@@ -73,6 +73,7 @@
 	s.schedule(s.now+spread, func() { s.watch(agent, timing) })
 }
 
+// watch begins an agent's watch call. It is repeated after discovery.WatchTimeout without a change.
 func (s *simulation) watch(agent *simAgent, timing discovery.FleetTiming) {
 	if agent.ended {
 		return
--- a/internal/experiment/simulation_events.go
+++ b/internal/experiment/simulation_events.go
@@ -32,6 +32,7 @@
 	return x
 }
 
+// schedule adds an event at a time, or now where that has passed.
 func (s *simulation) schedule(t time.Duration, do func()) {
 	s.scheduled++
 	heap.Push(&s.events, simEvent{max(t, s.now), s.scheduled, do})
--- a/internal/experiment/simulation_nodes.go
+++ b/internal/experiment/simulation_nodes.go
@@ -26,6 +26,7 @@
 	workBefore          time.Duration
 }
 
+// entry is the endpoint list's entry of the i-th node.
 func (s *simulation) entry(i int, state logic.EndpointState) logic.Endpoint {
 	spec := s.nodes[i].Spec
 	e := logic.Endpoint{ID: spec.ID, State: state, Zone: slices.Index(s.day.Spec.Zones, spec.Zone), Cell: i / 8, Weight: 1}
@@ -35,6 +36,7 @@
 	return e
 }
 
+// scheduleFault schedules the beginning and the end of a node's fault.
 func (s *simulation) scheduleFault(fault emulator.NodeFault) {
 	discovery := s.day.Spec.Discovery
 	target := s.nodes[fault.Node]
@@ -149,6 +151,7 @@
 	}
 }
 
+// oneWay draws a one-way network delay between an agent and a node.
 func (s *simulation) oneWay(agent *simAgent, n *simNode) time.Duration {
 	conditions := s.day.LinkTo(agent.zone, n.Zone)
 	delay := conditions.Delay
--- a/internal/experiment/simulation_truths.go
+++ b/internal/experiment/simulation_truths.go
@@ -15,8 +15,8 @@
 	Sent                 int `json:"sent"`          // attempts that arrived at a node
 	SentIntoOverload     int `json:"sent_into_jam"` // of these, at a node that was full or whose backlog exceeded their latency objective
 	SentDespiteCapacity  int `json:"sent_aside"`    // of these, while another ready node had a free core
-	ToDead               int `json:"to_dead"`       // attempts at an unresponsive node
-	NotRunning           int `json:"unheard"`       // connections while the agent's process was away
+	ToUnresponsive       int `json:"to_dead"`       // attempts at an unresponsive node
+	AgentNotRunning      int `json:"unheard"`       // connections while the agent's process was away
 }
 
 // idle reports whether a node would start a request without queueing.
@@ -58,7 +58,7 @@
 	n := attempt.node
 	s.truths.Sent++
 	if n.Unresponsive() {
-		s.truths.ToDead++
+		s.truths.ToUnresponsive++
 		return
 	}
 	if n.HasCapacity() && n.Backlog() <= attempt.request.call.Class.LatencyObjective {
--- a/internal/experiment/spec.go
+++ b/internal/experiment/spec.go
@@ -200,6 +200,7 @@
 	return variant
 }
 
+// dayNames are the names of all days, in the order of their numbers.
 func (s *Spec) dayNames() (out []string) {
 	for _, d := range s.Days {
 		out = append(out, d.Name)
@@ -210,6 +211,7 @@
 	return out
 }
 
+// variantNames are the names of all variants.
 func (s *Spec) variantNames() (out []string) {
 	for _, a := range s.Variants {
 		out = append(out, a.Name)
--- a/internal/experiment/statistics.go
+++ b/internal/experiment/statistics.go
@@ -44,6 +44,7 @@
 	return out
 }
 
+// mean is the arithmetic mean; NaN of none.
 func mean(xs []float64) float64 {
 	sum := 0.0
 	for _, x := range xs {
@@ -115,12 +116,13 @@
 // minNodesUsed is the share of the nodes that something came to, in the worst ten seconds on end.
 func (o Outcome) minNodesUsed() float64 {
 	least := 1.0
-	for i := 10; i <= len(o.Used); i++ {
-		least = min(least, mean(o.Used[i-10:i]))
+	for i := 10; i <= len(o.NodesUsed); i++ {
+		least = min(least, mean(o.NodesUsed[i-10:i]))
 	}
 	return least
 }
 
+// healthChecksPerRequest is the number of health checks over that of requests.
 func (o Outcome) healthChecksPerRequest() float64 {
 	return float64(o.HealthChecks) / max(1, float64(o.Account.Requests))
 }
@@ -183,6 +185,7 @@
 	return out
 }
 
+// bySeed returns the outcomes of a variant on a day by seed, without the interrupted ones.
 func bySeed(outcomes []Outcome, day, variant string) map[uint64]Outcome {
 	out := map[uint64]Outcome{}
 	for _, outcome := range outcomes {
@@ -198,9 +201,9 @@
 	Day                  string   `json:"day"`
 	Variant              string   `json:"arm"`
 	Runs                 int      `json:"runs"`
-	Held                 bool     `json:"rules_held"`
+	RulesHeld            bool     `json:"rules_held"`
 	Service              Interval `json:"service"`
-	Worst                float64  `json:"worst_window"`
+	WorstWindow          float64  `json:"worst_window"`
 	Goal                 float64  `json:"goal"`
 	P50                  float64  `json:"p50_ms"`
 	P99                  float64  `json:"p99_ms"`
@@ -209,12 +212,12 @@
 	CPU                  float64  `json:"agent_cpu_us_per_request"`
 	HealthChecks         float64  `json:"probes_per_request"`
 	HealthCheckWork      float64  `json:"probe_work"`        // as a share of what the nodes could do
-	Lists                float64  `json:"list_calls"`        // of all agents
+	ListCalls            float64  `json:"list_calls"`        // of all agents
 	RejectedWithCapacity float64  `json:"refused_with_room"` // fraction of the requests rejected without an attempt while a ready node had a free core
 	SentIntoOverload     float64  `json:"sent_into_jam"`     // fraction of the attempts that arrived at a node
 	Rejected             float64  `json:"refused"`           // fraction of the requests
 	RejectedNearCapacity float64  `json:"refused_near"`      // fraction rejected without an attempt while a node in the agent's subset had a free core
-	Used                 float64  `json:"nodes_used"`        // share of the nodes in use, in the worst ten seconds
+	NodesUsed            float64  `json:"nodes_used"`        // share of the nodes in use, in the worst ten seconds
 	SlowStartPeak        float64  `json:"cold_peak"`         // the highest of all runs
 	Priced               float64  `json:"priced"`            // the goal less the day's prices
 	Chokes               float64  `json:"chokes"`            // nodes that choked
@@ -230,26 +233,26 @@
 func rows(outcomes []Outcome, days, variants []string) (out []Row) {
 	for _, day := range days {
 		for _, variant := range variants {
-			row := Row{Day: day, Variant: variant, Held: true}
+			row := Row{Day: day, Variant: variant, RulesHeld: true}
 			var service, goodput []float64
 			for _, outcome := range outcomes {
 				if outcome.Day != day || outcome.Variant != variant || outcome.Interrupted {
 					continue
 				}
 				row.Runs++
-				row.Held = row.Held && outcome.Account.RulesHold()
+				row.RulesHeld = row.RulesHeld && outcome.Account.RulesHold()
 				service = append(service, outcome.Overall)
-				row.Worst, row.Goal = row.Worst+outcome.WorstWindow, row.Goal+outcome.Goal
+				row.WorstWindow, row.Goal = row.WorstWindow+outcome.WorstWindow, row.Goal+outcome.Goal
 				row.P50, row.P99 = row.P50+outcome.Latency["all"].P50, row.P99+outcome.Latency["all"].P99
 				row.Attempts, row.Waste, row.CPU = row.Attempts+outcome.Attempts, row.Waste+outcome.Waste, row.CPU+outcome.CPU
-				row.HealthChecks, row.HealthCheckWork, row.Lists = row.HealthChecks+outcome.healthChecksPerRequest(), row.HealthCheckWork+outcome.HealthCheckWork, row.Lists+float64(outcome.ListCalls)
+				row.HealthChecks, row.HealthCheckWork, row.ListCalls = row.HealthChecks+outcome.healthChecksPerRequest(), row.HealthCheckWork+outcome.HealthCheckWork, row.ListCalls+float64(outcome.ListCalls)
 				row.RejectedWithCapacity, row.SentIntoOverload = row.RejectedWithCapacity+outcome.rejectedWithCapacityFraction(), row.SentIntoOverload+outcome.sentIntoOverloadFraction()
-				row.Rejected, row.Used, row.Priced, row.SlowStartPeak = row.Rejected+outcome.rejectedFraction(), row.Used+outcome.minNodesUsed(), row.Priced+outcome.Priced, max(row.SlowStartPeak, outcome.SlowStartPeak)
+				row.Rejected, row.NodesUsed, row.Priced, row.SlowStartPeak = row.Rejected+outcome.rejectedFraction(), row.NodesUsed+outcome.minNodesUsed(), row.Priced+outcome.Priced, max(row.SlowStartPeak, outcome.SlowStartPeak)
 				row.Chokes, row.Completed = row.Chokes+float64(outcome.Chokes), row.Completed+float64(outcome.Account.Completed)
 				row.Unnotified += float64(outcome.Account.Unnotified)
 				row.TopPriorityServed, row.PassedOver = row.TopPriorityServed+outcome.TopPriorityServed, row.PassedOver+outcome.PassedOver
-				if surge := outcome.surgeOrZero(); row.RecoverySeconds >= 0 && surge.Back >= 0 {
-					row.RecoverySeconds = max(row.RecoverySeconds, surge.Back)
+				if surge := outcome.surgeOrZero(); row.RecoverySeconds >= 0 && surge.RecoverySeconds >= 0 {
+					row.RecoverySeconds = max(row.RecoverySeconds, surge.RecoverySeconds)
 				} else {
 					row.RecoverySeconds = -1
 				}
@@ -263,7 +266,7 @@
 			}
 			row.Service, row.Goodput = bootstrap(service), bootstrap(goodput)
 			runs := float64(row.Runs)
-			for _, sum := range []*float64{&row.Worst, &row.Goal, &row.P50, &row.P99, &row.Attempts, &row.Waste, &row.CPU, &row.HealthChecks, &row.HealthCheckWork, &row.Lists, &row.RejectedWithCapacity, &row.SentIntoOverload, &row.Rejected, &row.RejectedNearCapacity, &row.Used, &row.Priced, &row.Chokes, &row.Completed, &row.Unnotified, &row.TopPriorityServed, &row.PassedOver} {
+			for _, sum := range []*float64{&row.WorstWindow, &row.Goal, &row.P50, &row.P99, &row.Attempts, &row.Waste, &row.CPU, &row.HealthChecks, &row.HealthCheckWork, &row.ListCalls, &row.RejectedWithCapacity, &row.SentIntoOverload, &row.Rejected, &row.RejectedNearCapacity, &row.NodesUsed, &row.Priced, &row.Chokes, &row.Completed, &row.Unnotified, &row.TopPriorityServed, &row.PassedOver} {
 				*sum /= runs
 			}
 			out = append(out, row)
--- a/internal/experiment/surge.go
+++ b/internal/experiment/surge.go
@@ -13,10 +13,10 @@
 
 // Surge has the figures of a day's first upward shift of the traffic at all agents.
 type Surge struct {
-	Offered float64 `json:"offered"` // asked for while it lasted, as a multiple of what the nodes can do
-	Goodput float64 `json:"goodput"` // work done for answers that somebody got, of what the nodes can do; from a second in
-	Before  float64 `json:"before"`  // service in the second before it, and the two before that
-	Back    float64 `json:"back_s"`  // seconds from its end until service is at 0.9 of Before for three seconds on end; below 0 where it never is
+	Offered         float64 `json:"offered"` // asked for while it lasted, as a multiple of what the nodes can do
+	Goodput         float64 `json:"goodput"` // work done for answers that somebody got, of what the nodes can do; from a second in
+	Before          float64 `json:"before"`  // service in the second before it, and the two before that
+	RecoverySeconds float64 `json:"back_s"`  // seconds from its end until service is at 0.9 of Before for three seconds on end; below 0 where it never is
 }
 
 // goodputWarmUp is how much of the beginning of a surge is left out of its goodput.
@@ -39,7 +39,7 @@
 		return nil
 	}
 	shift := day.Spec.Fleet.TrafficShifts[shiftIndex]
-	result := &Surge{Offered: day.Spec.Load * shift.Factor, Back: -1}
+	result := &Surge{Offered: day.Spec.Load * shift.Factor, RecoverySeconds: -1}
 	fromSecond, toSecond := int((shift.From.D()+goodputWarmUp)/time.Second), int(shift.To.D()/time.Second)
 	if goodput := outcome.Series.Goodput; fromSecond < toSecond && fromSecond < len(goodput) {
 		result.Goodput = mean(goodput[fromSecond:min(toSecond, len(goodput))])
@@ -58,7 +58,7 @@
 			recovered = recovered && service(second+k) >= recoveredFraction*result.Before
 		}
 		if recovered {
-			result.Back = float64(second - toSecond)
+			result.RecoverySeconds = float64(second - toSecond)
 			break
 		}
 	}
--- a/internal/experiment/surge_test.go
+++ b/internal/experiment/surge_test.go
@@ -45,7 +45,7 @@
 					t.Errorf("%gx %s: %+v, %.2f attempts a request, health check work %.4f", factor, variant.Name, outcome.Account, outcome.Attempts, outcome.HealthCheckWork)
 				}
 				chokes, goodput, passedOver = chokes+outcome.Chokes, goodput+outcome.Surge.Goodput/2, passedOver+outcome.PassedOver/2
-				if outcome.Surge.Back >= 0 && outcome.Surge.Back <= 2 {
+				if outcome.Surge.RecoverySeconds >= 0 && outcome.Surge.RecoverySeconds <= 2 {
 					recovered++
 				}
 			}
--- a/internal/experiment/views.go
+++ b/internal/experiment/views.go
@@ -18,7 +18,7 @@
 type Views struct {
 	Agents             int      `json:"agents"`
 	Healed             []Healed `json:"healed"`                // after each fault has ended
-	Whole              float64  `json:"whole_at_end"`          // share of the agents that saw all others when the day ended
+	AllSeenAtEnd       float64  `json:"whole_at_end"`          // share of the agents that saw all others when the day ended
 	MeanBytesPerSecond float64  `json:"bytes_per_second"`      // sent by an agent, mean
 	MaxBytesPerSecond  float64  `json:"bytes_per_second_most"` // by the one that sent most
 	Notices            int64    `json:"notices"`               // of servers' ends that came by a peer first
@@ -27,19 +27,19 @@
 	Withheld           int64    `json:"held_back"`             // times that an agent sent a server nothing new on a peer's notice, before its own list said so
 	FactsRejected      int64    `json:"facts_refused"`         // malformed, or too many of one agent
 	FactsEvicted       int64    `json:"facts_evicted"`         // as a replica was full
-	Facts              int      `json:"facts_most"`            // held by an agent at once
-	Copies             int      `json:"copies_most"`           // most different states of the facts on servers' ends that agents held in one sample
-	CopiesLast         int      `json:"copies_at_end"`         // likewise, in the last sample of all agents
+	MaxFacts           int      `json:"facts_most"`            // held by an agent at once
+	MaxReplicaStates   int      `json:"copies_most"`           // most different states of the facts on servers' ends that agents held in one sample
+	ReplicaStatesAtEnd int      `json:"copies_at_end"`         // likewise, in the last sample of all agents
 }
 
 // Healed is how long the agents took to see all others after a fault had ended, in seconds.
 type Healed struct {
-	Fault  string  `json:"fault"`
-	At     float64 `json:"at_s"` // of the day: when it ended
-	Median float64 `json:"median_s"`
-	Worst  float64 `json:"worst_s"`
-	Never  int     `json:"never"` // agents that did not before the next fault had ended
-	Least  int     `json:"least"` // fewest peers that an agent saw in the fault and since the one before had ended
+	Fault        string  `json:"fault"`
+	At           float64 `json:"at_s"` // of the day: when it ended
+	Median       float64 `json:"median_s"`
+	Worst        float64 `json:"worst_s"`
+	NeverHealed  int     `json:"never"` // agents that did not before the next fault had ended
+	MinPeersSeen int     `json:"least"` // fewest peers that an agent saw in the fault and since the one before had ended
 }
 
 // peerView is a sample of what an agent sees of its peers.
@@ -101,6 +101,7 @@
 	}
 }
 
+// fetchPeerView reads what an agent sees of its peers from its metrics.
 func fetchPeerView(ctx context.Context, client *http.Client, control string) (view peerView, err error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+control+"/v1/metrics", nil)
 	if err != nil {
@@ -159,7 +160,7 @@
 		views.addAgent(day, agentViews)
 		noticeSum += agentViews[len(agentViews)-1].metrics.Notices.Sum
 	}
-	views.Copies, views.CopiesLast = countCopies(peerViews)
+	views.MaxReplicaStates, views.ReplicaStatesAtEnd = countCopies(peerViews)
 	if views.Notices > 0 {
 		views.NoticeMeanMS = float64(noticeSum.Microseconds()) / 1e3 / float64(views.Notices)
 	}
@@ -193,17 +194,17 @@
 
 // healedAfter is the same for one fault: since is when the one before it ended, limit when the next one does.
 func healedAfter(day *emulator.Scenario, peerViews [][]peerView, end faultEnd, since, limit time.Duration) Healed {
-	healed := Healed{Fault: end.fault, At: end.at.Seconds(), Least: members(day) - 1}
+	healed := Healed{Fault: end.fault, At: end.at.Seconds(), MinPeersSeen: members(day) - 1}
 	var delays []float64
 	for _, agentViews := range peerViews {
 		for _, view := range agentViews {
 			if view.at >= since && view.at < end.at {
-				healed.Least = min(healed.Least, len(view.names))
+				healed.MinPeersSeen = min(healed.MinPeersSeen, len(view.names))
 			}
 		}
 		first := slices.IndexFunc(agentViews, func(v peerView) bool { return v.at >= end.at && v.at < limit && v.seesAll(day) })
 		if first < 0 {
-			healed.Never++
+			healed.NeverHealed++
 			continue
 		}
 		delays = append(delays, (agentViews[first].at - end.at).Seconds())
@@ -220,7 +221,7 @@
 	last := agentViews[len(agentViews)-1]
 	agents := float64(len(day.Agents))
 	if last.seesAll(day) {
-		v.Whole += 1 / agents
+		v.AllSeenAtEnd += 1 / agents
 	}
 	bytes, seconds := bytesSent(agentViews)
 	v.MeanBytesPerSecond += bytes / seconds / agents
@@ -231,7 +232,7 @@
 	v.FactsRejected += last.metrics.Facts.Rejected
 	v.FactsEvicted += last.metrics.Facts.Evicted
 	for _, view := range agentViews {
-		v.Facts = max(v.Facts, view.metrics.Facts.Held)
+		v.MaxFacts = max(v.MaxFacts, view.metrics.Facts.Held)
 	}
 }
 
--- a/internal/experiment/whole_fleet_test.go
+++ b/internal/experiment/whole_fleet_test.go
@@ -131,8 +131,8 @@
 		base(d)
 		d.Fleet.AgentFaults = []emulator.AgentFaultSpec{{Kind: emulator.AgentKill, Share: 1, From: secondsOf(4), Duration: secondsOf(2)}}
 	}), agentVariant)
-	if _, s := service(killed, 4, 6); killed.Truths.NotRunning == 0 || s > 0.8 {
-		t.Errorf("with all agents away for 2 s, %d connections failed and service was %.2f", killed.Truths.NotRunning, s)
+	if _, s := service(killed, 4, 6); killed.Truths.AgentNotRunning == 0 || s > 0.8 {
+		t.Errorf("with all agents away for 2 s, %d connections failed and service was %.2f", killed.Truths.AgentNotRunning, s)
 	}
 	if _, s := service(killed, 8, 12); s < 0.9 || !killed.Account.RulesHold() {
 		t.Errorf("after their return service is %.2f; %v", s, killed.Breaches)
@@ -165,8 +165,8 @@
 			d.Fleet.ListDelays = []emulator.ListDelaySpec{{From: secondsOf(0), To: secondsOf(12), By: secondsOf(by)}}
 		}), agentVariant)
 	}
-	if prompt, delayed := withListDelay(0), withListDelay(20); delayed.Used[8] >= prompt.Used[8] {
-		t.Errorf("with the list delayed by 20 s %.2f of the nodes are in use, without delay %.2f", delayed.Used[8], prompt.Used[8])
+	if prompt, delayed := withListDelay(0), withListDelay(20); delayed.NodesUsed[8] >= prompt.NodesUsed[8] {
+		t.Errorf("with the list delayed by 20 s %.2f of the nodes are in use, without delay %.2f", delayed.NodesUsed[8], prompt.NodesUsed[8])
 	}
 	storm := simulate(t, drawDay(t, func(d *emulator.ScenarioSpec) {
 		base(d)
@@ -186,7 +186,7 @@
 		day.Faults = []emulator.FaultSpec{{Kind: "replace", Nodes: 3, From: secondsOf(2), To: secondsOf(2.5)}}
 	})
 	outcome := simulate(t, day, agentVariant)
-	if outcome.Attempts <= 0.9 || outcome.Truths.ToDead > outcome.Account.Requests/20 {
+	if outcome.Attempts <= 0.9 || outcome.Truths.ToUnresponsive > outcome.Account.Requests/20 {
 		t.Errorf("%+v", outcome.Truths)
 	}
 }
