--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -130,9 +130,9 @@
 	return out
 }
 
-// startRuns returns a function that gives the outcome of each run, to be asked for in order, and one that ends what is under
-// way. Runs on sockets are played when they are asked for, one by one, as they would disturb each other; simulated ones side
-// by side, a core each.
+// startRuns returns a function that gives the outcome of each run, to be called in order, and one that stops the runs in progress. Runs on
+// sockets run when they are asked for, one by one, as they would disturb each other; simulated ones run side by side, one per
+// processor.
 func (f *Findings) startRuns(ctx context.Context, spec *Spec, self string, runs []runIndex) (next func(i int) (Outcome, error), stop func()) {
 	ctx, cancel := context.WithCancel(ctx)
 	execute := func(i int) (Outcome, error) {
