--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -118,6 +118,7 @@
 // runIndex is a run of an experiment, by index.
 type runIndex struct{ repeat, day, variant int }
 
+// runs lists the runs in their order: by repeat, then day, then variant.
 func (s *Spec) runs() (out []runIndex) {
 	for repeat := range s.Repeats {
 		for day := range s.dayCount() {
@@ -129,9 +130,9 @@
 	return out
 }
 
-// startRuns returns a function that gives the outcome of each run, to be asked for in order, and one that ends what is under
-// way. Runs on sockets are played when they are asked for, one by one, as they would disturb each other; simulated ones side
-// by side, a core each.
+// startRuns returns a function that gives the outcome of each run, to be called in order, and one that stops the runs in progress. Runs on
+// sockets run when they are asked for, one by one, as they would disturb each other; simulated ones run side by side, one per
+// processor.
 func (f *Findings) startRuns(ctx context.Context, spec *Spec, self string, runs []runIndex) (next func(i int) (Outcome, error), stop func()) {
 	ctx, cancel := context.WithCancel(ctx)
 	execute := func(i int) (Outcome, error) {
@@ -171,6 +172,7 @@
 	}
 }
 
+// execute draws the day of a run and runs it, on sockets or in simulated time.
 func (f *Findings) execute(ctx context.Context, spec *Spec, self string, repeat, dayIndex, variantIndex int) (Outcome, error) {
 	day, err := spec.draw(dayIndex, spec.Seed+uint64(repeat))
 	if err != nil {
