--- a/internal/connlimit/doc.go
+++ b/internal/connlimit/doc.go
@@ -13,7 +13,7 @@
 //
 // net/http reports idle and active connections by ConnState; handlers report the rest through the request's context, which
 // ConnContext prepares: BeginRequest when a request has been accepted for service, BeginAnswer when its answer has been decided
-// on, AnswerAborted when that answer broke off. A request that no handler reports (a readiness check, a malformed request) leaves
+// on, MarkAnswerAborted when that answer broke off. A request that no handler reports (a readiness check, a malformed request) leaves
 // its connection in the reading state until net/http reports it idle or closes it.
 //
 // # Who closes
--- a/internal/connlimit/request.go
+++ b/internal/connlimit/request.go
@@ -57,8 +57,8 @@
 	c.answerDecided = true
 }
 
-// AnswerAborted says that the answer of the request in flight broke off: the close must not look like the answer's end.
-func AnswerAborted(ctx context.Context) {
+// MarkAnswerAborted says that the answer of the request in flight broke off: the close must not look like the answer's end.
+func MarkAnswerAborted(ctx context.Context) {
 	c, ok := fromContext(ctx)
 	if !ok {
 		return
@@ -68,8 +68,8 @@
 	c.answerAborted = true
 }
 
-// ConnectionNumber returns the number under which events name the connection of a request; 0 for none.
-func ConnectionNumber(ctx context.Context) uint64 {
+// ConnectionID returns the number under which events name the connection of a request; 0 for none.
+func ConnectionID(ctx context.Context) uint64 {
 	c, ok := fromContext(ctx)
 	if !ok {
 		return 0
--- a/internal/front/http/answer.go
+++ b/internal/front/http/answer.go
@@ -92,6 +92,6 @@
 		Kind:       event.RequestAnswered,
 		Reason:     reason,
 		Request:    x.call.ID,
-		Connection: connlimit.ConnectionNumber(x.ctx),
+		Connection: connlimit.ConnectionID(x.ctx),
 	})
 }
--- a/internal/front/http/exchange.go
+++ b/internal/front/http/exchange.go
@@ -76,7 +76,7 @@
 func (x *exchange) received() time.Duration {
 	if x.receipt.receive() {
 		x.server.Metrics.RequestReceived()
-		x.server.Events.Record(event.Event{Kind: event.RequestRead, Request: x.call.ID, Connection: connlimit.ConnectionNumber(x.ctx)})
+		x.server.Events.Record(event.Event{Kind: event.RequestRead, Request: x.call.ID, Connection: connlimit.ConnectionID(x.ctx)})
 	}
 	return x.server.Clock.Now()
 }
@@ -171,6 +171,6 @@
 		Kind:       event.RequestAbandoned,
 		Reason:     reason,
 		Request:    x.call.ID,
-		Connection: connlimit.ConnectionNumber(x.ctx),
+		Connection: connlimit.ConnectionID(x.ctx),
 	})
 }
--- a/internal/front/http/invalid.go
+++ b/internal/front/http/invalid.go
@@ -46,7 +46,7 @@
 		Kind:       event.RequestAnswered,
 		Reason:     reason,
 		Request:    firstValue(r.Header, requestIDHeader),
-		Connection: connlimit.ConnectionNumber(r.Context()),
+		Connection: connlimit.ConnectionID(r.Context()),
 		Detail:     err.Error(),
 	})
 	writeInvalid(w, err)
--- a/internal/front/http/stream.go
+++ b/internal/front/http/stream.go
@@ -67,10 +67,10 @@
 		Kind:       event.RequestAbandoned,
 		Reason:     event.AnswerTruncated,
 		Request:    x.call.ID,
-		Connection: connlimit.ConnectionNumber(x.ctx),
+		Connection: connlimit.ConnectionID(x.ctx),
 		Detail:     err.Error(),
 	})
-	connlimit.AnswerAborted(x.ctx)
+	connlimit.MarkAnswerAborted(x.ctx)
 	if x.http10 { // which would take a plain close for the answer's end
 		framing.ResetOnClose(x.ctx)
 	}
