--- a/internal/acceptretry/listener_test.go
+++ b/internal/acceptretry/listener_test.go
@@ -88,10 +88,10 @@
 		ended := make(chan error, 1)
 		go func() { _, err := l.Accept(); ended <- err }()
 		time.Sleep(2*time.Second + time.Millisecond)
-		began := time.Now()
+		started := time.Now()
 		l.Close()
-		if err := <-ended; !errors.Is(err, net.ErrClosed) || time.Since(began) > 0 {
-			t.Errorf("%v after %v", err, time.Since(began))
+		if err := <-ended; !errors.Is(err, net.ErrClosed) || time.Since(started) > 0 {
+			t.Errorf("%v after %v", err, time.Since(started))
 		}
 	})
 }
--- a/internal/connlimit/close.go
+++ b/internal/connlimit/close.go
@@ -59,13 +59,13 @@
 	if c.closeReason == event.None {
 		c.closeReason = event.AfterAnswer
 	}
-	c.listener.Events.Record(event.Event{Kind: event.ConnectionClosed, Reason: c.closeReason, Connection: c.number})
+	c.listener.Events.Record(event.Event{Kind: event.ConnectionClosed, Reason: c.closeReason, Connection: c.id})
 }
 
 // recordAnswerWritten records that the answer of the request in flight, if there is one, is out. The lock must be held.
 func (c *Conn) recordAnswerWritten() {
 	if c.requestID != "" && c.answerDecided {
-		c.listener.Events.Record(event.Event{Kind: event.RequestWritten, Request: c.requestID, Connection: c.number})
+		c.listener.Events.Record(event.Event{Kind: event.RequestWritten, Request: c.requestID, Connection: c.id})
 	}
 	c.requestID, c.answerDecided = "", false
 }
@@ -107,8 +107,8 @@
 
 // CloseWrite closes the sending side. net/http ends an answer so when the client still sends, so that it can read the answer.
 func (c *Conn) CloseWrite() error {
-	if half, ok := c.Conn.(interface{ CloseWrite() error }); ok {
-		return half.CloseWrite()
+	if halfCloser, ok := c.Conn.(interface{ CloseWrite() error }); ok {
+		return halfCloser.CloseWrite()
 	}
 	return errNoHalfClose
 }
--- a/internal/connlimit/close_test.go
+++ b/internal/connlimit/close_test.go
@@ -38,14 +38,14 @@
 // pausingConn has read something, but returns it only when the test lets it go on. It does so once.
 type pausingConn struct {
 	net.Conn
-	got, goOn chan struct{}
+	got, resume chan struct{}
 }
 
 func (p *pausingConn) Read(b []byte) (int, error) {
 	n, err := p.Conn.Read(b)
 	if n > 0 && p.got != nil {
 		close(p.got)
-		<-p.goOn
+		<-p.resume
 		p.got = nil
 	}
 	return n, err
@@ -69,7 +69,7 @@
 			c.setActivity(requestInFlight)
 			c.setActivity(idle) // as after an answer
 			c.SetReadDeadline(time.Now().Add(time.Minute))
-			pausing := &pausingConn{Conn: c.Conn, got: make(chan struct{}), goOn: make(chan struct{})}
+			pausing := &pausingConn{Conn: c.Conn, got: make(chan struct{}), resume: make(chan struct{})}
 			c.Conn = pausing
 			n, more := 0, make([]byte, 3)
 			done := make(chan error, 1)
@@ -83,7 +83,7 @@
 			io.WriteString(client, "GET")
 			<-pausing.got
 			requestClose(l)
-			close(pausing.goOn)
+			close(pausing.resume)
 			io.WriteString(client, " /x")
 			if err := <-done; err != nil || n != 3 || string(more) != " /x" {
 				t.Errorf("%d bytes were read, then %q: %v", n, more, err)
--- a/internal/connlimit/closereason_test.go
+++ b/internal/connlimit/closereason_test.go
@@ -55,15 +55,15 @@
 	c := dial(t, s.l)
 	in := bufio.NewReader(c)
 	io.WriteString(c, get("/a"))
-	<-s.began
+	<-s.started
 	io.WriteString(c, "GET /b HTTP/1.1\r\n")
 	testkit.Eventually(t, "it is read ahead", func() bool {
-		return s.l.anyConn(func(c *Conn) bool { return c.readAhead.running != nil })
+		return s.l.anyConn(func(c *Conn) bool { return c.readAhead.done != nil })
 	})
 	s.release <- struct{}{}
 	wantAnswer(t, in, "/a")
 	io.WriteString(c, "Host: o\r\nConnection: close\r\n\r\n")
-	<-s.began
+	<-s.started
 	s.release <- struct{}{}
 	wantAnswer(t, in, "/b")
 	wantOneClose(t, s.l.Events, event.AfterAnswer)
--- a/internal/connlimit/conn.go
+++ b/internal/connlimit/conn.go
@@ -11,7 +11,7 @@
 type Conn struct {
 	net.Conn
 	listener *Listener
-	number   uint64 // of the connection, in events
+	id       uint64 // of the connection, in events
 
 	activity     activity
 	lastActivity time.Time // when the activity began or, while a request is read, when its latest bytes came
@@ -77,7 +77,7 @@
 		n, err = c.readSocket(p)
 	}
 	c.readAhead.serverReading = false
-	c.readAhead.backgroundByte = n == 1 && isBackgroundRead(p)
+	c.readAhead.backgroundReadEnded = n == 1 && isBackgroundRead(p)
 	if n > 0 {
 		c.bytesReceived()
 	}
@@ -91,7 +91,7 @@
 		c.listener.mu.Unlock()
 		n, err = c.Conn.Read(p)
 		c.listener.mu.Lock()
-		if !c.resumesBackgroundRead(p, err) {
+		if !c.shouldRetryBackgroundRead(p, err) {
 			return n, err
 		}
 		c.Conn.SetReadDeadline(time.Time{})
@@ -102,11 +102,11 @@
 // its request is handled: the only one of a single byte.
 func isBackgroundRead(p []byte) bool { return len(p) == 1 }
 
-// resumesBackgroundRead reports whether net/http's background read failed by a deadline that was meant for another read: the limit
+// shouldRetryBackgroundRead reports whether net/http's background read failed by a deadline that was meant for another read: the limit
 // of a body whose last byte has just come, or a close that was requested before this request was read. net/http takes each failure
 // of that read but its own abort for a client that has disconnected, and cancels the request: so the read goes on instead.
 // The lock must be held.
-func (c *Conn) resumesBackgroundRead(p []byte, err error) bool {
+func (c *Conn) shouldRetryBackgroundRead(p []byte, err error) bool {
 	return isBackgroundRead(p) && timedOut(err) && !isAbortDeadline(c.readDeadline)
 }
 
--- a/internal/connlimit/disconnect.go
+++ b/internal/connlimit/disconnect.go
@@ -29,7 +29,7 @@
 		return true
 	}
 	ahead.onDisconnect = notify
-	if ahead.backgroundByte && !ahead.serverReading {
+	if ahead.backgroundReadEnded && !ahead.serverReading {
 		c.startReadAhead()
 	}
 	return false
--- a/internal/connlimit/disconnect_test.go
+++ b/internal/connlimit/disconnect_test.go
@@ -19,14 +19,14 @@
 // blockingServer is a server whose handler blocks each request until its client has disconnected or the test releases it.
 type blockingServer struct {
 	l            *Listener
-	began        chan context.Context
+	started      chan context.Context
 	release      chan struct{}
 	disconnected chan bool // whether the client had disconnected from the beginning
 }
 
 func newBlockingServer(t *testing.T) *blockingServer {
 	t.Helper()
-	s := &blockingServer{l: New(testkit.Listen(t), 9), began: make(chan context.Context), release: make(chan struct{}), disconnected: make(chan bool, 1)}
+	s := &blockingServer{l: New(testkit.Listen(t), 9), started: make(chan context.Context), release: make(chan struct{}), disconnected: make(chan bool, 1)}
 	s.l.HeaderTimeout, s.l.Events = time.Minute, event.NewRecorder(slog.New(slog.DiscardHandler))
 	serve(t, s.l, func(w http.ResponseWriter, r *http.Request) {
 		io.Copy(io.Discard, r.Body)
@@ -37,7 +37,7 @@
 			s.disconnected <- true
 			return
 		}
-		s.began <- ctx
+		s.started <- ctx
 		select {
 		case <-ctx.Done():
 			s.disconnected <- false
@@ -62,7 +62,7 @@
 				s := newBlockingServer(t)
 				c := dial(t, s.l)
 				io.WriteString(c, get("/a"))
-				ctx := <-s.began
+				ctx := <-s.started
 				io.WriteString(c, text)
 				if ctx.Err() != nil {
 					t.Error("the handler was notified before the client disconnected")
@@ -94,10 +94,10 @@
 	s := newBlockingServer(t)
 	c := dial(t, s.l)
 	io.WriteString(c, get("/a")+get("/b")) // in one buffer of the server's
-	<-s.began
+	<-s.started
 	io.WriteString(c, get("/c"))
 	s.release <- struct{}{}
-	ctx := <-s.began
+	ctx := <-s.started
 	c.Close()
 	receive(t, "the second handler is notified", ctx.Done())
 	<-s.disconnected
--- a/internal/connlimit/eviction_test.go
+++ b/internal/connlimit/eviction_test.go
@@ -94,12 +94,12 @@
 func TestEvictionDoesNotCancelARequestThatJustBegan(t *testing.T) {
 	l := New(testkit.Listen(t), 1)
 	l.HeaderTimeout = time.Minute
-	began, goOn := make(chan struct{}), make(chan struct{})
+	started, resume := make(chan struct{}), make(chan struct{})
 	serve(t, l, func(w http.ResponseWriter, r *http.Request) {
 		ctx, cancel := context.WithCancel(r.Context())
 		defer cancel()
-		close(began) // net/http's background read is under way by now
-		<-goOn
+		close(started) // net/http's background read is under way by now
+		<-resume
 		BeginRequest(ctx, "r")
 		if OnDisconnect(ctx, cancel) {
 			t.Error("the client counts as disconnected")
@@ -115,36 +115,36 @@
 	})
 	c := dial(t, l)
 	io.WriteString(c, get("/a"))
-	<-began
+	<-started
 	dial(t, l) // needs the slot
 	testkit.Eventually(t, "an eviction is under way", func() bool {
 		return l.anyConn(func(c *Conn) bool { return c.evicting })
 	})
 	time.Sleep(20 * time.Millisecond) // the background read has been interrupted by then
-	close(goOn)
+	close(resume)
 	wantAnswer(t, bufio.NewReader(c), "answer")
 }
 
 // lateListener has a connection in hand as it is closed, and returns it after that.
 type lateListener struct {
 	net.Listener
-	inHand, goOn chan struct{}
+	accepted, resume chan struct{}
 }
 
 func (l *lateListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
-	if err == nil && l.inHand != nil {
-		close(l.inHand)
-		<-l.goOn
-		l.inHand = nil
+	if err == nil && l.accepted != nil {
+		close(l.accepted)
+		<-l.resume
+		l.accepted = nil
 	}
 	return c, err
 }
 
 // A connection is accepted in the instant in which the listener closes. It is served: its client may have sent a request already.
 func TestConnectionAcceptedDuringCloseIsServed(t *testing.T) {
-	late := &lateListener{Listener: testkit.Listen(t), inHand: make(chan struct{}), goOn: make(chan struct{})}
-	inHand := late.inHand
+	late := &lateListener{Listener: testkit.Listen(t), accepted: make(chan struct{}), resume: make(chan struct{})}
+	accepted := late.accepted
 	l := New(late, 2)
 	l.HeaderTimeout = time.Minute
 	serve(t, l, func(w http.ResponseWriter, r *http.Request) {
@@ -154,8 +154,8 @@
 	})
 	c := dial(t, l)
 	io.WriteString(c, get("/a"))
-	<-inHand
+	<-accepted
 	l.Close()
-	close(late.goOn)
+	close(late.resume)
 	wantAnswer(t, bufio.NewReader(c), "answer")
 }
--- a/internal/connlimit/listener.go
+++ b/internal/connlimit/listener.go
@@ -50,7 +50,7 @@
 		raw.Close()
 		return nil, net.ErrClosed
 	}
-	c := &Conn{Conn: raw, listener: l, lastActivity: time.Now(), number: l.Events.NextConnectionID()}
+	c := &Conn{Conn: raw, listener: l, lastActivity: time.Now(), id: l.Events.NextConnectionID()}
 	l.conns[c] = struct{}{}
 	l.lastAccept = c.lastActivity
 	l.recordAccept(c)
@@ -58,7 +58,7 @@
 }
 
 func (l *Listener) recordAccept(c *Conn) {
-	accepted := event.Event{Kind: event.ConnectionAccepted, Connection: c.number}
+	accepted := event.Event{Kind: event.ConnectionAccepted, Connection: c.id}
 	if l.Events.Verbose() {
 		accepted.Detail = c.RemoteAddr().String()
 	}
--- a/internal/connlimit/readahead.go
+++ b/internal/connlimit/readahead.go
@@ -12,25 +12,25 @@
 // The reading goroutine and the server take turns: Conn.Read stops the goroutine, and waits for its end, before it reads. So bytes
 // stay in order and none is lost. The Listener's lock guards the fields.
 type readAhead struct {
-	onDisconnect   func()        // called when the client disconnects; nil while no request in flight watches for it
-	serverReading  bool          // the server is in Conn.Read
-	backgroundByte bool          // the server's latest read was its background read, and brought a byte: it reads no further
-	running        chan struct{} // closed when the goroutine has ended; nil without one
-	buffered       []byte
-	err            error // ends the bytes that are buffered
+	onDisconnect        func()        // called when the client disconnects; nil while no request in flight watches for it
+	serverReading       bool          // the server is in Conn.Read
+	backgroundReadEnded bool          // the server's latest read was its background read, and brought a byte: it reads no further
+	done                chan struct{} // closed when the goroutine has ended; nil without one
+	buffered            []byte
+	err                 error // ends the bytes that are buffered
 }
 
 // startReadAhead reads ahead in a goroutine until the bound, an error, or stopReadAhead. The lock must be held.
 func (c *Conn) startReadAhead() {
 	ahead := &c.readAhead
-	if ahead.running != nil || ahead.err != nil || len(ahead.buffered) >= maxReadAhead {
+	if ahead.done != nil || ahead.err != nil || len(ahead.buffered) >= maxReadAhead {
 		return
 	}
-	running := make(chan struct{})
-	ahead.running = running
+	done := make(chan struct{})
+	ahead.done = done
 	buffer := make([]byte, maxReadAhead-len(ahead.buffered))
 	go func() {
-		defer close(running)
+		defer close(done)
 		c.runReadAhead(buffer)
 	}()
 }
@@ -59,15 +59,15 @@
 // stopReadAhead ends the goroutine, if there is one. The lock must be held; it is released while waiting.
 func (c *Conn) stopReadAhead() {
 	ahead := &c.readAhead
-	running := ahead.running
-	if running == nil {
+	done := ahead.done
+	if done == nil {
 		return
 	}
 	c.Conn.SetReadDeadline(aLongTimeAgo)
 	c.listener.mu.Unlock()
-	<-running
+	<-done
 	c.listener.mu.Lock()
-	ahead.running = nil
+	ahead.done = nil
 	if timedOut(ahead.err) {
 		ahead.err = nil
 	}
--- a/internal/connlimit/readahead_test.go
+++ b/internal/connlimit/readahead_test.go
@@ -16,7 +16,7 @@
 	c := dial(t, s.l)
 	in := bufio.NewReader(c)
 	io.WriteString(c, get("/a"))
-	<-s.began
+	<-s.started
 	for _, piece := range []string{get("/b")[:1], get("/b")[1:5], get("/b")[5:] + get("/c")} {
 		io.WriteString(c, piece)
 	}
@@ -30,7 +30,7 @@
 		if want == "/c" {
 			break
 		}
-		receive(t, "a request follows "+want, s.began)
+		receive(t, "a request follows "+want, s.started)
 	}
 }
 
@@ -39,13 +39,13 @@
 	s := newBlockingServer(t)
 	c := dial(t, s.l)
 	io.WriteString(c, get("/a"))
-	<-s.began
+	<-s.started
 	flooding := make(chan struct{})
 	go func() { defer close(flooding); io.CopyN(c, zeros{}, 64*maxReadAhead) }()
 	testkit.Eventually(t, "the bound is reached", func() bool {
 		return s.l.anyConn(func(c *Conn) bool {
 			select {
-			case <-c.readAhead.running:
+			case <-c.readAhead.done:
 				return len(c.readAhead.buffered) == maxReadAhead
 			default:
 				return false
--- a/internal/connlimit/request.go
+++ b/internal/connlimit/request.go
@@ -74,7 +74,7 @@
 	if !ok {
 		return 0
 	}
-	return c.number
+	return c.id
 }
 
 // ClientDisconnected reports whether a read showed that the client of a request has closed or reset its connection.
--- a/internal/framing/conn.go
+++ b/internal/framing/conn.go
@@ -47,8 +47,8 @@
 // CloseWrite closes the sending side, where the underlying connection can. net/http ends an answer so when the client still sends, so
 // that it can read the answer.
 func (c *Conn) CloseWrite() error {
-	if half, ok := c.Conn.(interface{ CloseWrite() error }); ok {
-		return half.CloseWrite()
+	if halfCloser, ok := c.Conn.(interface{ CloseWrite() error }); ok {
+		return halfCloser.CloseWrite()
 	}
 	return nil
 }
--- a/internal/framing/scanner.go
+++ b/internal/framing/scanner.go
@@ -17,7 +17,7 @@
 	state          state
 	ambiguous      bool // a message so far could be read in two ways
 	desynchronized bool
-	bodyLeft       int64  // bytes of a body or chunk that are still to be skipped
+	bodyRemaining  int64  // bytes of a body or chunk that are still to be skipped
 	line           []byte // the beginning of the present line; of a request line the end
 
 	// The head that is being read.
@@ -49,9 +49,9 @@
 // scan processes the next bytes of the connection.
 func (s *scanner) scan(p []byte) {
 	for len(p) > 0 && !s.desynchronized {
-		if s.bodyLeft > 0 {
-			n := min(s.bodyLeft, int64(len(p)))
-			s.bodyLeft -= n
+		if s.bodyRemaining > 0 {
+			n := min(s.bodyRemaining, int64(len(p)))
+			s.bodyRemaining -= n
 			p = p[n:]
 			continue
 		}
@@ -81,19 +81,19 @@
 	s.line = s.line[:0]
 	switch {
 	case s.state != inHead:
-		s.chunkLine(line)
+		s.parseChunkLine(line)
 	case !s.requestLineDone:
 		s.requestLineDone = true
 		s.http10 = !bytes.HasSuffix(line, []byte("HTTP/1.1"))
 	case len(line) == 0:
 		s.endHead()
 	case bytes.IndexByte([]byte("CcTt"), line[0]) >= 0: // the headers that matter begin so
-		s.header(line)
+		s.parseHeader(line)
 	}
 }
 
-// header processes a header line.
-func (s *scanner) header(line []byte) {
+// parseHeader processes a header line.
+func (s *scanner) parseHeader(line []byte) {
 	name, value, _ := bytes.Cut(line, []byte(":"))
 	value = bytes.TrimSpace(value)
 	switch {
@@ -114,21 +114,21 @@
 
 // endHead goes on to the body, or to the next head when there is none.
 func (s *scanner) endHead() {
-	next := scanner{ambiguous: s.ambiguous, desynchronized: s.desynchronized, bodyLeft: s.contentLength, line: s.line}
+	next := scanner{ambiguous: s.ambiguous, desynchronized: s.desynchronized, bodyRemaining: s.contentLength, line: s.line}
 	if s.hasTransferEncoding {
 		next.desynchronized = s.desynchronized || s.ambiguous || !s.chunked
-		next.bodyLeft = 0
+		next.bodyRemaining = 0
 		next.state = inChunkSize
 		next.requestLineDone = true // of all lines of chunks the beginning is stored
 	}
 	*s = next
 }
 
-// chunkLine processes a line of a body in chunks.
-func (s *scanner) chunkLine(line []byte) {
+// parseChunkLine processes a line of a body in chunks.
+func (s *scanner) parseChunkLine(line []byte) {
 	switch s.state {
 	case inChunkSize:
-		s.chunkSize(line)
+		s.parseChunkSize(line)
 	case inChunkEnd:
 		s.state = inChunkSize
 		s.desynchronized = len(line) > 0
@@ -139,8 +139,8 @@
 	}
 }
 
-// chunkSize processes the line that gives a chunk's size. A line that was cut can't be trusted.
-func (s *scanner) chunkSize(line []byte) {
+// parseChunkSize processes the line that gives a chunk's size. A line that was cut can't be trusted.
+func (s *scanner) parseChunkSize(line []byte) {
 	digits, _, _ := bytes.Cut(line, []byte(";"))
 	size, err := strconv.ParseUint(string(bytes.TrimSpace(digits)), 16, 63)
 	switch {
@@ -149,6 +149,6 @@
 	case size == 0:
 		s.state = inTrailers
 	default:
-		s.state, s.bodyLeft = inChunkEnd, int64(size)
+		s.state, s.bodyRemaining = inChunkEnd, int64(size)
 	}
 }
--- a/internal/framing/scanner_test.go
+++ b/internal/framing/scanner_test.go
@@ -53,7 +53,7 @@
 		cut = max(0, min(cut, len(text)))
 		parts.scan(text[:cut])
 		parts.scan(text[cut:])
-		if whole.ambiguous != parts.ambiguous || whole.bodyLeft != parts.bodyLeft {
+		if whole.ambiguous != parts.ambiguous || whole.bodyRemaining != parts.bodyRemaining {
 			t.Errorf("cut at %d: %+v, whole %+v", cut, parts, whole)
 		}
 	})
--- a/internal/front/http/answer.go
+++ b/internal/front/http/answer.go
@@ -12,12 +12,12 @@
 	"ryeweir/internal/metrics"
 )
 
-// shutdownAnswer is for a call that the core can't answer any more.
+// shutdownAnswer is the answer to a call that the core can no longer answer because it has ended.
 var shutdownAnswer = core.Answer{Verdict: core.Failed, Reason: event.ShuttingDown}
 
-// answer writes the request's answer.
+// answer writes the answer to the request.
 func (x *exchange) answer(a core.Answer) {
-	x.server.closeUnwantedConnection(x.ctx, x.writer)
+	x.server.setConnectionHeader(x.ctx, x.writer)
 	if a.Verdict == core.Served {
 		x.recordAnswer(event.Served)
 		x.stream(a.Content.(*httpmsg.Content))
@@ -26,19 +26,19 @@
 	x.answerWithoutContent(a)
 }
 
-// answerWithoutContent writes an answer of the agent's own: a rejection or a failure.
+// answerWithoutContent writes an answer that the agent itself gives: a rejection or a failure.
 func (x *exchange) answerWithoutContent(a core.Answer) {
 	if x.upload != nil {
-		x.upload.Stop() // an attempt may wait for more of it
+		x.upload.Stop() // an attempt may be waiting for more of the body
 		x.upload.Close()
-		if err := x.upload.Err(); err != nil { // there never was a complete request to reject
+		if err := x.upload.Err(); err != nil { // the request was never received completely, so it is not rejected
 			x.answerBrokenUpload(err)
 			return
 		}
 		x.answerBeforeUploadEnds()
 	}
 	header := x.writer.Header()
-	header["Content-Type"] = nil // else net/http guesses one
+	header["Content-Type"] = nil // keeps net/http from guessing one
 	header.Set("Content-Length", "0")
 	if a.RetryAfter > 0 && a.Verdict == core.Rejected {
 		header.Set("Retry-After", strconv.FormatFloat(a.RetryAfter.Seconds(), 'f', -1, 64))
@@ -54,7 +54,7 @@
 	}
 }
 
-// statusOf returns the status of an answer without content, and how it is counted.
+// statusOf returns the HTTP status of an answer without content, and the result under which the metrics count it.
 func statusOf(verdict core.Verdict) (status int, outcome metrics.Result) {
 	switch verdict {
 	case core.Rejected:
@@ -65,27 +65,27 @@
 	return http.StatusBadGateway, metrics.Failed
 }
 
-// answerBeforeUploadEnds prepares the answer to a request whose body is still coming in: it closes the connection, and the client
-// may go on sending while it is written.
+// answerBeforeUploadEnds prepares an answer that is written while the request's body is still being received. The answer closes
+// the connection, and the client may continue to send while it is written.
 func (x *exchange) answerBeforeUploadEnds() {
 	x.writer.Header().Set("Connection", "close")
 	http.NewResponseController(x.writer).EnableFullDuplex()
 }
 
-// discardUpload reads what is left of a body after its answer. A client that sends all of it before it reads would otherwise find
-// its connection closed, and not the answer.
+// discardUpload reads and discards the rest of the body after the answer has been written. Without it, a client that sends its
+// whole body before it reads would find the connection closed and would not see the answer.
 func (x *exchange) discardUpload(control *http.ResponseController) {
 	control.Flush()
 	x.upload.Drain()
 }
 
-// answerBrokenUpload answers a request whose body could not be read to its end.
+// answerBrokenUpload answers a request whose body could not be read completely.
 func (x *exchange) answerBrokenUpload(err error) {
 	x.recordAnswer(event.UploadTruncated)
 	writeInvalid(x.writer, bodyError(err))
 }
 
-// recordAnswer records that the request's answer has been decided on and is about to be written.
+// recordAnswer records that the answer has been decided and is about to be written.
 func (x *exchange) recordAnswer(reason event.Reason) {
 	connlimit.BeginAnswer(x.ctx)
 	x.server.Events.Record(event.Event{
--- a/internal/front/http/config.go
+++ b/internal/front/http/config.go
@@ -12,58 +12,60 @@
 	"ryeweir/internal/wire"
 )
 
-// Config is what a Server works with. All but Events and Monitor must be set.
+// Config holds the settings and dependencies of a Server. All fields but Events and Monitor must be set, unless their comment
+// says otherwise.
 type Config struct {
 	Site    wire.Site
 	Core    *core.Core
 	Clock   core.Clock
 	Metrics *metrics.Metrics
 	Log     *slog.Logger
-	Events  *event.Recorder    // records what happens to requests and clients' connections; may be nil
-	Monitor *invariant.Monitor // counts violated invariants; may be nil
+	Events  *event.Recorder    // records the events of requests and client connections; may be nil
+	Monitor *invariant.Monitor // counts invariant violations; may be nil
 
-	BodyBudget        *bodybuffer.Budget // for the bodies of requests
-	MaxConnections    int                // from clients, open at a time
-	SocketBufferBytes int                // of the kernel, each way and connection; 0 leaves its default
-	AcceptWindow      time.Duration      // new connections are accepted for so long after the signal to terminate
-	DrainTimeout      time.Duration      // for open requests and streams after that signal; 0 for the platform's limits
+	BodyBudget        *bodybuffer.Budget // limits the memory for request bodies
+	MaxConnections    int                // limits the open client connections
+	SocketBufferBytes int                // of each kernel socket buffer, send and receive, per connection; 0 keeps the kernel's default
+	AcceptWindow      time.Duration      // how long new connections are accepted after the termination signal
+	DrainTimeout      time.Duration      // for requests in flight and streams after the termination signal; 0 selects the platform's limits
 }
 
-// MaxInFlightFraction is the fraction of clients' connections that may have a request in flight. On the others a request is
-// shed at once.
+// MaxInFlightFraction is the fraction of MaxConnections that may have a request in flight. Requests on the remaining connections
+// are shed at once.
 const MaxInFlightFraction = 0.8
 
-// DrainMargin is how long a drain may go on past the longest deadline that counts.
+// DrainMargin is added to the longest request deadline that a drain takes into account.
 const DrainMargin = 50 * time.Millisecond
 
-// Timeouts of clients' connections.
+// Timeouts of client connections.
 const (
 	headerTimeout      = 2600 * time.Millisecond // to read the head of a request
-	idleTimeout        = 2100 * time.Millisecond // of a connection without a request
+	idleTimeout        = 2100 * time.Millisecond // between requests
 	answerWriteTimeout = 2 * time.Second         // to write an answer without content
 	clientStallTimeout = 5 * time.Second         // to write one piece of an answer's content
 )
 
 // Timing of a drain.
 const (
-	drainIdleTimeout   = time.Second            // of connections while the agent drains: their clients have others, or are leaving
-	drainSweepInterval = 250 * time.Millisecond // between two looks for such connections
-	drainPollInterval  = 5 * time.Millisecond   // between two looks whether the drain is complete
-	maxCountedDeadline = 3 * time.Second        // the platform's restart waits for no longer deadline than this
+	drainIdleTimeout   = time.Second            // of idle connections during a drain; their clients have other connections, or are going away
+	drainSweepInterval = 250 * time.Millisecond // between two searches for idle connections during a drain
+	drainPollInterval  = 5 * time.Millisecond   // between two checks whether the drain is complete
+	maxCountedDeadline = 3 * time.Second        // the longest request deadline that the platform's restart waits for
 )
 
-// Bounds of accepting what waits in the kernel's queue before the listener closes.
+// When the listener closes, the kernel resets the connections in its accept queue. These bound how long they are accepted before
+// that.
 const (
-	backlogQuietPeriod = 20 * time.Millisecond // without a new connection: the queue is empty
+	backlogQuietPeriod = 20 * time.Millisecond // no new connection for this long means that the queue is empty
 	maxBacklogPeriods  = 10
 )
 
-// Bounds of requests.
+// Limits on requests.
 const (
 	maxHeaderBytes    = 16 << 10
 	maxRequestIDBytes = 128
-	// deadlineMargin is how long before its client's deadline a call ends, so that its answer arrives in time.
+	// deadlineMargin is how long before its client's deadline a call ends, so that the answer reaches the client in time.
 	deadlineMargin = 20 * time.Millisecond
-	// overLimitRetryAfter is the Retry-After of a request that is shed as too many are in flight.
+	// overLimitRetryAfter is the Retry-After of a request that is shed because too many are in flight.
 	overLimitRetryAfter = time.Second
 )
--- a/internal/front/http/doc.go
+++ b/internal/front/http/doc.go
@@ -1,30 +1,30 @@
-// Package http is the front for clients that speak HTTP/1.1. It reads and checks each request, submits it to the core as a call,
-// and writes the one answer that the call gets.
+// Package http serves clients over HTTP/1.1. It reads and validates each request, submits it to the core as a call, and writes
+// the call's answer as the HTTP response. In this package "answer" means that response.
 //
-// # The way of a request
+// # Request processing
 //
-// Server.ServeHTTP and exchange.run take a request through named steps, each a method:
+// Server.ServeHTTP and exchange.run process a request in these steps, each a method:
 //
-//	classify   which class of the settings the path names
-//	read       check the head, receive the body as far as it is buffered; a request that is not valid gets a plain 4xx
-//	begin      from here on the request must get its one answer
-//	admit      shed it when too many requests are in flight
-//	await      submit it to the core and wait for the answer, the client's disconnect or the end of the process
+//	classify   find the class that the path names
+//	read       validate the head and receive the body as far as it is buffered; an invalid request gets a 4xx response
+//	begin      mark the request as in flight; from here on it must get exactly one answer
+//	admit      shed the request when too many are in flight
+//	await      submit the call to the core and wait for its answer, the client's disconnect or the end of the process
 //	answer     write the answer
-//	abandon    in place of answer, when the client has disconnected: nobody waits for one
+//	abandon    in place of answer: end the request of a client that has disconnected
 //
-// An exchange holds what one request needs on that way. What a handler must not do is return without an answer for a request that
-// began: net/http would answer 200, which no endpoint said. Where nobody waits for an answer, or one broke off, it panics with
-// http.ErrAbortHandler, which closes the connection.
+// An exchange holds the state of one request after read. A handler must not simply return when the request has begun but has no
+// answer: net/http would then send a 200 response that no endpoint gave. If the client has disconnected, or the answer was cut
+// short, the handler panics with http.ErrAbortHandler, which closes the connection.
 //
 // # Connections
 //
-// Clients' connections pass through the listeners of acceptretry (goes on after accepts that fail), socket (sizes of the kernel's
-// buffers), framing (messages that two readers could split differently) and connlimit (how many there may be, and which of them may
-// be closed). Answers close their connections while the agent drains, near the limit of connections, and where framing has lost
-// track.
+// Client connections pass through four listeners, innermost first: acceptretry retries accepts that fail, socket sets the sizes
+// of the kernel's socket buffers, framing detects messages whose end two parsers could see in different places, and connlimit
+// bounds the number of connections and decides which of them may be closed. An answer closes its connection while the agent
+// drains, while the number of connections is near the limit, and after framing has lost track of the message boundaries.
 //
 // # Lifecycle
 //
-// A server is serving, draining (an operator's wish, which can be taken back) or shutting down (final). See lifecycle and Serve.
+// A server is serving, draining (requested by an operator, reversible) or shutting down (final). See lifecycle and Serve.
 package http
--- a/internal/front/http/drain.go
+++ b/internal/front/http/drain.go
@@ -8,46 +8,46 @@
 	"ryeweir/internal/event"
 )
 
-// drain ends the service, in this order:
+// drain ends the server in this order:
 //
-//  1. Answers close their connections from now on, and idle ones are closed. New ones are accepted for AcceptWindow, as clients
-//     may not know of the shutdown yet. On an inherited listener the next process accepts them.
-//  2. The listener closes. Requests in flight go on until all connections have closed or the request limit is over.
-//  3. The core answers what is still open: the end of the process would cut it off.
-//  4. Answers that are being written go on until they are out or the stream limit is over.
+//  1. From now on each answer closes its connection, and idle connections are closed. New connections are accepted for AcceptWindow,
+//     because clients may not know of the shutdown yet. On an inherited listener the next process accepts them instead.
+//  2. The listener closes. Requests in flight continue until all connections have closed or requestLimit has passed.
+//  3. The core answers all requests that are still open. Without this step the end of the process would cut them off.
+//  4. Answers that are being written continue until they are complete or streamLimit has passed.
 //
-// ended delivers the end of the HTTP server, which follows the listener's close.
-func (s *Server) drain(ctx context.Context, clients *connlimit.Listener, inherited bool, ended <-chan error) {
+// serveErr receives the error of http.Server.Serve, which returns when the listener closes.
+func (s *Server) drain(ctx context.Context, clientListener *connlimit.Listener, inherited bool, serveErr <-chan error) {
 	s.Log.Info("draining")
 	requestLimit, streamLimit := s.drainLimits()
 	requestCtx, cancelRequests := context.WithTimeout(ctx, requestLimit)
 	defer cancelRequests()
 
 	s.lifecycle.shutDown()
-	s.Events.Record(event.Event{Kind: event.PhaseChanged, Reason: event.Draining, Detail: "signaled to terminate"})
+	s.Events.Record(event.Event{Kind: event.PhaseChanged, Reason: event.Draining, Detail: "received the termination signal"})
 	if !inherited {
 		sleep(requestCtx, s.AcceptWindow)
-		acceptBacklog(requestCtx, clients)
+		acceptBacklog(requestCtx, clientListener)
 	}
-	clients.Close()
-	<-ended
-	for clients.Len() > 0 && requestCtx.Err() == nil {
+	clientListener.Close()
+	<-serveErr
+	for clientListener.Len() > 0 && requestCtx.Err() == nil {
 		sleep(requestCtx, drainPollInterval)
 	}
 
-	s.Events.Record(event.Event{Kind: event.PhaseChanged, Reason: event.ShuttingDown, Detail: "answering open requests now"})
+	s.Events.Record(event.Event{Kind: event.PhaseChanged, Reason: event.ShuttingDown, Detail: "answering all open requests before the process ends"})
 	s.Core.Shutdown()
 	streamCtx, cancelStreams := context.WithTimeout(ctx, streamLimit)
 	defer cancelStreams()
-	for clients.InFlight() > 0 && streamCtx.Err() == nil {
+	for clientListener.InFlight() > 0 && streamCtx.Err() == nil {
 		sleep(streamCtx, drainPollInterval)
 	}
-	s.Log.Info("drained", "open", clients.Len(), "owing", clients.InFlight())
-	clients.Abort()
+	s.Log.Info("drained", "open", clientListener.Len(), "owing", clientListener.InFlight())
+	clientListener.Abort()
 }
 
-// drainLimits returns how long a drain may wait for requests in flight, from its begin, and after that for answers that are being
-// written. An operator's DrainTimeout takes the place of the limits of the platform's restarts.
+// drainLimits returns how long a drain may wait for requests in flight, counted from its start, and then for answers that are
+// being written. DrainTimeout, if set, replaces the limits that follow from the platform's restarts.
 func (s *Server) drainLimits() (requests, streams time.Duration) {
 	if s.DrainTimeout > 0 {
 		return max(s.AcceptWindow, s.DrainTimeout), DrainMargin
@@ -59,23 +59,22 @@
 	return s.AcceptWindow + min(longest, maxCountedDeadline) + DrainMargin, clientStallTimeout
 }
 
-// acceptBacklog waits until the connections in the kernel's queue have been accepted.
+// acceptBacklog waits until the connections in the kernel's accept queue have been accepted.
 //
-// Guards against: a process that was paused as it was signaled to terminate. Closing the listener would reset what waits in the
-// queue, with the requests that its clients have sent.
-func acceptBacklog(ctx context.Context, clients *connlimit.Listener) {
+// If the process was paused when it received the termination signal, clients may have connected and sent requests in the
+// meantime. Closing the listener at once would reset these connections.
+func acceptBacklog(ctx context.Context, clientListener *connlimit.Listener) {
 	for range maxBacklogPeriods {
-		began := time.Now()
+		started := time.Now()
 		sleep(ctx, backlogQuietPeriod)
-		if !clients.AcceptedSince(began) {
+		if !clientListener.AcceptedSince(started) {
 			return
 		}
 	}
 }
 
-// sweepIdle closes clients' idle connections while the server drains, for an operator or for good. It returns when the context
-// ends.
-func (s *Server) sweepIdle(ctx context.Context, clients *connlimit.Listener) {
+// sweepIdle closes idle client connections while the server is draining or shutting down. It returns when the context ends.
+func (s *Server) sweepIdle(ctx context.Context, clientListener *connlimit.Listener) {
 	for {
 		select {
 		case <-s.lifecycle.drainBegan:
@@ -83,13 +82,13 @@
 			return
 		}
 		for s.lifecycle.draining() && ctx.Err() == nil {
-			clients.CloseIdle(drainIdleTimeout)
+			clientListener.CloseIdle(drainIdleTimeout)
 			sleep(ctx, drainSweepInterval)
 		}
 	}
 }
 
-// sleep waits for a duration, or until the context ends.
+// sleep waits for d, or until the context ends.
 func sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/internal/front/http/drain_test.go
+++ b/internal/front/http/drain_test.go
@@ -7,27 +7,27 @@
 	"ryeweir/internal/httpmsg"
 )
 
-// The platform's limits are 4 s for a connection that stays idle in a drain, and 3 s for the answer to a request. Idle connections
-// close well before that, and no read of a request may wait as long.
+// The platform allows 4 s until an idle connection closes in a drain, and 3 s until a request is answered. Idle connections must
+// close well before that, and no timeout for reading a request may be that long.
 func TestDrainTimingKeepsThePlatformsLimits(t *testing.T) {
 	if headerTimeout >= 3*time.Second || httpmsg.UploadStallTimeout >= 3*time.Second {
-		t.Errorf("a head may take %v, a pause in a body %v, where an answer must come in 3 s", headerTimeout, httpmsg.UploadStallTimeout)
+		t.Errorf("head timeout %v, body stall timeout %v; both must be below the 3 s in which a request must be answered", headerTimeout, httpmsg.UploadStallTimeout)
 	}
 	if drainIdleTimeout+drainSweepInterval > 2*time.Second {
-		t.Errorf("a connection may be idle for %v", drainIdleTimeout+drainSweepInterval)
+		t.Errorf("an idle connection may stay open for %v in a drain, want at most 2 s", drainIdleTimeout+drainSweepInterval)
 	}
 }
 
-// Shutting down is final: no operator brings back a process that is about to end.
+// Shutting down is final: an operator can't put a terminating process back into service.
 func TestShutdownIsFinal(t *testing.T) {
 	l := newLifecycle()
 	for _, next := range []phase{phaseDraining, phaseDraining, phaseServing, phaseDraining} {
 		if err := l.moveTo(next); err != nil || l.draining() != (next == phaseDraining) {
-			t.Errorf("to %d: %v", next, err)
+			t.Errorf("moveTo(%d): %v", next, err)
 		}
 	}
 	l.shutDown()
 	if l.moveTo(phaseServing) == nil || !l.draining() {
-		t.Error("the server came back from shutting down")
+		t.Error("the server left the shutting-down phase")
 	}
 }
--- a/internal/front/http/exchange.go
+++ b/internal/front/http/exchange.go
@@ -11,21 +11,21 @@
 	"ryeweir/internal/httpmsg"
 )
 
-// exchange is a valid request on the way to its one answer.
+// exchange holds a valid request and its state until it has been answered.
 //
-// Invariant: once begin has returned, exactly one of these happens: an answer is written, the answer breaks off and the connection
-// is cut, or the request is abandoned because its client has disconnected.
+// Invariant: after begin exactly one of these happens: an answer is written completely, the answer is cut short and the
+// connection is closed, or the request is abandoned because its client has disconnected.
 type exchange struct {
 	server      *Server
 	writer      http.ResponseWriter
-	ctx         context.Context // ends when the client disconnects
-	disconnect  context.CancelFunc
+	ctx         context.Context // canceled when the client disconnects
+	cancelCtx   context.CancelFunc
 	http10      bool // the client speaks HTTP/1.0
 	call        *core.Call
-	upload      *httpmsg.Remainder // of the body; nil when all of it is buffered
-	releaseBody func()             // gives back the buffers of the body
+	upload      *httpmsg.Remainder // the part of the body that is still being received; nil if the whole body is buffered
+	releaseBody func()             // frees the buffers of the body
 	receipt     receipt
-	counted     bool // in the server's count of requests in flight
+	counted     bool // included in Server.inFlight
 }
 
 func newExchange(s *Server, w http.ResponseWriter, r *http.Request, call *core.Call, release func()) *exchange {
@@ -34,7 +34,7 @@
 		server:      s,
 		writer:      w,
 		ctx:         ctx,
-		disconnect:  cancel,
+		cancelCtx:   cancel,
 		http10:      !r.ProtoAtLeast(1, 1),
 		call:        call,
 		upload:      call.Message.(*httpmsg.Message).Body.Remainder,
@@ -42,7 +42,7 @@
 	}
 }
 
-// run takes the request from its begin to its answer.
+// run processes the request from begin until it is answered or abandoned.
 func (x *exchange) run() {
 	defer x.finish()
 	x.begin()
@@ -53,27 +53,28 @@
 	x.await(x.submit())
 }
 
-// begin marks the request as in flight, and starts its deadline and the watch for a client that disconnects. Both wait for the end
-// of a body that is still coming in.
+// begin marks the request as in flight. It also starts the request's deadline and the detection of a client disconnect; if the
+// body is still being received, both start when it is complete.
 //
-// Guard: a request whose client has disconnected already ends here, before it is submitted. Else an attempt could begin for nobody,
-// seen as send_after_client_left.
+// A request whose client has already disconnected ends here and is never submitted. Otherwise an attempt could be sent for a
+// client that is gone, which violates the invariant send_after_client_left.
 func (x *exchange) begin() {
 	connlimit.BeginRequest(x.ctx, x.call.ID)
 	if x.upload != nil {
 		x.upload.OnComplete = x.uploadCompleted
 		return
 	}
-	x.call.Deadline = x.received() + x.call.Timeout
-	if connlimit.OnDisconnect(x.ctx, x.disconnect) {
+	x.call.Deadline = x.recordReceived() + x.call.Timeout
+	if connlimit.OnDisconnect(x.ctx, x.cancelCtx) {
 		x.releaseBody()
 		x.recordAbandoned()
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// received counts the request as received when its last byte has come, and returns the time. It may run in an attempt's goroutine.
-func (x *exchange) received() time.Duration {
+// recordReceived counts the request as received, once, when its last byte has arrived, and returns the current time. It may run
+// in the goroutine of an attempt.
+func (x *exchange) recordReceived() time.Duration {
 	if x.receipt.receive() {
 		x.server.Metrics.RequestReceived()
 		x.server.Events.Record(event.Event{Kind: event.RequestRead, Request: x.call.ID, Connection: connlimit.ConnectionID(x.ctx)})
@@ -83,13 +84,13 @@
 
 // uploadCompleted is called by the attempt that reads the last byte of the body.
 func (x *exchange) uploadCompleted() {
-	x.server.Core.BodyReceived(x.call, x.received())
-	if connlimit.OnDisconnect(x.ctx, x.disconnect) {
-		x.disconnect()
+	x.server.Core.BodyReceived(x.call, x.recordReceived())
+	if connlimit.OnDisconnect(x.ctx, x.cancelCtx) {
+		x.cancelCtx()
 	}
 }
 
-// finish ends the exchange, also when its handler aborts.
+// finish releases what the exchange holds. It also runs when the handler panics with http.ErrAbortHandler.
 func (x *exchange) finish() {
 	if x.counted {
 		x.server.inFlight.Add(-1)
@@ -97,22 +98,24 @@
 	if x.receipt.finish() {
 		x.server.Metrics.RequestFinished()
 	}
-	x.disconnect()
+	x.cancelCtx()
 }
 
-// admit counts the request as in flight. It reports false when too many are.
+// admit counts the request as in flight. It returns false if too many requests are in flight.
 func (x *exchange) admit() bool {
 	x.counted = true
 	return x.server.inFlight.Add(1) <= x.server.maxInFlight
 }
 
-// shed rejects the request as too many are in flight. No attempt has been made, so the rejection's promise holds: nothing ran.
+// shed rejects the request because too many are in flight. No attempt was made, so the promise of a rejection holds: the client
+// can safely try again.
 func (x *exchange) shed() {
 	x.releaseBody()
 	x.answer(core.Answer{Verdict: core.Rejected, Reason: event.TooManyOpen, RetryAfter: overLimitRetryAfter})
 }
 
-// submit hands the call to the core, and the body's buffers with it: attempts may use them for longer than the client waits.
+// submit hands the call to the core. The core then releases the body's buffers, because attempts may use them after the client
+// has disconnected.
 func (x *exchange) submit() <-chan core.Answer {
 	x.call.Release = x.releaseBody
 	return x.server.Core.Submit(x.call)
@@ -129,13 +132,14 @@
 			return
 		}
 		x.abandon()
-	case <-x.server.Core.Done(): // the core outlives the drain: only an abort comes here
+	case <-x.server.Core.Done(): // the core runs until the drain has ended, so this is reached only on an abort
 		x.answer(shutdownAnswer)
 	}
 }
 
-// awaitEarlyAnswer waits when the endpoint has answered before it had the complete body: the upload was stopped, and net/http ends the
-// context with the read that this interrupts. The client has not disconnected, and the answer is on its way.
+// awaitEarlyAnswer waits for the answer when the endpoint has answered before it received the complete body. The upload is then
+// stopped, which interrupts a read, and net/http cancels the context because of that. The client has not disconnected, and the
+// answer will follow.
 func (x *exchange) awaitEarlyAnswer(answers <-chan core.Answer) {
 	select {
 	case a := <-answers:
@@ -145,12 +149,12 @@
 	}
 }
 
-// abandon ends a request whose context has ended: its client has disconnected, or its body broke off or stalled, which net/http
-// reports in the same way. The latter can still be answered.
+// abandon ends a request whose context was canceled. Either its client has disconnected, or its body was truncated or stalled:
+// net/http reports these in the same way. A request with a truncated or stalled body can still be answered.
 func (x *exchange) abandon() {
 	x.server.Core.Abandon(x.call)
 	if x.upload != nil {
-		http.NewResponseController(x.writer).SetReadDeadline(time.Now()) // interrupts an attempt that reads from it
+		http.NewResponseController(x.writer).SetReadDeadline(time.Now()) // interrupts an attempt that is reading the body
 		x.upload.Close()
 		if err := x.upload.Err(); err != nil {
 			x.answerBrokenUpload(err)
@@ -161,7 +165,7 @@
 	panic(http.ErrAbortHandler)
 }
 
-// recordAbandoned records that the request ends without an answer, as nobody waits for one.
+// recordAbandoned records that the request ends without an answer.
 func (x *exchange) recordAbandoned() {
 	reason := event.ConnectionBad
 	if connlimit.ClientDisconnected(x.ctx) {
--- a/internal/front/http/head.go
+++ b/internal/front/http/head.go
@@ -9,16 +9,16 @@
 	"ryeweir/internal/httpmsg"
 )
 
-// forwardedHeaders are the headers that go on to an endpoint. All others concern the agent or nobody: what a client puts in them
-// must not change how an endpoint reads the message.
+// forwardedHeaders lists the headers that are forwarded to an endpoint. All others are dropped, so that a client can't use them
+// to change how an endpoint parses the message.
 var forwardedHeaders = [...]string{
 	requestIDHeader, keyHeader, tenantHeader, routeKeyHeader, retriedHeader, "X-Cost", "X-Attrs", "Content-Type",
 }
 
-// appendHead appends the head of the request as it is forwarded: its line and headers, without the timeout and the empty line.
-// net/http has checked that no part of them contains the end of a line.
+// appendHead appends the head of the forwarded request: the request line and the headers, without the timeout header and the
+// empty line that ends the head. net/http has checked that no element contains a line break.
 func appendHead(b []byte, r *http.Request, body *httpmsg.Body) []byte {
-	target := r.RequestURI // as it came: net/url would write some characters in another way
+	target := r.RequestURI // exactly as received; net/url would re-encode some characters
 	if !strings.HasPrefix(target, "/") {
 		target = r.URL.RequestURI()
 	}
--- a/internal/front/http/head_test.go
+++ b/internal/front/http/head_test.go
@@ -9,7 +9,7 @@
 	"ryeweir/internal/httpmsg"
 )
 
-// The forwarded head has the headers that concern an endpoint and no others, in a form that can be read in one way only.
+// The forwarded head has only the headers meant for an endpoint, and exactly one header that gives the length of the body.
 func TestForwardedHeadHasOneReading(t *testing.T) {
 	_, r := newServer(t, http.MethodPost, "/refund-record/a%2Fb?x=1", "form")
 	r.Host = "origin.svc"
@@ -25,7 +25,7 @@
 	}
 }
 
-// Path and query are forwarded as the client wrote them, also characters that net/url would write in another way.
+// Path and query are forwarded byte for byte, including characters that net/url would encode differently.
 func TestTargetIsForwardedUnchanged(t *testing.T) {
 	for _, target := range []string{"/form-check", "/form-check/a%2Fb?x=1&y", "/form-check/a|b^{c}\"d\"", "/form-check/%7Ea%2c?", "/form-check//b/../c?q=a+b%20c", "/form-check/ä"} {
 		_, r := newServer(t, http.MethodGet, "/form-check", "")
@@ -36,7 +36,7 @@
 		r.URL, r.RequestURI = parsed.URL, parsed.RequestURI
 		got, _, _ := strings.Cut(string(appendHead(nil, r, &httpmsg.Body{})), "\r\n")
 		if want := "GET " + target + " HTTP/1.1"; got != want {
-			t.Errorf("%q is forwarded as %q", want, got)
+			t.Errorf("want the request line %q, got %q", want, got)
 		}
 	}
 }
--- a/internal/front/http/helpers_test.go
+++ b/internal/front/http/helpers_test.go
@@ -18,10 +18,10 @@
 	"ryeweir/logic"
 )
 
-// bodyBudget is how many bytes a test's server has for bodies.
+// bodyBudget is the size in bytes of the body budget of a test server.
 const bodyBudget = 1 << 20
 
-// newServer returns a server without a core, for direct calls, and a valid request.
+// newServer returns a server without a core, and a valid request to pass to its methods.
 func newServer(t *testing.T, method, path, body string) (*Server, *http.Request) {
 	t.Helper()
 	cfg, err := platform.Parse(testkit.ConfigText("127.0.0.1:8500", "null"), testkit.NoEnv)
@@ -45,7 +45,8 @@
 	return s, r
 }
 
-// startCore gives the server a core without endpoints, which runs until stop is called or the test ends. stop waits for its end.
+// startCore gives the server a core without endpoints. The core runs until stop is called or the test ends. stop waits until it
+// has ended.
 func startCore(t *testing.T, s *Server) (stop func()) {
 	t.Helper()
 	balancer, err := logic.New(s.Site.Logic, 1)
@@ -68,7 +69,7 @@
 func (noEndpoints) Bind(string) any                              { return nil }
 func (noEndpoints) Execute(_ context.Context, _ *core.Attempt)   {}
 
-// recorder records an answer, and takes deadlines as a connection does.
+// recorder is a response recorder that accepts read and write deadlines, as a connection does.
 type recorder struct{ *httptest.ResponseRecorder }
 
 func newRecorder() recorder { return recorder{httptest.NewRecorder()} }
--- a/internal/front/http/invalid.go
+++ b/internal/front/http/invalid.go
@@ -10,24 +10,24 @@
 	"ryeweir/internal/metrics"
 )
 
-// invalidError says why a request is answered with a plain 4xx and never forwarded.
+// invalidError is the reason why a request is answered with a 4xx response and not forwarded.
 type invalidError struct {
 	status int
-	text   string // of the answer
+	text   string // the body of the response
 }
 
 func (e invalidError) Error() string { return e.text }
 
 var (
 	errUnknownClass = invalidError{http.StatusNotFound, "unknown class"}
-	// errTruncatedBody says that a request never came completely: it counts as never received.
+	// errTruncatedBody means that the request was never received completely. Such a request is not counted as received.
 	errTruncatedBody = invalidError{http.StatusBadRequest, "the body is not whole"}
 )
 
-// invalid returns the error of a request that is answered with 400.
-func invalid(text string) error { return invalidError{http.StatusBadRequest, text} }
+// badRequest returns the error for a request that is answered with status 400.
+func badRequest(text string) error { return invalidError{http.StatusBadRequest, text} }
 
-// bodyError is what a client gets for a body that could not be read.
+// bodyError returns the error for a request whose body could not be read.
 func bodyError(err error) invalidError {
 	if errors.Is(err, httpmsg.ErrBodyTooLarge) {
 		return invalidError{http.StatusRequestEntityTooLarge, err.Error()}
@@ -35,7 +35,7 @@
 	return errTruncatedBody
 }
 
-// answerInvalid records and answers a request that is not valid. One that never came completely is not counted.
+// answerInvalid records and answers an invalid request. A request that was never received completely is left out of the metrics.
 func (s *Server) answerInvalid(w http.ResponseWriter, r *http.Request, class int, err error) {
 	reason := event.UploadTruncated
 	if !errors.Is(err, errTruncatedBody) {
@@ -52,11 +52,12 @@
 	writeInvalid(w, err)
 }
 
-// writeInvalid answers a request that is not valid. It closes the connection, as what follows may be a part of that request.
+// writeInvalid answers an invalid request. It closes the connection, because the bytes that follow may belong to the same
+// request.
 func writeInvalid(w http.ResponseWriter, err error) {
 	status := http.StatusBadRequest
-	if bad, ok := errors.AsType[invalidError](err); ok {
-		status = bad.status
+	if invalidErr, ok := errors.AsType[invalidError](err); ok {
+		status = invalidErr.status
 	}
 	w.Header().Set("Connection", "close")
 	http.Error(w, err.Error(), status)
--- a/internal/front/http/lifecycle.go
+++ b/internal/front/http/lifecycle.go
@@ -7,40 +7,40 @@
 	"ryeweir/internal/event"
 )
 
-// phase is what a server does with new clients.
+// phase is the phase of a server's lifecycle.
 type phase int32
 
 const (
 	phaseServing      phase = iota
-	phaseDraining           // an operator wants the clients elsewhere; those that come nevertheless are served
-	phaseShuttingDown       // the process has been signaled to terminate
+	phaseDraining           // an operator is moving clients away; requests that still arrive are served
+	phaseShuttingDown       // the process has received the termination signal
 )
 
-// lifecycle is the phase of a server. Operators move it between serving and draining; the signal to terminate moves it to shutting
-// down, which is final.
+// lifecycle holds the phase of a server. Operators switch it between serving and draining. The termination signal switches it to
+// shutting down, which is final.
 type lifecycle struct {
 	phase      atomic.Int32
-	drainBegan chan struct{} // holds one notification: clients are sent away from now on
+	drainBegan chan struct{} // buffered; signals that a drain or the shutdown has begun
 }
 
 func newLifecycle() lifecycle { return lifecycle{drainBegan: make(chan struct{}, 1)} }
 
-// errShuttingDown is what an operator gets who wants to change the phase of an agent that shuts down. Its text is the body of that
-// answer.
+// errShuttingDown is the error for an operator who tries to change the phase of an agent that is shutting down. Its text is the
+// body of the response to the operator.
 var errShuttingDown = errors.New("the agent is ending")
 
 func (l *lifecycle) current() phase { return phase(l.phase.Load()) }
 
-// draining reports whether clients are sent away, for an operator or for good.
+// draining reports whether the server is draining or shutting down.
 func (l *lifecycle) draining() bool { return l.current() != phaseServing }
 
-// shutDown moves to shutting down.
+// shutDown switches to shutting down.
 func (l *lifecycle) shutDown() {
 	l.phase.Store(int32(phaseShuttingDown))
 	l.notifyDrain()
 }
 
-// moveTo moves to serving or draining. It fails with errShuttingDown when the server shuts down.
+// moveTo switches to serving or draining. It returns errShuttingDown if the server is shutting down.
 func (l *lifecycle) moveTo(next phase) error {
 	for {
 		current := l.current()
@@ -56,7 +56,7 @@
 	}
 }
 
-// notifyDrain notifies the goroutine that closes idle connections. It does not wait.
+// notifyDrain signals sweepIdle that a drain has begun. It does not block.
 func (l *lifecycle) notifyDrain() {
 	select {
 	case l.drainBegan <- struct{}{}:
@@ -64,13 +64,13 @@
 	}
 }
 
-// Drain sends clients away without ending the process: the agent is not ready, answers close their connections, and idle
-// connections are closed. Requests that come nevertheless are served. It fails on an agent that shuts down.
+// Drain moves clients away without ending the process: the agent reports not ready, answers close their connections, and idle
+// connections are closed. Requests that still arrive are served. Drain returns an error if the agent is shutting down.
 func (s *Server) Drain() error {
 	return s.changePhase(phaseDraining, "draining on operator request")
 }
 
-// Activate ends a drain that Drain began. It fails on an agent that shuts down.
+// Activate ends a drain that Drain began. It returns an error if the agent is shutting down.
 func (s *Server) Activate() error {
 	return s.changePhase(phaseServing, "serving on operator request")
 }
--- a/internal/front/http/readiness_test.go
+++ b/internal/front/http/readiness_test.go
@@ -13,9 +13,10 @@
 	"ryeweir/internal/testkit"
 )
 
-// Answers of the agent's own that close their connection, as to a readiness check, were logged as connection_closed
-// reason=read_timeout: the handler reports no request there, and the end of net/http's background read passed for a slow client.
-// On call one looked for slow clients. They close after an answer, as others do.
+// Guards against a wrong close reason in the log. Answers that the agent gives without a core call, such as to a readiness check,
+// and that close their connection were logged as connection_closed reason=read_timeout: the handler never calls BeginRequest for
+// them, and the end of net/http's background read was taken for a slow client. The engineer on call then searched for slow
+// clients. Such a close must be logged as after_answer.
 func TestOwnAnswersAreNotLoggedAsReadTimeouts(t *testing.T) {
 	for name, c := range map[string]struct {
 		request string
@@ -42,7 +43,7 @@
 				t.Fatal(err)
 			}
 			if resp.StatusCode != c.status || !resp.Close {
-				t.Errorf("status %d, closes: %v", resp.StatusCode, resp.Close)
+				t.Errorf("status %d, connection closes: %v", resp.StatusCode, resp.Close)
 			}
 			closes := func(reason event.Reason) int64 { return s.Events.Count(event.ConnectionClosed, reason) }
 			testkit.Eventually(t, "the connection closes", func() bool {
@@ -55,7 +56,7 @@
 	}
 }
 
-// startServing serves clients until the test ends, and returns the address.
+// startServing serves clients until the test ends. It returns the server's address.
 func startServing(t *testing.T, s *Server) (addr string) {
 	t.Helper()
 	l := testkit.Listen(t)
--- a/internal/front/http/receipt.go
+++ b/internal/front/http/receipt.go
@@ -2,10 +2,10 @@
 
 import "sync/atomic"
 
-// receipt counts a request as received at most once, and as finished only if it was received.
+// receipt makes sure that a request is counted as received at most once, and as finished only if it was received.
 //
-// Guards against: the last byte of a body that an attempt reads while the request's handler returns, in another goroutine. Counted
-// then, the request would stay in the figure `pending` for good.
+// An attempt, in its own goroutine, may read the last byte of a body after the request's handler has returned. If the request
+// were counted as received then, it would stay in the `pending` metric forever.
 type receipt struct{ state atomic.Int32 }
 
 const (
@@ -14,8 +14,8 @@
 	finished
 )
 
-// receive reports whether the request counts as received from now on.
+// receive reports whether the request has to be counted as received now.
 func (r *receipt) receive() bool { return r.state.CompareAndSwap(notReceived, received) }
 
-// finish ends the request; it reports whether it counted as received until now.
+// finish ends the request. It reports whether the request was counted as received until now.
 func (r *receipt) finish() bool { return r.state.Swap(finished) == received }
--- a/internal/front/http/request.go
+++ b/internal/front/http/request.go
@@ -11,7 +11,7 @@
 	"ryeweir/logic"
 )
 
-// The headers of a request that the agent reads, in net/http's canonical form.
+// Request headers that the agent reads, in net/http's canonical form.
 const (
 	requestIDHeader = "X-Request-Id"
 	keyHeader       = "Idempotency-Key"
@@ -20,7 +20,7 @@
 	retriedHeader   = "X-Retried"
 )
 
-// firstValue returns the first value of a header whose name is in canonical form; empty without one.
+// firstValue returns the first value of a header, or "" if the header is absent. The name must be in canonical form.
 func firstValue(h http.Header, name string) string {
 	if values := h[name]; len(values) > 0 {
 		return values[0]
@@ -28,14 +28,14 @@
 	return ""
 }
 
-// classify returns the index of the class that the first element of the path names, or -1.
+// classify returns the index of the class named by the first element of the path, or -1 if there is no such class.
 func (s *Server) classify(r *http.Request) int {
 	name, _, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
 	return slices.IndexFunc(s.Site.Logic.Classes, func(c logic.Class) bool { return c.Name == name })
 }
 
-// read checks a request, and receives as much of its body as is buffered. Its error is an invalidError. release gives back the
-// buffers; the caller must call it once, or have the core do so.
+// read validates a request and receives its body as far as it is buffered. The error is always an invalidError. If it is nil,
+// release frees the body's buffers, and must be called once, by the caller or by the core.
 func (s *Server) read(w http.ResponseWriter, r *http.Request, class int) (call *core.Call, release func(), err error) {
 	settings := &s.Site.Logic.Classes[class]
 	if err := validateHead(r, settings); err != nil {
@@ -47,7 +47,7 @@
 	}
 	tenant := slices.Index(s.Site.Tenants, firstValue(r.Header, tenantHeader))
 	if tenant < 0 && len(s.Site.Tenants) > 0 {
-		return nil, nil, invalid("unknown tenant")
+		return nil, nil, badRequest("unknown tenant")
 	}
 	body, release, err := s.receiveBody(w, r)
 	if err != nil {
@@ -64,8 +64,8 @@
 	return call, release, nil
 }
 
-// receiveBody receives a body as far as it is buffered. It must come in at a minimal rate, whatever timeout the client states:
-// that runs from the body's end.
+// receiveBody receives the body as far as it is buffered. The body must arrive at a minimum rate even if the client states a long
+// timeout, because that timeout starts only when the body has been received.
 func (s *Server) receiveBody(w http.ResponseWriter, r *http.Request) (body httpmsg.Body, release func(), err error) {
 	if r.ContentLength == 0 {
 		return httpmsg.Body{}, func() {}, nil
@@ -78,7 +78,7 @@
 	return httpmsg.ReceiveBody(r, upload, s.BodyBudget)
 }
 
-// newCall returns the call for a request, without its class, tenant and message.
+// newCall returns the call for a request. The caller sets its Class, Tenant, BodyPending and Message.
 func newCall(r *http.Request, class *logic.Class, timeout time.Duration) *core.Call {
 	margin := min(deadlineMargin, timeout/4)
 	call := &core.Call{
--- a/internal/front/http/request_test.go
+++ b/internal/front/http/request_test.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// A call ends early enough that its answer arrives before the client's deadline, which may be near.
+// A call ends early enough for its answer to arrive before the client's deadline, also when that deadline is only milliseconds
+// away.
 func TestDeadlineLeavesAMarginForTheAnswer(t *testing.T) {
 	for text, timeout := range map[string]time.Duration{"2000m": 2 * time.Second, "8m": 8 * time.Millisecond} {
 		s, r := newServer(t, http.MethodGet, "/form-check", "")
@@ -17,19 +18,19 @@
 			t.Fatal(err)
 		}
 		if call.Timeout >= timeout || call.Timeout < timeout-timeout/4 {
-			t.Errorf("%s: %v are left for an answer", text, call.Timeout)
+			t.Errorf("%s: the call's timeout is %v", text, call.Timeout)
 		}
 	}
 }
 
-// A client puts the end of a word or a line into its Host, to add headers of its own to the request that is forwarded. Such a
-// request is rejected.
+// A Host with a space, a line break or a control character is rejected. Otherwise a client could use it to add headers of its own
+// to the forwarded request.
 func TestMalformedHostIsRejected(t *testing.T) {
 	for _, host := range []string{"a b", "a\r\nX: y", "a\x00", "a\x7f"} {
 		s, r := newServer(t, http.MethodGet, "/form-check", "")
 		r.Host = host
 		if _, _, err := s.read(httptest.NewRecorder(), r, s.classify(r)); err == nil {
-			t.Errorf("%q is accepted", host)
+			t.Errorf("Host %q is accepted", host)
 		}
 	}
 }
@@ -48,7 +49,7 @@
 	for _, text := range []string{"", "m", "0m", "-5m", "+5m", "5", "5s", "1e3m", "0x10m", "infm", "NaNm", "5.m", ".5m", "1_0m",
 		" 5m", "9999999999999m"} {
 		if got, err := parseTimeout(text, time.Second); err == nil {
-			t.Errorf("%q gives %v", text, got)
+			t.Errorf("%q is parsed as %v, want an error", text, got)
 		}
 	}
 }
--- a/internal/front/http/serve.go
+++ b/internal/front/http/serve.go
@@ -13,15 +13,16 @@
 	"ryeweir/internal/socket"
 )
 
-// Serve serves clients until the context ends, and then drains: it returns when the requests in flight have been answered or the
-// time for that is over. It closes the listener. The error says why clients could not be served any more.
+// Serve accepts and serves client connections until the context ends. Then it drains, and returns when the requests in flight
+// have been answered or the time limit for them has passed. It closes the listener. Its error says why the server stopped before
+// the context ended.
 //
-// The process before this one accepts from an inherited listener, too. So this one begins to accept when it has an endpoint to send
-// to, and stops to accept as soon as the context ends.
+// The previous process also accepts from an inherited listener, so both may accept at the same time. Serve therefore accepts from
+// an inherited listener only after the first endpoint is known, and stops as soon as the context ends.
 func (s *Server) Serve(ctx context.Context, l net.Listener, inherited bool) error {
-	clients := s.newClientListener(l)
-	defer clients.Close()
-	s.nearLimit = clients.NearLimit
+	clientListener := s.newClientListener(l)
+	defer clientListener.Close()
+	s.nearLimit = clientListener.NearLimit
 	server := s.httpServer()
 	defer server.Close()
 	if inherited && !s.awaitEndpoints(ctx) {
@@ -30,34 +31,34 @@
 
 	sweepCtx, stopSweep := context.WithCancel(context.WithoutCancel(ctx))
 	var sweep sync.WaitGroup
-	sweep.Go(func() { s.sweepIdle(sweepCtx, clients) })
+	sweep.Go(func() { s.sweepIdle(sweepCtx, clientListener) })
 	defer sweep.Wait()
 	defer stopSweep()
 
-	ended := make(chan error, 1)
-	go func() { ended <- server.Serve(clients) }()
+	serveErr := make(chan error, 1)
+	go func() { serveErr <- server.Serve(clientListener) }()
 	s.accepting.Store(true)
 	s.Log.Info("listening", "addr", l.Addr().String(), "inherited", inherited)
 	select {
-	case err := <-ended:
+	case err := <-serveErr:
 		s.Monitor.Violated(invariant.ListenerClosed, "", err.Error())
 		return fmt.Errorf("serving clients: %w", err)
 	case <-ctx.Done():
 	}
-	s.drain(context.WithoutCancel(ctx), clients, inherited, ended)
+	s.drain(context.WithoutCancel(ctx), clientListener, inherited, serveErr)
 	return nil
 }
 
-// newClientListener wraps a listener in what clients' connections need, innermost first.
+// newClientListener wraps l in the listeners that the package comment describes, innermost first.
 func (s *Server) newClientListener(l net.Listener) *connlimit.Listener {
-	accepting := acceptretry.New(l, s.Log, s.Events)
-	sized := socket.Listener{Listener: accepting, BufferBytes: s.SocketBufferBytes}
-	clients := connlimit.New(framing.Listener{Listener: sized}, s.MaxConnections)
-	clients.HeaderTimeout, clients.Events, clients.Monitor = headerTimeout, s.Events, s.Monitor
-	return clients
+	retrying := acceptretry.New(l, s.Log, s.Events)
+	resized := socket.Listener{Listener: retrying, BufferBytes: s.SocketBufferBytes}
+	clientListener := connlimit.New(framing.Listener{Listener: resized}, s.MaxConnections)
+	clientListener.HeaderTimeout, clientListener.Events, clientListener.Monitor = headerTimeout, s.Events, s.Monitor
+	return clientListener
 }
 
-// awaitEndpoints waits for the first endpoint to send to. It reports false when the context ended first.
+// awaitEndpoints waits until the first endpoint is known. It returns false if the context ends first.
 func (s *Server) awaitEndpoints(ctx context.Context) bool {
 	select {
 	case <-s.Core.EndpointsKnown():
--- a/internal/front/http/server.go
+++ b/internal/front/http/server.go
@@ -11,17 +11,17 @@
 	"ryeweir/internal/framing"
 )
 
-// Server is the side of the agent that faces the clients.
+// Server is the HTTP server for clients.
 type Server struct {
 	Config
-	maxInFlight int64 // requests
+	maxInFlight int64 // requests; more are shed
 	inFlight    atomic.Int64
 	lifecycle   lifecycle
-	accepting   atomic.Bool // clients' connections are being accepted
-	nearLimit   func() bool // so many connections are open that answers close theirs
+	accepting   atomic.Bool // client connections are being accepted
+	nearLimit   func() bool // reports whether so many connections are open that answers close theirs
 }
 
-// New returns a server that does not serve yet.
+// New returns a server. It does not accept connections until Serve is called.
 func New(cfg Config) *Server {
 	maxInFlight := int64(MaxInFlightFraction * float64(cfg.MaxConnections))
 	if limit := int64(cfg.Site.MaxOpenRequests); limit > 0 {
@@ -35,7 +35,7 @@
 	}
 }
 
-// httpServer returns the net/http server whose handler s is.
+// httpServer returns a net/http server that uses s as its handler.
 func (s *Server) httpServer() *http.Server {
 	return &http.Server{
 		Handler:           s,
@@ -50,10 +50,10 @@
 	}
 }
 
-// ServeHTTP gives a request its one answer, in the steps that the package comment names.
+// ServeHTTP processes a request in the steps that the package comment lists.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == readinessPath {
-		s.closeUnwantedConnection(r.Context(), w)
+		s.setConnectionHeader(r.Context(), w)
 		s.writeReadiness(w)
 		return
 	}
@@ -70,9 +70,9 @@
 	newExchange(s, w, r, call, release).run()
 }
 
-// closeUnwantedConnection has the answer that is about to be written close its connection, where the agent wants its clients
-// elsewhere, has many connections, or can't tell where the next request begins.
-func (s *Server) closeUnwantedConnection(ctx context.Context, w http.ResponseWriter) {
+// setConnectionHeader makes the answer that is about to be written close its connection if the server is draining or shutting
+// down, the number of connections is near the limit, or the start of the next request on the connection is unknown.
+func (s *Server) setConnectionHeader(ctx context.Context, w http.ResponseWriter) {
 	if s.lifecycle.draining() || s.nearLimit() || framing.Desynchronized(ctx) {
 		w.Header().Set("Connection", "close")
 	}
--- a/internal/front/http/stream.go
+++ b/internal/front/http/stream.go
@@ -14,22 +14,22 @@
 	"ryeweir/internal/metrics"
 )
 
-// stream writes an endpoint's answer to the client as it comes in.
+// stream copies an endpoint's response to the client as it arrives.
 //
-// Guard: content that breaks off must not look complete. Before the first byte the request fails with a 502 instead; after it the
-// connection is cut. A client would otherwise take half an answer for a complete one.
+// A truncated response must not look complete, or the client would use a part of it as the whole. If the response ends early
+// before the first byte was written, the client gets a 502; after the first byte, the connection is closed.
 func (x *exchange) stream(content *httpmsg.Content) {
 	defer content.Pipe.Close()
-	early := x.upload != nil && !x.upload.Complete() // the endpoint did not wait for the complete body
+	earlyAnswer := x.upload != nil && !x.upload.Complete() // the endpoint answered before it received the complete body
 	buffered, complete := content.Pipe.Complete()
 	if complete {
 		content.Length = int64(buffered)
-	} else if !early { // a client that disconnects ends the wait for more
+	} else if !earlyAnswer { // a client disconnect ends the wait for more content
 		stop := context.AfterFunc(x.ctx, content.Pipe.Close)
 		defer stop()
 	}
 	x.setContentHeaders(content)
-	if early {
+	if earlyAnswer {
 		x.answerBeforeUploadEnds()
 	}
 	out := &clientWriter{ResponseWriter: x.writer, control: http.NewResponseController(x.writer), flushEach: !complete}
@@ -43,24 +43,24 @@
 	}
 	out.writeHead()
 	x.server.Metrics.RequestAnswered(x.call.Class, metrics.Completed)
-	if early {
+	if earlyAnswer {
 		x.discardUpload(out.control)
 	}
 }
 
-// setContentHeaders sets the headers of an answer with content. Without a length net/http sends it in chunks.
+// setContentHeaders sets the headers of an answer with content. If the length is unknown, net/http uses chunked encoding.
 func (x *exchange) setContentHeaders(content *httpmsg.Content) {
 	header := x.writer.Header()
 	if content.Length >= 0 {
 		header.Set("Content-Length", strconv.FormatInt(content.Length, 10))
 	}
-	header["Content-Type"] = nil // else net/http guesses one
+	header["Content-Type"] = nil // keeps net/http from guessing one
 	if content.ContentType != "" {
 		header.Set("Content-Type", content.ContentType)
 	}
 }
 
-// abortAnswer cuts the connection of an answer that broke off. It does not return.
+// abortAnswer closes the connection of an answer that was cut short. It does not return: it panics with http.ErrAbortHandler.
 func (x *exchange) abortAnswer(err error) {
 	x.server.Metrics.RequestAnswered(x.call.Class, metrics.Failed)
 	x.server.Events.Record(event.Event{
@@ -71,21 +71,21 @@
 		Detail:     err.Error(),
 	})
 	connlimit.MarkAnswerAborted(x.ctx)
-	if x.http10 { // which would take a plain close for the answer's end
+	if x.http10 { // an HTTP/1.0 client would take a plain close for the end of the answer
 		framing.ResetOnClose(x.ctx)
 	}
 	panic(http.ErrAbortHandler)
 }
 
-// clientWriter writes an answer's content to a client for as long as that reads.
+// clientWriter writes the content of an answer to a client. A client that stops reading makes a write fail.
 type clientWriter struct {
 	http.ResponseWriter
 	control     *http.ResponseController
-	flushEach   bool // flush each piece, as the next may take its time
+	flushEach   bool // flush after each piece, because the next one may arrive much later
 	headWritten bool
 }
 
-// writeHead writes the answer's head, once.
+// writeHead writes the status line and the headers, once.
 func (w *clientWriter) writeHead() {
 	if !w.headWritten {
 		w.headWritten = true
@@ -93,7 +93,7 @@
 	}
 }
 
-// Write writes a piece of the content, within clientStallTimeout.
+// Write writes a piece of the content. It fails if the client does not take it within clientStallTimeout.
 func (w *clientWriter) Write(p []byte) (int, error) {
 	if err := w.control.SetWriteDeadline(time.Now().Add(clientStallTimeout)); err != nil {
 		return 0, err
--- a/internal/front/http/validate.go
+++ b/internal/front/http/validate.go
@@ -11,19 +11,20 @@
 	"ryeweir/logic"
 )
 
-var errGetWithBody = invalid("a GET has no body")
+var errGetWithBody = badRequest("a GET has no body")
 
-// validateHead checks what does not depend on the body. Its error is an invalidError.
+// validateHead validates everything that can be checked without the body. The error is always an invalidError.
 func validateHead(r *http.Request, class *logic.Class) error {
-	// Guard against request smuggling: beside a length, chunks may hide a second request in what the length makes the body.
+	// Prevents request smuggling: if a message has both a length and a chunked encoding, a second request can be hidden in what a
+	// parser that uses the length takes for the body.
 	if framing.Ambiguous(r.Context()) {
-		return invalid("a length beside a transfer encoding")
+		return badRequest("a length beside a transfer encoding")
 	}
 	if r.ContentLength > httpmsg.MaxBodyBytes {
 		return invalidError{http.StatusRequestEntityTooLarge, httpmsg.ErrBodyTooLarge.Error()}
 	}
 	if strings.ContainsFunc(r.Host, func(c rune) bool { return c <= ' ' || c == 0x7f }) {
-		return invalid("malformed Host")
+		return badRequest("malformed Host")
 	}
 	if err := validateMethod(r, class); err != nil {
 		return err
@@ -31,7 +32,7 @@
 	return validateHeaders(r.Header, class)
 }
 
-// validateMethod checks that the method fits the class: GET for idempotent ones, which have no body, and POST for others.
+// validateMethod checks that the method fits the class: GET, without a body, for an idempotent class, and POST for all others.
 func validateMethod(r *http.Request, class *logic.Class) error {
 	want := http.MethodPost
 	if class.Idempotency == logic.Idempotent {
@@ -49,23 +50,24 @@
 func validateHeaders(header http.Header, class *logic.Class) error {
 	for _, name := range [...]string{requestIDHeader, keyHeader, httpmsg.TimeoutHeader} {
 		if len(header[name]) > 1 {
-			return invalid(name + " is there more than once")
+			return badRequest(name + " is there more than once")
 		}
 	}
 	if id := firstValue(header, requestIDHeader); id == "" || len(id) > maxRequestIDBytes {
-		return invalid(requestIDHeader + " is missing or too long")
+		return badRequest(requestIDHeader + " is missing or too long")
 	}
-	// Without the key an endpoint could not recognize a retry, so the request must not be treated as one of this class.
+	// Without the key an endpoint can't recognize a retry, so the request can't be treated as idempotent with a key.
 	if class.Idempotency == logic.IdempotentWithKey && firstValue(header, keyHeader) == "" {
-		return invalid(keyHeader + " is missing")
+		return badRequest(keyHeader + " is missing")
 	}
 	return nil
 }
 
-// parseTimeout reads a timeout: a decimal number and a unit, m for milliseconds or u for microseconds. More than longest, the
-// deadline of the request's class, is cut to that: it would hold memory and timers for as long.
+// parseTimeout parses a timeout: a decimal number followed by m for milliseconds or u for microseconds. A value above longest,
+// the timeout of the request's class, is reduced to longest, because the request would otherwise hold memory and timers for
+// longer.
 func parseTimeout(text string, longest time.Duration) (time.Duration, error) {
-	malformed := invalid(httpmsg.TimeoutHeader + " is missing or malformed")
+	malformed := badRequest(httpmsg.TimeoutHeader + " is missing or malformed")
 	number, unit := strings.TrimSuffix(text, "m"), time.Millisecond
 	if number == text {
 		number, unit = strings.TrimSuffix(text, "u"), time.Microsecond
@@ -81,7 +83,7 @@
 	return time.Duration(min(value*float64(unit), float64(longest))), nil
 }
 
-// isDigits reports whether a text is one to twelve digits and nothing else.
+// isDigits reports whether text consists of 1 to 12 decimal digits.
 func isDigits(text string) bool {
 	for _, c := range []byte(text) {
 		if c < '0' || c > '9' {
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -16,12 +16,12 @@
 	"time"
 )
 
-// descriptorVariable is the environment variable that names an inherited socket.
-const descriptorVariable = "PROXY_ACCEPT_FD"
+// descriptorEnv is the environment variable that names an inherited socket.
+const descriptorEnv = "PROXY_ACCEPT_FD"
 
 // Inherits reports whether the environment names a socket that the platform holds. Then another process with the same limits may
 // accept from it, too.
-func Inherits(getenv func(string) string) bool { return getenv(descriptorVariable) != "" }
+func Inherits(getenv func(string) string) bool { return getenv(descriptorEnv) != "" }
 
 // Listen returns a listener on the socket that the environment names, or else on the address. inherited says which: connections
 // that this process does not accept from an inherited socket are accepted by another. The error says which step failed.
@@ -33,7 +33,7 @@
 		}
 		return l, false, nil
 	}
-	l, err = listenOnDescriptor(getenv(descriptorVariable))
+	l, err = listenOnDescriptor(getenv(descriptorEnv))
 	if err != nil {
 		return nil, false, err
 	}
@@ -44,13 +44,13 @@
 func listenOnDescriptor(text string) (net.Listener, error) {
 	fd, err := strconv.ParseUint(text, 10, 16)
 	if err != nil {
-		return nil, fmt.Errorf("%s: %w", descriptorVariable, err)
+		return nil, fmt.Errorf("%s: %w", descriptorEnv, err)
 	}
 	file := os.NewFile(uintptr(fd), "inherited listener")
 	defer file.Close() // the listener has a descriptor of its own
 	l, err := net.FileListener(file)
 	if err != nil {
-		return nil, fmt.Errorf("descriptor %d of %s: %w", fd, descriptorVariable, err)
+		return nil, fmt.Errorf("descriptor %d of %s: %w", fd, descriptorEnv, err)
 	}
 	return l, nil
 }
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -11,7 +11,7 @@
 // environment is one that names a descriptor; an empty one for none.
 func environment(fd string) func(string) string {
 	return func(name string) string {
-		if name == descriptorVariable {
+		if name == descriptorEnv {
 			return fd
 		}
 		return ""
@@ -90,12 +90,12 @@
 		t.Fatal(err)
 	}
 	l.Close()
-	began := time.Now()
+	started := time.Now()
 	if l, _, err := Listen(none, "127.0.0.1:no-port"); err == nil {
 		l.Close()
 		t.Error("no error for an address without a port")
 	}
-	if took := time.Since(began); took > time.Second {
+	if took := time.Since(started); took > time.Second {
 		t.Errorf("the error took %v", took)
 	}
 }
