--- a/internal/acceptretry/listener.go
+++ b/internal/acceptretry/listener.go
@@ -1,8 +1,8 @@
-// Package acceptretry keeps a listener accepting through errors that pass.
+// Package acceptretry keeps a listener accepting after temporary errors.
 //
-// accept(2) fails for lack of descriptors or memory, for a client that has disconnected already, and with network errors that are
-// pending on the new connection. None of them says that the listener is of no use, but http.Server ends at most of them, and the
-// agent would serve nobody from then on. A Listener retries with backoff instead, until it is closed.
+// accept(2) fails for lack of descriptors or memory, for a client that has already disconnected, and with network errors that are
+// pending on the new connection. None of these errors makes the listener unusable, but http.Server stops serving on most of them,
+// and the agent would serve no clients from then on. A Listener instead retries with backoff until it is closed.
 package acceptretry
 
 import (
@@ -17,13 +17,13 @@
 	"ryeweir/internal/event"
 )
 
-// Bounds of the backoff after an accept that failed. It doubles with each consecutive failure.
+// Limits of the backoff after a failed accept. The backoff doubles with each consecutive failure.
 const (
 	InitialBackoff = 5 * time.Millisecond
 	MaxBackoff     = 250 * time.Millisecond
 )
 
-// Listener is a listener whose Accept returns no error but net.ErrClosed.
+// Listener is a listener whose Accept returns no error except net.ErrClosed.
 type Listener struct {
 	net.Listener
 	log       *slog.Logger
@@ -32,15 +32,16 @@
 	closeOnce sync.Once
 
 	mu       sync.Mutex
-	failures map[string]int64 // accepts that failed, by the name of the error
+	failures map[string]int64 // failed accepts, by the name of the error
 }
 
-// New returns a listener on inner. The first of consecutive failures is logged; all are counted. events may be nil.
+// New returns a listener that accepts from inner. All failures are counted, but of consecutive failures only the first is logged.
+// events may be nil.
 func New(inner net.Listener, log *slog.Logger, events *event.Recorder) *Listener {
 	return &Listener{Listener: inner, log: log, events: events, closed: make(chan struct{}), failures: map[string]int64{}}
 }
 
-// Accept waits for the next connection. It fails only once the listener is closed, with net.ErrClosed.
+// Accept returns the next connection. Its only error is net.ErrClosed, after the listener has been closed.
 func (l *Listener) Accept() (net.Conn, error) {
 	backoff := InitialBackoff
 	for {
@@ -61,7 +62,7 @@
 	}
 }
 
-// recordFailure counts a failure, and logs the first of consecutive ones.
+// recordFailure counts a failure, and logs it if it is the first of consecutive ones.
 func (l *Listener) recordFailure(err error, first bool) {
 	name := errorName(err)
 	l.mu.Lock()
@@ -69,11 +70,12 @@
 	l.mu.Unlock()
 	l.events.Record(event.Event{Kind: event.ListenerFailed, Detail: name})
 	if first {
-		l.log.Warn("accepting a connection failed, retrying; consecutive failures are not logged", "error", err)
+		l.log.Warn("accept failed, retrying with backoff; further consecutive failures are not logged", "error", err)
 	}
 }
 
-// errorName returns the system's text for an error, of which there are few, so that the counts stay bounded; "other" for all else.
+// errorName returns the name under which an error is counted: the system's text for a system call error, and "other" for all
+// others. There are few such texts, so the number of counters is bounded.
 func errorName(err error) string {
 	if errno, ok := errors.AsType[syscall.Errno](err); ok {
 		return errno.Error()
@@ -90,13 +92,13 @@
 	}
 }
 
-// Close closes the listener. It may be called more than once.
+// Close closes the listener and ends a backoff at once.
 func (l *Listener) Close() error {
 	l.closeOnce.Do(func() { close(l.closed) })
 	return l.Listener.Close()
 }
 
-// MarshalJSON returns the counts of failures by the name of their error.
+// MarshalJSON encodes the number of failures by error name.
 func (l *Listener) MarshalJSON() ([]byte, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/acceptretry/listener_test.go
+++ b/internal/acceptretry/listener_test.go
@@ -14,12 +14,12 @@
 	"time"
 )
 
-// scriptedListener returns scripted errors and connections one after another, and then waits until it is closed.
+// scriptedListener returns the errors and connections in next one after another. Then it blocks until it is closed.
 type scriptedListener struct {
 	net.Listener
-	next   []error // nil for a connection
+	next   []error // nil stands for a connection
 	closed chan struct{}
-	times  []time.Time // of the calls of Accept
+	times  []time.Time // of the calls to Accept
 }
 
 func (s *scriptedListener) Accept() (net.Conn, error) {
@@ -42,8 +42,8 @@
 	return nil
 }
 
-// Accepts fail for a while, for lack of descriptors or memory. They are retried with a bounded backoff that starts over after a
-// success, and are counted by their error; the log has the first of consecutive ones.
+// Accepts fail for a while, for lack of descriptors or memory. They are retried with a bounded backoff that is reset after a
+// success, and are counted by error. Of consecutive failures only the first is logged.
 func TestFailedAcceptsAreRetriedWithBackoff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &scriptedListener{closed: make(chan struct{}), next: []error{nil, syscall.ENOBUFS, syscall.ENOBUFS, nil, syscall.EPERM, nil}}
@@ -65,19 +65,19 @@
 		}
 		last := len(s.times) - 1
 		if backoff := s.times[last].Sub(s.times[last-1]); backoff != MaxBackoff {
-			t.Errorf("the longest backoff is %v", backoff)
+			t.Errorf("the last backoff is %v, want MaxBackoff", backoff)
 		}
 		if n := strings.Count(log.String(), "retrying"); n != 3 {
-			t.Errorf("%d lines in the log", n)
+			t.Errorf("%d failures were logged, want 3", n)
 		}
 		counts, err := json.Marshal(l)
 		if want := `{"no buffer space available":2,"operation not permitted":1,"too many open files":12}`; string(counts) != want || err != nil {
-			t.Errorf("%s, %v", counts, err)
+			t.Errorf("counts %s, error %v", counts, err)
 		}
 	})
 }
 
-// A close ends the backoff after a failure at once.
+// Close ends the backoff after a failure at once.
 func TestCloseEndsTheBackoff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &scriptedListener{closed: make(chan struct{})}
@@ -91,7 +91,7 @@
 		started := time.Now()
 		l.Close()
 		if err := <-ended; !errors.Is(err, net.ErrClosed) || time.Since(started) > 0 {
-			t.Errorf("%v after %v", err, time.Since(started))
+			t.Errorf("Accept returned %v, %v after Close", err, time.Since(started))
 		}
 	})
 }
--- a/internal/connlimit/close.go
+++ b/internal/connlimit/close.go
@@ -9,26 +9,27 @@
 	"ryeweir/internal/invariant"
 )
 
-// requestClose has the connection end, unless something is read on it first: its reader is interrupted, and calls Close. The lock
-// must be held.
+// requestClose interrupts the read that is blocked on the connection, so that its reader calls Close. A byte that arrives first
+// cancels the close. The lock must be held.
 func (c *Conn) requestClose(reason event.Reason) {
 	c.closePending, c.closeReason = true, reason
-	c.Conn.SetReadDeadline(aLongTimeAgo) // fails only where there is no connection any more
+	c.Conn.SetReadDeadline(aLongTimeAgo) // fails only if the connection is already closed
 }
 
-// cancelClose withdraws a close that was requested. The lock must be held.
+// cancelClose cancels a pending close. The lock must be held.
 func (c *Conn) cancelClose() {
 	if !c.closePending || c.closing {
 		return
 	}
 	c.closePending, c.evicting, c.closeReason = false, false, event.None
 	c.Conn.SetReadDeadline(c.readDeadline)
-	c.listener.capacityFreed.Signal() // another has to be evicted
+	c.listener.capacityFreed.Signal() // another connection has to be evicted
 }
 
-// Close ends the connection. It does not wait for the client; the slot is free when the underlying connection has closed. Where an
-// answer was given that is by a lingering close: closed over unread bytes the connection would be reset, and its client might never
-// see that answer. What comes meanwhile is dropped; none of it was read as a request.
+// Close closes the connection. It does not wait for the client; the slot is free when the underlying connection has been closed.
+// If a request was answered on the connection, Close performs a lingering close: closing a socket that has unread bytes resets
+// the connection, and the client might never see the answer. The bytes that arrive during a lingering close are discarded; none
+// of them was read as a request.
 func (c *Conn) Close() error {
 	c.listener.mu.Lock()
 	defer c.listener.mu.Unlock()
@@ -45,7 +46,7 @@
 	return nil
 }
 
-// checkClose passes the close through the close guard, and records it with its reason. The lock must be held.
+// checkClose checks the close guard, and records the close with its reason. The lock must be held.
 func (c *Conn) checkClose() {
 	guard := invariant.Close{
 		RequestPending:  c.requestID != "" && !c.answerDecided,
@@ -53,7 +54,7 @@
 		AnswerTruncated: c.answerAborted,
 	}
 	if verdict := guard.Check(); verdict.Denied {
-		c.listener.Monitor.Violated(verdict.Rule, c.requestID, "closing for "+c.closeReason.String())
+		c.listener.Monitor.Violated(verdict.Rule, c.requestID, "connection closed with reason "+c.closeReason.String())
 	}
 	c.recordAnswerWritten()
 	if c.closeReason == event.None {
@@ -62,7 +63,7 @@
 	c.listener.Events.Record(event.Event{Kind: event.ConnectionClosed, Reason: c.closeReason, Connection: c.id})
 }
 
-// recordAnswerWritten records that the answer of the request in flight, if there is one, is out. The lock must be held.
+// recordAnswerWritten records that the answer to the request in flight, if there is one, has been written. The lock must be held.
 func (c *Conn) recordAnswerWritten() {
 	if c.requestID != "" && c.answerDecided {
 		c.listener.Events.Record(event.Event{Kind: event.RequestWritten, Request: c.requestID, Connection: c.id})
@@ -70,14 +71,14 @@
 	c.requestID, c.answerDecided = "", false
 }
 
-// Bounds of a lingering close.
+// Limits of a lingering close.
 const (
 	lingeringCloseTimeout  = 500 * time.Millisecond
 	lingeringCloseMaxBytes = 256 << 10
 )
 
-// lingeringClose discards what the client still sends until it has closed its side, within bounds of time and bytes, and closes
-// the connection then. An eviction ends it early.
+// lingeringClose discards what the client still sends until the client closes its side, or until the limit in time or bytes is
+// reached. Then it closes the connection. An eviction ends it early.
 func (c *Conn) lingeringClose() {
 	deadline := time.Now().Add(lingeringCloseTimeout)
 	c.listener.mu.Lock()
@@ -102,10 +103,11 @@
 	return c.Conn.Close()
 }
 
-// errNoHalfClose says that a connection can't be closed in one direction only.
-var errNoHalfClose = errors.New("connlimit: the connection can't be half-closed")
+// errNoHalfClose is returned if the underlying connection does not support closing only the sending side.
+var errNoHalfClose = errors.New("connlimit: underlying connection does not support half-close")
 
-// CloseWrite closes the sending side. net/http ends an answer so when the client still sends, so that it can read the answer.
+// CloseWrite closes the sending side. net/http calls it after an answer while the client is still sending, so that the client can
+// read the answer.
 func (c *Conn) CloseWrite() error {
 	if halfCloser, ok := c.Conn.(interface{ CloseWrite() error }); ok {
 		return halfCloser.CloseWrite()
--- a/internal/connlimit/closereason.go
+++ b/internal/connlimit/closereason.go
@@ -7,12 +7,12 @@
 	"ryeweir/internal/event"
 )
 
-// recordReadError derives from a read of the server's that failed why the connection is about to close, and whether its client has
-// disconnected. A reason that is known already stays. The lock must be held.
+// recordReadError derives the close reason from an error of the server's read, and whether the client has disconnected. It does
+// not replace a reason that is already known. The lock must be held.
 //
-// A timeout counts only when the server's own deadline passed. net/http ends its background read by a deadline in the past when a
-// handler returns, and the connection may stay open or close after the answer: taken for a timeout, such a close would be logged as
-// read_timeout, and the engineer on call would look for slow clients.
+// A timeout gives a reason only if the server's own deadline has passed. When a handler returns, net/http aborts its background
+// read with a deadline in the past, and the connection then stays open or closes after the answer. If that counted as a timeout,
+// such a close would be logged as read_timeout, and the engineer on call would search for slow clients.
 func (c *Conn) recordReadError(err error) {
 	switch {
 	case err == nil:
@@ -30,5 +30,5 @@
 	}
 }
 
-// timedOut reports whether a read failed by its deadline.
+// timedOut reports whether a read failed because its deadline passed.
 func timedOut(err error) bool { return errors.Is(err, os.ErrDeadlineExceeded) }
--- a/internal/connlimit/closereason_test.go
+++ b/internal/connlimit/closereason_test.go
@@ -13,13 +13,14 @@
 	"ryeweir/internal/testkit"
 )
 
-// net/http ends its background read by a deadline in the past once a handler has returned. A handler that reports no request, as
-// that of a readiness check, left the connection in the reading state, and the end of that read passed for a client that was too
-// slow: each close after such an answer was logged as read_timeout, and so were later closes of a connection that stayed open.
+// When a handler returns, net/http aborts its background read with a deadline in the past. If the handler did not call
+// BeginRequest, as for a readiness check, the connection was still in the reading state, and the abort was taken for a client
+// that was too slow. Each close after such an answer was logged as read_timeout, and so were later closes of a connection that
+// stayed open.
 func TestCloseReasonAfterAnAnswerThatNoHandlerReports(t *testing.T) {
 	for name, c := range map[string]struct {
 		request string
-		then    func(*net.TCPConn) // after the answer
+		then    func(*net.TCPConn) // runs after the answer; nil if no answer is expected
 		want    event.Reason
 	}{
 		"the answer closes":         {"GET /ready HTTP/1.1\r\nHost: o\r\nConnection: close\r\n\r\n", func(*net.TCPConn) {}, event.AfterAnswer},
@@ -48,8 +49,8 @@
 	}
 }
 
-// A request in flight is answered while bytes that follow it are read ahead. The end of that read says nothing of the client: a close
-// after the next answer is no idle timeout.
+// A request in flight is answered while the bytes that follow it are read ahead. The interruption of that read says nothing about
+// the client: a close after the next answer must not be recorded as a timeout.
 func TestCloseReasonAfterReadAheadWasStopped(t *testing.T) {
 	s := newBlockingServer(t)
 	c := dial(t, s.l)
@@ -57,7 +58,7 @@
 	io.WriteString(c, get("/a"))
 	<-s.started
 	io.WriteString(c, "GET /b HTTP/1.1\r\n")
-	testkit.Eventually(t, "it is read ahead", func() bool {
+	testkit.Eventually(t, "the next request is read ahead", func() bool {
 		return s.l.anyConn(func(c *Conn) bool { return c.readAhead.done != nil })
 	})
 	s.release <- struct{}{}
@@ -69,11 +70,11 @@
 	wantOneClose(t, s.l.Events, event.AfterAnswer)
 }
 
-// wantOneClose checks that one connection closes, and for this reason.
+// wantOneClose checks that exactly one connection is closed, with the given reason.
 func wantOneClose(t *testing.T, events *event.Recorder, want event.Reason) {
 	t.Helper()
 	closes := map[event.Reason]int64{}
-	testkit.Eventually(t, "the connection closes", func() bool {
+	testkit.Eventually(t, "the connection is closed", func() bool {
 		for _, reason := range []event.Reason{event.AfterAnswer, event.ClientClosed, event.IdleTimeout, event.ReadTimeout} {
 			if count := events.Count(event.ConnectionClosed, reason); count > 0 {
 				closes[reason] = count
@@ -82,6 +83,6 @@
 		return len(closes) > 0
 	})
 	if len(closes) != 1 || closes[want] != 1 {
-		t.Errorf("closes by reason %v, want one for %v", closes, want)
+		t.Errorf("closes by reason: %v, want one with reason %v", closes, want)
 	}
 }
--- a/internal/connlimit/conn.go
+++ b/internal/connlimit/conn.go
@@ -7,44 +7,45 @@
 	"ryeweir/internal/event"
 )
 
-// Conn is a connection of a Listener, whose lock guards its state. The package comment describes its life and who may close it.
+// Conn is a connection of a Listener. The Listener's lock guards its state. The package comment describes the states of a
+// connection and who may close it.
 type Conn struct {
 	net.Conn
 	listener *Listener
 	id       uint64 // of the connection, in events
 
 	activity     activity
-	lastActivity time.Time // when the activity began or, while a request is read, when its latest bytes came
-	hadRequest   bool      // a valid request has come, now or before
-	readDeadline time.Time // as the server set it; in force unless a close is pending
+	lastActivity time.Time // when the activity began or, while a request is read, when its latest bytes arrived
+	hadRequest   bool      // a handler has accepted a request on this connection
+	readDeadline time.Time // as set by the server; not in force while a close is pending
 	readAhead    readAhead
 
-	// The request in flight.
-	requestID     string // empty when none is
-	answerDecided bool   // its answer is about to be written, or on its way out
-	answerAborted bool   // its answer broke off, which a lingering close would make look complete
-	disconnected  bool   // reading showed that the client has closed or reset the connection
+	// State of the request in flight.
+	requestID     string // empty if there is none
+	answerDecided bool   // its answer is about to be written, or is being written
+	answerAborted bool   // its answer was cut short; a lingering close would make it look complete
+	disconnected  bool   // a read has shown that the client closed or reset the connection
 
-	// The close.
-	closePending bool         // a close was requested; a byte that comes before it withdraws the request
-	evicting     bool         // its slot is needed: no lingering close
+	// State of the close.
+	closePending bool         // a close was requested; the next byte that arrives cancels it
+	evicting     bool         // the slot is needed for a new connection
 	closing      bool         // Close was called
-	closeReason  event.Reason // None while it is not known
+	closeReason  event.Reason // event.None while unknown
 }
 
-// activity is what a connection is busy with.
+// activity is the processing state of a connection.
 type activity int
 
 const (
 	idle            activity = iota // no request has begun
-	readingRequest                  // a request has begun that no handler has accepted (yet)
-	requestInFlight                 // a request that a handler has accepted awaits its answer
+	readingRequest                  // a request has begun, but no handler has accepted it
+	requestInFlight                 // a handler has accepted a request, and its answer has not been written completely
 )
 
-// aLongTimeAgo is a deadline that ends a read at once. net/http uses the same time to end its background read.
+// aLongTimeAgo is a deadline in the past, which interrupts a read. net/http uses the same time to abort its background read.
 var aLongTimeAgo = time.Unix(1, 0)
 
-// isAbortDeadline reports whether a deadline is the one by which net/http ends its background read.
+// isAbortDeadline reports whether a deadline is the one with which net/http aborts its background read.
 func isAbortDeadline(deadline time.Time) bool {
 	return !deadline.IsZero() && deadline.Before(aLongTimeAgo.Add(time.Second))
 }
@@ -52,8 +53,8 @@
 // NetConn returns the underlying connection.
 func (c *Conn) NetConn() net.Conn { return c.Conn }
 
-// SetReadDeadline sets the time by which something must be read. While a close is pending only an abort takes effect: any other
-// deadline would let the read that was interrupted wait again.
+// SetReadDeadline sets the deadline of reads. While a close is pending, only an abort deadline takes effect at once: any other
+// deadline would let the interrupted read block again.
 func (c *Conn) SetReadDeadline(deadline time.Time) error {
 	c.listener.mu.Lock()
 	defer c.listener.mu.Unlock()
@@ -64,8 +65,8 @@
 	return c.Conn.SetReadDeadline(deadline)
 }
 
-// Read reads what was read ahead, then from the underlying connection. It marks the connection as reading a request: net/http reports
-// one only when its head is complete.
+// Read returns the bytes that were read ahead, and then reads from the underlying connection. It puts the connection into the
+// reading state, because net/http reports a request only when its head is complete.
 func (c *Conn) Read(p []byte) (int, error) {
 	l := c.listener
 	l.mu.Lock()
@@ -85,7 +86,7 @@
 	return n, err
 }
 
-// readSocket reads from the underlying connection. The lock must be held; it is released while waiting.
+// readSocket reads from the underlying connection. The lock must be held; it is released during the read.
 func (c *Conn) readSocket(p []byte) (n int, err error) {
 	for {
 		c.listener.mu.Unlock()
@@ -98,19 +99,19 @@
 	}
 }
 
-// isBackgroundRead reports whether a read into p is net/http's background read, which looks for a client that disconnects while
-// its request is handled: the only one of a single byte.
+// isBackgroundRead reports whether a read into p is net/http's background read, which detects a client disconnect while a handler
+// runs. It is the only read with a buffer of one byte.
 func isBackgroundRead(p []byte) bool { return len(p) == 1 }
 
-// shouldRetryBackgroundRead reports whether net/http's background read failed by a deadline that was meant for another read: the limit
-// of a body whose last byte has just come, or a close that was requested before this request was read. net/http takes each failure
-// of that read but its own abort for a client that has disconnected, and cancels the request: so the read goes on instead.
-// The lock must be held.
+// shouldRetryBackgroundRead reports whether net/http's background read failed by a deadline that was set for another read: the
+// limit for a body whose last byte has just arrived, or a close that was requested before this request was read. Unless net/http
+// aborted the read itself, it takes any error of this read for a client disconnect and cancels the request. The read is therefore
+// repeated. The lock must be held.
 func (c *Conn) shouldRetryBackgroundRead(p []byte, err error) bool {
 	return isBackgroundRead(p) && timedOut(err) && !isAbortDeadline(c.readDeadline)
 }
 
-// bytesReceived updates the state after a read that brought something. The lock must be held.
+// bytesReceived updates the state after a read that returned bytes. The lock must be held.
 func (c *Conn) bytesReceived() {
 	c.cancelClose()
 	if c.activity == requestInFlight {
@@ -119,14 +120,14 @@
 		}
 		return
 	}
-	if c.activity == idle && c.hadRequest { // the idle timeout is shorter than a head may take
+	if c.activity == idle && c.hadRequest { // the idle timeout in force is shorter than the time that a head may take
 		c.readDeadline = time.Now().Add(c.listener.HeaderTimeout)
 		c.Conn.SetReadDeadline(c.readDeadline)
 	}
 	c.activity, c.lastActivity = readingRequest, time.Now()
 }
 
-// setActivity moves the connection to another activity and withdraws a close that is pending.
+// setActivity sets the activity and cancels a pending close.
 func (c *Conn) setActivity(next activity) {
 	c.listener.mu.Lock()
 	defer c.listener.mu.Unlock()
@@ -138,5 +139,5 @@
 	}
 	c.readAhead.onDisconnect = nil
 	c.recordAnswerWritten()
-	c.listener.capacityFreed.Signal() // it may be evicted now
+	c.listener.capacityFreed.Signal() // the connection may be evicted now
 }
--- a/internal/connlimit/disconnect.go
+++ b/internal/connlimit/disconnect.go
@@ -9,9 +9,9 @@
 	"ryeweir/internal/socket"
 )
 
-// OnDisconnect has notify called, at most once, when the client of a request that has been read completely disconnects: also when
-// bytes followed the request, where net/http does not look. It returns true, and arranges nothing, when the client has
-// disconnected already. The watch ends with the request.
+// OnDisconnect arranges that notify is called, at most once, when the client disconnects. It is for a request that has been read
+// completely. Unlike net/http, it also detects a disconnect after bytes that followed the request. If the client has already
+// disconnected, it returns true and notify is not called. The detection ends with the request.
 func OnDisconnect(ctx context.Context, notify func()) (disconnected bool) {
 	c, ok := fromContext(ctx)
 	if !ok {
@@ -35,8 +35,8 @@
 	return false
 }
 
-// closedByPeer reports whether the peer has closed a connection on which nothing waits to be read; false for a connection without
-// a socket, where that can't be seen.
+// closedByPeer reports whether the peer has closed or reset a connection on which no bytes wait to be read. It returns false if c
+// has no socket, because that can't be detected then.
 func closedByPeer(c net.Conn) bool {
 	n, err := socket.Peek(c)
 	return n == 0 && err == nil || errors.Is(err, syscall.ECONNRESET)
--- a/internal/connlimit/disconnect_test.go
+++ b/internal/connlimit/disconnect_test.go
@@ -16,12 +16,12 @@
 	"ryeweir/internal/testkit"
 )
 
-// blockingServer is a server whose handler blocks each request until its client has disconnected or the test releases it.
+// blockingServer is a server whose handler blocks each request until its client disconnects or the test releases it.
 type blockingServer struct {
 	l            *Listener
 	started      chan context.Context
 	release      chan struct{}
-	disconnected chan bool // whether the client had disconnected from the beginning
+	disconnected chan bool // whether the client had disconnected before the detection began
 }
 
 func newBlockingServer(t *testing.T) *blockingServer {
@@ -48,9 +48,9 @@
 	return s
 }
 
-// A client disconnects while its request waits. However it does that, and whatever it sent after the request, the handler is
-// notified: else attempts would go on for a client that has disconnected.
-func TestDisconnectIsNoticedBehindAnyBytes(t *testing.T) {
+// A client disconnects while its request waits. The handler is notified however the client disconnects and whatever it sent after
+// the request. Otherwise attempts would continue for a client that is gone.
+func TestDisconnectIsDetectedAfterAnyBytes(t *testing.T) {
 	for how, disconnect := range map[string]func(*net.TCPConn){
 		"closes":      func(c *net.TCPConn) { c.Close() },
 		"half-closes": func(c *net.TCPConn) { c.CloseWrite() },
@@ -69,31 +69,31 @@
 				}
 				disconnect(c)
 				if receive(t, "the handler is notified", s.disconnected) {
-					t.Error("the client counted as disconnected from the beginning")
+					t.Error("OnDisconnect reported a disconnect before there was one")
 				}
 			})
 		}
 	}
 }
 
-// A client has disconnected before its request is looked at. That is seen then, below all that wraps its connection, and nothing
-// begins for it.
-func TestEarlierDisconnectIsSeenWhenTheWatchBegins(t *testing.T) {
+// A client disconnects before OnDisconnect is called for its request. watchDisconnect detects this through all wrappers of the
+// connection and reports it, so that no attempt is made for that client.
+func TestEarlierDisconnectIsReportedAtOnce(t *testing.T) {
 	l := New(framing.Listener{Listener: socket.Listener{Listener: testkit.Listen(t)}}, 1)
 	c, client := acceptPair(t, l)
 	client.Close()
-	testkit.Eventually(t, "the client's close arrives", func() bool { return closedByPeer(c) })
+	testkit.Eventually(t, "the client's close is visible", func() bool { return closedByPeer(c) })
 	if !c.watchDisconnect(func() {}) {
-		t.Error("the watch began for a client that has disconnected")
+		t.Error("watchDisconnect did not report that the client had disconnected")
 	}
 }
 
-// A client sends two requests in one piece and disconnects while the second waits. The handler of the second is notified, not that
-// of the first, which is over.
+// A client sends two requests in one write and disconnects while the second waits. The handler of the second request is notified,
+// not that of the first, which has been answered.
 func TestDisconnectNotifiesTheRequestInFlight(t *testing.T) {
 	s := newBlockingServer(t)
 	c := dial(t, s.l)
-	io.WriteString(c, get("/a")+get("/b")) // in one buffer of the server's
+	io.WriteString(c, get("/a")+get("/b")) // both are in one read buffer of the server
 	<-s.started
 	io.WriteString(c, get("/c"))
 	s.release <- struct{}{}
--- a/internal/connlimit/eviction.go
+++ b/internal/connlimit/eviction.go
@@ -8,26 +8,28 @@
 
 // Eviction decides which connection is closed for a new one when all slots are taken.
 //
-// Rule: silent connections go first, then idle ones, then those whose request is still being read; within a rank the one with the
-// oldest activity. A connection with a request in flight is never evicted.
-// Inputs: each connection's activity, whether it ever brought a valid request, and the time since its last activity.
-// Guards against: clients that hold all slots without sending a request, which shows as new clients that get no connection.
+// Connections in a lingering close are evicted first, then silent ones, then idle ones, then those whose request is still being
+// read. Within a rank the connection with the oldest activity is evicted. A connection with a request in flight is never evicted.
+// The decision depends on each connection's activity, whether a handler ever accepted a request on it, and the time since its
+// last activity.
+//
+// This guards against clients that hold all slots without sending a request, so that new clients can't connect.
 
-// firstRequestGrace is how long a connection without a valid request so far may send nothing before it counts as silent.
+// firstRequestGrace is how long a connection that has not had a valid request may be inactive before it counts as silent.
 const firstRequestGrace = 250 * time.Millisecond
 
-// evictionRank orders connections by their use; the lowest is evicted first.
+// evictionRank orders connections for eviction; the lowest rank is evicted first.
 type evictionRank int
 
 const (
-	rankClosing evictionRank = iota // in a lingering close: its answer is out
-	rankSilent                      // has brought no valid request, and nothing at all for a while
-	rankIdle                        // between two requests
+	rankClosing evictionRank = iota // in a lingering close: its answer has been written
+	rankSilent                      // has had no valid request, and has been inactive for longer than firstRequestGrace
+	rankIdle                        // idle after a request
 	rankReading                     // a request is being read, or the connection is new
 )
 
-// awaitCapacity waits until a slot is free, evicting connections for it. It reports false when the listener was closed before
-// there was one. The lock must be held; it is released while waiting.
+// awaitCapacity waits until a slot is free, and evicts connections to free one. It returns false if the listener is closed before
+// a slot is free. The lock must be held; it is released during the wait.
 func (l *Listener) awaitCapacity() bool {
 	for len(l.conns) >= l.maxConnections && !l.closed {
 		if c := l.evictionCandidate(); c != nil {
@@ -38,7 +40,7 @@
 	return len(l.conns) < l.maxConnections
 }
 
-// evictionCandidate returns the connection to evict next, or nil when none may be. The lock must be held.
+// evictionCandidate returns the connection to evict next, or nil if no connection may be evicted. The lock must be held.
 func (l *Listener) evictionCandidate() (candidate *Conn) {
 	now := time.Now()
 	for c := range l.conns {
@@ -49,7 +51,7 @@
 	return candidate
 }
 
-// evictable reports whether a connection may be evicted and is not being evicted yet. The lock must be held.
+// evictable reports whether the connection may be evicted, and is not already being evicted. The lock must be held.
 func (c *Conn) evictable() bool {
 	if c.evicting {
 		return false
@@ -66,7 +68,7 @@
 	return c.lastActivity.Before(other.lastActivity)
 }
 
-// evictionRank is the rank of a connection that is evictable. The lock must be held.
+// evictionRank returns the rank of an evictable connection. The lock must be held.
 func (c *Conn) evictionRank(now time.Time) evictionRank {
 	switch {
 	case c.closing:
@@ -79,14 +81,14 @@
 	return rankReading
 }
 
-// evict requests the close of a connection whose slot is needed. The lock must be held.
+// evict requests the close of a connection because its slot is needed. The lock must be held.
 func (c *Conn) evict() {
 	c.evicting = true
 	c.requestClose(event.CapacityNeeded)
 }
 
-// nearLimitFraction of the slots taken is near the limit. Answers close their connections from there on: clients that keep theirs
-// open for good would otherwise leave no slots to those who can't connect any more.
+// nearLimitFraction is the fraction of taken slots above which answers close their connections. Otherwise clients that keep their
+// connections open forever would leave no slots for new clients.
 const nearLimitFraction = 0.4
 
 // NearLimit reports whether so many slots are taken that answers should close their connections.
--- a/internal/connlimit/eviction_test.go
+++ b/internal/connlimit/eviction_test.go
@@ -12,8 +12,8 @@
 	"ryeweir/internal/testkit"
 )
 
-// With all slots taken, each new connection evicts the one of least use: the silent one, then the idle one, then the one whose
-// request is being read. One with a request in flight stays, and the limit holds.
+// When all slots are taken, each new connection evicts the least used one: first the silent one, then the idle one, then the one
+// whose request is being read. A connection with a request in flight stays open, and the limit holds.
 func TestEvictionOrder(t *testing.T) {
 	l := New(testkit.Listen(t), 4)
 	accept := func() *Conn {
@@ -21,38 +21,39 @@
 		c, _ := acceptPair(t, l)
 		return c
 	}
-	busy, between, silent := accept(), accept(), accept()
+	busy, betweenRequests, silent := accept(), accept(), accept()
 	silent.lastActivity = silent.lastActivity.Add(-2 * firstRequestGrace)
 	busy.setActivity(requestInFlight)
-	between.setActivity(requestInFlight)
-	ConnState(between, http.StateIdle)
+	betweenRequests.setActivity(requestInFlight)
+	ConnState(betweenRequests, http.StateIdle)
 	reader := accept()
 	ConnState(reader, http.StateActive)
-	for _, c := range []*Conn{busy, between, silent, reader} {
+	for _, c := range []*Conn{busy, betweenRequests, silent, reader} {
 		readUntilError(c)
 	}
-	for i, want := range []*Conn{silent, between, reader} {
+	for i, want := range []*Conn{silent, betweenRequests, reader} {
 		if !l.isOpen(want) {
-			t.Errorf("connection %d was evicted too early", i)
+			t.Errorf("connection %d in eviction order was evicted too early", i)
 		}
 		accept().setActivity(requestInFlight)
 		if l.isOpen(want) {
-			t.Errorf("connection %d should have been evicted", i)
+			t.Errorf("connection %d in eviction order was not evicted", i)
 		}
 	}
 	if !l.isOpen(busy) || l.Len() != 4 {
-		t.Errorf("the busy one open: %v, %d in all", l.isOpen(busy), l.Len())
+		t.Errorf("connection with a request in flight open: %v; %d connections open, want 4", l.isOpen(busy), l.Len())
 	}
-	// With requests in flight on all of them the next one waits, until one is free or the listener closes.
+	// When all connections have requests in flight, Accept waits until a slot is free or the listener closes.
 	done := make(chan error)
 	go func() { _, err := l.Accept(); done <- err }()
 	l.Close()
 	if err := <-done; err == nil {
-		t.Error("accepted beyond the limit")
+		t.Error("Accept returned a connection above the limit")
 	}
 }
 
-// Many clients send a part of a request and stop; one goes on slowly. The slow one outlasts the others, which are evicted.
+// Many clients send a part of a request and stop; one continues slowly. The stalled connections are evicted, and the slow one
+// stays open.
 func TestSlowRequestOutlastsStalledOnes(t *testing.T) {
 	l := New(testkit.Listen(t), 3)
 	slow, slowClient := acceptPair(t, l)
@@ -61,13 +62,13 @@
 		t.Helper()
 		io.WriteString(client, "G")
 		if n := <-received; n != 1 {
-			t.Fatalf("%d bytes received", n)
+			t.Fatalf("read %d bytes, want 1", n)
 		}
 	}
-	readAndReport := func(c *Conn) { // as readUntilError, and reports each read
+	readAndReport := func(c *Conn) { // like readUntilError, but reports each read
 		go func() {
 			for {
-				n, err := c.Read(make([]byte, 2)) // as for a head: a read of one byte is net/http's background read
+				n, err := c.Read(make([]byte, 2)) // more than one byte, because a read of one byte counts as net/http's background read
 				if err != nil {
 					c.Close()
 					return
@@ -85,12 +86,12 @@
 		sendByte(slowClient)
 	}
 	if !l.isOpen(slow) {
-		t.Error("the request that was being read was evicted")
+		t.Error("the connection whose request was being read was evicted")
 	}
 }
 
-// A slot is needed in the instant in which a request has been read, before a handler reports it. The request goes on: the close
-// that was requested, and what it does to the connection's next read, must not pass for a client that disconnects.
+// A slot is needed just after a request has been read, before the handler calls BeginRequest. The request must continue: neither
+// the close that was requested nor the read that it interrupts may be taken for a client disconnect.
 func TestEvictionDoesNotCancelARequestThatJustBegan(t *testing.T) {
 	l := New(testkit.Listen(t), 1)
 	l.HeaderTimeout = time.Minute
@@ -98,11 +99,11 @@
 	serve(t, l, func(w http.ResponseWriter, r *http.Request) {
 		ctx, cancel := context.WithCancel(r.Context())
 		defer cancel()
-		close(started) // net/http's background read is under way by now
+		close(started) // net/http's background read is running by now
 		<-resume
 		BeginRequest(ctx, "r")
 		if OnDisconnect(ctx, cancel) {
-			t.Error("the client counts as disconnected")
+			t.Error("OnDisconnect reports a disconnect")
 		}
 		select {
 		case <-ctx.Done():
@@ -116,8 +117,8 @@
 	c := dial(t, l)
 	io.WriteString(c, get("/a"))
 	<-started
-	dial(t, l) // needs the slot
-	testkit.Eventually(t, "an eviction is under way", func() bool {
+	dial(t, l) // needs the only slot
+	testkit.Eventually(t, "an eviction has begun", func() bool {
 		return l.anyConn(func(c *Conn) bool { return c.evicting })
 	})
 	time.Sleep(20 * time.Millisecond) // the background read has been interrupted by then
@@ -125,7 +126,7 @@
 	wantAnswer(t, bufio.NewReader(c), "answer")
 }
 
-// lateListener has a connection in hand as it is closed, and returns it after that.
+// lateListener accepts its first connection before it is closed, and returns it only after the test closes resume.
 type lateListener struct {
 	net.Listener
 	accepted, resume chan struct{}
@@ -141,7 +142,7 @@
 	return c, err
 }
 
-// A connection is accepted in the instant in which the listener closes. It is served: its client may have sent a request already.
+// A connection that was accepted just before the listener closes is served, because its client may already have sent a request.
 func TestConnectionAcceptedDuringCloseIsServed(t *testing.T) {
 	late := &lateListener{Listener: testkit.Listen(t), accepted: make(chan struct{}), resume: make(chan struct{})}
 	accepted := late.accepted
--- a/internal/connlimit/helpers_test.go
+++ b/internal/connlimit/helpers_test.go
@@ -10,10 +10,10 @@
 	"time"
 )
 
-// testTimeout is how long a test waits for what must happen.
+// testTimeout is how long a test waits for an expected event.
 const testTimeout = 20 * time.Second
 
-// dial opens a connection to the listener for the length of the test.
+// dial connects to the listener. The connection is closed when the test ends.
 func dial(t *testing.T, l *Listener) *net.TCPConn {
 	t.Helper()
 	c, err := net.Dial("tcp", l.Addr().String())
@@ -25,7 +25,7 @@
 	return c.(*net.TCPConn)
 }
 
-// acceptPair opens a connection to the listener and returns both ends.
+// acceptPair connects to the listener and returns both ends of the connection.
 func acceptPair(t *testing.T, l *Listener) (*Conn, net.Conn) {
 	t.Helper()
 	client, err := net.Dial("tcp", l.Addr().String())
@@ -41,13 +41,13 @@
 	return c.(*Conn), client
 }
 
-// serve runs an http.Server with this handler on the listener until the test ends.
+// serve runs an http.Server with the given handler on the listener until the test ends.
 func serve(t *testing.T, l *Listener, handler http.HandlerFunc) {
 	t.Helper()
 	runServer(t, l, &http.Server{Handler: handler})
 }
 
-// runServer runs an http.Server on the listener until the test ends.
+// runServer runs srv on the listener until the test ends.
 func runServer(t *testing.T, l *Listener, srv *http.Server) {
 	t.Helper()
 	srv.ConnState, srv.ConnContext = ConnState, ConnContext
@@ -56,7 +56,7 @@
 	t.Cleanup(func() { l.Abort(); srv.Close(); <-done })
 }
 
-// readUntilError reads a connection as the server does: until a read fails, and then it closes it.
+// readUntilError reads a connection as the server does: until a read fails. Then it closes the connection.
 func readUntilError(c *Conn) {
 	go func() {
 		buf := make([]byte, 16)
@@ -69,7 +69,7 @@
 	}()
 }
 
-// get is a request without a body.
+// get returns a GET request for the path.
 func get(path string) string { return "GET " + path + " HTTP/1.1\r\nHost: o\r\n\r\n" }
 
 // wantAnswer reads a response and checks its body.
@@ -80,11 +80,11 @@
 		t.Fatal(err)
 	}
 	if body, err := io.ReadAll(resp.Body); string(body) != want || err != nil {
-		t.Errorf("answer %q, %v; want %q", body, err, want)
+		t.Errorf("body %q, error %v; want %q", body, err, want)
 	}
 }
 
-// isOpen reports whether a connection has its slot.
+// isOpen reports whether a connection holds a slot.
 func (l *Listener) isOpen(c *Conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -92,7 +92,7 @@
 	return open
 }
 
-// anyConn reports whether a condition holds for any open connection, with the lock held.
+// anyConn reports whether a condition holds for any open connection. It calls condition with the lock held.
 func (l *Listener) anyConn(condition func(*Conn) bool) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -104,7 +104,7 @@
 	return false
 }
 
-// hasUnread reports whether bytes wait to be read.
+// hasUnread reports whether the connection has received bytes that have not been read.
 func hasUnread(t *testing.T, c *Conn) bool {
 	t.Helper()
 	raw, err := c.Conn.(*net.TCPConn).SyscallConn()
@@ -118,19 +118,19 @@
 	return n > 0
 }
 
-// receive waits for a value from a channel.
+// receive waits for a value from a channel. It fails the test after testTimeout.
 func receive[T any](t *testing.T, what string, from <-chan T) T {
 	t.Helper()
 	var value T
 	select {
 	case value = <-from:
 	case <-time.After(testTimeout):
-		t.Fatal("never happened: " + what)
+		t.Fatal("timed out waiting until " + what)
 	}
 	return value
 }
 
-// zeros is an endless stream.
+// zeros is an endless stream of zero bytes.
 type zeros struct{}
 
 func (zeros) Read(p []byte) (int, error) { return len(p), nil }
--- a/internal/connlimit/listener.go
+++ b/internal/connlimit/listener.go
@@ -13,32 +13,32 @@
 type Listener struct {
 	net.Listener
 
-	// HeaderTimeout is how long the head of a request may take that begins on a connection which was idle.
+	// HeaderTimeout limits how long the client may take to send the head of a request that begins on an idle connection.
 	HeaderTimeout time.Duration
-	// Events records each connection's accept and close, and the last byte of each answer. It may be nil.
+	// Events records the accept and the close of each connection, and the end of each answer. It may be nil.
 	Events *event.Recorder
-	// Monitor counts connections that close over a request without an answer. It may be nil.
+	// Monitor counts connections that are closed while a request has no answer. It may be nil.
 	Monitor *invariant.Monitor
 
 	maxConnections int
 
-	mu              sync.Mutex // guards what follows, and the state of each Conn
-	capacityFreed   *sync.Cond // signaled when a connection closes, or may be evicted again
+	mu              sync.Mutex // guards the fields below, and the state of each Conn
+	capacityFreed   *sync.Cond // signaled when a slot is free, or when another connection may be evicted
 	closed          bool
 	lastAccept      time.Time
 	conns           map[*Conn]struct{}
 	lingeringCloses sync.WaitGroup
 }
 
-// New returns a listener on inner that holds at most maxConnections open connections.
+// New returns a listener that accepts from inner and holds at most maxConnections open connections.
 func New(inner net.Listener, maxConnections int) *Listener {
 	l := &Listener{Listener: inner, maxConnections: maxConnections, conns: map[*Conn]struct{}{}}
 	l.capacityFreed = sync.NewCond(&l.mu)
 	return l
 }
 
-// Accept returns the next connection, a *Conn. When all slots are taken it evicts one first, and waits until that has closed. It
-// returns net.ErrClosed once the listener is closed and no slot is free.
+// Accept returns the next connection, a *Conn. If all slots are taken, it evicts a connection and waits until a slot is free. It
+// returns net.ErrClosed if the listener is closed and no slot is free.
 func (l *Listener) Accept() (net.Conn, error) {
 	raw, err := l.Listener.Accept()
 	if err != nil {
@@ -65,7 +65,7 @@
 	l.Events.Record(accepted)
 }
 
-// Close closes the listener; its connections stay open.
+// Close closes the listener. Its connections stay open.
 func (l *Listener) Close() error {
 	l.mu.Lock()
 	l.closed = true
@@ -74,7 +74,8 @@
 	return l.Listener.Close()
 }
 
-// Abort closes all connections at once, without lingering, and returns when every lingering close has ended.
+// Abort closes all connections at once, without a lingering close, and waits until every lingering close that had begun has
+// ended.
 func (l *Listener) Abort() {
 	l.mu.Lock()
 	for c := range l.conns {
@@ -88,8 +89,8 @@
 	l.lingeringCloses.Wait()
 }
 
-// CloseIdle requests the close of each connection that has been idle for minIdle or longer. One on which a request arrives first
-// stays open.
+// CloseIdle requests the close of each connection that has been idle for at least minIdle. A connection on which a request
+// arrives before the close stays open.
 func (l *Listener) CloseIdle(minIdle time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -100,14 +101,15 @@
 	}
 }
 
-// Len returns the number of open connections, those in a lingering close included.
+// Len returns the number of open connections, including those in a lingering close.
 func (l *Listener) Len() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.conns)
 }
 
-// InFlight returns the number of connections that await an answer or on which one is still being sent.
+// InFlight returns the number of connections on which an answer may still be due or on its way: those with a request in flight
+// and those in a lingering close.
 func (l *Listener) InFlight() (count int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -119,7 +121,7 @@
 	return count
 }
 
-// AcceptedSince reports whether a connection has been accepted after the given time.
+// AcceptedSince reports whether a connection was accepted after the given time.
 func (l *Listener) AcceptedSince(then time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/connlimit/readahead.go
+++ b/internal/connlimit/readahead.go
@@ -1,26 +1,27 @@
 package connlimit
 
-// maxReadAhead is how many bytes are read ahead on a connection. A client that sends more after its request, and disconnects
-// then, is noticed only when the answer is written.
+// maxReadAhead is how many bytes are read ahead on a connection. If a client sends more than that after its request and then
+// disconnects, the disconnect is detected only when the answer is written.
 const maxReadAhead = 16 << 10
 
-// readAhead holds what a client sent after its request in flight: the next request, or an empty line.
+// readAhead holds the bytes that a client sent after its request in flight: the next request, or an empty line.
 //
-// Guards against: a client that disconnects after such bytes. net/http's background read ends at the first of them, so that the
-// disconnect would go unnoticed, and attempts would be sent for a client that has disconnected.
+// It makes a client disconnect visible behind such bytes. net/http's background read ends at the first of them, so the disconnect
+// would not be detected, and attempts would be sent for a client that is gone.
 //
-// The reading goroutine and the server take turns: Conn.Read stops the goroutine, and waits for its end, before it reads. So bytes
-// stay in order and none is lost. The Listener's lock guards the fields.
+// The reading goroutine and the server never read at the same time: Conn.Read stops the goroutine and waits until it has ended.
+// The bytes therefore stay in order and none is lost. The Listener's lock guards the fields.
 type readAhead struct {
-	onDisconnect        func()        // called when the client disconnects; nil while no request in flight watches for it
+	onDisconnect        func()        // called when the client disconnects; nil if no request in flight has registered it
 	serverReading       bool          // the server is in Conn.Read
-	backgroundReadEnded bool          // the server's latest read was its background read, and brought a byte: it reads no further
-	done                chan struct{} // closed when the goroutine has ended; nil without one
+	backgroundReadEnded bool          // the server's latest read was its background read and returned a byte, so it does not read again
+	done                chan struct{} // closed when the goroutine has ended; nil if none was started
 	buffered            []byte
-	err                 error // ends the bytes that are buffered
+	err                 error // the error that follows the buffered bytes
 }
 
-// startReadAhead reads ahead in a goroutine until the bound, an error, or stopReadAhead. The lock must be held.
+// startReadAhead starts a goroutine that reads ahead until maxReadAhead bytes are buffered, a read fails, or stopReadAhead is
+// called. The lock must be held.
 func (c *Conn) startReadAhead() {
 	ahead := &c.readAhead
 	if ahead.done != nil || ahead.err != nil || len(ahead.buffered) >= maxReadAhead {
@@ -45,18 +46,19 @@
 	c.listener.mu.Lock()
 	ahead := &c.readAhead
 	ahead.buffered, ahead.err = append(ahead.buffered, buffer[:read]...), err
-	disconnected := err != nil && !timedOut(err) // a timeout is stopReadAhead's interrupt
+	disconnected := err != nil && !timedOut(err) // a timeout means that stopReadAhead interrupted the read
 	if disconnected {
 		c.recordReadError(err)
 	}
-	notify := ahead.onDisconnect // of the present request, which may have begun after the goroutine
+	notify := ahead.onDisconnect // of the current request, which may have begun after the goroutine was started
 	c.listener.mu.Unlock()
 	if notify != nil && disconnected {
 		notify()
 	}
 }
 
-// stopReadAhead ends the goroutine, if there is one. The lock must be held; it is released while waiting.
+// stopReadAhead stops the goroutine, if there is one, and waits until it has ended. The lock must be held; it is released during
+// the wait.
 func (c *Conn) stopReadAhead() {
 	ahead := &c.readAhead
 	done := ahead.done
@@ -76,8 +78,8 @@
 	}
 }
 
-// take copies to p what was read ahead. When nothing is left it returns the error that ended the reading, if one did. It reports
-// false when there is neither.
+// take copies bytes that were read ahead to p. When none are left, it returns the error that ended the reading, if there was one.
+// ok is false if there are neither bytes nor an error.
 func (a *readAhead) take(p []byte) (n int, ok bool, err error) {
 	if len(a.buffered) == 0 {
 		return 0, a.err != nil, a.err
--- a/internal/connlimit/readahead_test.go
+++ b/internal/connlimit/readahead_test.go
@@ -10,7 +10,7 @@
 	"ryeweir/internal/testkit"
 )
 
-// Bytes that came after a request, in any pieces, are read as the next requests: complete and in order.
+// Bytes that follow a request, in pieces of any size, are later read as the next requests: completely and in order.
 func TestReadAheadKeepsPipelinedRequestsInOrder(t *testing.T) {
 	s := newBlockingServer(t)
 	c := dial(t, s.l)
@@ -24,7 +24,7 @@
 		select {
 		case s.release <- struct{}{}:
 		case <-time.After(testTimeout):
-			t.Fatalf("the request for %s does not wait", want)
+			t.Fatalf("no handler is waiting for the release of the request for %s", want)
 		}
 		wantAnswer(t, in, want)
 		if want == "/c" {
@@ -34,7 +34,7 @@
 	}
 }
 
-// A client floods the connection after its request. What is read ahead of that is bounded, and the request is answered.
+// A client floods the connection after its request. Only a limited number of bytes is read ahead, and the request is answered.
 func TestReadAheadIsBounded(t *testing.T) {
 	s := newBlockingServer(t)
 	c := dial(t, s.l)
@@ -42,7 +42,7 @@
 	<-s.started
 	flooding := make(chan struct{})
 	go func() { defer close(flooding); io.CopyN(c, zeros{}, 64*maxReadAhead) }()
-	testkit.Eventually(t, "the bound is reached", func() bool {
+	testkit.Eventually(t, "the read-ahead limit is reached", func() bool {
 		return s.l.anyConn(func(c *Conn) bool {
 			select {
 			case <-c.readAhead.done:
--- a/internal/connlimit/request.go
+++ b/internal/connlimit/request.go
@@ -6,7 +6,7 @@
 	"net/http"
 )
 
-// ConnState is the http.Server's ConnState: it tracks what net/http reports of a connection.
+// ConnState is the ConnState hook of the http.Server. It tracks the state that net/http reports for a connection.
 func ConnState(raw net.Conn, state http.ConnState) {
 	c, ok := raw.(*Conn)
 	if !ok {
@@ -22,8 +22,8 @@
 
 type connContextKey struct{}
 
-// ConnContext is the http.Server's ConnContext: the functions below find the connection of a request by its context. They do
-// nothing, and return zero values, for a context without one.
+// ConnContext is the ConnContext hook of the http.Server. It lets the functions below find the connection of a request by the
+// request's context. For a context without a connection they do nothing and return zero values.
 func ConnContext(ctx context.Context, raw net.Conn) context.Context {
 	return context.WithValue(ctx, connContextKey{}, raw)
 }
@@ -33,8 +33,8 @@
 	return c, ok
 }
 
-// BeginRequest marks a request as in flight: from now on it must get an answer, and its connection is not evicted. That ends when
-// net/http has written the answer.
+// BeginRequest marks a request as in flight: it must get an answer, and its connection is not evicted until net/http has written
+// that answer.
 func BeginRequest(ctx context.Context, requestID string) {
 	c, ok := fromContext(ctx)
 	if !ok {
@@ -46,7 +46,7 @@
 	c.requestID = requestID
 }
 
-// BeginAnswer says that the answer of the request in flight has been decided on and is about to be written.
+// BeginAnswer records that the answer to the request in flight has been decided and is about to be written.
 func BeginAnswer(ctx context.Context) {
 	c, ok := fromContext(ctx)
 	if !ok {
@@ -57,7 +57,8 @@
 	c.answerDecided = true
 }
 
-// MarkAnswerAborted says that the answer of the request in flight broke off: the close must not look like the answer's end.
+// MarkAnswerAborted records that the answer to the request in flight was cut short. The connection is then closed without a
+// lingering close, so that the answer does not look complete.
 func MarkAnswerAborted(ctx context.Context) {
 	c, ok := fromContext(ctx)
 	if !ok {
@@ -68,7 +69,7 @@
 	c.answerAborted = true
 }
 
-// ConnectionID returns the number under which events name the connection of a request; 0 for none.
+// ConnectionID returns the ID that events use for the connection of a request, or 0 if the context has no connection.
 func ConnectionID(ctx context.Context) uint64 {
 	c, ok := fromContext(ctx)
 	if !ok {
@@ -77,7 +78,7 @@
 	return c.id
 }
 
-// ClientDisconnected reports whether a read showed that the client of a request has closed or reset its connection.
+// ClientDisconnected reports whether a read has shown that the client of a request closed or reset its connection.
 func ClientDisconnected(ctx context.Context) bool {
 	c, ok := fromContext(ctx)
 	if !ok {
--- a/internal/framing/conn.go
+++ b/internal/framing/conn.go
@@ -6,7 +6,7 @@
 	"sync/atomic"
 )
 
-// Listener is a listener whose connections are watched.
+// Listener is a listener whose connections are of type *Conn.
 type Listener struct{ net.Listener }
 
 // Accept returns the next connection, a *Conn.
@@ -18,17 +18,17 @@
 	return &Conn{Conn: c}, nil
 }
 
-// Conn is a watched connection. It is read by one goroutine at a time, as net/http does.
+// Conn is a connection whose message boundaries are followed. As with net/http, only one goroutine reads it at a time.
 type Conn struct {
 	net.Conn
 	scanner scanner
 
-	// What the scanner has found, for handlers: net/http may read on while they run.
+	// Results of the scanner, for handlers. They are atomic because net/http may read further while a handler runs.
 	ambiguous      atomic.Bool
 	desynchronized atomic.Bool
 }
 
-// Read reads, and follows the messages in what came.
+// Read reads from the underlying connection and passes the bytes to the scanner.
 func (c *Conn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	c.scanner.scan(p[:n])
@@ -44,8 +44,8 @@
 // NetConn returns the underlying connection.
 func (c *Conn) NetConn() net.Conn { return c.Conn }
 
-// CloseWrite closes the sending side, where the underlying connection can. net/http ends an answer so when the client still sends, so
-// that it can read the answer.
+// CloseWrite closes the sending side if the underlying connection supports that. net/http calls it after an answer while the
+// client is still sending, so that the client can read the answer.
 func (c *Conn) CloseWrite() error {
 	if halfCloser, ok := c.Conn.(interface{ CloseWrite() error }); ok {
 		return halfCloser.CloseWrite()
@@ -55,8 +55,8 @@
 
 type contextKey struct{}
 
-// ConnContext is for an http.Server's ConnContext: the functions below find the watched connection of a request by its context,
-// also below others that wrap it. They report false, and do nothing, for a context without one.
+// ConnContext is the ConnContext hook of the http.Server. It lets the functions below find the Conn of a request by the request's
+// context, also if other connections wrap the Conn. For a context without a Conn they report false and do nothing.
 func ConnContext(ctx context.Context, c net.Conn) context.Context {
 	for {
 		switch inner := c.(type) {
@@ -75,28 +75,29 @@
 	return c, ok
 }
 
-// Ambiguous reports whether the connection of a request brought a message with both a length and a transfer encoding, or with a
-// transfer encoding in HTTP/1.0, which knows none. Nothing on that connection can be trusted.
+// Ambiguous reports whether the connection of a request has carried a message with both a length and a transfer encoding, or an
+// HTTP/1.0 message with a transfer encoding, which HTTP/1.0 does not define. Nothing that arrives on such a connection can be
+// trusted.
 func Ambiguous(ctx context.Context) bool {
 	c, ok := fromContext(ctx)
 	return ok && c.ambiguous.Load()
 }
 
-// Desynchronized reports whether the messages of the connection could not be followed any more: nothing after the present request
-// may be read from it.
+// Desynchronized reports whether the scanner has lost track of the message boundaries on the connection of a request. No message
+// after the current request may then be read from that connection.
 func Desynchronized(ctx context.Context) bool {
 	c, ok := fromContext(ctx)
 	return ok && c.desynchronized.Load()
 }
 
-// ResetOnClose makes the close of the connection of a request a reset, where its network knows that. A client of HTTP/1.0 can't
-// tell otherwise that an answer broke off.
+// ResetOnClose makes the close of a request's connection send a reset, if the network supports that. An HTTP/1.0 client could not
+// otherwise see that the answer was cut short.
 func ResetOnClose(ctx context.Context) {
 	c, ok := fromContext(ctx)
 	if !ok {
 		return
 	}
 	if lingerer, ok := c.Conn.(interface{ SetLinger(seconds int) error }); ok {
-		lingerer.SetLinger(0) // when this fails the close is a plain one
+		lingerer.SetLinger(0) // if this fails, the connection is closed without a reset
 	}
 }
--- a/internal/framing/doc.go
+++ b/internal/framing/doc.go
@@ -1,8 +1,8 @@
-// Package framing watches HTTP/1 connections for messages whose end two readers may see in different places, as in request
+// Package framing detects HTTP/1 messages whose end two parsers could see in different places. Such messages are used for request
 // smuggling and desynchronization attacks.
 //
-// It works below net/http, which drops the length of a message that also has a transfer encoding: a handler can't see any more
-// that the message was ambiguous. A Conn passes on all bytes and follows the messages in them (see scanner). Handlers ask by
-// the context of their request: Ambiguous says that a request must be rejected, Desynchronized that its connection must close
-// after the answer.
+// The detection works below net/http, which drops the Content-Length of a message that also has a Transfer-Encoding, so that a
+// handler can't see that the message was ambiguous. A Conn passes all bytes on unchanged and follows the message boundaries in
+// them (see scanner). Handlers query the result through the context of their request: if Ambiguous reports true, the request must
+// be rejected; if Desynchronized does, the connection must be closed after the answer.
 package framing
--- a/internal/framing/scanner.go
+++ b/internal/framing/scanner.go
@@ -5,44 +5,45 @@
 	"strconv"
 )
 
-// scanner follows the messages of a connection, from head to head, past bodies with a length or in chunks (RFC 9112, section 7.1).
+// scanner follows the messages on a connection from one head to the next. It skips bodies that have a length or are chunked (RFC
+// 9112, section 7.1). Its input is the bytes of the connection, in pieces of any size. It stores at most maxLineBytes of each
+// line.
 //
-// Inputs: the bytes of the connection, in pieces of any size. Of each line it stores only maxLineBytes.
-// Guards against: a message that has a length and a transfer encoding. One reader goes by the one, another by the other, and what
-// the first takes for the body the second takes for a request that nobody checked.
+// It detects messages that have both a length and a transfer encoding. If one parser uses the length and another the transfer
+// encoding, what one takes for the body can be, for the other, a request that nobody validated.
 //
-// It stops, desynchronized, at what it can't read. After that no message may be read from the connection; the server sees to that
-// by closing it.
+// When it can't parse the input, it sets desynchronized and stops. From then on no message may be read from the connection; the
+// server ensures this by closing it.
 type scanner struct {
 	state          state
-	ambiguous      bool // a message so far could be read in two ways
-	desynchronized bool
-	bodyRemaining  int64  // bytes of a body or chunk that are still to be skipped
-	line           []byte // the beginning of the present line; of a request line the end
+	ambiguous      bool   // a message so far could be parsed in two ways
+	desynchronized bool   // the message boundaries are lost
+	bodyRemaining  int64  // bytes of the current body or chunk still to be skipped
+	line           []byte // the first bytes of the current line, or the last bytes of a request line
 
-	// The head that is being read.
+	// State of the head that is being read.
 	requestLineDone     bool
 	http10              bool
 	hasLength           bool
 	contentLength       int64
 	hasTransferEncoding bool
-	chunked             bool // the transfer encoding is chunked and nothing else
+	chunked             bool // the transfer encoding is chunked alone
 }
 
-// state is where in a message the scanner is.
+// state is the part of a message that the scanner is in.
 type state int
 
 const (
 	inHead      state = iota
-	inChunkSize       // in the line before a chunk
-	inChunkEnd        // in the end of the line after it
+	inChunkSize       // in the line before a chunk, which gives its size
+	inChunkEnd        // in the line break after a chunk
 	inTrailers
 )
 
 const (
-	// maxLineBytes is stored of a line: enough for the names and the numbers that matter.
+	// maxLineBytes is how much of a line is stored: enough for the header names and numbers that matter.
 	maxLineBytes = 64
-	// maxChunkBytes is far more than any body may have.
+	// maxChunkBytes is far above the size of any allowed body.
 	maxChunkBytes = 1 << 40
 )
 
@@ -66,7 +67,8 @@
 	}
 }
 
-// appendToLine adds a part of a line. It stores the beginning of the line, but of a request line the end, which names the version.
+// appendToLine adds a part of a line. It keeps the first bytes of the line, but the last bytes of a request line, because these
+// contain the HTTP version.
 func (s *scanner) appendToLine(part []byte) {
 	if s.requestLineDone {
 		s.line = append(s.line, part[:min(len(part), maxLineBytes-len(s.line))]...)
@@ -87,12 +89,12 @@
 		s.http10 = !bytes.HasSuffix(line, []byte("HTTP/1.1"))
 	case len(line) == 0:
 		s.endHead()
-	case bytes.IndexByte([]byte("CcTt"), line[0]) >= 0: // the headers that matter begin so
+	case bytes.IndexByte([]byte("CcTt"), line[0]) >= 0: // the relevant headers begin with C or T
 		s.parseHeader(line)
 	}
 }
 
-// parseHeader processes a header line.
+// parseHeader parses a header line.
 func (s *scanner) parseHeader(line []byte) {
 	name, value, _ := bytes.Cut(line, []byte(":"))
 	value = bytes.TrimSpace(value)
@@ -101,7 +103,7 @@
 		length, err := strconv.ParseInt(string(value), 10, 64)
 		s.hasLength, s.contentLength = true, length
 		if err != nil || length < 0 {
-			s.desynchronized = true // net/http rejects the request, and closes
+			s.desynchronized = true // net/http rejects the request and closes the connection
 		}
 	case bytes.EqualFold(name, []byte("Transfer-Encoding")):
 		s.chunked = !s.hasTransferEncoding && bytes.EqualFold(value, []byte("chunked"))
@@ -112,19 +114,19 @@
 	}
 }
 
-// endHead goes on to the body, or to the next head when there is none.
+// endHead continues with the body, or with the next head if there is no body.
 func (s *scanner) endHead() {
 	next := scanner{ambiguous: s.ambiguous, desynchronized: s.desynchronized, bodyRemaining: s.contentLength, line: s.line}
 	if s.hasTransferEncoding {
 		next.desynchronized = s.desynchronized || s.ambiguous || !s.chunked
 		next.bodyRemaining = 0
 		next.state = inChunkSize
-		next.requestLineDone = true // of all lines of chunks the beginning is stored
+		next.requestLineDone = true // makes appendToLine keep the first bytes of the lines in a chunked body
 	}
 	*s = next
 }
 
-// parseChunkLine processes a line of a body in chunks.
+// parseChunkLine parses a line of a chunked body.
 func (s *scanner) parseChunkLine(line []byte) {
 	switch s.state {
 	case inChunkSize:
@@ -139,7 +141,7 @@
 	}
 }
 
-// parseChunkSize processes the line that gives a chunk's size. A line that was cut can't be trusted.
+// parseChunkSize parses the line that gives the size of a chunk. A line that was truncated to maxLineBytes is not trusted.
 func (s *scanner) parseChunkSize(line []byte) {
 	digits, _, _ := bytes.Cut(line, []byte(";"))
 	size, err := strconv.ParseUint(string(bytes.TrimSpace(digits)), 16, 63)
--- a/internal/front/http/config.go
+++ b/internal/front/http/config.go
@@ -12,8 +12,8 @@
 	"ryeweir/internal/wire"
 )
 
-// Config holds the settings and dependencies of a Server. All fields but Events and Monitor must be set, unless their comment
-// says otherwise.
+// Config holds the settings and dependencies of a Server. All fields must be set, except where a comment says that nil or 0 is
+// allowed.
 type Config struct {
 	Site    wire.Site
 	Core    *core.Core
@@ -34,7 +34,7 @@
 // are shed at once.
 const MaxInFlightFraction = 0.8
 
-// DrainMargin is added to the longest request deadline that a drain takes into account.
+// DrainMargin is how long a drain may continue after the longest request deadline that it waits for.
 const DrainMargin = 50 * time.Millisecond
 
 // Timeouts of client connections.
@@ -53,11 +53,11 @@
 	maxCountedDeadline = 3 * time.Second        // the longest request deadline that the platform's restart waits for
 )
 
-// When the listener closes, the kernel resets the connections in its accept queue. These bound how long they are accepted before
-// that.
+// Before the listener closes, a drain accepts the connections in the kernel's accept queue, which would be reset otherwise. These
+// constants bound that step.
 const (
 	backlogQuietPeriod = 20 * time.Millisecond // no new connection for this long means that the queue is empty
-	maxBacklogPeriods  = 10
+	maxBacklogPeriods  = 10                    // number of such periods after which the listener closes in any case
 )
 
 // Limits on requests.
--- a/internal/front/http/drain_test.go
+++ b/internal/front/http/drain_test.go
@@ -9,7 +9,7 @@
 
 // The platform allows 4 s until an idle connection closes in a drain, and 3 s until a request is answered. Idle connections must
 // close well before that, and no timeout for reading a request may be that long.
-func TestDrainTimingKeepsThePlatformsLimits(t *testing.T) {
+func TestDrainTimingStaysWithinPlatformLimits(t *testing.T) {
 	if headerTimeout >= 3*time.Second || httpmsg.UploadStallTimeout >= 3*time.Second {
 		t.Errorf("head timeout %v, body stall timeout %v; both must be below the 3 s in which a request must be answered", headerTimeout, httpmsg.UploadStallTimeout)
 	}
--- a/internal/front/http/exchange.go
+++ b/internal/front/http/exchange.go
@@ -13,7 +13,7 @@
 
 // exchange holds a valid request and its state until it has been answered.
 //
-// Invariant: after begin exactly one of these happens: an answer is written completely, the answer is cut short and the
+// Invariant: from begin on, exactly one of these happens: an answer is written completely, the answer is cut short and the
 // connection is closed, or the request is abandoned because its client has disconnected.
 type exchange struct {
 	server      *Server
@@ -90,7 +90,8 @@
 	}
 }
 
-// finish releases what the exchange holds. It also runs when the handler panics with http.ErrAbortHandler.
+// finish takes the request out of the counts of open requests and cancels its context. It also runs when the handler panics with
+// http.ErrAbortHandler.
 func (x *exchange) finish() {
 	if x.counted {
 		x.server.inFlight.Add(-1)
@@ -107,8 +108,8 @@
 	return x.server.inFlight.Add(1) <= x.server.maxInFlight
 }
 
-// shed rejects the request because too many are in flight. No attempt was made, so the promise of a rejection holds: the client
-// can safely try again.
+// shed rejects the request because too many are in flight. No attempt was made and no endpoint has executed the request, so the
+// promise of a rejection holds: trying again does no harm.
 func (x *exchange) shed() {
 	x.releaseBody()
 	x.answer(core.Answer{Verdict: core.Rejected, Reason: event.TooManyOpen, RetryAfter: overLimitRetryAfter})
--- a/internal/front/http/head_test.go
+++ b/internal/front/http/head_test.go
@@ -10,7 +10,7 @@
 )
 
 // The forwarded head has only the headers meant for an endpoint, and exactly one header that gives the length of the body.
-func TestForwardedHeadHasOneReading(t *testing.T) {
+func TestForwardedHeadIsUnambiguous(t *testing.T) {
 	_, r := newServer(t, http.MethodPost, "/refund-record/a%2Fb?x=1", "form")
 	r.Host = "origin.svc"
 	for name, value := range map[string]string{"Connection": "x-cost", "X-Cost": "3", "Content-Length": "999", "Transfer-Encoding": "x", "Cookie": "c"} {
--- a/internal/front/http/request.go
+++ b/internal/front/http/request.go
@@ -34,8 +34,8 @@
 	return slices.IndexFunc(s.Site.Logic.Classes, func(c logic.Class) bool { return c.Name == name })
 }
 
-// read validates a request and receives its body as far as it is buffered. The error is always an invalidError. If it is nil,
-// release frees the body's buffers, and must be called once, by the caller or by the core.
+// read validates a request and receives its body as far as it is buffered. err is always an invalidError. On success the body's
+// buffers stay in use until release is called; it must be called exactly once, by the caller or by the core.
 func (s *Server) read(w http.ResponseWriter, r *http.Request, class int) (call *core.Call, release func(), err error) {
 	settings := &s.Site.Logic.Classes[class]
 	if err := validateHead(r, settings); err != nil {
--- a/internal/front/http/stream.go
+++ b/internal/front/http/stream.go
@@ -16,8 +16,8 @@
 
 // stream copies an endpoint's response to the client as it arrives.
 //
-// A truncated response must not look complete, or the client would use a part of it as the whole. If the response ends early
-// before the first byte was written, the client gets a 502; after the first byte, the connection is closed.
+// A truncated response must not look complete, or the client would use a part of it as the whole. If the endpoint's response ends
+// too early, the client gets a 502 as long as no byte has been written; after that, its connection is closed.
 func (x *exchange) stream(content *httpmsg.Content) {
 	defer content.Pipe.Close()
 	earlyAnswer := x.upload != nil && !x.upload.Complete() // the endpoint answered before it received the complete body
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -1,9 +1,9 @@
-// Package handover finds the socket on which an agent accepts its clients: one that the platform holds through a change of
-// version, or one of the agent's own.
+// Package handover opens the listener on which an agent accepts its clients. It uses either a socket that the platform keeps open
+// during a change of version, or a socket of the agent's own.
 //
-// The platform names its socket by the environment variable PROXY_ACCEPT_FD, a descriptor that the process inherits. For a while two
-// processes, the old version and the new one, accept from that socket. Closing it in one leaves it open in the other, and no
-// connection is reset in between.
+// The platform passes its socket as a file descriptor that the process inherits, and gives the descriptor's number in the
+// environment variable PROXY_ACCEPT_FD. For a while two processes, the old version and the new one, accept from that socket. When
+// one of them closes it, it stays open in the other, so no connection is reset during the change.
 package handover
 
 import (
@@ -16,15 +16,15 @@
 	"time"
 )
 
-// descriptorEnv is the environment variable that names an inherited socket.
+// descriptorEnv is the environment variable that holds the descriptor number of an inherited socket.
 const descriptorEnv = "PROXY_ACCEPT_FD"
 
-// Inherits reports whether the environment names a socket that the platform holds. Then another process with the same limits may
-// accept from it, too.
+// Inherits reports whether the environment names an inherited socket. If so, another process with the same limits may accept from
+// it at the same time.
 func Inherits(getenv func(string) string) bool { return getenv(descriptorEnv) != "" }
 
-// Listen returns a listener on the socket that the environment names, or else on the address. inherited says which: connections
-// that this process does not accept from an inherited socket are accepted by another. The error says which step failed.
+// Listen returns a listener on the inherited socket that the environment names, or on addr if it names none. inherited reports
+// which of the two it is. Connections on an inherited socket that this process does not accept are accepted by another process.
 func Listen(getenv func(string) string, addr string) (l net.Listener, inherited bool, err error) {
 	if !Inherits(getenv) {
 		l, err = ListenWithRetry(addr)
@@ -40,30 +40,30 @@
 	return l, true, nil
 }
 
-// listenOnDescriptor returns a listener on the socket whose descriptor the text gives.
+// listenOnDescriptor returns a listener on the socket with the given descriptor number.
 func listenOnDescriptor(text string) (net.Listener, error) {
 	fd, err := strconv.ParseUint(text, 10, 16)
 	if err != nil {
-		return nil, fmt.Errorf("%s: %w", descriptorEnv, err)
+		return nil, fmt.Errorf("parsing the descriptor number in %s: %w", descriptorEnv, err)
 	}
 	file := os.NewFile(uintptr(fd), "inherited listener")
-	defer file.Close() // the listener has a descriptor of its own
+	defer file.Close() // the listener uses its own duplicate of the descriptor
 	l, err := net.FileListener(file)
 	if err != nil {
-		return nil, fmt.Errorf("descriptor %d of %s: %w", fd, descriptorEnv, err)
+		return nil, fmt.Errorf("listening on inherited descriptor %d (from %s): %w", fd, descriptorEnv, err)
 	}
 	return l, nil
 }
 
-// Retries of a socket that can't be had.
+// Timing of the retries in ListenWithRetry.
 const (
 	retryWindow   = 5 * time.Second
 	retryInterval = 50 * time.Millisecond
 )
 
-// ListenWithRetry listens on a TCP address. It retries a system call that fails, for some seconds: for lack of descriptors or
-// memory, or while another process still holds the address, the agent would otherwise not start at all. Other errors, as of an
-// address that can't be parsed, are returned at once.
+// ListenWithRetry listens on a TCP address. If a system call fails, it tries again for retryWindow, because otherwise a temporary
+// lack of descriptors or memory, or another process that still holds the address, would keep the agent from starting. All other
+// errors, such as an address that can't be parsed, are returned at once.
 func ListenWithRetry(addr string) (net.Listener, error) {
 	for end := time.Now().Add(retryWindow); ; time.Sleep(retryInterval) {
 		l, err := net.Listen("tcp", addr)
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// environment is one that names a descriptor; an empty one for none.
+// environment returns a getenv function that reports the given descriptor number, or no inherited socket if fd is empty.
 func environment(fd string) func(string) string {
 	return func(name string) string {
 		if name == descriptorEnv {
@@ -18,16 +18,16 @@
 	}
 }
 
-// Two processes accept from one inherited socket. When the old one closes it, what comes is accepted by the new one.
+// Two processes accept from one inherited socket. After the old one has closed it, the new one accepts new connections.
 func TestInheritedSocketOutlivesAProcess(t *testing.T) {
-	platform, err := net.Listen("tcp", "127.0.0.1:0")
+	platformSocket, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer platform.Close()
+	defer platformSocket.Close()
 	inherit := func() net.Listener {
 		t.Helper()
-		file, err := platform.(*net.TCPListener).File()
+		file, err := platformSocket.(*net.TCPListener).File()
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -40,7 +40,7 @@
 	old, next := inherit(), inherit()
 	defer next.Close()
 	old.Close()
-	client, err := net.Dial("tcp", platform.Addr().String())
+	client, err := net.Dial("tcp", platformSocket.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -56,7 +56,7 @@
 	}
 }
 
-// Without a socket in the environment the agent binds one of its own.
+// Without an inherited socket the agent opens its own.
 func TestListensOnTheAddressWithoutAnInheritedSocket(t *testing.T) {
 	l, inherited, err := Listen(environment(""), "127.0.0.1:0")
 	if err != nil || inherited {
@@ -65,37 +65,37 @@
 	l.Close()
 }
 
-// A descriptor that is none, or no socket, is an error and no crash.
+// An invalid descriptor, or one that is not a socket, causes an error rather than a crash.
 func TestUnusableDescriptorIsAnError(t *testing.T) {
 	for _, fd := range []string{"x", "-1", "99999999", "65000"} {
 		if l, _, err := Listen(environment(fd), "127.0.0.1:0"); err == nil {
 			l.Close()
-			t.Errorf("%q gives a listener", fd)
+			t.Errorf("descriptor %q: got a listener, want an error", fd)
 		}
 	}
 }
 
-// The process before still holds the address for a moment. The agent retries and starts. An address that can't be parsed is an error
-// at once: there is nothing to wait for.
+// The previous process may hold the address for a moment, so the agent tries again until it can listen. An address that can't be
+// parsed causes an error at once, because trying again would not help.
 func TestListenIsRetriedWhileTheAddressIsInUse(t *testing.T) {
 	holder, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	addr := holder.Addr().String()
-	none := func(string) string { return "" }
+	noEnv := func(string) string { return "" }
 	time.AfterFunc(300*time.Millisecond, func() { holder.Close() })
-	l, _, err := Listen(none, addr)
+	l, _, err := Listen(noEnv, addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	l.Close()
 	started := time.Now()
-	if l, _, err := Listen(none, "127.0.0.1:no-port"); err == nil {
+	if l, _, err := Listen(noEnv, "127.0.0.1:no-port"); err == nil {
 		l.Close()
-		t.Error("no error for an address without a port")
+		t.Error("no error for an address with an invalid port")
 	}
 	if took := time.Since(started); took > time.Second {
-		t.Errorf("the error took %v", took)
+		t.Errorf("the error was returned after %v, want at most 1 s", took)
 	}
 }
