--- a/internal/emulator/link/conn.go
+++ b/internal/emulator/link/conn.go
@@ -73,8 +73,8 @@
 	delete(c.network.conns, c)
 }
 
-// Quiet reports whether the connection is open and nothing has come on it.
-func (c *Conn) Quiet() bool { return c.in.nothingArrived() }
+// OpenWithoutInput reports whether the connection is open and nothing has come on it.
+func (c *Conn) OpenWithoutInput() bool { return c.in.nothingArrived() }
 
 // LocalAddr returns the address of this end.
 func (c *Conn) LocalAddr() net.Addr { return Addr(c.local) }
--- a/internal/emulator/link/link_test.go
+++ b/internal/emulator/link/link_test.go
@@ -99,7 +99,7 @@
 		if _, took, err := read(there); !errors.Is(err, os.ErrDeadlineExceeded) || took != time.Minute {
 			t.Errorf("%v after %v", err, took)
 		}
-		if !there.(*Conn).Quiet() {
+		if !there.(*Conn).OpenWithoutInput() {
 			t.Error("something had arrived")
 		}
 		there.SetReadDeadline(time.Time{})
--- a/internal/pool/conn.go
+++ b/internal/pool/conn.go
@@ -24,8 +24,8 @@
 // the wrong answer. The guard holds for all that has arrived at this machine by the time of the look; for what is still on its
 // way see idleLimit and Settings.Quarantine.
 func (c *Conn) quiet() bool {
-	if network, ok := c.Conn.(interface{ Quiet() bool }); ok {
-		return network.Quiet()
+	if network, ok := c.Conn.(interface{ OpenWithoutInput() bool }); ok {
+		return network.OpenWithoutInput()
 	}
 	_, err := socket.Peek(c.Conn)
 	return errors.Is(err, syscall.EAGAIN)
--- a/internal/pool/dial.go
+++ b/internal/pool/dial.go
@@ -12,7 +12,7 @@
 )
 
 // DialFunc opens a connection, as net.Dialer's DialContext does. A connection without a socket of the machine has a method
-// Quiet() bool, which reports whether it is open with nothing to read.
+// OpenWithoutInput() bool, which reports whether it is open with nothing to read.
 type DialFunc func(ctx context.Context, network, addr string) (net.Conn, error)
 
 // errPoolClosed says that a connection opened after the pool was closed.
