--- a/internal/agent/build.go
+++ b/internal/agent/build.go
@@ -204,7 +204,7 @@
 	a.metrics.Register("invariants", func() any { return a.monitor })
 	a.metrics.Register("connections", func() any { return a.pool.Stats() })
 	a.metrics.Register("probes", func() any { return a.healthChecker.Stats() })
-	a.metrics.Register("border", func() any { return a.core.BoundaryViolations() })
+	a.metrics.Register("border", func() any { return a.core.ContractViolations() })
 	if a.budget != nil {
 		a.metrics.Register("overload", func() any { return a.core.BudgetStats() })
 	}
--- a/internal/connlimit/close.go
+++ b/internal/connlimit/close.go
@@ -65,7 +65,7 @@
 // recordAnswerWritten records that the answer of the request in flight, if there is one, is out. The lock must be held.
 func (c *Conn) recordAnswerWritten() {
 	if c.requestID != "" && c.answerDecided {
-		c.listener.Events.Record(event.Event{Kind: event.RequestWritten, Request: c.requestID, Connection: c.number})
+		c.listener.Events.Record(event.Event{Kind: event.AnswerWritten, Request: c.requestID, Connection: c.number})
 	}
 	c.requestID, c.answerDecided = "", false
 }
--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -57,8 +57,8 @@
 // that ends while its attempt waits for a connection could be answered as one that did not run, and run afterwards.
 func (a *Attempt) Begin() bool { return a.claim.CompareAndSwap(unclaimed, begun) }
 
-// RequestWritten reports when the end of a pending body has been written. The call's timeout runs from then on.
-func (a *Attempt) RequestWritten(now time.Duration) {
+// BodyWritten reports when the end of a pending body has been written. The call's timeout runs from then on.
+func (a *Attempt) BodyWritten(now time.Duration) {
 	a.writtenAt.Store(int64(now))
 	a.deadline.Store(int64(now + a.Call.Timeout))
 }
--- a/internal/core/attempts.go
+++ b/internal/core/attempts.go
@@ -67,7 +67,7 @@
 		Endpoint: attempt.Endpoint,
 	})
 	if outcome.Result == logic.OK {
-		c.finishCall(call, Answer{Verdict: Served, Reason: event.Served, Content: outcome.Content})
+		c.finishCall(call, Answer{Kind: Served, Reason: event.Served, Content: outcome.Content})
 	}
 	c.countOutcome(attempt, outcome.Result)
 	c.observeOutcome(attempt, outcome.Result)
--- a/internal/core/boundary.go
+++ b/internal/core/boundary.go
@@ -21,9 +21,9 @@
 	overdueChecksLimit = 3
 )
 
-// BoundaryViolations counts where a front or an upstream did not fulfil its side of the contract. Each count should stay 0.
+// ContractViolations counts where a front or an upstream did not fulfil its side of the contract. Each count should stay 0.
 // Whatever happens, every attempt has one outcome and every call one answer.
-type BoundaryViolations struct {
+type ContractViolations struct {
 	ReportedTwice atomic.Int64 // outcomes reported after another, or after they were given up as overdue
 	Unreported    atomic.Int64 // attempts that returned without an outcome
 	Overdue       atomic.Int64 // attempts whose outcome did not come in time
@@ -33,7 +33,7 @@
 }
 
 // MarshalJSON returns the counts in the form of the operators' metrics.
-func (v *BoundaryViolations) MarshalJSON() ([]byte, error) {
+func (v *ContractViolations) MarshalJSON() ([]byte, error) {
 	return json.Marshal(struct {
 		Overdue       int64 `json:"overdue"`
 		ReportedTwice int64 `json:"reported_twice"`
@@ -44,8 +44,8 @@
 	}{v.Overdue.Load(), v.ReportedTwice.Load(), v.Resubmitted.Load(), v.Unfinished.Load(), v.Unread.Load(), v.Unreported.Load()})
 }
 
-// BoundaryViolations returns the counts, which go on changing.
-func (c *Core) BoundaryViolations() *BoundaryViolations { return &c.violations }
+// ContractViolations returns the counts, which go on changing.
+func (c *Core) ContractViolations() *ContractViolations { return &c.violations }
 
 // checkBoundary publishes the loop's figures and gives up what fronts and upstreams have not done in time.
 func (c *Core) checkBoundary() {
--- a/internal/core/boundary_test.go
+++ b/internal/core/boundary_test.go
@@ -21,7 +21,7 @@
 	c.clock.epoch = c.clock.epoch.Add(-time.Minute) // as if it had run for a while
 	beforePause := c.clock.Now() - 20*time.Second
 	answered := &Call{ID: "answered", answer: make(chan Answer, 1), done: make(chan struct{})}
-	c.deliver(answered, Answer{Verdict: Rejected})
+	c.deliver(answered, Answer{Kind: Rejected})
 	c.pendingAnswers[0].givenAt = beforePause
 	pending := &Call{ID: "pending", answer: make(chan Answer, 1), done: make(chan struct{})}
 	attempt := pending.newAttempt(logic.Action{}, beforePause, time.Second)
--- a/internal/core/budget.go
+++ b/internal/core/budget.go
@@ -63,7 +63,7 @@
 	if verdict.Admit {
 		return Answer{}, true
 	}
-	return Answer{Verdict: Rejected, Reason: event.BudgetShed, RetryAfter: verdict.RetryAfter}, false
+	return Answer{Kind: Rejected, Reason: event.BudgetShed, RetryAfter: verdict.RetryAfter}, false
 }
 
 // recordQueueDelay lowers the shortest delay. Only the loop lowers it; a reset by QueueDelay between the two steps may lose one
--- a/internal/core/call.go
+++ b/internal/core/call.go
@@ -77,20 +77,20 @@
 	}
 }
 
-// Verdict is the kind of an answer.
-type Verdict int
+// AnswerKind is the kind of an answer.
+type AnswerKind int
 
-// The verdicts.
+// The kinds of answers.
 const (
-	Served    Verdict = iota // with the content that an endpoint sent
-	Rejected                 // the request did not run, or may run again: sending it again does no harm
-	Failed                   // the request may have run
-	Duplicate                // another call under the same id is in progress
+	Served    AnswerKind = iota // with the content that an endpoint sent
+	Rejected                    // the request did not run, or may run again: sending it again does no harm
+	Failed                      // the request may have run
+	Duplicate                   // another call under the same id is in progress
 )
 
 // Answer is the final answer to a client.
 type Answer struct {
-	Verdict    Verdict
+	Kind       AnswerKind
 	Reason     event.Reason  // for events and the log
 	Content    Content       // of Served; the receiver owns it and must consume or discard it
 	RetryAfter time.Duration // how long the client should wait before it sends the request again; 0 to say nothing
--- a/internal/core/calls.go
+++ b/internal/core/calls.go
@@ -11,7 +11,7 @@
 // matched to calls by id, so it could receive the answer of the first.
 func (c *Core) acceptCall(call *Call) {
 	if c.calls[call.ID] != nil {
-		c.answerUnaccepted(call, Answer{Verdict: Duplicate, Reason: event.DuplicateID})
+		c.answerUnaccepted(call, Answer{Kind: Duplicate, Reason: event.DuplicateID})
 		return
 	}
 	call.acceptedAt = c.clock.Now()
@@ -71,9 +71,9 @@
 		return
 	}
 	call.finish(c.clock.Now())
-	if answer.Verdict == Failed && call.neverExecuted() {
+	if answer.Kind == Failed && call.neverExecuted() {
 		// The module counts an attempt that waits for a connection as one that may have run. The claims say that none has.
-		answer.Verdict = Rejected
+		answer.Kind = Rejected
 	}
 	c.deliver(call, answer)
 	c.forgetCall(call)
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -24,7 +24,7 @@
 	messages       chan message
 	done           chan struct{} // closed when the loop has ended
 	endpointsKnown chan struct{} // closed when there first is an endpoint to send to
-	violations     BoundaryViolations
+	violations     ContractViolations
 
 	// Written by the loop, read by anyone.
 	ready           atomic.Bool  // there is an endpoint to send to
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -18,7 +18,7 @@
 	for name, c := range map[string]struct {
 		class    int
 		first    string // reply
-		want     core.Verdict
+		want     core.AnswerKind
 		requests int
 	}{
 		"rejected, not idempotent":        {payClass, "busy", core.Served, 2},
@@ -36,10 +36,10 @@
 			endpoints := map[string]*lineEndpoint{"a": {reply: reply}, "b": {reply: reply}}
 			withCore(t, endpoints, nil, func(t *testing.T, f *fixture) {
 				answer := <-f.Submit(f.newCall(c.class))
-				if answer.Verdict != c.want {
-					t.Errorf("verdict %d, want %d", answer.Verdict, c.want)
+				if answer.Kind != c.want {
+					t.Errorf("verdict %d, want %d", answer.Kind, c.want)
 				}
-				if answer.Verdict == core.Served && answer.Content != lineContent("fine") {
+				if answer.Kind == core.Served && answer.Content != lineContent("fine") {
 					t.Errorf("content %q", answer.Content)
 				}
 			})
@@ -83,8 +83,8 @@
 	for range calls {
 		call := f.newCall(readClass)
 		pending.Go(func() {
-			if answer := <-f.Submit(call); answer.Verdict != core.Served {
-				t.Errorf("verdict %d", answer.Verdict)
+			if answer := <-f.Submit(call); answer.Kind != core.Served {
+				t.Errorf("verdict %d", answer.Kind)
 			}
 		})
 		time.Sleep(time.Millisecond)
@@ -103,16 +103,16 @@
 		f.Abandon(first)
 		synctest.Wait()
 		second := f.newCallWithID(payClass, first.ID, classTimeout)
-		if a := <-f.Submit(second); a.Verdict != core.Duplicate {
-			t.Errorf("under the same id meanwhile: verdict %d", a.Verdict)
+		if a := <-f.Submit(second); a.Kind != core.Duplicate {
+			t.Errorf("under the same id meanwhile: verdict %d", a.Kind)
 		}
 		time.Sleep(time.Second)
 		if len(answer) != 0 || endpoints["a"].requests() != 1 {
 			t.Errorf("%d answers, %d requests", len(answer), endpoints["a"].requests())
 		}
 		third := f.newCallWithID(payClass, first.ID, time.Second)
-		if a := <-f.Submit(third); a.Verdict != core.Served {
-			t.Errorf("after that: verdict %d", a.Verdict)
+		if a := <-f.Submit(third); a.Kind != core.Served {
+			t.Errorf("after that: verdict %d", a.Kind)
 		}
 	})
 }
@@ -142,8 +142,8 @@
 		f.Abandon(abandoned)
 		check("its client has left", [3]int64{})
 		duplicate := counted(1, f.newCallWithID(payClass, abandoned.ID, classTimeout))
-		if a := <-f.Submit(duplicate); a.Verdict != core.Duplicate {
-			t.Errorf("verdict %d", a.Verdict)
+		if a := <-f.Submit(duplicate); a.Kind != core.Duplicate {
+			t.Errorf("verdict %d", a.Kind)
 		}
 		check("a duplicate was answered", [3]int64{0, 1, 0})
 		time.Sleep(200 * time.Millisecond)
@@ -156,8 +156,8 @@
 		var released atomic.Int64
 		call := f.newCall(payClass)
 		call.Release = func() { released.Add(1) }
-		if a := <-f.Submit(call); a.Verdict != core.Failed {
-			t.Errorf("verdict %d", a.Verdict)
+		if a := <-f.Submit(call); a.Kind != core.Failed {
+			t.Errorf("verdict %d", a.Kind)
 		}
 		if synctest.Wait(); released.Load() != 1 {
 			t.Errorf("released %d times after a failure", released.Load())
@@ -186,8 +186,8 @@
 			return &core.Call{ID: "same", Class: payClass, Tenant: -1, Timeout: time.Second, BodyPending: true}
 		}
 		first, second := uploading(), uploading()
-		if a := <-f.Submit(first); a.Verdict != core.Rejected {
-			t.Fatalf("verdict %d", a.Verdict)
+		if a := <-f.Submit(first); a.Kind != core.Rejected {
+			t.Fatalf("verdict %d", a.Kind)
 		}
 		answer := f.Submit(second)
 		synctest.Wait()
--- a/internal/core/doc.go
+++ b/internal/core/doc.go
@@ -39,7 +39,7 @@
 //
 // The core does not trust fronts and upstreams to fulfil their side. Every half second it looks for outcomes that are
 // overdue, answers that no front received, and uploads that stopped (boundary.go). Each is resolved in the safe direction and
-// counted in [BoundaryViolations], where every count should stay 0.
+// counted in [ContractViolations], where every count should stay 0.
 //
 // Times are durations on a [Clock], which starts with the process and is not affected by steps of the time of day.
 package core
--- a/internal/core/loop.go
+++ b/internal/core/loop.go
@@ -117,9 +117,9 @@
 		case logic.Send:
 			c.startAttempt(action)
 		case logic.Reject:
-			c.finishCall(c.calls[action.Request], Answer{Verdict: Rejected, Reason: decisionReasons[action.Reason], RetryAfter: action.Delay})
+			c.finishCall(c.calls[action.Request], Answer{Kind: Rejected, Reason: decisionReasons[action.Reason], RetryAfter: action.Delay})
 		case logic.Fail:
-			c.finishCall(c.calls[action.Request], Answer{Verdict: Failed, Reason: decisionReasons[action.Reason], RetryAfter: action.Delay})
+			c.finishCall(c.calls[action.Request], Answer{Kind: Failed, Reason: decisionReasons[action.Reason], RetryAfter: action.Delay})
 		case logic.SetTimer:
 			heap.Push(&c.timers, timer{due: c.clock.Now() + action.Delay, token: action.Token})
 		case logic.Subscribe:
--- a/internal/core/violations_test.go
+++ b/internal/core/violations_test.go
@@ -31,8 +31,8 @@
 	var discards atomic.Int64
 	for name, c := range map[string]struct {
 		execute func(ctx context.Context, attempt *core.Attempt)
-		verdict core.Verdict
-		count   func(*core.BoundaryViolations) int64
+		verdict core.AnswerKind
+		count   func(*core.ContractViolations) int64
 	}{
 		"two outcomes": {
 			func(_ context.Context, attempt *core.Attempt) {
@@ -42,12 +42,12 @@
 				attempt.Report(second)
 			},
 			core.Served,
-			func(v *core.BoundaryViolations) int64 { return v.ReportedTwice.Load() },
+			func(v *core.ContractViolations) int64 { return v.ReportedTwice.Load() },
 		},
 		"no outcome": {
 			func(context.Context, *core.Attempt) {},
 			core.Failed,
-			func(v *core.BoundaryViolations) int64 { return v.Unreported.Load() },
+			func(v *core.ContractViolations) int64 { return v.Unreported.Load() },
 		},
 		"no outcome in time": {
 			func(ctx context.Context, attempt *core.Attempt) {
@@ -55,7 +55,7 @@
 				<-ctx.Done()
 			},
 			core.Failed,
-			func(v *core.BoundaryViolations) int64 { return v.Overdue.Load() },
+			func(v *core.ContractViolations) int64 { return v.Overdue.Load() },
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -69,14 +69,14 @@
 			withCore(t, map[string]*lineEndpoint{"a": {reply: replyOK}, "b": {reply: replyOK}}, wrap, func(t *testing.T, f *fixture) {
 				call := f.newCall(payClass)
 				answer := f.Submit(call)
-				if a := <-answer; a.Verdict != c.verdict {
-					t.Errorf("verdict %d, want %d", a.Verdict, c.verdict)
+				if a := <-answer; a.Kind != c.verdict {
+					t.Errorf("verdict %d, want %d", a.Kind, c.verdict)
 				}
-				if f.Submit(call) != nil || f.BoundaryViolations().Resubmitted.Load() != 1 {
+				if f.Submit(call) != nil || f.ContractViolations().Resubmitted.Load() != 1 {
 					t.Error("a call was accepted twice")
 				}
 				time.Sleep(5 * time.Second)
-				if n := c.count(f.BoundaryViolations()); n != 1 || attempts.Load() != 1 || len(answer) != 0 {
+				if n := c.count(f.ContractViolations()); n != 1 || attempts.Load() != 1 || len(answer) != 0 {
 					t.Errorf("counted %d violations, %d attempts, %d further answers", n, attempts.Load(), len(answer))
 				}
 				<-f.Submit(f.newCallWithID(payClass, call.ID, classTimeout)) // its id is free: nothing is left of the first
@@ -107,7 +107,7 @@
 		uploading.BodyPending, uploading.Deadline = true, 0
 		f.Submit(uploading)
 		time.Sleep(5 * time.Second)
-		if n := f.BoundaryViolations().Unread.Load(); n != 2 || discards.Load() != 2 {
+		if n := f.ContractViolations().Unread.Load(); n != 2 || discards.Load() != 2 {
 			t.Errorf("counted %d, discarded %d, want 2 and 2", n, discards.Load())
 		}
 	})
--- a/internal/event/kind.go
+++ b/internal/event/kind.go
@@ -9,7 +9,7 @@
 	ConnectionClosed               // a client's connection; the reason says why
 	RequestRead                    // a request has been read to its last byte
 	RequestAnswered                // the final answer of a request is about to be written; the reason says which and why
-	RequestWritten                 // the last byte of an answer has been written to the client's connection
+	AnswerWritten                  // the last byte of an answer has been written to the client's connection
 	RequestAbandoned               // a request ended without an answer; the reason says why
 	AttemptDecided                 // an attempt was decided on; the reason says whether it is a first one, a retry or hedged
 	AttemptWritten                 // the last byte of an attempt has been written
@@ -29,7 +29,7 @@
 	ConnectionClosed:   "connection_closed",
 	RequestRead:        "request_read",
 	RequestAnswered:    "request_answered",
-	RequestWritten:     "request_written",
+	AnswerWritten:      "request_written",
 	RequestAbandoned:   "request_abandoned",
 	AttemptDecided:     "attempt_decided",
 	AttemptWritten:     "attempt_written",
--- a/internal/front/http/answer.go
+++ b/internal/front/http/answer.go
@@ -13,12 +13,12 @@
 )
 
 // shutdownAnswer is for a call that the core can't answer any more.
-var shutdownAnswer = core.Answer{Verdict: core.Failed, Reason: event.ShuttingDown}
+var shutdownAnswer = core.Answer{Kind: core.Failed, Reason: event.ShuttingDown}
 
 // answer writes the request's answer.
 func (x *exchange) answer(a core.Answer) {
 	x.server.closeUnwantedConnection(x.ctx, x.writer)
-	if a.Verdict == core.Served {
+	if a.Kind == core.Served {
 		x.recordAnswer(event.Served)
 		x.stream(a.Content.(*httpmsg.Content))
 		return
@@ -40,10 +40,10 @@
 	header := x.writer.Header()
 	header["Content-Type"] = nil // else net/http guesses one
 	header.Set("Content-Length", "0")
-	if a.RetryAfter > 0 && a.Verdict == core.Rejected {
+	if a.RetryAfter > 0 && a.Kind == core.Rejected {
 		header.Set("Retry-After", strconv.FormatFloat(a.RetryAfter.Seconds(), 'f', -1, 64))
 	}
-	status, outcome := statusOf(a.Verdict)
+	status, outcome := statusOf(a.Kind)
 	control := http.NewResponseController(x.writer)
 	control.SetWriteDeadline(time.Now().Add(answerWriteTimeout))
 	x.recordAnswer(a.Reason)
@@ -55,8 +55,8 @@
 }
 
 // statusOf returns the status of an answer without content, and how it is counted.
-func statusOf(verdict core.Verdict) (status int, outcome metrics.Result) {
-	switch verdict {
+func statusOf(kind core.AnswerKind) (status int, outcome metrics.Result) {
+	switch kind {
 	case core.Rejected:
 		return http.StatusServiceUnavailable, metrics.Rejected
 	case core.Duplicate:
--- a/internal/front/http/exchange.go
+++ b/internal/front/http/exchange.go
@@ -109,7 +109,7 @@
 // shed rejects the request as too many are in flight. No attempt has been made, so the rejection's promise holds: nothing ran.
 func (x *exchange) shed() {
 	x.releaseBody()
-	x.answer(core.Answer{Verdict: core.Rejected, Reason: event.TooManyOpen, RetryAfter: overLimitRetryAfter})
+	x.answer(core.Answer{Kind: core.Rejected, Reason: event.TooManyOpen, RetryAfter: overLimitRetryAfter})
 }
 
 // submit hands the call to the core, and the body's buffers with it: attempts may use them for longer than the client waits.
--- a/internal/front/http/stream.go
+++ b/internal/front/http/stream.go
@@ -36,7 +36,7 @@
 	if _, err := content.Pipe.WriteTo(out); err != nil {
 		if !out.headWritten && x.ctx.Err() == nil {
 			x.writer.Header().Del("Content-Length")
-			x.answer(core.Answer{Verdict: core.Failed, Reason: event.AnswerTruncated})
+			x.answer(core.Answer{Kind: core.Failed, Reason: event.AnswerTruncated})
 			return
 		}
 		x.abortAnswer(err)
--- a/internal/upstream/http/write.go
+++ b/internal/upstream/http/write.go
@@ -109,7 +109,7 @@
 	if err := writer.Flush(); err != nil {
 		return err
 	}
-	x.attempt.RequestWritten(x.Clock.Now())
+	x.attempt.BodyWritten(x.Clock.Now())
 	return nil
 }
 
