--- a/internal/connlimit/close.go
+++ b/internal/connlimit/close.go
@@ -66,7 +66,7 @@
 // recordAnswerWritten records that the answer to the request in flight, if there is one, has been written. The lock must be held.
 func (c *Conn) recordAnswerWritten() {
 	if c.requestID != "" && c.answerDecided {
-		c.listener.Events.Record(event.Event{Kind: event.RequestWritten, Request: c.requestID, Connection: c.id})
+		c.listener.Events.Record(event.Event{Kind: event.AnswerWritten, Request: c.requestID, Connection: c.id})
 	}
 	c.requestID, c.answerDecided = "", false
 }
--- a/internal/front/http/exchange.go
+++ b/internal/front/http/exchange.go
@@ -112,7 +112,7 @@
 // promise of a rejection holds: trying again does no harm.
 func (x *exchange) shed() {
 	x.releaseBody()
-	x.answer(core.Answer{Verdict: core.Rejected, Reason: event.TooManyOpen, RetryAfter: overLimitRetryAfter})
+	x.answer(core.Answer{Kind: core.Rejected, Reason: event.TooManyOpen, RetryAfter: overLimitRetryAfter})
 }
 
 // submit hands the call to the core. The core then releases the body's buffers, because attempts may use them after the client
