--- a/internal/budget/budget.go
+++ b/internal/budget/budget.go
@@ -5,25 +5,25 @@
 	"time"
 )
 
-// Budget is one agent's part of the fleet's budgets. Its zero value isn't usable: see New.
+// Budget holds one agent's share of the fleet's budgets. Its zero value is not usable: see New.
 type Budget struct {
 	settings   Settings
-	now        time.Duration // of the last call that brought a later time
+	now        time.Duration // the latest time passed to any call
 	controller rateController
 	demand     demandTable
 	fleet      fleetState
 
-	burst        tokenBucket // requests that may be admitted now
+	burst        tokenBucket // requests that may be admitted at once
 	retries      tokenBucket
 	healthChecks tokenBucket
 
-	selfFraction    float64 // of the own rate that the agent's own load leaves: minSelfFraction to 1
-	latencyFraction float64 // of the allowed rate that late answers leave: minLatencyFraction to 1
+	selfFraction    float64 // factor on the own rate for overload of the agent itself: minSelfFraction to 1
+	latencyFraction float64 // factor on the allowed rate for late answers: minLatencyFraction to 1
 
 	stats Stats
 }
 
-// New returns the budget of an agent that has just started. The error is that of Settings.Check.
+// New returns the budget of an agent that has just started. It returns an error if Settings.Check does.
 func New(settings Settings) (*Budget, error) {
 	if err := settings.Check(); err != nil {
 		return nil, fmt.Errorf("budget: %w", err)
@@ -39,13 +39,13 @@
 	}, nil
 }
 
-// Outcome is how an attempt ended.
+// Outcome describes how an attempt ended.
 type Outcome struct {
-	Overloaded bool          // rejected unprocessed or timed out: the endpoint had no capacity
+	Overloaded bool          // rejected unprocessed, or timed out: the endpoint lacked capacity
 	SentAt     time.Duration // when the attempt was sent
 }
 
-// AttemptEnded moves the own rate by the outcome of an attempt, a retry or hedged request too.
+// AttemptEnded adjusts the own rate by the outcome of an attempt. Retries and hedged requests count as attempts.
 func (b *Budget) AttemptEnded(now time.Duration, outcome Outcome) {
 	b.advance(now)
 	if outcome.Overloaded {
@@ -54,7 +54,7 @@
 	b.controller.attemptEnded(now, outcome, b.demand.total(now))
 }
 
-// AdmittedFraction returns the part of the demand that the allowed rate covers at present, 0 to 1.
+// AdmittedFraction returns the fraction of the demand that the allowed rate covers at present, 0 to 1.
 func (b *Budget) AdmittedFraction() float64 { return b.admittedFraction(b.now) }
 
 func (b *Budget) admittedFraction(now time.Duration) float64 {
@@ -64,20 +64,20 @@
 	return 1
 }
 
-// ownRate is the controller's rate as far as the agent itself can carry it, requests a second.
+// ownRate is the controller's rate times selfFraction, requests a second.
 func (b *Budget) ownRate() float64 { return b.selfFraction * b.controller.rate }
 
-// allowedRate is what this agent may send now, requests a second: its own rate or its part of the fleet's, less what late answers
-// take.
+// allowedRate is the rate at which this agent may send now, requests a second: its own rate, or its share of the fleet's rate while
+// peer state is fresh, times latencyFraction, and at least MinRate.
 func (b *Budget) allowedRate(now time.Duration) float64 {
 	rate := b.ownRate()
 	if b.fleet.fresh(now) {
-		rate = b.boundedFleetPart(now, rate)
+		rate = b.boundedFleetShare(now, rate)
 	}
 	return max(b.latencyFraction*rate, b.settings.MinRate)
 }
 
-// advance brings the budget to a time; an earlier one than the last changes nothing.
+// advance updates the budget to the given time. A time that is not later than the last one changes nothing.
 func (b *Budget) advance(now time.Duration) {
 	if now <= b.now {
 		return
--- a/internal/budget/controller.go
+++ b/internal/budget/controller.go
@@ -5,64 +5,69 @@
 	"time"
 )
 
-// rateController is the rate of requests that an agent admits, moved by how its attempts end.
+// rateController controls the rate of requests that an agent admits, by the outcomes of its attempts. Rates are requests a second.
 //
-// Rule: an attempt that meets overload lowers the rate by a step, any other raises it by the step times the tolerated share of
-// overload. So the rate holds still where endpoints reject that share of attempts, and it moves by events and not by intervals: an
-// agent with few outcomes moves less often, not further. Steps are exponents of e. The tolerated share grows as the admitted fraction
-// falls (fairness), so that of two agents before the same endpoints the one that admits more is lowered until both admit alike.
+// An attempt that meets overload lowers the rate by a step; any other attempt raises it by the step times the tolerated share of
+// overload. The rate is therefore steady where endpoints reject that share of the attempts. It changes per attempt and not per
+// interval, so an agent with few attempts changes its rate less often but in the same steps. A step is an exponent of e.
 //
-// It guards against the metastable state in which every agent sheds most of its requests, yet the sum of what they send keeps
-// every endpoint's queue full. Rates are requests a second.
+// The tolerated share grows as the admitted fraction falls (the fairness term). Of two agents that use the same endpoints, the one
+// that admits the larger fraction is lowered until both admit the same.
+//
+// The controller prevents the metastable state in which every agent sheds most of its requests, yet together they still send enough
+// to keep the queue of every endpoint full.
 type rateController struct {
 	settings Settings
 	rate     float64
 
-	sent      decayingCounter // admitted requests
-	served    decayingCounter // attempts that didn't meet overload
-	ended     decayingCounter // attempts
-	latency   time.Duration   // of served attempts, smoothed; 0 before the first
-	clean     float64         // attempts in a row without overload
-	peakSent  float64         // highest rate of sent, decaying
-	lastCut   time.Duration   // when the rate was last lowered by an attempt
-	updatedAt time.Duration
+	sent         decayingCounter // admitted requests
+	served       decayingCounter // attempts that did not meet overload
+	ended        decayingCounter // attempts that have ended
+	latency      time.Duration   // of served attempts, smoothed; 0 before the first
+	servedRun    float64         // consecutive attempts without overload
+	peakSentRate float64         // highest rate of sent requests, decaying with peakDecay
+	lastDecrease time.Duration   // time of the last decrease
+	updatedAt    time.Duration
 
-	slowStart    bool    // no attempt has met overload yet, and the rate hasn't yet covered the demand
+	slowStart    bool    // since the start, no attempt has met overload and the rate has not covered the demand
 	withPeers    bool    // the agent has fresh state of its peers
-	latencySlack float64 // how far answers are within their latency objective, 0 to 1; see SetLatencyOverload
+	latencySlack float64 // how far answers are below their latency objective, 0 to 1; see SetLatencyOverload
 	surge        surgeDetector
 }
 
 const (
-	// cutSpacing is the least time between two decreases, in usual latencies.
-	cutSpacing = 0.7
-	// latencySamples is over how many attempts the usual latency is smoothed.
-	latencySamples = 16
-	// peakDecay is the time constant of the highest rate sent: a pause between two bursts mustn't close the rate.
+	// decreaseSpacing is the minimum time between two decreases, in smoothed latencies.
+	decreaseSpacing = 0.7
+	// latencySmoothing is the number of attempts over which the latency is smoothed.
+	latencySmoothing = 16
+	// peakDecay is the time constant of peakSentRate. It is long enough that a pause between two bursts does not bring the rate down to HeadroomRate.
 	peakDecay = 10 * time.Second
 
 	// slowStartDoubling is the time in which a slow start doubles the rate.
 	slowStartDoubling = 100 * time.Millisecond
-	// slowStartOvershoot is what is left of the rate where overload ends a slow start: a doubling before, there was none.
-	slowStartOvershoot = 0.5
-	// minObservation is how long demand must have been counted to be relied on.
+	// slowStartExitFactor is the factor on the rate when overload ends a slow start. One doubling earlier, at half the rate, there was
+	// no overload.
+	slowStartExitFactor = 0.5
+	// minObservation is the minimum time for which demand must have been counted before the count is relied on.
 	minObservation = 500 * time.Millisecond
 
-	// maxFairness is what the fairness term comes near to without peers. A higher one would keep endpoints full.
+	// maxFairness is the limit that the fairness term approaches without peers. A higher limit would keep endpoints full.
 	maxFairness = 1
-	// maxFairnessWithPeers bounds it with peers, where the shares are even by the exchange itself.
+	// maxFairnessWithPeers limits the fairness term with peers, where the exchange of state already evens out the shares.
 	maxFairnessWithPeers = 0.5
-	// minFairnessFraction is the admitted fraction below which the fairness term grows no more.
+	// minFairnessFraction is the admitted fraction below which the fairness term stops growing.
 	minFairnessFraction = 0.01
 
-	// maxRiseFactor bounds by how much an increase is multiplied while there is evidence of free capacity.
-	maxRiseFactor = 16
-	// cleanRunOverloads is how many overloads the tolerated share lets expect in a run without any before the run is evidence. A shorter run
-	// would favor busy agents, whose overload comes in bursts with longer runs between.
-	cleanRunOverloads = 5
-	// riseSlack is the latency slack from which on it is evidence, and riseSlackGain its weight.
-	riseSlack     = 0.5
-	riseSlackGain = 10
+	// maxIncreaseFactor limits the factor on increases while there is evidence of free capacity.
+	maxIncreaseFactor = 16
+	// minExpectedOverloads sets how long a run of attempts without overload must be to count as evidence of free capacity: so long that
+	// the tolerated share predicts this many overloads in it. A shorter run would favor busy agents, whose overloads come in bursts with longer
+	// runs between them.
+	minExpectedOverloads = 5
+	// minLatencySlack is the latency slack above which it counts as evidence of free capacity; latencySlackGain is how much the factor grows
+	// with the slack beyond that.
+	minLatencySlack  = 0.5
+	latencySlackGain = 10
 )
 
 func newRateController(settings Settings) rateController {
@@ -76,7 +81,7 @@
 	}
 }
 
-// attemptEnded moves the rate by the outcome of an attempt, with the demand in requests a second.
+// attemptEnded adjusts the rate by the outcome of an attempt. demand is in requests a second.
 func (c *rateController) attemptEnded(now time.Duration, outcome Outcome, demand float64) {
 	c.advance(now, demand)
 	c.ended.add(now)
@@ -84,67 +89,69 @@
 	case !outcome.Overloaded:
 		c.increase(now, now-outcome.SentAt, demand)
 	case c.slowStart:
-		c.clean = 0
+		c.servedRun = 0
 		c.endSlowStart(now, demand)
 	default:
-		c.clean = 0
+		c.servedRun = 0
 		c.decrease(now, outcome.SentAt)
 	}
 }
 
-// step is how far an attempt moves the rate, as an exponent of e. It is smaller at a busy agent, bounded over a second by
-// MaxStepPerSecond: else the busy agents of a fleet would swing about the endpoints' capacity together.
+// step is how far one attempt moves the rate, as an exponent of e. It shrinks as attempts become more frequent, so that the steps of
+// a second sum to at most MaxStepPerSecond. Without that limit the busy agents of a fleet would oscillate together around the
+// endpoints' capacity.
 func (c *rateController) step(now time.Duration) float64 {
 	return min(c.settings.MaxStep, c.settings.MaxStepPerSecond/max(1, c.ended.perSecond(now)))
 }
 
-// increase raises the rate after an attempt that was served with a latency.
+// increase raises the rate after an attempt that was served with the given latency.
 func (c *rateController) increase(now, latency time.Duration, demand float64) {
 	c.served.add(now)
 	if c.latency == 0 {
 		c.latency = latency
 	} else {
-		c.latency += (latency - c.latency) / latencySamples
+		c.latency += (latency - c.latency) / latencySmoothing
 	}
-	c.clean++
+	c.servedRun++
 	tolerated := c.toleratedOverload(c.coveredFraction(demand))
-	rise := c.step(now) * tolerated * c.riseFactor(tolerated)
+	rise := c.step(now) * tolerated * c.increaseFactor(tolerated)
 	c.rate = min(c.maxRate(now), c.rate*math.Exp(rise))
 }
 
-// riseFactor is by how much an increase is multiplied: above 1 where a run without overload is so long that chance hardly brings it, or
-// answers are well within their latency objective.
-func (c *rateController) riseFactor(tolerated float64) float64 {
-	cleanRun := math.Exp2(c.clean*tolerated - cleanRunOverloads)
-	slack := 1 + riseSlackGain*(c.latencySlack-riseSlack)
-	return min(maxRiseFactor, max(1, cleanRun, slack))
+// increaseFactor is the factor on an increase. It is above 1 if a run without overload is too long to be chance, or if answers are far
+// below their latency objective.
+func (c *rateController) increaseFactor(tolerated float64) float64 {
+	runFactor := math.Exp2(c.servedRun*tolerated - minExpectedOverloads)
+	slackFactor := 1 + latencySlackGain*(c.latencySlack-minLatencySlack)
+	return min(maxIncreaseFactor, max(1, runFactor, slackFactor))
 }
 
 // decrease lowers the rate after an attempt that met overload.
 //
-// Attempts sent before the last decrease, or within cutSpacing latencies after it, don't count. A rejection takes no time, so at the
-// onset of a surge many come back before a first decrease can show at the endpoints; a decrease for each would close the rate.
+// Attempts that were sent before the last decrease, or within decreaseSpacing latencies after it, do not count. A rejection takes hardly
+// any time, so at the onset of a surge many arrive before the first decrease can take effect at the endpoints; a decrease for each
+// of them would bring the rate to its minimum.
 //
-// Nor does the rate fall below MinServedFraction of what endpoints serve: at that moment they reject nearly all, and would stand
-// idle after as many decreases.
+// The rate does not fall below MinServedFraction of the rate at which endpoints serve this agent. At the onset of a surge they reject
+// nearly everything, and a decrease for each rejection would leave them idle.
 func (c *rateController) decrease(now, sentAt time.Duration) {
-	if sentAt < c.lastCut+time.Duration(cutSpacing*float64(c.latency)) {
+	if sentAt < c.lastDecrease+time.Duration(decreaseSpacing*float64(c.latency)) {
 		return
 	}
-	c.lastCut = now
+	c.lastDecrease = now
 	floor := min(c.rate, c.settings.MinServedFraction*c.served.perSecond(now))
 	c.rate = max(c.settings.MinRate, floor, c.rate*math.Exp(-c.step(now)))
 }
 
-// endSlowStart ends a slow start by overload. The doubling has overshot, and steps would take seconds to come back from that: longer
-// than endpoints take to become overloaded for good.
+// endSlowStart ends a slow start at the first overload. The doubling has overshot by then, and decreasing step by step would take
+// seconds, longer than endpoints need to become permanently overloaded.
 func (c *rateController) endSlowStart(now time.Duration, demand float64) {
 	c.slowStart = false
-	c.rate = max(c.settings.MinRate, slowStartOvershoot*min(c.rate, demand), min(c.rate, c.served.perSecond(now)))
-	c.lastCut = now
+	c.rate = max(c.settings.MinRate, slowStartExitFactor*min(c.rate, demand), min(c.rate, c.served.perSecond(now)))
+	c.lastDecrease = now
 }
 
-// toleratedOverload is the share of attempts that may meet overload while the rate holds still, where a fraction of the demand is
+// toleratedOverload is the share of attempts meeting overload at which the rate is steady, given the fraction of the demand that is
 // admitted.
 func (c *rateController) toleratedOverload(admitted float64) float64 {
 	fairness := c.settings.FairnessGain * math.Log(1/max(admitted, minFairnessFraction))
@@ -154,7 +161,7 @@
 	return c.settings.TargetOverloadRatio * (1 + fairness/(1+fairness/maxFairness))
 }
 
-// coveredFraction is the part of a demand that the rate covers, up to 1.
+// coveredFraction is the fraction of the demand that the rate covers, at most 1.
 func (c *rateController) coveredFraction(demand float64) float64 {
 	if demand <= c.rate {
 		return 1
@@ -162,21 +169,21 @@
 	return c.rate / demand
 }
 
-// maxRate bounds the rate by what was sent lately, which alone gives evidence of capacity: without the bound the rate of a quiet
-// agent would grow until a surge finds it wide open.
+// maxRate limits the rate by what was sent recently, because only requests that were sent show capacity. Without the limit the rate
+// of an idle agent would grow until a surge is admitted unthrottled.
 func (c *rateController) maxRate(now time.Duration) float64 {
 	c.updatePeak(now)
-	return c.settings.HeadroomFactor*c.peakSent + c.settings.HeadroomRate
+	return c.settings.HeadroomFactor*c.peakSentRate + c.settings.HeadroomRate
 }
 
 func (c *rateController) updatePeak(now time.Duration) {
 	if now > c.updatedAt {
-		c.peakSent *= math.Exp(-float64(now-c.updatedAt) / float64(peakDecay))
+		c.peakSentRate *= math.Exp(-float64(now-c.updatedAt) / float64(peakDecay))
 	}
-	c.peakSent = max(c.peakSent, c.sent.perSecond(now))
+	c.peakSentRate = max(c.peakSentRate, c.sent.perSecond(now))
 }
 
-// advance brings the controller to a time, with the demand in requests a second.
+// advance updates the controller to the given time. demand is in requests a second.
 func (c *rateController) advance(now time.Duration, demand float64) {
 	var elapsed time.Duration // 0 at the first call
 	if c.updatedAt > 0 && now > c.updatedAt {
@@ -194,7 +201,8 @@
 	c.updatedAt = max(c.updatedAt, now)
 }
 
-// growSlowStart doubles the rate each slowStartDoubling, up to what the demand gives reason for, and ends the slow start there.
+// growSlowStart doubles the rate every slowStartDoubling, up to HeadroomFactor times the demand plus HeadroomRate. It ends the slow
+// start when the rate exceeds HeadroomFactor times the demand and demand has been counted for more than minObservation.
 func (c *rateController) growSlowStart(now, elapsed time.Duration, demand float64) {
 	ceiling := max(c.rate, c.settings.HeadroomFactor*demand+c.settings.HeadroomRate)
 	c.rate = min(ceiling, c.rate*math.Exp2(float64(elapsed)/float64(slowStartDoubling)))
@@ -203,17 +211,19 @@
 	}
 }
 
-// recoverFromSurge ends a surge, by the demand over the window and the recent one, requests a second.
+// recoverFromSurge restores the rate at the end of a surge. It compares the demand counted over AveragingWindow with the recent demand,
+// counted over recentWindow, both in requests a second.
 //
-// What was covered before the surge is let through again as soon as no more comes, however far the surge has taken the rate down: by
-// steps it would take seconds, in which requests are shed without need. An agent that was started within the surge knows of no
-// before and searches anew by a slow start. If the endpoints don't bear that, their answers say so.
+// As soon as the recent demand is back near the baseline from before the surge, the rate is raised to that baseline, however far the
+// surge has lowered it. Raising it step by step would take seconds, during which requests would be shed without need. An agent that
+// was started during the surge has no baseline and does a slow start again. If endpoints cannot serve the restored rate, the outcomes
+// of attempts lower it.
 func (c *rateController) recoverFromSurge(demand, recent float64) {
 	switch {
 	case c.surge.active && recent <= surgeEndFactor*c.surge.baseline:
 		c.surge.active = false
 		c.rate = max(c.rate, c.surge.baseline+c.settings.HeadroomRate)
-	case !c.surge.hasBaseline() && demand > c.rate && recent < demand/surgeStartFactor && !withinChance(demand, recent):
+	case !c.surge.hasBaseline() && demand > c.rate && recent < demand/surgeStartFactor && !withinPoissonNoise(demand, recent):
 		c.slowStart = true
 	}
 }
--- a/internal/budget/controller_test.go
+++ b/internal/budget/controller_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Agents before the same endpoints, without any exchange, get twice and ten times the demand that these serve. Nearly all of the
-// capacity is used, few attempts are rejected, and each agent's admitted fraction is within a factor of three of the fair one.
+// Agents that use the same endpoints and exchange no state get two and ten times the demand that the endpoints can serve. Nearly all of
+// the capacity must be used, few attempts rejected, and each agent's admitted fraction within a factor of three of the fair one.
 func TestAgentsWithoutPeersShareCapacity(t *testing.T) {
 	for _, times := range []float64{2, 10} {
 		f := newFleet(t, 800, 50*times, 100*times, 150*times, 200*times, 300*times)
@@ -16,7 +16,7 @@
 		sent := f.served + f.rejected
 		t.Logf("%gx: served %.3f of capacity, %.3f rejected", times, f.served/40/800, f.rejected/sent)
 		if f.served/40/800 < 0.85 || f.rejected/sent > 0.08 {
-			t.Errorf("%gx: served %.3f of capacity, %.3f rejected", times, f.served/40/800, f.rejected/sent)
+			t.Errorf("%gx: served %.3f of capacity, %.3f rejected; want at least 0.85 and at most 0.08", times, f.served/40/800, f.rejected/sent)
 		}
 		fair := sent / (f.arrived[0] + f.arrived[1] + f.arrived[2] + f.arrived[3] + f.arrived[4])
 		for i := range f.agents {
@@ -29,8 +29,8 @@
 	}
 }
 
-// A surge of twenty times the demand comes and goes. Before it nothing is shed; two seconds after its end nearly all of the demand is
-// admitted again.
+// Demand rises to about twenty times the normal one for 10 s and falls back. Before the surge nothing may be shed; two seconds after its
+// end each agent must admit nine tenths of its demand again.
 func TestRateRecoversWithinTwoSecondsOfSurge(t *testing.T) {
 	f := newFleet(t, 800, 25, 25, 50, 100, 200)
 	f.run(time.Second)
@@ -55,8 +55,8 @@
 	}
 }
 
-// At the onset of a surge endpoints reject requests as fast as these come. The rate falls no faster than answers can show what a
-// decrease has brought: else it would be closed within a few milliseconds.
+// At the onset of a surge endpoints reject requests as fast as they arrive. The rate must not fall faster than answers can show the
+// effect of a decrease: it would reach its minimum within a few milliseconds.
 func TestDecreasesAreSpacedByLatency(t *testing.T) {
 	b := newBudget(t, nil)
 	now := time.Second
@@ -76,7 +76,7 @@
 	}
 }
 
-// An agent that has just started admits what arrives until it meets overload. One that starts into a surge does not send all of it.
+// An agent that has just started must admit what arrives until it meets overload. One that starts during a surge must not send all of it.
 func TestSlowStartCoversDemandAndStopsAtOverload(t *testing.T) {
 	f := newFleet(t, 800, 60)
 	f.run(time.Second)
@@ -90,13 +90,13 @@
 	}
 }
 
-// Agents that are restarted within a surge double their rates until endpoints reject. The first overload halves what the doubling
-// has reached: by steps they would keep the endpoints full for seconds. Where endpoints serve all, one chance rejection costs
-// little.
+// Agents that are restarted during a surge double their rates until endpoints reject. The first overload must halve the rate that the
+// doubling has reached: decreasing step by step, the agents would keep the endpoints full for seconds. Where endpoints serve everything,
+// a single chance rejection must cost little.
 func TestSlowStartEndsAtHalfTheRate(t *testing.T) {
 	for _, c := range []struct {
 		each        time.Duration // between arrivals
-		least, most float64       // rate after the overload, of what was sent before
+		least, most float64       // rate after the overload, as a fraction of what was sent before
 	}{{2 * ms, 0.45, 0.7}, {40 * ms, 0.8, 1.1}} {
 		b, now := newBudget(t, nil), time.Second
 		for end := now + 400*ms; now < end; now += c.each {
@@ -112,7 +112,8 @@
 	}
 }
 
-// An agent was started within a surge and has no baseline from before it. It admits all again within half a second of its end.
+// An agent is started during a surge and so has no baseline from before it. Within half a second of the surge's end it must admit
+// everything.
 func TestAgentStartedInSurgeRecoversAtItsEnd(t *testing.T) {
 	b, now := newBudget(t, nil), time.Second
 	period := func(length, each time.Duration, full float64) (arrived, admitted float64) {
--- a/internal/budget/demand.go
+++ b/internal/budget/demand.go
@@ -6,10 +6,11 @@
 	"time"
 )
 
-// MaxPriorities bounds the table of demand: requests of further priorities are counted with the lowest one in it.
+// MaxPriorities limits the number of priorities that are counted separately. Requests of further priorities are counted with the
+// lowest one in the table.
 const MaxPriorities = 64
 
-// recentWindow is the time constant of the count that shows the onset of a surge, and its end.
+// recentWindow is the time constant of the counter that detects the onset and the end of a surge.
 const recentWindow = 250 * time.Millisecond
 
 // demandTable counts the requests that arrive, by priority.
@@ -29,8 +30,8 @@
 	return demandTable{window: window, recent: newDecayingCounter(recentWindow)}
 }
 
-// add counts an arrival. since is when the budget began to count: a priority that comes for the first time is read by the whole
-// window, not by its own age, which would make its first request a high rate.
+// add counts an arriving request. since is the time at which the budget began to count. The counter of a new priority starts at that
+// time and not at its own first request, which would otherwise be read as a high rate.
 func (t *demandTable) add(now time.Duration, priority float64, since time.Duration) {
 	i, found := t.find(priority)
 	switch {
@@ -44,7 +45,7 @@
 	t.classes[i].add(now)
 }
 
-// countShed counts a shed request of a priority that add has counted.
+// countShed counts a shed request whose arrival add has already counted.
 func (t *demandTable) countShed(priority float64) {
 	i, found := t.find(priority)
 	if !found {
@@ -53,14 +54,14 @@
 	t.classes[i].shed++
 }
 
-// find returns the index of a priority, or where it belongs.
+// find returns the index of a priority, or the index at which to insert it.
 func (t *demandTable) find(priority float64) (index int, found bool) {
 	return slices.BinarySearchFunc(t.classes, priority, func(class priorityDemand, priority float64) int {
 		return cmp.Compare(priority, class.priority)
 	})
 }
 
-// total returns the demand of all priorities, requests a second.
+// total returns the demand of all priorities together, requests a second.
 func (t *demandTable) total(now time.Duration) (sum float64) {
 	for i := range t.classes {
 		sum += t.classes[i].perSecond(now)
@@ -68,18 +69,18 @@
 	return sum
 }
 
-// onsetFactor is by how many times the recent demand exceeds the count over the window; 1 where chance alone may bring it. It
-// guards the first second of a surge: until the counts have followed, the demand of the highest priorities reads far too small,
-// and lower ones would take the rate.
+// onsetFactor is the factor by which the recent demand exceeds the demand over the averaging window; 1 where the difference may be
+// chance. It matters in the first second of a surge: until the counters of the averaging window have followed, they show far too
+// little demand of the highest priorities, and lower priorities would use up the rate.
 func (t *demandTable) onsetFactor(now time.Duration) float64 {
 	total, recent := t.total(now), t.recent.perSecond(now)
-	if recent > total && !withinChance(total, recent) {
+	if recent > total && !withinPoissonNoise(total, recent) {
 		return recent / max(1, total)
 	}
 	return 1
 }
 
-// each calls a function for each priority, highest first, with its demand in requests a second, corrected by onsetFactor.
+// each calls visit for each priority, highest first, with its demand in requests a second times onsetFactor.
 func (t *demandTable) each(now time.Duration, visit func(priority, rate float64)) {
 	onset := t.onsetFactor(now)
 	for i := range t.classes {
--- a/internal/budget/doc.go
+++ b/internal/budget/doc.go
@@ -1,31 +1,34 @@
-// Package budget bounds what one agent may send when the fleet asks for more than the endpoints can serve: how many requests it
-// admits, which it sheds first, and how many retries and health checks it may add.
+// Package budget limits the requests, retries and health checks that one agent sends when the fleet's demand exceeds the capacity of
+// the endpoints.
 //
-// It decides only. It does no I/O, starts no goroutine and reads no clock: each call is given the current time as a duration since
-// a fixed start, above 0 and never falling. A [Budget] isn't safe for concurrent use; the core's event loop owns it.
+// The package only makes decisions. It does no I/O, starts no goroutine and reads no clock: the caller passes the current time to
+// each call as a duration since a fixed start, which is above 0 and never decreases. A [Budget] is not safe for concurrent use; the
+// core's event loop owns it.
 //
-// # One request
+// # Admission
 //
-// [Budget.Admit] is called once for each request that arrives, with its priority from a [PriorityOrder]. Four rules are
-// applied, each in a file of its own:
+// [Budget.Admit] is called once for each arriving request, with the priority that a [PriorityOrder] gives it. Four rules apply, each
+// in its own files:
 //
-//   - controller.go: the own rate. An increase/decrease controller, close to AIMD in logarithms, follows the share of
-//     attempts that endpoints reject or let time out. Its rate holds still where that share is the tolerated one.
-//   - fleet.go: the allowed rate. With fresh [PeerState] of other agents the rates of all are one rate, and this agent has the part that
-//     its demand has; without, the allowed rate is the own rate.
-//   - selfload.go and latency.go: two factors of at most 1 on the rate, for overload of the agent itself and for late answers.
-//   - shedding.go: the order. The rate is filled with demand from the highest priority down; what lies below is shed.
+//   - controller.go: the own rate. An increase/decrease controller, similar to AIMD on the logarithm of the rate, follows the share
+//     of attempts that endpoints reject or that time out. The rate is steady where that share equals the tolerated one.
+//   - fleet.go: the allowed rate. With a fresh [PeerState] of other agents, the rates of all agents are summed and each agent gets
+//     the share that its demand calls for. Without one, the allowed rate is the own rate.
+//   - selfload.go and latency.go: two factors of at most 1, which lower the rate while the agent itself is overloaded and while
+//     answers exceed their latency objective.
+//   - shedding.go: the order of shedding. The rate is given to demand from the highest priority down; demand that it does not cover
+//     is shed.
 //
-// Tokens are earned at the allowed rate and saved up to a burst (tokens.go). An admitted request spends one.
+// Tokens accrue at the allowed rate, up to a burst capacity (tokens.go). An admitted request spends one.
 //
 // # Retries and health checks
 //
-// [Budget.AllowRetry] and [Budget.AllowHealthCheck] spend tokens that admitted requests earn, so that both stay a fixed share of first
-// attempts however bad the fleet fares. Retries also earn this agent's part of a rate that the whole fleet has.
+// [Budget.AllowRetry] and [Budget.AllowHealthCheck] spend tokens that admitted requests earn, which keeps both at a fixed share of
+// first attempts no matter how many attempts fail. Retry tokens also accrue at this agent's share of a rate for the whole fleet.
 //
 // # Feedback
 //
-// [Budget.AttemptEnded] moves the own rate after each attempt. [Budget.SetSelfOverloaded] and [Budget.SetLatencyOverload] are
-// called at intervals by the owner. [Budget.UpdatePeers] and [Budget.PeerState] exchange state with the other agents each
+// [Budget.AttemptEnded] adjusts the own rate after each attempt. The owner calls [Budget.SetSelfOverloaded] and
+// [Budget.SetLatencyOverload] at intervals. [Budget.UpdatePeers] and [Budget.PeerState] exchange state with the other agents every
 // [GossipInterval].
 package budget
--- a/internal/budget/fleet.go
+++ b/internal/budget/fleet.go
@@ -9,24 +9,25 @@
 const (
 	// GossipInterval is how often an agent sends its PeerState.
 	GossipInterval = 250 * time.Millisecond
-	// GossipFanout is to how many peers at a time, drawn anew each time.
+	// GossipFanout is the number of peers that each PeerState is sent to, drawn anew each time.
 	GossipFanout = 4
-	// PeerStateTTL is how long a peer's state counts after it came.
+	// PeerStateTTL is how long the state of the peers is used after the last update.
 	PeerStateTTL = 3 * time.Second
 
-	// fleetConvergence is how far the own rate moves towards the agent's part of the fleet's rate at each exchange, 0 to 1.
+	// fleetConvergence is the fraction of the way that the own rate moves towards the agent's share of the fleet's rate at each
+	// exchange, 0 to 1.
 	fleetConvergence = 0.2
-	// maxFleetDeviation bounds how far peers move an agent's rate, as a factor of its own rate.
+	// maxFleetDeviation limits how far peers move an agent's rate, as a factor of its own rate.
 	maxFleetDeviation = 1.25
 )
 
-// Demand is the demand of one priority.
+// Demand is the rate at which requests of one priority arrive.
 type Demand struct {
 	Priority float64 `codec:"w"`
 	Rate     float64 `codec:"r"` // requests a second
 }
 
-// PeerState is what an agent sends its peers of its budget.
+// PeerState is the part of an agent's budget that it sends to its peers.
 type PeerState struct {
 	Demand []Demand `codec:"d"` // highest priority first, at most MaxPriorities
 	Rate   float64  `codec:"l"` // own rate, requests a second
@@ -40,20 +41,20 @@
 	return sum
 }
 
-// fleetState is what the peers sent, summed up. Its zero value is that of an agent without peers.
+// fleetState is the sum of the states of the peers. Its zero value is that of an agent without peers.
 type fleetState struct {
 	updatedAt time.Duration
-	rate      float64  // own rates of the peers, requests a second
-	demand    []Demand // of the peers, highest priority first
+	rate      float64  // sum of the peers' own rates, requests a second
+	demand    []Demand // sum of the peers' demand, highest priority first
 }
 
-// fresh reports whether the state still counts. After PeerStateTTL without an update an agent goes by its own rate alone: in a
-// partition each side has the rates of the agents that it sees.
+// fresh reports whether the state may be used. After PeerStateTTL without an update the agent uses its own rate alone. In a network
+// partition each side sums the rates of the agents that it can reach.
 func (f *fleetState) fresh(now time.Duration) bool {
 	return len(f.demand) > 0 && now-f.updatedAt <= PeerStateTTL
 }
 
-// PeerState returns what this agent sends its peers.
+// PeerState returns the state to send to the peers.
 func (b *Budget) PeerState(now time.Duration) PeerState {
 	b.advance(now)
 	state := PeerState{Rate: b.ownRate()}
@@ -65,18 +66,18 @@
 	return state
 }
 
-// UpdatePeers takes the latest states of the other agents that are alive, and how many agents these are: where only some have sent
-// theirs lately, those stand for the rest. What was given before no longer counts.
+// UpdatePeers replaces the state of the peers. states are the latest states of the other live agents, and peers is the number of those
+// agents. If only some of them have sent a state recently, their sum is scaled up to stand for all.
 //
-// Rule: the rates of all agents are one budget, and the demand of all is filled from it by priority, so that each agent sheds the
-// same priorities by the same fraction, whatever its own traffic.
+// The rates of all agents form one budget. The demand of all agents is filled from it by priority, so that every agent sheds the same
+// priorities by the same fraction, whatever its own traffic.
 func (b *Budget) UpdatePeers(now time.Duration, states []PeerState, peers int) {
 	b.advance(now)
 	b.fleet.updatedAt = now
 	b.fleet.rate = 0
 	var demand []Demand
 	weight := max(1, float64(peers)/max(1, float64(len(states))))
-	for _, state := range b.plausible(now, states) {
+	for _, state := range b.boundPeerStates(now, states) {
 		b.fleet.rate += weight * state.Rate
 		for _, d := range state.Demand {
 			demand = append(demand, Demand{d.Priority, weight * d.Rate})
@@ -88,7 +89,7 @@
 	}
 }
 
-// sumByPriority sorts demand by priority, the highest first, and sums up that of the same one.
+// sumByPriority sorts demand by priority, highest first, and adds up entries of equal priority.
 func sumByPriority(demand []Demand) []Demand {
 	slices.SortFunc(demand, func(x, y Demand) int { return cmp.Compare(y.Priority, x.Priority) })
 	sums := demand[:0]
@@ -102,31 +103,32 @@
 	return sums
 }
 
-// converge moves the own rate towards this agent's part of the fleet's, so that the sum of own rates stays right when peers are lost.
-// What one agent gains another loses, so the bound on a step is the same both ways: with a tighter one upwards the sum would sink.
+// converge moves the own rate towards this agent's share of the fleet's rate, so that the sum of the own rates stays correct when peer
+// state is lost. What one agent gains another loses, so the limit on a move is the same in both directions: with a tighter limit upwards
+// the sum would shrink.
 func (b *Budget) converge(now time.Duration) {
 	rate := b.controller.rate
-	part := b.fleetPart(now) / b.selfFraction
-	bounded := min(maxFleetDeviation*rate, max(rate/maxFleetDeviation, part))
+	share := b.fleetShare(now) / b.selfFraction
+	bounded := min(maxFleetDeviation*rate, max(rate/maxFleetDeviation, share))
 	b.controller.rate += fleetConvergence * (bounded - rate)
 }
 
-// boundedFleetPart is this agent's part of the fleet's rate, within maxFleetDeviation of its own rate. Peers' states are some time
-// old: at the onset of a surge each agent would take the others' demand for as small as it was and all of them together would send
-// far too much. The own rate, which follows the endpoints' answers, bounds the error.
-func (b *Budget) boundedFleetPart(now time.Duration, ownRate float64) float64 {
-	return min(max(b.fleetPart(now), ownRate/maxFleetDeviation), maxFleetDeviation*ownRate)
+// boundedFleetShare is this agent's share of the fleet's rate, limited to within a factor of maxFleetDeviation of its own rate. The state
+// of peers is out of date by up to the gossip delay: at the onset of a surge each agent would still count the others' demand from before
+// it, and together they would send far too much. The own rate follows the outcomes of attempts and so limits the error.
+func (b *Budget) boundedFleetShare(now time.Duration, ownRate float64) float64 {
+	return min(max(b.fleetShare(now), ownRate/maxFleetDeviation), maxFleetDeviation*ownRate)
 }
 
-// fleetPart is this agent's part of the fleet's rate, requests a second: of each priority, the part of its own demand that the fleet's
-// rate covers. What the rate leaves over is divided by demand, so that each agent can admit a burst.
-func (b *Budget) fleetPart(now time.Duration) (part float64) {
+// fleetShare is this agent's share of the fleet's rate, requests a second: the sum over the priorities of the own demand that the
+// fleet's rate covers. A rate that exceeds the fleet's demand is divided in proportion to demand, so that each agent can admit a burst.
+func (b *Budget) fleetShare(now time.Duration) (share float64) {
 	rate := b.ownRate() + b.fleet.rate
 	ownDemand := 0.0
 	b.demand.each(now, func(priority, demand float64) {
 		if demand > 0 {
 			above, same, _ := b.coverage(now, priority)
-			part += demand * min(1, max(0, rate-above)/same)
+			share += demand * min(1, max(0, rate-above)/same)
 			ownDemand += demand
 		}
 	})
@@ -135,7 +137,7 @@
 		fleetDemand += demand.Rate
 	}
 	if rate > fleetDemand && fleetDemand > 0 {
-		part = ownDemand * rate / fleetDemand
+		share = ownDemand * rate / fleetDemand
 	}
-	return part
+	return share
 }
--- a/internal/budget/fleet_test.go
+++ b/internal/budget/fleet_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Agents of very different traffic exchange their states. All admit the same fraction and shed the same priorities; states that are
-// not renewed no longer count.
+// Agents with very different traffic exchange their states. All must admit the same fraction and shed the same priorities, and states
+// that are not renewed must expire.
 func TestAgentsWithPeersShedAlike(t *testing.T) {
 	f := newFleet(t, 800, 200, 400, 800, 1600, 5000)
 	f.exchangeEvery, f.priorities = 200*ms, []float64{8, 1, 1, 1}
@@ -28,19 +28,19 @@
 	if f.served/20/800 < 0.85 || f.rejected/all > 0.08 {
 		t.Errorf("served %.3f of capacity, %.3f rejected", f.served/20/800, f.rejected/all)
 	}
-	// Peers' states expire.
+	// The states of peers expire.
 	b := f.agents[0]
 	if b.Stats().FleetRate == 0 {
-		t.Error("peers do not count")
+		t.Error("the rates of peers are not included in the fleet rate")
 	}
 	b.Admit(f.now+PeerStateTTL+time.Second, 1)
 	if b.Stats().FleetRate != 0 {
-		t.Error("peers that no longer send still count")
+		t.Error("the rates of peers are included in the fleet rate after PeerStateTTL")
 	}
 }
 
-// Agents with unequal rates and demand exchange states while no outcome moves them: the sum of their rates stays. If it sank, the
-// exchange alone would close the fleet.
+// Agents with unequal rates and demand exchange states while no outcome changes their rates. The sum of the rates must stay the same: if
+// each exchange lowered it, the fleet would shed ever more without any overload.
 func TestExchangeKeepsSumOfRates(t *testing.T) {
 	f := newFleet(t, 800, 100, 300, 600, 1200)
 	f.run(10 * time.Second)
@@ -52,12 +52,12 @@
 	}
 	before := sum()
 	for range 20 {
-		var parts []PeerState
+		var states []PeerState
 		for _, b := range f.agents {
-			parts = append(parts, b.PeerState(f.now))
+			states = append(states, b.PeerState(f.now))
 		}
 		for i, b := range f.agents {
-			b.UpdatePeers(f.now, slices.Concat(parts[:i], parts[i+1:]), len(parts)-1)
+			b.UpdatePeers(f.now, slices.Concat(states[:i], states[i+1:]), len(states)-1)
 		}
 	}
 	if after := sum(); math.Abs(after/before-1) > 0.05 {
--- a/internal/budget/latency.go
+++ b/internal/budget/latency.go
@@ -3,28 +3,28 @@
 import "time"
 
 const (
-	// latencyShedFactor is how many times the reported overload is taken off the allowed rate.
+	// latencyShedFactor is the factor by which the signalled overload reduces the allowed rate.
 	latencyShedFactor = 3
-	// minLatencyFraction is the least part of the allowed rate that late answers leave.
+	// minLatencyFraction is the smallest fraction of the allowed rate that remains while answers are late.
 	minLatencyFraction = 0.3
-	// latencySignalTTL is for how many usual latencies after the last answer the signal stands.
+	// latencySignalTTL is how long the signal is used after the last attempt has ended, in smoothed latencies.
 	latencySignalTTL = 4
 )
 
-// SetLatencyOverload takes the signal that answers are late: above 0, the share of work to shed for it; below 0, to -1, how far
-// answers are within their latency objective.
+// SetLatencyOverload sets the latency signal: above 0, answers are late, and the value is the fraction of work to shed; from -1 to 0,
+// the amount by which answers are below their latency objective.
 //
-// It guards against queues that stand at endpoints which reject nothing: they show in latencies long before, or without, any
-// rejection. The allowed rate falls at once by latencyShedFactor times the share and is back as soon as answers are in time. As a
-// step of the controller it would take seconds to come back. Where answers are early the controller's rate rises faster.
+// The signal covers queues at endpoints that reject nothing: latency shows them long before any rejection, or without one. The allowed
+// rate falls at once by latencyShedFactor times the signal, and is restored as soon as answers are in time. As a decrease of the
+// controller's rate it would take seconds to recover. While answers are early the controller's rate rises faster.
 //
-// The signal is void once no attempt has ended for latencySignalTTL usual latencies: an agent that sends nothing learns nothing,
-// and would hold its rate down for good.
+// The signal is ignored once no attempt has ended for latencySignalTTL smoothed latencies: an agent that sends nothing gets no new
+// answers, and would keep its rate low indefinitely.
 func (b *Budget) SetLatencyOverload(now time.Duration, overload float64) {
 	b.advance(now)
 	b.latencyFraction, b.controller.latencySlack = 1, 0
 	ttl := max(minCounterAge, time.Duration(latencySignalTTL*float64(b.controller.latency)))
-	// The counter is read only as an attempt ends, so its last update is the end of the last attempt.
+	// The counter is updated only when an attempt ends, so its last update is the end of the last attempt.
 	if now-b.controller.ended.updatedAt > ttl {
 		return
 	}
--- a/internal/budget/plausible.go
+++ b/internal/budget/plausible.go
@@ -6,21 +6,22 @@
 )
 
 const (
-	// maxMedianMultiple is how many times the median agent's rate and demand a peer's count for at most: agents of one fleet may
-	// differ several times in traffic.
+	// maxMedianMultiple limits a peer's rate and its demand to this multiple of the median agent's. Agents of one fleet may differ
+	// several times in traffic.
 	maxMedianMultiple = 8
-	// maxDemandPerRate is how many times the demand that the fleet has for a rate a peer's demand for its rate counts at most.
+	// maxDemandPerRate limits a peer's demand, relative to its rate, to this multiple of the fleet's demand relative to the fleet's
+	// rate.
 	maxDemandPerRate = 4
-	// maxPlausibleRate is more than any one agent carries, requests a second.
+	// maxPlausibleRate is a rate above what any one agent can carry, requests a second.
 	maxPlausibleRate = 1e6
 )
 
-// plausible bounds peers' states to what one agent may move the others by, whether it has a fault or lies.
+// boundPeerStates limits the reported states so that no single peer, faulty or malicious, can move the other agents far.
 //
-// Rule: of a rate and of a demand, what is beyond maxMedianMultiple times the median agent's doesn't count; nor does demand beyond
-// maxDemandPerRate times what the rate sent with it makes likely. An agent that claims much demand and no rate would take from all
-// others and give to none.
-func (b *Budget) plausible(now time.Duration, states []PeerState) []PeerState {
+// A rate and a demand are each limited to maxMedianMultiple times the median agent's. The demand is also limited to maxDemandPerRate
+// times what is likely for the rate reported with it: an agent that claims a large demand and no rate would take from all others and
+// give nothing.
+func (b *Budget) boundPeerStates(now time.Duration, states []PeerState) []PeerState {
 	own := PeerState{Rate: b.ownRate(), Demand: []Demand{{Rate: b.demand.total(now)}}}
 	bounded := make([]PeerState, 0, len(states))
 	rates := []float64{own.Rate}
@@ -48,7 +49,7 @@
 	return bounded
 }
 
-// valid returns a copy without rates that no agent can have, and with at most MaxPriorities of demand.
+// valid returns a copy with impossible rates set to 0 and at most MaxPriorities entries of demand.
 func (p PeerState) valid() PeerState {
 	valid := PeerState{Rate: validRate(p.Rate)}
 	for _, demand := range p.Demand[:min(len(p.Demand), MaxPriorities)] {
@@ -65,7 +66,7 @@
 	return 0
 }
 
-// limitDemand scales the demand, in place, down to a sum.
+// limitDemand scales the demand down, in place, so that its sum does not exceed limit.
 func (p PeerState) limitDemand(limit float64) {
 	sum := p.totalDemand()
 	if sum <= limit {
@@ -76,7 +77,7 @@
 	}
 }
 
-// median sorts values, of which there is at least one, and returns the lower median.
+// median sorts values, which must not be empty, and returns the lower median.
 func median(values []float64) float64 {
 	slices.Sort(values)
 	return values[(len(values)-1)/2]
--- a/internal/budget/priority.go
+++ b/internal/budget/priority.go
@@ -6,18 +6,18 @@
 )
 
 const (
-	// quotaWindow is the time constant of the counts of tenants' requests.
+	// quotaWindow is the time constant of the counters of tenants' requests.
 	quotaWindow = 5 * time.Second
-	// quotaPriorRequests is the weight, in requests, of the assumption that a tenant is within its quota: a few requests don't show
-	// that it isn't.
+	// quotaPriorRequests is the weight, in requests, of the prior assumption that a tenant is within its quota. A few requests are
+	// not enough evidence that it exceeds it.
 	quotaPriorRequests = 20
 )
 
-// PriorityOrder is the order in which all agents of a fleet shed: by class, and within a class what a tenant sends over its quota
-// before the rest. It counts the requests of each tenant, so it isn't safe for concurrent use.
+// PriorityOrder gives requests the priorities by which all agents of a fleet shed: by class, and within a class the requests over a
+// tenant's quota before the others. It counts the requests of each tenant, so it is not safe for concurrent use.
 type PriorityOrder struct {
 	classWeights    []float64 // by class number
-	tenantQuotas    []float64 // by tenant number, parts of all requests
+	tenantQuotas    []float64 // by tenant number, fractions of all requests
 	overQuotaWeight float64
 
 	tenantRequests []decayingCounter
@@ -25,8 +25,8 @@
 	rng            *rand.Rand
 }
 
-// NewPriorityOrder returns an order by the priority weights of classes and the quotas of tenants, which may be empty.
-// overQuotaWeight, 0 to 1, multiplies the weight of a request over its tenant's quota.
+// NewPriorityOrder returns an order for the given priority weights of classes and quotas of tenants, which may be empty.
+// overQuotaWeight, 0 to 1, multiplies the weight of a request that is over its tenant's quota.
 func NewPriorityOrder(classWeights, tenantQuotas []float64, overQuotaWeight float64, seed uint64) *PriorityOrder {
 	order := &PriorityOrder{
 		classWeights:    classWeights,
@@ -42,8 +42,8 @@
 	return order
 }
 
-// Priority counts a request of a class and a tenant and returns its priority: 0 for an unknown class. A tenant below 0 is none.
-// Of a tenant over its quota, the part of requests that exceeds the quota has the lower priority; which ones is drawn at random.
+// Priority counts a request and returns its priority, which is 0 for an unknown class. A negative tenant means none. If a tenant is
+// over its quota, the excess fraction of its requests, drawn at random, gets the lower priority.
 func (o *PriorityOrder) Priority(now time.Duration, class, tenant int) float64 {
 	if class < 0 || class >= len(o.classWeights) {
 		return 0
@@ -58,7 +58,7 @@
 	return weight
 }
 
-// withinQuota counts a request of a tenant and returns the part of its requests that is within its quota; 1 or more for all.
+// withinQuota counts a request of a tenant and returns the fraction of its requests that is within its quota; 1 or more means all.
 func (o *PriorityOrder) withinQuota(now time.Duration, tenant int) float64 {
 	o.allRequests.add(now)
 	requests := &o.tenantRequests[tenant]
--- a/internal/budget/priority_test.go
+++ b/internal/budget/priority_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// A tenant sends nine tenths of the requests with a quota of a half: what is over its quota has the lower priority.
+// A tenant with a quota of one half sends nine tenths of the requests. Its requests over the quota must get the lower priority.
 func TestRequestsOverTenantQuotaHaveLowerPriority(t *testing.T) {
 	o := NewPriorityOrder([]float64{8, 1}, []float64{0.5, 0.5}, 0.25, 1)
 	low := make([]int, 2)
@@ -20,11 +20,11 @@
 		}
 		now += ms
 	}
-	// tenant 0 sends 0.9 with a quota of 0.5: 0.44 of its requests are over it
+	// Tenant 0 sends 0.9 with a quota of 0.5, so 0.44 of its requests are over the quota.
 	if got := float64(low[0]) / 3600; got < 0.35 || got > 0.5 || low[1] > 0 {
-		t.Errorf("of tenant 0 %.3f over its quota, of tenant 1 %d", got, low[1])
+		t.Errorf("of tenant 0 a fraction of %.3f is over its quota, want 0.35 to 0.5; of tenant 1 %d requests, want 0", got, low[1])
 	}
 	if o.Priority(now, 1, -1) != 1 || o.Priority(now, 5, 0) != 0 {
-		t.Error("a request without a tenant or of no class")
+		t.Error("wrong priority of a request without a tenant or of an unknown class")
 	}
 }
--- a/internal/budget/rate.go
+++ b/internal/budget/rate.go
@@ -5,11 +5,12 @@
 	"time"
 )
 
-// minCounterAge is the least age by which a decayingCounter is read: without it the first event would read as a rate of thousands.
+// minCounterAge is the minimum age assumed when a decayingCounter is read. Without it the first event would be read as a rate of
+// thousands a second.
 const minCounterAge = 250 * time.Millisecond
 
-// decayingCounter is an exponentially decaying count of events, read as events a second. While it is younger than its window it is
-// read by its age, so that a new counter isn't biased towards 0. The first use, be it a read, starts its age.
+// decayingCounter is an exponentially decaying count of events, read as events a second. While it is younger than its window, its age
+// is taken into account, so that a new counter is not biased towards 0. The age starts at the first use, which may be a read.
 type decayingCounter struct {
 	window    time.Duration // time constant of the decay
 	count     float64
@@ -36,7 +37,7 @@
 	}
 }
 
-// perSecond returns the rate of events a second.
+// perSecond returns the rate of events, events a second.
 func (c *decayingCounter) perSecond(now time.Duration) float64 {
 	c.decay(now)
 	age := float64(max(minCounterAge, now-c.startedAt)) / float64(c.window)
--- a/internal/budget/selfload.go
+++ b/internal/budget/selfload.go
@@ -2,23 +2,23 @@
 
 import "time"
 
-// SelfLimits is the load from which on the agent itself is overloaded. A limit of 0 is none.
+// SelfLimits are the limits above which the agent itself counts as overloaded. A limit of 0 is not checked.
 type SelfLimits struct {
-	QueueDelay time.Duration // that a request waits for the event loop
-	CPU        float64       // used share of the cores, 0 to 1
-	Memory     float64       // used share of the memory limit, 0 to 1
+	QueueDelay time.Duration // time for which a request waits for the event loop
+	CPU        float64       // used fraction of the cores, 0 to 1
+	Memory     float64       // used fraction of the memory limit, 0 to 1
 }
 
 // SelfLoad is an agent's load over an interval.
 type SelfLoad struct {
-	// QueueDelay is the least that a request waited for the event loop, 0 where none came. The least and not the mean: a short
-	// stall delays some requests, only a standing queue delays all.
+	// QueueDelay is the minimum time for which a request waited for the event loop; 0 if no request arrived. It is the minimum and not
+	// the mean, because a short stall delays some requests and only a standing queue delays all.
 	QueueDelay time.Duration
 	CPU        float64 // as in SelfLimits
 	Memory     float64 // as in SelfLimits, at the end of the interval
 }
 
-// Exceeded names the first limit that a load is over: "wait", "cpu" or "memory"; empty for none.
+// Exceeded returns the name of the first limit that the load exceeds: "wait", "cpu" or "memory"; empty for none.
 func (limits SelfLimits) Exceeded(load SelfLoad) string {
 	switch {
 	case limits.QueueDelay > 0 && load.QueueDelay > limits.QueueDelay:
@@ -32,18 +32,19 @@
 }
 
 const (
-	// selfOverloadFactor is what is left of the admitted rate at each call that finds the agent overloaded; it rises by the inverse.
+	// selfOverloadFactor is the factor on the rate at each call that reports overload; a call that reports none divides by it.
 	selfOverloadFactor = 0.9
-	// minSelfFraction is the least part of the rate that is left. Rejecting costs an agent three tenths of what serving does,
-	// so a lower part would free little.
+	// minSelfFraction is the smallest fraction of the rate that remains. Rejecting a request costs the agent three tenths of what
+	// serving it does, so a lower fraction would free little.
 	minSelfFraction = 0.3
 )
 
-// SetSelfOverloaded says, at regular intervals, whether the agent itself has more to do than it can.
+// SetSelfOverloaded reports whether the agent itself is overloaded. It is called at regular intervals.
 //
-// It guards against requests that time out within the agent: what it can't carry is better shed by priority at once than late and
-// at random. It is a factor beside the controller's rate, as attempts' outcomes say nothing of the agent: an agent that was
-// overloaded while it had few of them would come back only by as many.
+// It prevents requests from timing out inside the agent: requests beyond its capacity are better shed at once by priority than late and
+// at random. It is a factor separate from the controller's rate, because the outcomes of attempts say nothing about the agent's own
+// load. The controller raises its rate only with outcomes, so an agent that was overloaded while it had few attempts would recover only
+// as slowly as those come in.
 func (b *Budget) SetSelfOverloaded(now time.Duration, overloaded bool) {
 	b.advance(now)
 	if !overloaded {
--- a/internal/budget/selfload_test.go
+++ b/internal/budget/selfload_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// An agent has more to do than it can. It admits less, and all again as soon as it can: also when it had nothing to send
-// meanwhile, so that no outcome could raise its rate.
+// An agent is overloaded itself. It must admit less meanwhile, and everything once the overload has ended, even if it had nothing to send
+// during the overload, so that no outcome could raise its rate.
 func TestSelfOverloadLowersRateUntilItEnds(t *testing.T) {
 	f := newFleet(t, 800, 400)
 	b := f.agents[0]
@@ -16,8 +16,8 @@
 		f.run(250 * ms)
 		b.SetSelfOverloaded(f.now, true)
 	}
-	if fig := b.Stats(); fig.AllowedRate > before/2 || fig.SelfOverloads != 12 || fig.Shed == 0 {
-		t.Errorf("rate %.0f before, %+v", before, fig)
+	if stats := b.Stats(); stats.AllowedRate > before/2 || stats.SelfOverloads != 12 || stats.Shed == 0 {
+		t.Errorf("rate %.0f before the overload, stats during it %+v", before, stats)
 	}
 	f.demand[0] = 0
 	for range 100 {
@@ -32,6 +32,6 @@
 	f.reset()
 	f.run(10 * time.Second)
 	if f.admitted[0] < f.arrived[0] {
-		t.Errorf("%g of %g admitted after its overload", f.admitted[0], f.arrived[0])
+		t.Errorf("%g of %g requests admitted after the overload of the agent", f.admitted[0], f.arrived[0])
 	}
 }
--- a/internal/budget/settings_test.go
+++ b/internal/budget/settings_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// Each setting that is out of bounds is named.
+// The error of New must name each setting that is out of range.
 func TestCheckNamesEachBadSetting(t *testing.T) {
 	bad := Defaults()
 	bad.MinServedFraction, bad.Agents = 1, 0
--- a/internal/budget/shedding.go
+++ b/internal/budget/shedding.go
@@ -5,38 +5,38 @@
 	"time"
 )
 
-// Decision is what Admit decides for a request.
+// Decision is the result of Admit.
 type Decision struct {
 	Admit      bool
-	RetryAfter time.Duration // for a request that is shed; 0 for none
+	RetryAfter time.Duration // for a shed request; 0 for none
 }
 
 // Admit counts an arriving request and decides whether to admit it.
 //
-// The rate is filled with demand from the highest priority down. A request that the rate covers needs one token. One at the edge,
-// whose priority the rate covers in part, needs more tokens the more of the rate the higher priorities have, so that what they may
-// need at once stays saved. One below the edge is shed, unless tokens lie unused. So the highest priority is shed last, and the
-// rate is never left idle for a higher priority that doesn't come.
+// The rate is given to demand from the highest priority down. A request whose priority is covered by the rate needs one token. If its
+// priority is covered in part, it needs more tokens the larger the share of higher priorities in the rate is, which reserves tokens for
+// a burst of those. If its priority is not covered at all, it is shed unless the bucket is nearly full. The highest priority is therefore
+// shed last, and the rate is never left unused for higher-priority requests that do not arrive.
 func (b *Budget) Admit(now time.Duration, priority float64) Decision {
 	b.advance(now)
 	b.demand.add(b.now, priority, b.controller.sent.startedAt)
 	b.demand.recent.add(now)
-	required, belowEdge := b.requiredTokens(now, priority)
+	required, uncovered := b.requiredTokens(now, priority)
 	if b.burst.tokens >= required {
 		b.admitted(now)
 		return Decision{Admit: true}
 	}
 	b.stats.Shed++
 	b.demand.countShed(priority)
-	if belowEdge {
+	if uncovered {
 		b.stats.ShedInOrder++
 	}
 	return Decision{RetryAfter: b.retryAfter(now)}
 }
 
-// requiredTokens returns how many tokens must be saved for a request of a priority to be admitted, and whether all of its priority
-// lies below what the rate covers.
-func (b *Budget) requiredTokens(now time.Duration, priority float64) (tokens float64, belowEdge bool) {
+// requiredTokens returns how many tokens must be available for a request of the given priority to be admitted, and whether the rate
+// covers none of that priority.
+func (b *Budget) requiredTokens(now time.Duration, priority float64) (tokens float64, uncovered bool) {
 	above, same, rate := b.coverage(now, priority)
 	switch {
 	case above+same <= rate:
@@ -48,7 +48,7 @@
 	}
 }
 
-// admitted spends a token on a request and earns what it adds to the other budgets.
+// admitted spends a token on an admitted request and adds the retry and health check tokens that it earns.
 func (b *Budget) admitted(now time.Duration) {
 	b.burst.tokens--
 	b.controller.sent.add(now)
@@ -56,8 +56,8 @@
 	b.healthChecks.earn(b.settings.HealthCheckRatio, minTokenCapacity)
 }
 
-// coverage returns, for a priority, the demand of higher priorities, the demand of the same one, and the rate that both are filled
-// from, all in requests a second. With fresh peers they are the fleet's.
+// coverage returns the demand of higher priorities, the demand of the given priority, and the rate that serves both, all in requests a
+// second. While peer state is fresh, all three are those of the fleet.
 func (b *Budget) coverage(now time.Duration, priority float64) (above, same, rate float64) {
 	rate = b.ownRate()
 	count := func(other, demand float64) {
@@ -78,17 +78,17 @@
 	return above, same, b.latencyFraction * rate
 }
 
-// minRetryAfter is the Retry-After, in seconds, of a request that only found the tokens spent by a burst.
+// minRetryAfter is the shortest Retry-After, in seconds. It applies to a request that was shed only because a burst had spent the tokens.
 const minRetryAfter = 0.1
 
-// retryAfter is about how long the rate takes to rise to the demand if no attempt meets overload meanwhile, from minRetryAfter to
-// MaxRetryAfter; 0 without one.
+// retryAfter estimates how long the rate takes to rise to the demand if no attempt meets overload meanwhile. It is between minRetryAfter
+// and MaxRetryAfter, or 0 if MaxRetryAfter is 0.
 func (b *Budget) retryAfter(now time.Duration) time.Duration {
 	if b.settings.MaxRetryAfter <= 0 {
 		return 0
 	}
 	admitted := b.admittedFraction(now)
-	// Exponent of e by which the rate rises in a second.
+	// The exponent of e by which the rate rises in a second.
 	growth := b.settings.MaxStep * b.controller.toleratedOverload(admitted) * max(1, b.ownRate())
 	seconds := max(math.Log(1/admitted)/growth, minRetryAfter)
 	return min(b.settings.MaxRetryAfter, time.Duration(seconds*float64(time.Second)))
--- a/internal/budget/shedding_test.go
+++ b/internal/budget/shedding_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// While the rate covers the highest priority none of that is shed, and the rest of the rate goes to the lower one.
+// While the rate covers the highest priority, nearly none of that may be shed, and the lower priority gets the rest of the rate.
 func TestLowestPriorityIsShedFirst(t *testing.T) {
 	f := newFleet(t, 400, 600)
 	f.priorities = []float64{8, 8, 1, 1, 1, 1}
@@ -14,18 +14,17 @@
 	f.run(20 * time.Second)
 	high, low := f.byPriority[8], f.byPriority[1]
 	if high.admitted < 0.99*high.arrived {
-		t.Errorf("of the highest priority %g of %g admitted", high.admitted, high.arrived)
+		t.Errorf("%g of %g requests of the highest priority admitted", high.admitted, high.arrived)
 	}
 	if part := low.admitted / low.arrived; part < 0.3 || part > 0.6 {
-		t.Errorf("of the lowest priority %.3f admitted", part)
+		t.Errorf("a fraction of %.3f of the lowest priority admitted, want 0.3 to 0.6", part)
 	}
-	if fig := f.agents[0].Stats(); fig.Shed == 0 || fig.Overloads == 0 || fig.AdmittedFraction >= 1 {
-		t.Errorf("%+v", fig)
+	if stats := f.agents[0].Stats(); stats.Shed == 0 || stats.Overloads == 0 || stats.AdmittedFraction >= 1 {
+		t.Errorf("%+v", stats)
 	}
 }
 
-// A surge begins, and the counts of demand do not show it yet. What is admitted goes to the highest priority from the first second
-// on.
+// A surge starts and the demand counters do not show it yet. From its first second on, the highest priority must be admitted first.
 func TestHighestPriorityIsAdmittedAtSurgeOnset(t *testing.T) {
 	b := newBudget(t, nil)
 	now := time.Second
@@ -45,18 +44,18 @@
 		}
 		return high, low
 	}
-	second(20 * ms) // it starts, and takes less
+	second(20 * ms) // slow start, admits less
 	for range 9 {
 		if high, low := second(20 * ms); high < 50 || low < 50 {
 			t.Errorf("before the surge %d and %d of 50 admitted", high, low)
 		}
 	}
 	if high, low := second(2 * ms); low*4 > high {
-		t.Errorf("in its first second %d of the highest priority and %d of the lowest admitted", high, low)
+		t.Errorf("in the first second of the surge %d of the highest priority and %d of the lowest admitted", high, low)
 	}
 }
 
-// A shed request is given a Retry-After of at most the longest allowed; without a longest, none.
+// A shed request gets a Retry-After of at most MaxRetryAfter; if that is 0, it gets none.
 func TestRetryAfterIsBounded(t *testing.T) {
 	for _, longest := range []time.Duration{0, 2 * time.Second} {
 		b := newBudget(t, func(s *Settings) { s.MaxRetryAfter = longest })
--- a/internal/budget/simulation_test.go
+++ b/internal/budget/simulation_test.go
@@ -9,7 +9,7 @@
 
 const ms = time.Millisecond
 
-// newBudget returns a budget of the default settings with a change; nil for none.
+// newBudget returns a budget with the default settings, modified by change unless that is nil.
 func newBudget(t *testing.T, change func(*Settings)) *Budget {
 	t.Helper()
 	settings := Defaults()
@@ -23,8 +23,8 @@
 	return b
 }
 
-// fleet is a model of agents in front of endpoints that together serve a number of attempts a second, in steps of 10 ms: what is
-// beyond a step's capacity and a short queue is rejected, whoever sent it.
+// fleet simulates agents and the endpoints that they share. The endpoints together serve a number of attempts a second. In each step of
+// 10 ms they reject the attempts beyond the capacity of the step and a short queue, whichever agent sent them.
 type fleet struct {
 	agents        []*Budget
 	demand        []float64 // requests a second, of each agent
@@ -32,8 +32,8 @@
 	rng           *rand.Rand
 	now           time.Duration
 	backlog       float64       // attempts
-	priorities    []float64     // drawn evenly
-	exchangeEvery time.Duration // of peers' states; 0 for never
+	priorities    []float64     // of requests, drawn with equal probability
+	exchangeEvery time.Duration // interval between exchanges of peer states; 0 for none
 
 	// Counts since the last reset.
 	arrived, admitted []float64 // requests of each agent
@@ -68,7 +68,7 @@
 	}
 }
 
-// exchange gives each agent the states of all others, one agent after the other.
+// exchange passes to each agent the states of all others, one agent after the other.
 func (f *fleet) exchange() {
 	for i, b := range f.agents {
 		var states []PeerState
@@ -81,7 +81,7 @@
 	}
 }
 
-// arrivals lets the requests of a step arrive, and returns the agent of each admitted one.
+// arrivals simulates the requests that arrive in a step. It returns the agent of each admitted one.
 func (f *fleet) arrivals(step time.Duration) (sent []int) {
 	for i, b := range f.agents {
 		for range f.poisson(f.demand[i] * step.Seconds()) {
@@ -100,7 +100,7 @@
 	return sent
 }
 
-// serve ends an attempt of each of the agents, in random order.
+// serve simulates the outcomes of the attempts of a step, in random order. sent holds the agent of each attempt.
 func (f *fleet) serve(step time.Duration, sent []int) {
 	f.rng.Shuffle(len(sent), func(i, j int) { sent[i], sent[j] = sent[j], sent[i] })
 	f.backlog = max(0, f.backlog-f.capacity*step.Seconds())
--- a/internal/budget/stats.go
+++ b/internal/budget/stats.go
@@ -1,29 +1,29 @@
 package budget
 
-// Stats is the state of a budget and counts of what it has done, for metrics. Rates are requests a second; counts only grow.
+// Stats is the state of a budget and counts of its decisions, for metrics. Rates are requests a second. Counts never decrease.
 type Stats struct {
 	AdmittedFraction   float64         `json:"Admitted"`     // see Budget.AdmittedFraction
-	AllowedRate        float64         `json:"Rate"`         // that may be sent at present
-	DemandRate         float64         `json:"Demand"`       // that arrives
-	FleetRate          float64         `json:"Fleet"`        // of all agents together; 0 without fresh peers
+	AllowedRate        float64         `json:"Rate"`         // at which requests may be sent at present
+	DemandRate         float64         `json:"Demand"`       // at which requests arrive
+	FleetRate          float64         `json:"Fleet"`        // of all agents together; 0 without fresh peer state
 	Shed               int64           `json:"Shed"`         // requests
-	ShedInOrder        int64           `json:"ShedInOrder"`  // of Shed, those below what the rate covers
-	RetriesDenied      int64           `json:"Withheld"`     // no token was left
-	HealthChecksDenied int64           `json:"ProbesDenied"` // no token was left
+	ShedInOrder        int64           `json:"ShedInOrder"`  // those of Shed whose priority the rate did not cover at all
+	RetriesDenied      int64           `json:"Withheld"`     // for lack of a token
+	HealthChecksDenied int64           `json:"ProbesDenied"` // for lack of a token
 	Overloads          int64           `json:"Overloads"`    // attempts that met overload
-	SelfOverloads      int64           `json:"Pressed"`      // calls that found the agent itself overloaded
-	OwnRate            float64         `json:"Level"`        // that the agent would send without peers
+	SelfOverloads      int64           `json:"Pressed"`      // calls that reported the agent itself overloaded
+	OwnRate            float64         `json:"Level"`        // the rate that applies without peers, before late answers lower it
 	Priorities         []PriorityStats `json:"Worths"`       // highest first
 }
 
-// PriorityStats are the counts of one priority.
+// PriorityStats holds the demand and the counts of one priority.
 type PriorityStats struct {
 	Priority   float64 `json:"Worth"`
-	DemandRate float64 `json:"Demand"` // requests a second that arrive
+	DemandRate float64 `json:"Demand"` // requests a second
 	Shed       int64   `json:"Shed"`   // requests
 }
 
-// Stats returns the state as of the last call that brought a time.
+// Stats returns the state as of the latest time passed to any call.
 func (b *Budget) Stats() Stats {
 	stats := b.stats
 	stats.AdmittedFraction = b.AdmittedFraction()
--- a/internal/budget/surge.go
+++ b/internal/budget/surge.go
@@ -6,23 +6,23 @@
 )
 
 const (
-	// baselineWindow is the time constant of the baseline.
+	// baselineWindow is the time constant of the baseline demand.
 	baselineWindow = 10 * time.Second
-	// surgeStartFactor times the baseline begins a surge, surgeEndFactor times it ends one.
+	// A surge starts when demand exceeds surgeStartFactor times the baseline and ends when it is at most surgeEndFactor times it.
 	surgeStartFactor = 2
 	surgeEndFactor   = 1.25
-	// surgeDeviations is how many standard deviations of a count are taken for chance.
-	surgeDeviations = 2
+	// noiseDeviations is the number of standard deviations of a count that are attributed to chance.
+	noiseDeviations = 2
 )
 
-// surgeDetector finds demand far above what was covered before. Its zero value is ready for use.
+// surgeDetector detects demand far above what the rate covered before. Its zero value is ready for use.
 type surgeDetector struct {
 	baseline    float64       // demand while the rate covered all of it, smoothed, requests a second
-	observedFor time.Duration // how long that was, up to baselineWindow
-	active      bool          // a surge is under way
+	observedFor time.Duration // how long the baseline was observed, up to baselineWindow
+	active      bool          // a surge is in progress
 }
 
-// observe takes the demand and the rate, requests a second, after an elapsed time, which may be 0.
+// observe updates the detector with the demand and the rate, requests a second. elapsed is the time since the last call and may be 0.
 func (s *surgeDetector) observe(elapsed time.Duration, demand, rate float64) {
 	switch {
 	case demand <= rate && elapsed > 0:
@@ -35,9 +35,9 @@
 
 func (s *surgeDetector) hasBaseline() bool { return s.observedFor >= minObservation }
 
-// withinChance reports whether chance alone may bring a recent demand, counted over recentWindow, where another is expected, both
-// requests a second: arrivals are taken for a Poisson process.
-func withinChance(mean, recent float64) bool {
+// withinPoissonNoise reports whether the difference between the mean demand and the recent demand, counted over recentWindow, may be chance if
+// arrivals are a Poisson process. Both are in requests a second.
+func withinPoissonNoise(mean, recent float64) bool {
 	expected := mean * recentWindow.Seconds()
-	return math.Abs(recent-mean)*recentWindow.Seconds() <= surgeDeviations*math.Sqrt(expected)+1
+	return math.Abs(recent-mean)*recentWindow.Seconds() <= noiseDeviations*math.Sqrt(expected)+1
 }
--- a/internal/budget/tokens.go
+++ b/internal/budget/tokens.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// tokenBucket holds tokens earned over time or by events. Its capacity may change from one call to the next.
+// tokenBucket holds tokens that accrue over time or by events. Its capacity may change from call to call.
 type tokenBucket struct{ tokens float64 }
 
-// earn adds tokens, up to a capacity.
+// earn adds tokens, up to the capacity.
 func (b *tokenBucket) earn(tokens, capacity float64) {
 	b.tokens = min(b.tokens+tokens, capacity)
 }
 
-// take spends a token; false, and nothing is spent, without a whole one.
+// take spends one token. It returns false and spends nothing if there is less than one.
 func (b *tokenBucket) take() bool {
 	if b.tokens < 1 {
 		return false
@@ -20,32 +20,32 @@
 }
 
 const (
-	// minBurst is how many requests may come at once, however few are expected.
+	// minBurst is the number of requests that may always arrive at once, however small the demand is.
 	minBurst = 4
-	// minTokenCapacity may always be saved of retries and health checks: with a capacity of 1, what is earned in fractions would be
-	// lost beyond a whole token.
+	// minTokenCapacity is the minimum capacity for retries and health checks. They accrue in fractions of a token: with a capacity of 1
+	// the fraction beyond a whole token would be lost.
 	minTokenCapacity = 2
 )
 
-// burstCapacity is how many request tokens may be saved: minBurst, and BurstWindow of the demand or of the own rate, whichever is
-// less. It guards against a burst at the onset of a surge: tokens saved from a rate that nobody used would all be spent in its
-// first moment, by all agents in the same one.
+// burstCapacity is the capacity for request tokens: minBurst plus BurstWindow of the demand or of the own rate, whichever is less. The
+// limit prevents a burst at the onset of a surge, when all agents at the same moment would spend tokens that accrued from an unused
+// rate.
 func (b *Budget) burstCapacity() float64 {
 	return minBurst + min(b.ownRate(), b.demand.total(b.now))*b.settings.BurstWindow.Seconds()
 }
 
-// retryRate is this agent's part of the fleet's rate of retries, retries a second. It lets an agent with little traffic retry at all.
+// retryRate is this agent's share of FleetRetryRate, retries a second. It allows retries to an agent with little traffic.
 func (b *Budget) retryRate() float64 {
 	return b.settings.FleetRetryRate / float64(b.settings.Agents)
 }
 
-// retryCapacity is how many retries may be saved: those of a second of retryRate.
+// retryCapacity is the capacity for retry tokens: one second of retryRate, and at least minTokenCapacity.
 func (b *Budget) retryCapacity() float64 {
 	return max(minTokenCapacity, b.retryRate())
 }
 
-// AllowRetry reports whether a retry may be sent now, and spends a token if so. A retry is work for what was tried before: without
-// the bound, failures of overloaded endpoints add the load that keeps them overloaded.
+// AllowRetry reports whether a retry may be sent now, and spends a token if so. Retries add load for requests that were already tried:
+// without a limit, failures of overloaded endpoints would cause the load that keeps them overloaded.
 func (b *Budget) AllowRetry(now time.Duration) bool {
 	b.advance(now)
 	if b.retries.take() {
@@ -64,7 +64,7 @@
 	return false
 }
 
-// earnTokens adds what was earned by time since the last call. Nothing is earned before the first.
+// earnTokens adds the tokens that accrued since the last call; none before the first call.
 func (b *Budget) earnTokens(now time.Duration) {
 	if b.now == 0 {
 		return
--- a/internal/budget/tokens_test.go
+++ b/internal/budget/tokens_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Retries are a fixed share of admitted requests, and the agent's part of the fleet's rate over time; no more is saved than a second
-// of that.
+// Retries are limited to a fixed share of admitted requests plus the agent's share of the fleet's retry rate. No more than one second
+// of that rate, or the minimum capacity, may accumulate.
 func TestRetriesAreBoundedByRatioAndFleetRate(t *testing.T) {
 	b := newBudget(t, func(s *Settings) { s.FleetRetryRate, s.Agents = 300, 300 })
 	now := time.Second
@@ -19,19 +19,19 @@
 		}
 		now += 100 * ms
 	}
-	// 1000 admitted requests at 0.1, 100 s of a part of 1 a second, and the two saved at the start
+	// 1000 admitted requests at 0.1 each, 100 s at a share of 1 a second, and the two tokens available at the start
 	if retries < 195 || retries > 204 {
-		t.Errorf("%d retries", retries)
+		t.Errorf("%d retries, want 195 to 204", retries)
 	}
 	if f := b.Stats(); f.RetriesDenied < 1000 {
 		t.Errorf("%+v", f)
 	}
 	if b.AllowRetry(now + time.Hour); b.retries.tokens > b.retryCapacity() {
-		t.Errorf("saved %.1f", b.retries.tokens)
+		t.Errorf("%.1f retry tokens accumulated, above the capacity", b.retries.tokens)
 	}
 }
 
-// Health checks stay under their share of admitted requests.
+// Health checks are limited to their share of admitted requests.
 func TestHealthChecksAreBoundedByRatio(t *testing.T) {
 	b := newBudget(t, nil)
 	checks, admitted := 0, 0
