--- a/internal/budget/controller.go
+++ b/internal/budget/controller.go
@@ -29,7 +29,7 @@
 	lastDecrease time.Duration   // time of the last decrease
 	updatedAt    time.Duration
 
-	slowStart    bool    // since the start, no attempt has met overload and the rate has not covered the demand
+	slowStart    bool    // in progress: until an attempt meets overload or the rate covers the demand
 	withPeers    bool    // the agent has fresh state of its peers
 	latencySlack float64 // how far answers are below their latency objective, 0 to 1; see SetLatencyOverload
 	surge        surgeDetector
@@ -40,7 +40,8 @@
 	decreaseSpacing = 0.7
 	// latencySmoothing is the number of attempts over which the latency is smoothed.
 	latencySmoothing = 16
-	// peakDecay is the time constant of peakSentRate. It is long enough that a pause between two bursts does not bring the rate down to HeadroomRate.
+	// peakDecay is the time constant of peakSentRate. It is long enough that a pause between two bursts does not bring the rate down to
+	// HeadroomRate.
 	peakDecay = 10 * time.Second
 
 	// slowStartDoubling is the time in which a slow start doubles the rate.
--- a/internal/budget/surge.go
+++ b/internal/budget/surge.go
@@ -35,8 +35,8 @@
 
 func (s *surgeDetector) hasBaseline() bool { return s.observedFor >= minObservation }
 
-// withinPoissonNoise reports whether the difference between the mean demand and the recent demand, counted over recentWindow, may be chance if
-// arrivals are a Poisson process. Both are in requests a second.
+// withinPoissonNoise reports whether the difference between the mean demand and the recent demand, counted over recentWindow, may be
+// chance, given that arrivals are a Poisson process. Both are in requests a second.
 func withinPoissonNoise(mean, recent float64) bool {
 	expected := mean * recentWindow.Seconds()
 	return math.Abs(recent-mean)*recentWindow.Seconds() <= noiseDeviations*math.Sqrt(expected)+1
--- a/internal/fleetstate/fact.go
+++ b/internal/fleetstate/fact.go
@@ -2,18 +2,18 @@
 
 import "cmp"
 
-// Kind is a kind of fact.
+// Kind is the kind of a fact.
 type Kind uint8
 
 // The kinds of facts.
 const (
-	// Suspicion is how many attempts of the origin on an incarnation have failed in a row; 0 withdraws it.
+	// Suspicion is the number of consecutive failed attempts of the origin on an incarnation; 0 withdraws it.
 	Suspicion Kind = iota + 1
 	// Notice is the furthest state, Draining or Removed, in which discovery has shown an incarnation to the origin.
 	Notice
 )
 
-// The values of a Notice, in the order of an incarnation's life.
+// The values of a Notice, in the order in which an incarnation reaches them.
 const (
 	Draining int64 = 1
 	Removed  int64 = 2
@@ -22,32 +22,32 @@
 // Incarnation is one process of an endpoint.
 type Incarnation struct {
 	Server  string // the endpoint's id
-	Started int64  // when the process started, milliseconds of the time of day; 0 where that isn't known
+	Started int64  // when the process started, in milliseconds of the time of day; 0 if unknown
 }
 
-// Key is what a fact is of. A replica holds one fact of each key.
+// Key identifies a fact. A replica holds at most one fact for each key.
 type Key struct {
 	Kind    Kind   `codec:"k"`
 	Server  string `codec:"s"` // as in Incarnation
 	Started int64  `codec:"l"` // as in Incarnation
-	Origin  string `codec:"o"` // the agent that says so
+	Origin  string `codec:"o"` // the agent that states the fact
 }
 
 func (k Key) incarnation() Incarnation { return Incarnation{k.Server, k.Started} }
 
-// Fact is what one agent says of one incarnation.
+// Fact is a statement by one agent about one incarnation.
 type Fact struct {
 	Key       `codec:"f"`
 	Value     int64     `codec:"v"`
 	Timestamp Timestamp `codec:"t"`
-	Reporter  string    `codec:"b"` // the agent that wrote it: must be the Origin
+	Reporter  string    `codec:"b"` // the agent that wrote the fact; must equal Origin
 }
 
-// compare orders copies of a fact; the greatest one holds. See the package comment for the rule of each kind. The order covers all
-// that a copy says, so that the greater of two is a join.
+// compare orders copies of a fact; the greatest copy wins. See the package comment for the rule of each kind. The order covers all
+// contents of a copy, so taking the greater of two copies is a join.
 //
-// Between the notices of one incarnation it decides which two stay. What one origin says only ever becomes greater, so a notice that was dropped
-// for two greater ones is never needed again: to keep the greatest two is a join, too.
+// For the notices of one incarnation it also decides which two are kept. The notice of an origin only ever becomes greater, so a notice
+// that was dropped for two greater ones is never needed again: keeping the two greatest is a join as well.
 func compare(a, b Fact) int {
 	if a.Kind == Notice {
 		return cmp.Or(
@@ -59,7 +59,7 @@
 	return cmp.Or(cmp.Compare(a.Timestamp, b.Timestamp), cmp.Compare(a.Value, b.Value))
 }
 
-// compareKeys orders facts of different keys, for stable output.
+// compareKeys orders facts by key, for stable output.
 func compareKeys(a, b Fact) int {
 	return cmp.Or(
 		cmp.Compare(a.Kind, b.Kind),
@@ -69,7 +69,7 @@
 	)
 }
 
-// valid reports whether a fact that came from a peer can be what an agent writes.
+// valid reports whether a fact received from a peer is one that an agent can have written.
 func (f Fact) valid(maxNameBytes int) bool {
 	switch f.Kind {
 	case Suspicion:
--- a/internal/fleetstate/membership/config.go
+++ b/internal/fleetstate/membership/config.go
@@ -13,38 +13,38 @@
 	"ryeweir/internal/fleetstate"
 )
 
-// Handler receives what peers send. Its methods are called by several goroutines, also from within Start, and must not block.
+// Handler receives what peers send. Its methods are called from several goroutines, also before Start returns, and must not block.
 type Handler interface {
-	// MergeFacts takes in facts and returns those that were new, to be sent on.
+	// MergeFacts merges facts and returns those that were new, to be forwarded.
 	MergeFacts(facts []fleetstate.Fact) (accepted []fleetstate.Fact)
 	// Facts returns all facts of the replica.
 	Facts() []fleetstate.Fact
-	// UpdatePeerState takes a peer's budget state, with the peer's own sequence number of it: packets may come out of order.
+	// UpdatePeerState receives a peer's budget state with the peer's sequence number, because packets may arrive out of order.
 	UpdatePeerState(from string, sequence uint64, state budget.PeerState)
 }
 
-// Config configures a Member. Addresses are an IP address with a port.
+// Config configures a Member. Each address is an IP address with a port.
 type Config struct {
 	Name          string   // of the agent, unique in the fleet
 	Bind          string   // for packets and streams; port 0 for any free one
-	Advertise     string   // that peers use; empty for Bind
-	Seeds         []string // of some peers, to join by and to rejoin by
-	Label         string   // of the fleet; what has another label is ignored
+	Advertise     string   // address that peers use; empty for that of Bind
+	Seeds         []string // addresses of some peers, for joining and rejoining
+	Label         string   // of the fleet; messages with another label are ignored
 	EncryptionKey []byte   // 16, 24 or 32 bytes; nil for no encryption
 	Timing        Timing
 	Handler       Handler
 	Logger        *slog.Logger
 }
 
-// Timing is how often things are done. See DefaultTiming.
+// Timing configures intervals and time-outs. See DefaultTiming.
 type Timing struct {
 	ProbeInterval    time.Duration // between probes of a random peer
-	ProbeTimeout     time.Duration // of a peer's answer, before others probe it
+	ProbeTimeout     time.Duration // for a peer's answer, before other peers are asked to probe it
 	GossipInterval   time.Duration // between packets of new facts to GossipFanout peers
 	GossipFanout     int
-	PushPullInterval time.Duration // between exchanges of the whole replica with one peer
+	PushPullInterval time.Duration // between exchanges of the whole replica with one random peer
 	RejoinInterval   time.Duration // between attempts to reach a failed peer or a seed
-	FailedPeerTTL    time.Duration // after which a failed peer is tried no more
+	FailedPeerTTL    time.Duration // after which a failed peer is no longer tried
 }
 
 // DefaultTiming returns a timing that detects a failed peer within about 3 s in a fleet of 50.
@@ -88,7 +88,7 @@
 	list.TCPTimeout = streamTimeout
 	list.SuspicionMult, list.RetransmitMult = suspicionMult, retransmitMult
 	list.UDPBufferSize = packetBytes
-	list.EnableCompression = false // a fact is shorter than what compression adds
+	list.EnableCompression = false // a fact is shorter than the overhead of compression
 	return list, nil
 }
 
@@ -99,11 +99,11 @@
 		return "", 0, err
 	}
 	if net.ParseIP(host) == nil {
-		return "", 0, fmt.Errorf("%q is no IP address", host)
+		return "", 0, fmt.Errorf("%q is not an IP address", host)
 	}
 	port, err = strconv.Atoi(text)
 	if err != nil || port < 0 || port > 65535 {
-		return "", 0, fmt.Errorf("%q is no port", text)
+		return "", 0, fmt.Errorf("%q is not a port number", text)
 	}
 	return host, port, nil
 }
--- a/internal/fleetstate/membership/delegate.go
+++ b/internal/fleetstate/membership/delegate.go
@@ -8,12 +8,12 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// delegate is memberlist's way to this package's data. It implements memberlist.Delegate.
+// delegate gives memberlist access to the data of a Member. It implements memberlist.Delegate.
 type delegate struct{ member *Member }
 
 func (delegate) NodeMeta(int) []byte { return nil }
 
-// NotifyMsg decodes before it returns: the buffer is memberlist's.
+// NotifyMsg decodes the message before it returns, because memberlist owns the buffer and may change it afterwards.
 func (d delegate) NotifyMsg(data []byte) { d.member.receive(data) }
 
 func (d delegate) GetBroadcasts(overhead, limit int) [][]byte {
@@ -32,10 +32,10 @@
 	d.member.receive(data)
 }
 
-// eventDelegate follows which peers are live. It implements memberlist.EventDelegate.
+// eventDelegate tracks which peers are live. It implements memberlist.EventDelegate.
 type eventDelegate struct{ member *Member }
 
-// NotifyJoin is called for the agent itself, too, from within memberlist.Create.
+// NotifyJoin is also called for the agent itself, from within memberlist.Create.
 func (e eventDelegate) NotifyJoin(node *memberlist.Node) {
 	e.member.counters.joined.Add(1)
 	if node.Name == e.member.config.Name {
@@ -66,8 +66,8 @@
 	}
 }
 
-// logWriter passes memberlist's log lines on as debug messages: in a fleet with a fault each peer brings a warning, so they would
-// flood the log.
+// logWriter passes memberlist's log lines on at the debug level. During a network fault memberlist warns about each peer, which would
+// flood the log at a higher level.
 type logWriter struct{ logger *slog.Logger }
 
 func (w logWriter) Write(line []byte) (int, error) {
--- a/internal/fleetstate/membership/doc.go
+++ b/internal/fleetstate/membership/doc.go
@@ -1,14 +1,14 @@
-// Package membership connects an agent with its peers: it finds the other agents, notices which have left, failed or come back, and
+// Package membership connects an agent with its peers: it discovers the other agents, detects which have left, failed or returned, and
 // carries facts and budget states between them.
 //
-// Membership itself is hashicorp/memberlist's: SWIM with the Lifeguard extensions. This package adds
+// The membership protocol is that of hashicorp/memberlist: SWIM with the Lifeguard extensions. This package adds
 //
-//   - dissemination: a new fact goes to a few random peers at each gossip interval ([Member.Broadcast]); the whole replica is
-//     exchanged with one peer after the other, and with each that comes back (push/pull);
-//   - budget states, sent to a few peers directly ([Member.SendPeerState]), as an older one is of no use;
-//   - rejoining after a partition: memberlist gives up a peer that was declared dead, so that two sides would stay apart for good
-//     ([Member.Run]).
+//   - dissemination: a new fact is sent to a few random peers at each gossip interval ([Member.Broadcast]), and the whole replica is
+//     exchanged with one random peer at a time, and with each peer that returns (push/pull);
+//   - budget states, which are sent directly to a few peers ([Member.SendPeerState]), because an outdated one has no use;
+//   - rejoining after a network partition ([Member.Run]): memberlist stops contacting a peer that was declared dead, so without it the two
+//     sides would stay separated.
 //
-// Received data goes to a [Handler]. A [Member] is safe for concurrent use; it is started by [Start] and stopped by the end of the
-// context of [Member.Run].
+// Received data is passed to a [Handler]. A [Member] is safe for concurrent use. [Start] starts it, and the end of the context of
+// [Member.Run] stops it.
 package membership
--- a/internal/fleetstate/membership/member.go
+++ b/internal/fleetstate/membership/member.go
@@ -17,27 +17,27 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// leaveTimeout is how long an agent that stops tries to notify its peers.
+// leaveTimeout limits how long a stopping agent tries to notify its peers.
 const leaveTimeout = 500 * time.Millisecond
 
-// Member is an agent among its peers. It is safe for concurrent use.
+// Member is this agent's membership in the fleet. It is safe for concurrent use.
 type Member struct {
 	config     Config
 	list       *memberlist.Memberlist
 	transport  *transport
 	broadcasts memberlist.TransmitLimitedQueue
-	advertised string        // own address, as peers know it
-	sequence   atomic.Uint64 // of the last budget state sent
+	advertised string        // this agent's address, as peers use it
+	sequence   atomic.Uint64 // number of the last budget state sent
 	counters   counters
 
-	mu     sync.Mutex // guards what follows
+	mu     sync.Mutex // guards the fields below
 	rng    *rand.Rand
-	live   map[string]string     // addresses of live peers by name; a copy, as memberlist changes its nodes while others read them
+	live   map[string]string     // addresses of live peers by name; copied, because memberlist changes its nodes while others read them
 	failed map[string]failedPeer // by name
 }
 
-// Start listens and begins to answer peers; Run joins them. Errors are those of the addresses, of listening and of memberlist.
-// A Member that Start has returned must be run, or its sockets stay open.
+// Start opens the sockets and begins to answer peers; Run joins them. It returns an error if an address is invalid, if it cannot listen,
+// or if memberlist fails to start. The caller must call Run on the returned Member, or its sockets stay open.
 func Start(config Config) (*Member, error) {
 	m := &Member{
 		config: config,
@@ -45,10 +45,10 @@
 		failed: map[string]failedPeer{},
 		rng:    rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 	}
-	// Above any that an earlier process of this agent has sent: peers ignore lower ones.
+	// The sequence starts above any number that an earlier process of this agent has sent, because peers ignore lower ones.
 	m.sequence.Store(uint64(time.Now().UnixMilli()) << 16)
-	// Create below answers peers before it returns: nothing that they bring about may use m.list. So the number of peers
-	// comes from the counters.
+	// memberlist.Create answers peers before it returns, so nothing that they trigger may use m.list. The number of peers is therefore
+	// taken from the counters.
 	m.broadcasts.RetransmitMult = retransmitMult
 	m.broadcasts.NumNodes = func() int {
 		return int(max(1, m.counters.joined.Load()-m.counters.departed.Load()))
@@ -67,7 +67,7 @@
 	return m, nil
 }
 
-// create creates the memberlist on the transport.
+// create creates the memberlist on top of the transport.
 func (m *Member) create(host string, logger *log.Logger) error {
 	listConfig, err := m.config.memberlistConfig(m.transport, host)
 	if err != nil {
@@ -79,10 +79,9 @@
 	return err
 }
 
-// Run joins the peers, rejoins those that have failed, and when the context ends notifies the others and closes the sockets. It
-// returns when all that is done.
+// Run joins the peers and rejoins those that have failed. When the context ends it notifies the peers, closes the sockets and returns.
 func (m *Member) Run(ctx context.Context) {
-	// An exchange with a peer that doesn't answer would keep Run from ending: memberlist's calls take no context.
+	// An exchange with a peer that does not answer would delay the end of Run, because memberlist's calls take no context.
 	defer context.AfterFunc(ctx, m.transport.closeStreams)()
 	m.join(m.config.Seeds)
 	ticker := time.NewTicker(m.config.Timing.RejoinInterval)
@@ -116,5 +115,5 @@
 	return slices.Sorted(maps.Keys(m.live))
 }
 
-// Addr returns the address on which it listens.
+// Addr returns the address on which the Member listens.
 func (m *Member) Addr() string { return m.transport.addr() }
--- a/internal/fleetstate/membership/member_test.go
+++ b/internal/fleetstate/membership/member_test.go
@@ -15,7 +15,7 @@
 	"ryeweir/internal/fleetstate"
 )
 
-// replica is a Handler over a fleetstate.Replica.
+// replica is a Handler backed by a fleetstate.Replica.
 type replica struct {
 	mu     sync.Mutex
 	state  *fleetstate.Replica
@@ -50,7 +50,7 @@
 	return r.states[from]
 }
 
-// put writes a draining notice and returns it, to be broadcast.
+// put writes a draining notice and returns it for broadcasting.
 func (r *replica) put(server, origin string) []fleetstate.Fact {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -63,23 +63,23 @@
 	*replica
 }
 
-// eventually waits for a condition, which becomes true within seconds where it does at all.
+// eventually waits until the condition holds, which normally takes a few seconds at most. It fails the test after 30 s.
 func eventually(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 	for end := time.Now().Add(30 * time.Second); !condition(); time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("never: ", what)
+			t.Fatal("not within 30 s: ", what)
 		}
 	}
 }
 
-// cluster is a number of peers on loopback, each behind a relay of a mesh that can cut the way between two of them.
+// cluster is a set of peers on loopback. Each is behind a relay of a mesh that can cut the connection between any two of them.
 type cluster struct {
 	mesh  *link.Mesh
 	peers []peer
 }
 
-// startCluster starts peers that know the first one as their seed, and stops them with the test.
+// startCluster starts peers with the first one as their seed, and stops them at the end of the test.
 func startCluster(t *testing.T, size int) *cluster {
 	t.Helper()
 	c := &cluster{mesh: link.NewMesh(1)}
@@ -99,7 +99,7 @@
 	return c
 }
 
-// start starts the peer of a number, without running it.
+// start starts the peer with the given number, without running it.
 func (c *cluster) start(t *testing.T, number int, seed string) (*Member, *replica, string) {
 	t.Helper()
 	name, ip := fmt.Sprint("p", number), fmt.Sprint("127.0.92.", number+1)
@@ -130,7 +130,7 @@
 	return member, state, advertised
 }
 
-// setPartition cuts, or restores, every way between the first two peers and the others.
+// setPartition cuts or restores all connections between the first two peers and the others.
 func (c *cluster) setPartition(cut bool) {
 	for _, a := range c.peers[:2] {
 		for _, b := range c.peers[2:] {
@@ -140,7 +140,7 @@
 	}
 }
 
-// all returns a condition: that it holds of each peer.
+// all returns the condition that holds is true for each peer.
 func (c *cluster) all(holds func(p peer) bool) func() bool {
 	return func() bool { return !slices.ContainsFunc(c.peers, func(p peer) bool { return !holds(p) }) }
 }
@@ -152,41 +152,41 @@
 	return sum
 }
 
-// Four peers find each other by one seed and exchange facts and budget states. The network is partitioned for as long as it takes
-// either side to give up the other, and recovers. The peers rejoin by themselves, and all have all facts that were written
-// meanwhile on either side.
+// Four peers find each other through one seed and exchange facts and budget states. Then the network is partitioned until each side has
+// declared the other failed, and recovers. The peers must rejoin without help, and all must get the facts that either side has written
+// meanwhile.
 func TestPeersRejoinAfterPartition(t *testing.T) {
 	c := startCluster(t, 4)
 	peers := c.peers
 	live := func(n int) func() bool { return c.all(func(p peer) bool { return len(p.Peers()) == n }) }
 	facts := func(n int) func() bool { return c.all(func(p peer) bool { return len(p.Facts()) == n }) }
-	eventually(t, "all are live at all", live(3))
+	eventually(t, "each peer sees all others as live", live(3))
 	peers[1].Broadcast(peers[1].put("a", "p1"))
-	eventually(t, "a fact comes to all", facts(1))
+	eventually(t, "a fact reaches all peers", facts(1))
 	peers[2].SendPeerState(budget.PeerState{Rate: 7}, 3)
-	eventually(t, "a budget state comes", func() bool { return peers[0].budgetState("p2").Rate == 7 })
+	eventually(t, "a budget state arrives", func() bool { return peers[0].budgetState("p2").Rate == 7 })
 
 	c.setPartition(true)
-	eventually(t, "each side gives up the other", live(1))
+	eventually(t, "each side declares the other failed", live(1))
 	peers[0].Broadcast(peers[0].put("b", "p0"))
 	peers[3].Broadcast(peers[3].put("c", "p3"))
-	eventually(t, "each side exchanges facts", func() bool { return len(peers[1].Facts()) == 2 && len(peers[2].Facts()) == 2 })
+	eventually(t, "peers on each side exchange facts", func() bool { return len(peers[1].Facts()) == 2 && len(peers[2].Facts()) == 2 })
 
 	before := c.rejoins()
 	c.setPartition(false)
-	eventually(t, "all are live at all again", live(3))
-	eventually(t, "all have all facts", facts(3))
+	eventually(t, "each peer sees all others as live again", live(3))
+	eventually(t, "all facts reach all peers", facts(3))
 	if stats := peers[0].Stats(); stats.BytesSent == 0 || stats.Malformed != 0 || stats.Departed < 2 {
 		t.Errorf("%+v", stats)
 	}
-	eventually(t, "the peer that rejoined counts that", func() bool { return c.rejoins() > before }) // any of them may
+	eventually(t, "a peer counts its rejoin", func() bool { return c.rejoins() > before }) // it may be any of them
 	peers[0].receive([]byte{0xc1, 0xff})
 	if peers[0].Stats().Malformed != 1 {
-		t.Error("a message that can't be decoded is not counted")
+		t.Error("a message that cannot be decoded is not counted as malformed")
 	}
 }
 
-// A seed accepts the connection and never answers. An agent that is in the exchange with it stops all the same.
+// A seed accepts the connection and never answers. Run must still end promptly while the exchange with it is in progress.
 func TestRunEndsWhileSeedIsSilent(t *testing.T) {
 	silent, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -203,7 +203,7 @@
 	ctx, stop := context.WithCancel(t.Context())
 	ended := make(chan struct{})
 	go func() { member.Run(ctx); close(ended) }()
-	exchange, err := silent.Accept() // the exchange is under way
+	exchange, err := silent.Accept() // the exchange has started
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -212,6 +212,6 @@
 	select {
 	case <-ended:
 	case <-time.After(streamTimeout / 2):
-		t.Error("Run waits for the silent seed")
+		t.Error("Run does not end while the seed is silent")
 	}
 }
--- a/internal/fleetstate/membership/message.go
+++ b/internal/fleetstate/membership/message.go
@@ -11,15 +11,16 @@
 )
 
 const (
-	// maxQueuedFacts bounds the facts that wait to be gossiped; the oldest are dropped.
+	// maxQueuedFacts limits the facts that are queued for gossip; the oldest ones are dropped.
 	maxQueuedFacts = 2048
-	// maxReplicaBytes bounds a whole replica as it is decoded: above that of the largest limits.
+	// maxReplicaBytes limits the size of a whole replica before it is decoded. It is above the size of a replica with the largest limits.
 	maxReplicaBytes = 4 << 20
-	// maxDecodeDepth bounds the nesting of what a peer sends.
+	// maxDecodeDepth limits the nesting of received messages.
 	maxDecodeDepth = 16
 )
 
-// message is what agents send each other besides memberlist's own messages: facts, or a budget state with its sender and sequence number.
+// message is what agents send each other besides memberlist's own messages: facts, or a budget state with its sender and sequence
+// number.
 type message struct {
 	Facts    []fleetstate.Fact `codec:"f,omitempty"`
 	From     string            `codec:"n,omitempty"`
@@ -33,15 +34,15 @@
 	return handle
 }
 
-// encode panics where the types above can't be encoded, which no data can bring about.
+// encode panics if the types above cannot be encoded, which does not depend on the data.
 func encode(msg message) (data []byte) {
 	if err := codec.NewEncoderBytes(&data, codecHandle()).Encode(msg); err != nil {
-		panic(fmt.Sprintf("peers: a message of our own types: %v", err))
+		panic(fmt.Sprintf("peers: cannot encode a message: %v", err))
 	}
 	return data
 }
 
-// Broadcast sends facts to all peers, by gossip.
+// Broadcast queues facts for gossip to all peers.
 func (m *Member) Broadcast(facts []fleetstate.Fact) {
 	for _, fact := range facts {
 		m.broadcasts.QueueBroadcast(factBroadcast{fact, encode(message{Facts: []fleetstate.Fact{fact}})})
@@ -52,13 +53,13 @@
 	}
 }
 
-// SendPeerState sends this agent's budget state to a number of peers, drawn anew each time, so that the cost doesn't grow with the
-// fleet. A peer that can't be reached is logged and skipped.
+// SendPeerState sends this agent's budget state to fanout random peers, drawn anew each time, so that the cost does not grow with the size
+// of the fleet. If a peer cannot be reached, that is logged and the peer is skipped.
 func (m *Member) SendPeerState(state budget.PeerState, fanout int) {
 	data := encode(message{From: m.config.Name, Sequence: m.sequence.Add(1), State: &state})
 	for _, peer := range m.randomPeers(fanout) {
 		if err := m.list.SendToAddress(peer, data); err != nil {
-			m.config.Logger.Debug("peer unreachable", "peer", peer.Name, "error", err)
+			m.config.Logger.Debug("budget state not sent: peer unreachable", "peer", peer.Name, "error", err)
 		}
 	}
 }
@@ -75,7 +76,7 @@
 	return peers[:min(n, len(peers))]
 }
 
-// receive decodes a peer's message, hands it to the handler and sends on the facts that were new.
+// receive decodes a peer's message, passes it to the handler and forwards the facts that were new.
 func (m *Member) receive(data []byte) {
 	var msg message
 	if err := codec.NewDecoderBytes(data, codecHandle()).Decode(&msg); err != nil {
@@ -90,7 +91,7 @@
 	}
 }
 
-// factBroadcast is a queued fact. A later copy of the same key replaces it. It implements memberlist.Broadcast.
+// factBroadcast is a fact queued for gossip. A later copy with the same key replaces it. It implements memberlist.Broadcast.
 type factBroadcast struct {
 	fact fleetstate.Fact
 	data []byte
--- a/internal/fleetstate/membership/rejoin.go
+++ b/internal/fleetstate/membership/rejoin.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// maxFailedPeers bounds the table of failed peers; further ones are found by the seeds alone.
+// maxFailedPeers limits the table of failed peers. Peers that do not fit are rejoined only through the seeds.
 const maxFailedPeers = 1024
 
-// failedPeer is a peer that was live and failed, without having left.
+// failedPeer is a peer that was live and then failed without having left.
 type failedPeer struct {
 	addr     string
 	failedAt time.Time
 }
 
-// join tries to reach peers by their addresses.
+// join contacts peers at the given addresses.
 func (m *Member) join(addrs []string) {
 	if len(addrs) == 0 {
 		return
@@ -27,10 +27,10 @@
 	m.counters.rejoined.Add(1)
 }
 
-// rejoinAddr returns the address of a failed peer or of a seed that isn't a live peer, drawn at random; empty where there is none.
+// rejoinAddr returns the address of a random failed peer or seed that is not live; empty if there is none.
 //
-// It guards against a partition that outlasts memberlist's patience: each side takes the other for dead and probes it no more, so
-// that the fleet would stay split after the network has recovered.
+// It covers a network partition that lasts longer than memberlist keeps probing. Each side then considers the other dead and no longer
+// probes it, so the fleet would stay split after the network has recovered.
 func (m *Member) rejoinAddr() string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/fleetstate/membership/stats.go
+++ b/internal/fleetstate/membership/stats.go
@@ -2,17 +2,17 @@
 
 import "sync/atomic"
 
-// Stats are counts of what a Member has done, for metrics. All but Peers and HealthScore only grow.
+// Stats are counts of the operations of a Member, for metrics. All but Peers and HealthScore never decrease.
 type Stats struct {
 	Peers       int   `json:"peers"`    // live at present
-	Joined      int64 `json:"joined"`   // peers that came, or came back, and the agent itself
+	Joined      int64 `json:"joined"`   // joins and returns of peers, and the agent's own join
 	Departed    int64 `json:"lost"`     // peers that failed or left
-	Rejoined    int64 `json:"rejoined"` // successful joins of seeds or failed peers
+	Rejoined    int64 `json:"rejoined"` // successful joins through seeds or failed peers
 	Malformed   int64 `json:"malformed"`
-	Dropped     int64 `json:"dropped"` // facts not gossiped, as too many waited
+	Dropped     int64 `json:"dropped"` // facts not gossiped because the queue was full
 	BytesSent   int64 `json:"bytes_sent"`
 	PacketsSent int64 `json:"packets_sent"`
-	HealthScore int   `json:"awareness"` // memberlist's: how slow the agent takes itself to be; 0 for not at all
+	HealthScore int   `json:"awareness"` // memberlist's health score: how slow the agent finds itself; 0 is healthy
 }
 
 type counters struct {
--- a/internal/fleetstate/membership/transport.go
+++ b/internal/fleetstate/membership/transport.go
@@ -11,18 +11,18 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// transport is memberlist's transport on sockets with two additions: it counts what is sent, and its streams leave from the address that
-// packets leave from, so that peers and relays see one address of an agent.
+// transport is memberlist's network transport with two additions. It counts what is sent, and it opens streams from the IP address from
+// which packets are sent, so that peers and relays see a single address for an agent.
 type transport struct {
 	*memberlist.NetTransport
 	ip           net.IP
 	bytesSent    atomic.Int64
 	packetsSent  atomic.Int64
-	streams      context.Context // its end closes the streams that this agent opened
+	streams      context.Context // when it ends, the streams that this agent opened are closed
 	closeStreams context.CancelFunc
 }
 
-// listen binds packets and streams to one port; 0 for any free one.
+// listen opens the sockets for packets and streams on one port; 0 selects a free one.
 func listen(host string, port int, logger *log.Logger) (*transport, error) {
 	sockets, err := memberlist.NewNetTransport(&memberlist.NetTransportConfig{BindAddrs: []string{host}, BindPort: port, Logger: logger})
 	if err != nil {
@@ -53,7 +53,7 @@
 	return t.DialAddressTimeout(memberlist.Address{Addr: addr}, timeout)
 }
 
-// DialAddressTimeout opens a stream, which is closed when the transport's streams are.
+// DialAddressTimeout opens a stream. The stream is closed when the streams context of the transport ends.
 func (t *transport) DialAddressTimeout(addr memberlist.Address, timeout time.Duration) (net.Conn, error) {
 	dialer := net.Dialer{Timeout: timeout}
 	if !t.ip.IsUnspecified() {
@@ -63,8 +63,8 @@
 	if err != nil {
 		return nil, err
 	}
-	unwatch := context.AfterFunc(t.streams, func() { conn.Close() })
-	return stream{conn, &t.bytesSent, unwatch}, nil
+	stopWatching := context.AfterFunc(t.streams, func() { conn.Close() })
+	return stream{conn, &t.bytesSent, stopWatching}, nil
 }
 
 // Shutdown closes the listeners and the streams that this agent opened.
@@ -73,20 +73,20 @@
 	return t.NetTransport.Shutdown()
 }
 
-// stream is a connection that counts what is sent on it.
+// stream is a connection that counts the bytes sent on it.
 type stream struct {
 	net.Conn
-	bytesSent *atomic.Int64
-	unwatch   func() bool // stops waiting for the end of the transport's streams
+	bytesSent    *atomic.Int64
+	stopWatching func() bool // stops waiting for the end of the streams context
 }
 
 // Close closes the connection.
 func (s stream) Close() error {
-	s.unwatch()
+	s.stopWatching()
 	return s.Conn.Close()
 }
 
-// Write sends bytes.
+// Write sends bytes and counts them.
 func (s stream) Write(data []byte) (int, error) {
 	n, err := s.Conn.Write(data)
 	s.bytesSent.Add(int64(n))
--- a/internal/fleetstate/overlay.go
+++ b/internal/fleetstate/overlay.go
@@ -5,30 +5,30 @@
 	"time"
 )
 
-// maxDrainedFraction is the part of the ready endpoints that peers may drain at a time.
+// maxDrainedFraction is the fraction of the ready endpoints that peers may drain at the same time.
 const maxDrainedFraction = 0.5
 
-// DrainOverlay decides which endpoints that the agent's own list has as ready get no new requests, as peers were notified that
-// they are draining or removed.
+// DrainOverlay decides which endpoints that are ready in the agent's own list get no new requests because peers report them as draining
+// or removed.
 //
-// Peers go before the own list for a limited time. A list that has an endpoint as ready long after that was right and the peers were
-// wrong, and their notices of that incarnation no longer count while it stays listed as ready.
+// Peers override the own list for a limited time. If the list still has the endpoint as ready after that, the list is taken to be right
+// and the peers to be wrong: their notices of that incarnation are ignored for as long as it stays listed as ready.
 //
-// It guards against peers that are wrong together: they never drain more than maxDrainedFraction of the ready endpoints. More than
-// that at once is no release, and all requests would go to what is left.
+// The overlay also guards against several peers that are wrong in the same way. If their notices cover more than maxDrainedFraction of
+// the ready endpoints, none are drained: no rollout replaces that many at once, and the remaining endpoints would get all requests.
 type DrainOverlay struct {
-	trustFor    time.Duration
-	firstNotice map[Incarnation]time.Time // when peers first had a ready incarnation as ending
-	drained     map[Incarnation]bool      // as of the last Update
+	trustDuration time.Duration
+	firstNotice   map[Incarnation]time.Time // when a ready incarnation was first reported as draining or removed
+	drained       map[Incarnation]bool      // as of the last Update
 }
 
-// NewDrainOverlay returns an overlay that trusts peers against the own list for a duration.
-func NewDrainOverlay(trustFor time.Duration) *DrainOverlay {
-	return &DrainOverlay{trustFor: trustFor, firstNotice: map[Incarnation]time.Time{}, drained: map[Incarnation]bool{}}
+// NewDrainOverlay returns an overlay that lets peers override the own list for the given duration.
+func NewDrainOverlay(trustDuration time.Duration) *DrainOverlay {
+	return &DrainOverlay{trustDuration: trustDuration, firstNotice: map[Incarnation]time.Time{}, drained: map[Incarnation]bool{}}
 }
 
-// Update takes the incarnations that the own list has as ready and the confirmed notices. It returns which of the former are to be
-// drained, and whether that has changed since the last call.
+// Update takes the incarnations that are ready in the own list and the confirmed notices. It returns the ready incarnations to drain, and
+// whether these differ from those of the last call.
 func (o *DrainOverlay) Update(now time.Time, ready map[Incarnation]bool, notices map[Incarnation]int64) (drained map[Incarnation]bool, changed bool) {
 	for incarnation := range o.firstNotice {
 		if !ready[incarnation] {
@@ -49,14 +49,14 @@
 	return drained, changed
 }
 
-// trusted reports whether peers' notice of a ready incarnation is recent enough to go before the own list, and notes when it first
-// came.
+// trusted reports whether peers' notice of a ready incarnation is recent enough to override the own list. It records the time of the
+// first notice.
 func (o *DrainOverlay) trusted(now time.Time, incarnation Incarnation) bool {
 	if _, known := o.firstNotice[incarnation]; !known {
 		o.firstNotice[incarnation] = now
 	}
-	return now.Sub(o.firstNotice[incarnation]) < o.trustFor
+	return now.Sub(o.firstNotice[incarnation]) < o.trustDuration
 }
 
-// Drained reports whether an incarnation was to be drained at the last Update.
+// Drained reports whether the last Update returned the incarnation as one to drain.
 func (o *DrainOverlay) Drained(incarnation Incarnation) bool { return o.drained[incarnation] }
--- a/internal/fleetstate/replica.go
+++ b/internal/fleetstate/replica.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// Limits bound a replica. The zero value isn't valid: see DefaultLimits.
+// Limits bound a replica. The zero value is not valid: see DefaultLimits.
 type Limits struct {
 	MaxSuspicions          int // of all origins
-	MaxNotices             int // of all incarnations, of which each has at most two
+	MaxNotices             int // of all incarnations, each of which has at most two
 	MaxSuspicionsPerOrigin int
-	SuspicionTTL           time.Duration // from the timestamp on
-	NoticeTTL              time.Duration // from the timestamp on
-	MaxNameBytes           int           // of an endpoint's or an agent's name
+	SuspicionTTL           time.Duration // counted from the timestamp
+	NoticeTTL              time.Duration // counted from the timestamp
+	MaxNameBytes           int           // of the name of an endpoint or an agent
 }
 
 // DefaultLimits returns limits for fleets of hundreds of agents and endpoints.
@@ -27,14 +27,14 @@
 	}
 }
 
-// Stats count what a replica has done, for metrics. All but Facts only grow.
+// Stats count the operations of a replica, for metrics. All but Facts never decrease.
 type Stats struct {
-	Facts    int   `json:"held"`    // at present
-	Accepted int64 `json:"fresh"`   // said something new
-	Stale    int64 `json:"stale"`   // said nothing new
-	Expired  int64 `json:"expired"` // dropped or not accepted as their lifetime was over
-	Rejected int64 `json:"refused"` // malformed, stamped too far ahead, or one too many of an origin
-	Evicted  int64 `json:"evicted"` // dropped for newer ones as the replica was full
+	Facts    int   `json:"held"`    // facts held at present
+	Accepted int64 `json:"fresh"`   // facts that were new or greater than the copy held
+	Stale    int64 `json:"stale"`   // facts that were no greater than the copies held
+	Expired  int64 `json:"expired"` // facts dropped or not accepted because their lifetime had ended
+	Rejected int64 `json:"refused"` // facts that were malformed, timestamped too far ahead, or over the limit of their origin
+	Evicted  int64 `json:"evicted"` // facts dropped for newer ones because the replica was full
 }
 
 // Replica is one agent's copy of the fleet's facts.
@@ -47,7 +47,7 @@
 	// Indexes of facts.
 	countByKind        [Notice + 1]int
 	suspicionsByOrigin map[string]int
-	noticesOf          map[Incarnation][]Fact // greatest first, at most confirmations
+	noticesOf          map[Incarnation][]Fact // greatest first, at most requiredConfirmations
 }
 
 // NewReplica returns an empty replica.
@@ -60,8 +60,8 @@
 	}
 }
 
-// Put writes a fact of this agent, stamped now, and returns it to be sent to peers; false where there is nothing to send, as the
-// replica says as much already or is full.
+// Put writes a fact of this agent with the current timestamp and returns it for sending to peers. It returns false if there is nothing to
+// send, because the replica already holds at least as much or its limits leave no room.
 func (r *Replica) Put(now time.Time, key Key, value int64, reporter string) (Fact, bool) {
 	fact := Fact{Key: key, Value: value, Reporter: reporter}
 	if key.Kind == Notice && (r.facts[key].Value >= value || r.NoticeState(key.incarnation()) >= value) {
@@ -71,8 +71,8 @@
 	return fact, r.accept(now, fact)
 }
 
-// Merge takes in facts from peers and returns those that said something new, to be sent on. Sending on only these ends the gossip
-// of a fact once all have it.
+// Merge adds facts from peers and returns those that were new, to be forwarded. Forwarding only new facts ends the gossip of a fact once
+// all agents have it.
 func (r *Replica) Merge(now time.Time, facts []Fact) (accepted []Fact) {
 	for _, fact := range facts {
 		if !fact.valid(r.limits.MaxNameBytes) || !r.clock.Observe(now, fact.Timestamp) {
@@ -86,8 +86,8 @@
 	return accepted
 }
 
-// accept stores a fact if it is greater than the copy that is there, and reports whether that is new to peers. A notice that only says who else
-// was notified of a confirmed state, or earlier, changes nothing and isn't.
+// accept stores a fact if it is greater than the copy held. It reports whether the change must be sent to peers: a notice that only adds
+// another origin or an earlier time to a confirmed state need not be.
 func (r *Replica) accept(now time.Time, fact Fact) (changed bool) {
 	confirmed := r.NoticeState(fact.incarnation())
 	if r.expired(now, fact) {
@@ -118,7 +118,7 @@
 	return !now.Before(fact.Timestamp.Time().Add(r.lifetime(fact.Kind)))
 }
 
-// stale reports whether a fact is no greater than what stays instead of it.
+// stale reports whether a fact is no greater than the fact that the replica holds in its place.
 func (r *Replica) stale(fact Fact) bool {
 	if old, known := r.facts[fact.Key]; known {
 		return compare(fact, old) <= 0
@@ -127,11 +127,12 @@
 		return false
 	}
 	notices := r.noticesOf[fact.incarnation()]
-	return len(notices) == confirmations && compare(fact, notices[confirmations-1]) <= 0
+	return len(notices) == requiredConfirmations && compare(fact, notices[requiredConfirmations-1]) <= 0
 }
 
-// makeRoom drops the fact that gives way to a new one: its older copy, the least of two notices, or the oldest of a kind that is full. It reports
-// false where the origin has as many suspicions as it may: a flood of one origin must not drive out those of others.
+// makeRoom drops the fact that a new one replaces: its older copy, the lesser of two notices, or the oldest of its kind if the kind is
+// full. It returns false if the origin has reached its limit of suspicions, so that a flood from one origin cannot evict the facts of
+// others.
 func (r *Replica) makeRoom(fact Fact) bool {
 	old, known := r.facts[fact.Key]
 	notices := r.noticesOf[fact.incarnation()]
@@ -140,15 +141,15 @@
 		r.remove(old)
 	case fact.Kind == Suspicion && r.suspicionsByOrigin[fact.Origin] >= r.limits.MaxSuspicionsPerOrigin:
 		return false
-	case fact.Kind == Notice && len(notices) == confirmations:
-		r.remove(notices[confirmations-1])
+	case fact.Kind == Notice && len(notices) == requiredConfirmations:
+		r.remove(notices[requiredConfirmations-1])
 	default:
 		r.evictOldest(fact.Kind)
 	}
 	return true
 }
 
-// evictOldest drops the oldest fact of a kind that is full.
+// evictOldest drops the oldest fact of a kind if the kind is full.
 func (r *Replica) evictOldest(kind Kind) {
 	limit := r.limits.MaxSuspicions
 	if kind == Notice {
@@ -201,7 +202,7 @@
 	}
 }
 
-// Expire drops the facts whose lifetime is over.
+// Expire drops the facts whose lifetime has ended.
 func (r *Replica) Expire(now time.Time) {
 	for _, fact := range r.facts {
 		if r.expired(now, fact) {
--- a/internal/fleetstate/replica_test.go
+++ b/internal/fleetstate/replica_test.go
@@ -11,7 +11,7 @@
 
 var epoch = time.UnixMilli(1_800_000_000_000)
 
-// someFact draws a well-formed fact of few keys, so that copies differ often.
+// someFact draws a well-formed fact. It has few possible keys, so that copies of the same fact often differ.
 func someFact() *rapid.Generator[Fact] {
 	return rapid.Custom(func(t *rapid.T) Fact {
 		f := Fact{Key: Key{Server: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "server"), Started: rapid.Int64Range(0, 1).Draw(t, "life")},
@@ -27,7 +27,7 @@
 	})
 }
 
-// merged returns the facts of a new replica after merges of sets, one after the other.
+// merged returns the facts of a new replica after merging the sets one after the other.
 func merged(sets ...[]Fact) []Fact {
 	replica := NewReplica(DefaultLimits())
 	for _, set := range sets {
@@ -36,7 +36,7 @@
 	return replica.Facts()
 }
 
-// Facts come in any order and any number of times. Merging is a join, so that the result is the same.
+// Facts arrive in any order and any number of times. Merging must be a join, so that the result is always the same.
 func TestMergeIsCommutativeAssociativeAndIdempotent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		sets := rapid.SliceOfN(rapid.SliceOfN(someFact(), 0, 12), 3, 3).Draw(t, "sets")
@@ -53,8 +53,8 @@
 	})
 }
 
-// Replicas write, and deltas come in any order, twice, or never. Once each has merged the others' whole state in some order,
-// all are equal.
+// Replicas write facts, and the deltas arrive in any order, twice or never. Once each replica has merged the whole state of the others, in
+// any order, all must be equal.
 func TestReplicasConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 4).Draw(t, "replicas")
@@ -83,7 +83,7 @@
 				sent = append(sent, f)
 			}
 		}
-		for range 2 { // push and pull along a ring, twice around
+		for range 2 { // push/pull exchanges along a ring, twice around
 			for _, i := range rapid.Permutation([]int{0, 1, 2, 3}[:n]).Draw(t, "order") {
 				j := (i + 1) % n
 				replicas[j].Merge(now, replicas[i].Facts())
@@ -103,15 +103,15 @@
 	})
 }
 
-// A suspicion is withdrawn, and an older copy comes late. It does not bring the suspicion back; nor does a fact whose lifetime is
-// over.
+// A suspicion is withdrawn, and an older copy of it arrives late. The copy must not restore the suspicion, and a fact whose lifetime has
+// ended must not be accepted either.
 func TestWithdrawnSuspicionStaysWithdrawnUntilItExpires(t *testing.T) {
 	replica := NewReplica(DefaultLimits())
 	key := Key{Kind: Suspicion, Server: "a", Origin: "x"}
 	first, _ := replica.Put(epoch, key, 2, "x")
 	replica.Put(epoch.Add(time.Second), key, 0, "x")
 	if fresh := replica.Merge(epoch.Add(2*time.Second), []Fact{first}); len(fresh) > 0 {
-		t.Errorf("an older copy came back: %v", fresh)
+		t.Errorf("an older copy restored the suspicion: %v", fresh)
 	}
 	late := epoch.Add(time.Second + DefaultLimits().SuspicionTTL)
 	replica.Expire(late)
@@ -119,16 +119,16 @@
 		t.Errorf("%+v", f)
 	}
 	if fresh := replica.Merge(late, []Fact{first}); len(fresh) > 0 {
-		t.Errorf("accepted after its lifetime: %v", fresh)
+		t.Errorf("accepted after the end of its lifetime: %v", fresh)
 	}
 }
 
-// A peer sends what is malformed, stamped far ahead or in another's name, and floods the replica. The former is rejected and counted,
-// the latter bounded for each origin; a full replica drops its oldest.
+// A peer sends facts that are malformed, have a timestamp far ahead or carry another agent's name, and it floods the replica. The former
+// must be rejected and counted, and the number of suspicions of each origin must be limited. A full replica must drop its oldest facts.
 func TestReplicaRejectsBadFactsAndBoundsTheRest(t *testing.T) {
-	set := DefaultLimits()
-	set.MaxSuspicions, set.MaxSuspicionsPerOrigin, set.MaxNotices = 6, 4, 2
-	replica := NewReplica(set)
+	limits := DefaultLimits()
+	limits.MaxSuspicions, limits.MaxSuspicionsPerOrigin, limits.MaxNotices = 6, 4, 2
+	replica := NewReplica(limits)
 	at := timestampOf(epoch)
 	bad := []Fact{{}, {Key: Key{Kind: 9, Server: "a"}, Timestamp: at}, {Key: Key{Kind: Suspicion, Server: "a", Origin: "x"}, Reporter: "y", Timestamp: at},
 		{Key: Key{Kind: Notice, Server: "a", Origin: "x"}, Value: 7, Reporter: "x", Timestamp: at}, {Key: Key{Kind: Notice, Server: "", Origin: "x"}, Value: Removed, Reporter: "x", Timestamp: at},
@@ -136,9 +136,9 @@
 	if fresh := replica.Merge(epoch, bad); len(fresh) > 0 || replica.Stats().Rejected != int64(len(bad)) {
 		t.Errorf("%v %+v", fresh, replica.Stats())
 	}
-	flood := func(who string, n int) {
+	flood := func(origin string, n int) {
 		for i := range n {
-			replica.Merge(epoch, []Fact{{Key: Key{Kind: Suspicion, Server: fmt.Sprint("s", i), Origin: who}, Value: 1, Reporter: who, Timestamp: at + Timestamp(i)}})
+			replica.Merge(epoch, []Fact{{Key: Key{Kind: Suspicion, Server: fmt.Sprint("s", i), Origin: origin}, Value: 1, Reporter: origin, Timestamp: at + Timestamp(i)}})
 		}
 	}
 	flood("x", 10)
--- a/internal/fleetstate/reporter.go
+++ b/internal/fleetstate/reporter.go
@@ -4,11 +4,11 @@
 
 // FailureReporter counts an agent's own failed attempts and decides which suspicions to send to peers.
 //
-// Rule: an incarnation is reported by its failures in a row, up to maxSuspicionWeight, when that number changes, and again when the report has expired
-// while attempts go on to fail. A success withdraws the report.
+// An incarnation is reported with its number of consecutive failures, up to maxSuspicionWeight, when that number changes, and again if
+// attempts still fail after the report has expired. A success withdraws the report.
 //
-// An agent whose attempts fail at more than maxSuspectedFraction of its endpoints suspects itself: its own network is likelier to be
-// cut than most of the endpoints to fail. It reports none and withdraws what it has reported.
+// An agent whose attempts fail at more than maxSuspectedFraction of its endpoints suspects itself, because a fault of its own network is
+// likelier than a failure of most endpoints. It reports none and withdraws what it has reported.
 type FailureReporter struct {
 	WithheldScans int64 // calls of Reports in which the agent suspected itself
 
@@ -16,22 +16,22 @@
 	incarnations    map[Incarnation]*failures
 }
 
-// failures are those of one incarnation.
+// failures counts the failed attempts on one incarnation.
 type failures struct {
 	consecutive  int64
-	scanned      int64     // consecutive, at the last scan
-	changedAt    time.Time // scan at which consecutive had last changed
-	reported     int64     // last reported; 0 for none or withdrawn
+	lastScanned  int64     // value of consecutive at the last scan
+	changedAt    time.Time // time of the scan that last found consecutive changed
+	reported     int64     // value of the last report; 0 if none, withdrawn or expired
 	lastReportAt time.Time
 }
 
-// FailureReport is a suspicion to be sent.
+// FailureReport is a suspicion to send.
 type FailureReport struct {
 	Incarnation
-	Failures int64 // in a row, up to maxSuspicionWeight; 0 withdraws
+	Failures int64 // consecutive, up to maxSuspicionWeight; 0 withdraws the suspicion
 }
 
-// NewFailureReporter returns a reporter that counts a number of incarnations at most. Further ones are ignored until others are dropped.
+// NewFailureReporter returns a reporter that counts up to maxIncarnations incarnations. Others are ignored until one of these is dropped.
 func NewFailureReporter(maxIncarnations int) *FailureReporter {
 	return &FailureReporter{maxIncarnations: maxIncarnations, incarnations: map[Incarnation]*failures{}}
 }
@@ -49,8 +49,8 @@
 	}
 }
 
-// Reports scans the counts and returns what is to be sent now, where so many endpoints are known. lifetime is how long a suspicion
-// lives at peers. An incarnation is forgotten once its report is withdrawn or its count hasn't changed for a lifetime.
+// Reports scans the counts and returns the reports to send now. endpoints is the number of known endpoints, and lifetime is how long a
+// suspicion lives at peers. An incarnation is dropped once an attempt has succeeded or its count has not changed for a lifetime.
 func (r *FailureReporter) Reports(now time.Time, endpoints int, lifetime time.Duration) (reports []FailureReport) {
 	selfSuspected := suspectsTooMany(r.scan(now, lifetime), endpoints)
 	if selfSuspected {
@@ -72,11 +72,11 @@
 	return reports
 }
 
-// scan notes which counts have changed, drops those that haven't for a lifetime, and returns how many incarnations are suspected.
+// scan records which counts have changed, drops those that have not for a lifetime, and returns the number of suspected incarnations.
 func (r *FailureReporter) scan(now time.Time, lifetime time.Duration) (suspected int) {
 	for incarnation, failed := range r.incarnations {
-		if failed.consecutive != failed.scanned {
-			failed.scanned, failed.changedAt = failed.consecutive, now
+		if failed.consecutive != failed.lastScanned {
+			failed.lastScanned, failed.changedAt = failed.consecutive, now
 		}
 		if now.Sub(failed.lastReportAt) >= lifetime {
 			failed.reported = 0 // it has expired at all peers
@@ -90,7 +90,7 @@
 	return suspected
 }
 
-// LastReported returns the failures last reported of an incarnation; 0 for none.
+// LastReported returns the number of failures last reported for an incarnation; 0 for none.
 func (r *FailureReporter) LastReported(incarnation Incarnation) int64 {
 	if failed, known := r.incarnations[incarnation]; known {
 		return failed.reported
--- a/internal/fleetstate/reporter_test.go
+++ b/internal/fleetstate/reporter_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Failures are reported when their number changes, withdrawn after a success, and reported again when they go on after the lifetime of
-// the report.
-func TestFailuresAreReportedOnChangeAndAfterExpiry(t *testing.T) {
+// Failures must be reported when their number changes, withdrawn after a success, and dropped once they have not changed for a lifetime.
+// The number of incarnations must stay within its limit.
+func TestFailuresAreReportedOnChangeAndDroppedWhenOld(t *testing.T) {
 	reporter, incarnation, lifetime := NewFailureReporter(2), Incarnation{"a", 1}, 5*time.Second
 	reports := func(at time.Duration) []FailureReport { return reporter.Reports(epoch.Add(at), 10, lifetime) }
 	reporter.AttemptEnded(incarnation, false)
@@ -21,7 +21,7 @@
 		t.Errorf("%v", x)
 	}
 	if x := reports(2 * time.Second); len(x) != 0 {
-		t.Errorf("reported again: %v", x)
+		t.Errorf("reported again without a change: %v", x)
 	}
 	reporter.AttemptEnded(incarnation, true)
 	if x := reports(3 * time.Second); len(x) != 1 || x[0].Failures != 0 {
@@ -31,15 +31,15 @@
 		reporter.AttemptEnded(Incarnation{server, 1}, false)
 	}
 	if x := reports(4 * time.Second); len(x) != 2 {
-		t.Errorf("bound of two incarnations: %v", x)
+		t.Errorf("reports for more or fewer than the limit of two incarnations: %v", x)
 	}
 	if reports(20 * time.Second); len(reporter.incarnations) != 0 {
-		t.Errorf("old failures stay: %v", reporter.incarnations)
+		t.Errorf("old failures are not dropped: %v", reporter.incarnations)
 	}
 }
 
-// An agent whose attempts fail at most of its endpoints is cut off itself. It withdraws what it has reported, stays silent while attempts
-// fail everywhere, and reports again when few fail.
+// An agent whose attempts fail at most of its endpoints is probably cut off itself. It must withdraw what it has reported, report nothing
+// while attempts fail at most endpoints, and report again when they fail at few.
 func TestAgentThatSuspectsMostReportsNone(t *testing.T) {
 	reporter, lifetime := NewFailureReporter(100), 5*time.Second
 	scan := func(at time.Duration, failing ...string) (reported map[string]int64) {
@@ -54,19 +54,19 @@
 		return reported
 	}
 	if x := scan(0, "a", "b"); x["a"] != maxSuspicionWeight || x["b"] != maxSuspicionWeight {
-		t.Errorf("of two of four it reports %v", x)
+		t.Errorf("with two of four endpoints failing it reports %v", x)
 	}
 	if x := scan(time.Second, "c"); len(x) != 2 || x["a"] != 0 || x["b"] != 0 || reporter.LastReported(Incarnation{"a", 1}) != 0 {
-		t.Errorf("of three of four it reports %v", x)
+		t.Errorf("with three of four endpoints failing it reports %v", x)
 	}
 	for at := 2 * time.Second; at < 20*time.Second; at += time.Second {
 		if x := scan(at, "a", "b", "c"); len(x) != 0 {
-			t.Fatalf("cut off for %v it reports %v", at, x)
+			t.Fatalf("with three of four endpoints failing, at %v, it reports %v", at, x)
 		}
 	}
 	reporter.AttemptEnded(Incarnation{"a", 1}, true)
 	reporter.AttemptEnded(Incarnation{"b", 1}, true)
 	if x := scan(20 * time.Second); len(x) != 1 || x["c"] != maxSuspicionWeight {
-		t.Errorf("when two have recovered it reports %v", x)
+		t.Errorf("after two endpoints have recovered it reports %v", x)
 	}
 }
--- a/internal/fleetstate/suspicion.go
+++ b/internal/fleetstate/suspicion.go
@@ -3,20 +3,20 @@
 import "time"
 
 const (
-	// maxSuspicionWeight bounds what one agent's suspicion counts for, in failed attempts.
+	// maxSuspicionWeight limits the weight of one agent's suspicion, in failed attempts.
 	maxSuspicionWeight = 2
-	// suspicionThreshold is the sum of weights from which on an incarnation is suspected: two agents at the least.
+	// suspicionThreshold is the sum of weights at which an incarnation is suspected. It takes at least two agents.
 	suspicionThreshold = 3
-	// maxSuspectedFraction is the part of the endpoints that an agent may suspect. One that suspects more is more likely cut off
+	// maxSuspectedFraction is the fraction of the endpoints that an agent may suspect. An agent that suspects more is probably cut off
 	// itself.
 	maxSuspectedFraction = 0.5
 )
 
-// Suspected returns the incarnations that the agents of the fleet suspect together, by the suspicions of live agents, where so many
-// endpoints are known.
+// Suspected returns the incarnations that enough live agents suspect. endpoints is the number of known endpoints.
 //
-// An agent that isn't a live member has no say, nor has one that suspects more than maxSuspectedFraction of the endpoints. Both guard against
-// ejecting healthy endpoints: by facts written under made-up names, and by an agent whose own network is cut.
+// Suspicions are ignored if their origin is not a live member, or if it suspects more than maxSuspectedFraction of the endpoints. The
+// former prevents the ejection of healthy endpoints by facts written under invented names, the latter by an agent whose own network is
+// cut off.
 func (r *Replica) Suspected(now time.Time, live map[string]bool, endpoints int) map[Incarnation]bool {
 	weights := map[Incarnation]int64{}
 	for _, suspicions := range r.activeSuspicions(now, live) {
