--- a/internal/front/http/exchange.go
+++ b/internal/front/http/exchange.go
@@ -76,7 +76,7 @@
 func (x *exchange) received() time.Duration {
 	if x.receipt.receive() {
 		x.server.Metrics.RequestReceived()
-		x.server.Events.Record(event.Event{Kind: event.RequestRead, Request: x.call.ID, Connection: connlimit.ConnectionNumber(x.ctx)})
+		x.server.Events.Record(event.Event{Kind: event.RequestRead, Request: x.call.ID, Connection: connlimit.ConnectionID(x.ctx)})
 	}
 	return x.server.Clock.Now()
 }
@@ -109,7 +109,7 @@
 // shed rejects the request as too many are in flight. No attempt has been made, so the rejection's promise holds: nothing ran.
 func (x *exchange) shed() {
 	x.releaseBody()
-	x.answer(core.Answer{Verdict: core.Rejected, Reason: event.TooManyOpen, RetryAfter: overLimitRetryAfter})
+	x.answer(core.Answer{Kind: core.Rejected, Reason: event.TooManyOpen, RetryAfter: overLimitRetryAfter})
 }
 
 // submit hands the call to the core, and the body's buffers with it: attempts may use them for longer than the client waits.
@@ -171,6 +171,6 @@
 		Kind:       event.RequestAbandoned,
 		Reason:     reason,
 		Request:    x.call.ID,
-		Connection: connlimit.ConnectionNumber(x.ctx),
+		Connection: connlimit.ConnectionID(x.ctx),
 	})
 }
--- a/internal/front/http/stream.go
+++ b/internal/front/http/stream.go
@@ -36,7 +36,7 @@
 	if _, err := content.Pipe.WriteTo(out); err != nil {
 		if !out.headWritten && x.ctx.Err() == nil {
 			x.writer.Header().Del("Content-Length")
-			x.answer(core.Answer{Verdict: core.Failed, Reason: event.AnswerTruncated})
+			x.answer(core.Answer{Kind: core.Failed, Reason: event.AnswerTruncated})
 			return
 		}
 		x.abortAnswer(err)
@@ -67,10 +67,10 @@
 		Kind:       event.RequestAbandoned,
 		Reason:     event.AnswerTruncated,
 		Request:    x.call.ID,
-		Connection: connlimit.ConnectionNumber(x.ctx),
+		Connection: connlimit.ConnectionID(x.ctx),
 		Detail:     err.Error(),
 	})
-	connlimit.AnswerAborted(x.ctx)
+	connlimit.MarkAnswerAborted(x.ctx)
 	if x.http10 { // which would take a plain close for the answer's end
 		framing.ResetOnClose(x.ctx)
 	}
