--- a/internal/budget/budget.go
+++ b/internal/budget/budget.go
@@ -17,7 +17,7 @@
 	retries      tokenBucket
 	healthChecks tokenBucket
 
-	selfFraction    float64 // factor on the own rate for overload of the agent itself: minSelfFraction to 1
+	selfFraction    float64 // factor on the controller's rate for overload of the agent itself: minSelfFraction to 1
 	latencyFraction float64 // factor on the allowed rate for late answers: minLatencyFraction to 1
 
 	stats Stats
@@ -45,7 +45,7 @@
 	SentAt     time.Duration // when the attempt was sent
 }
 
-// AttemptEnded adjusts the own rate by the outcome of an attempt. Retries and hedged requests count as attempts.
+// AttemptEnded adjusts the agent's own rate by the outcome of an attempt. Retries and hedged requests count as attempts.
 func (b *Budget) AttemptEnded(now time.Duration, outcome Outcome) {
 	b.advance(now)
 	if outcome.Overloaded {
--- a/internal/budget/controller_test.go
+++ b/internal/budget/controller_test.go
@@ -29,7 +29,7 @@
 	}
 }
 
-// Demand rises to about twenty times the normal one for 10 s and falls back. Before the surge nothing may be shed; two seconds after its
+// Demand rises to twenty times the normal one for 10 s and falls back. Before the surge nothing may be shed; two seconds after its
 // end each agent must admit nine tenths of its demand again.
 func TestRateRecoversWithinTwoSecondsOfSurge(t *testing.T) {
 	f := newFleet(t, 800, 25, 25, 50, 100, 200)
--- a/internal/budget/doc.go
+++ b/internal/budget/doc.go
@@ -10,10 +10,10 @@
 // [Budget.Admit] is called once for each arriving request, with the priority that a [PriorityOrder] gives it. Four rules apply, each
 // in its own files:
 //
-//   - controller.go: the own rate. An increase/decrease controller, similar to AIMD on the logarithm of the rate, follows the share
-//     of attempts that endpoints reject or that time out. The rate is steady where that share equals the tolerated one.
+//   - controller.go: the agent's own rate. An increase/decrease controller, similar to AIMD on the logarithm of the rate, follows the
+//     share of attempts that endpoints reject or that time out. The rate is steady where that share equals the tolerated one.
 //   - fleet.go: the allowed rate. With a fresh [PeerState] of other agents, the rates of all agents are summed and each agent gets
-//     the share that its demand calls for. Without one, the allowed rate is the own rate.
+//     the share that its demand calls for. Without one, the allowed rate is the agent's own rate.
 //   - selfload.go and latency.go: two factors of at most 1, which lower the rate while the agent itself is overloaded and while
 //     answers exceed their latency objective.
 //   - shedding.go: the order of shedding. The rate is given to demand from the highest priority down; demand that it does not cover
@@ -28,7 +28,7 @@
 //
 // # Feedback
 //
-// [Budget.AttemptEnded] adjusts the own rate after each attempt. The owner calls [Budget.SetSelfOverloaded] and
+// [Budget.AttemptEnded] adjusts the agent's own rate after each attempt. The owner calls [Budget.SetSelfOverloaded] and
 // [Budget.SetLatencyOverload] at intervals. [Budget.UpdatePeers] and [Budget.PeerState] exchange state with the other agents every
 // [GossipInterval].
 package budget
--- a/internal/budget/fleet.go
+++ b/internal/budget/fleet.go
@@ -14,7 +14,7 @@
 	// PeerStateTTL is how long the state of the peers is used after the last update.
 	PeerStateTTL = 3 * time.Second
 
-	// fleetConvergence is the fraction of the way that the own rate moves towards the agent's share of the fleet's rate at each
+	// fleetConvergence is the fraction of the distance to its share of the fleet's rate by which an agent's own rate moves at each
 	// exchange, 0 to 1.
 	fleetConvergence = 0.2
 	// maxFleetDeviation limits how far peers move an agent's rate, as a factor of its own rate.
@@ -103,9 +103,9 @@
 	return sums
 }
 
-// converge moves the own rate towards this agent's share of the fleet's rate, so that the sum of the own rates stays correct when peer
-// state is lost. What one agent gains another loses, so the limit on a move is the same in both directions: with a tighter limit upwards
-// the sum would shrink.
+// converge moves this agent's own rate towards its share of the fleet's rate, so that the sum of the agents' own rates stays
+// correct when peer state is lost. What one agent gains another loses, so the limit on a move is the same in both directions: with a
+// tighter limit upwards the sum would shrink.
 func (b *Budget) converge(now time.Duration) {
 	rate := b.controller.rate
 	share := b.fleetShare(now) / b.selfFraction
@@ -114,14 +114,14 @@
 }
 
 // boundedFleetShare is this agent's share of the fleet's rate, limited to within a factor of maxFleetDeviation of its own rate. The state
-// of peers is out of date by up to the gossip delay: at the onset of a surge each agent would still count the others' demand from before
-// it, and together they would send far too much. The own rate follows the outcomes of attempts and so limits the error.
+// of peers is some time old: at the onset of a surge each agent would still count the others' demand from before it, and together they
+// would send far too much. The agent's own rate follows the outcomes of attempts and so limits the error.
 func (b *Budget) boundedFleetShare(now time.Duration, ownRate float64) float64 {
 	return min(max(b.fleetShare(now), ownRate/maxFleetDeviation), maxFleetDeviation*ownRate)
 }
 
-// fleetShare is this agent's share of the fleet's rate, requests a second: the sum over the priorities of the own demand that the
-// fleet's rate covers. A rate that exceeds the fleet's demand is divided in proportion to demand, so that each agent can admit a burst.
+// fleetShare is this agent's share of the fleet's rate, requests a second: the sum over the priorities of its own demand that the fleet's
+// rate covers. A rate that exceeds the fleet's demand is divided in proportion to demand, so that each agent can admit a burst.
 func (b *Budget) fleetShare(now time.Duration) (share float64) {
 	rate := b.ownRate() + b.fleet.rate
 	ownDemand := 0.0
--- a/internal/budget/settings.go
+++ b/internal/budget/settings.go
@@ -12,7 +12,7 @@
 	// demand is admitted: above 0, below 1.
 	TargetOverloadRatio float64
 	// FairnessGain raises the tolerated share to TargetOverloadRatio * (1 + FairnessGain*ln(1/f)) while a fraction f of the demand
-	// is admitted: from 0 to 10. The logarithm term is limited by maxFairness and maxFairnessWithPeers.
+	// is admitted: from 0 to 10. The term FairnessGain*ln(1/f) is limited by maxFairness or maxFairnessWithPeers.
 	FairnessGain float64
 	// MaxStep is the largest step by which one attempt meeting overload lowers the rate, as an exponent of e: above 0, up to 2.
 	MaxStep float64
--- a/internal/budget/tokens.go
+++ b/internal/budget/tokens.go
@@ -27,9 +27,9 @@
 	minTokenCapacity = 2
 )
 
-// burstCapacity is the capacity for request tokens: minBurst plus BurstWindow of the demand or of the own rate, whichever is less. The
-// limit prevents a burst at the onset of a surge, when all agents at the same moment would spend tokens that accrued from an unused
-// rate.
+// burstCapacity is the capacity for request tokens: minBurst plus BurstWindow of the demand or of the agent's own rate, whichever is
+// less. The limit prevents a burst at the onset of a surge, when all agents at the same moment would spend tokens that accrued from an
+// unused rate.
 func (b *Budget) burstCapacity() float64 {
 	return minBurst + min(b.ownRate(), b.demand.total(b.now))*b.settings.BurstWindow.Seconds()
 }
--- a/internal/fleetstate/overlay.go
+++ b/internal/fleetstate/overlay.go
@@ -11,8 +11,8 @@
 // DrainOverlay decides which endpoints that are ready in the agent's own list get no new requests because peers report them as draining
 // or removed.
 //
-// Peers override the own list for a limited time. If the list still has the endpoint as ready after that, the list is taken to be right
-// and the peers to be wrong: their notices of that incarnation are ignored for as long as it stays listed as ready.
+// Peers override the agent's own list for a limited time. If the list still has the endpoint as ready after that, the list is taken to be
+// right and the peers to be wrong: their notices of that incarnation are ignored for as long as it stays listed as ready.
 //
 // The overlay also guards against several peers that are wrong in the same way. If their notices cover more than maxDrainedFraction of
 // the ready endpoints, none are drained: no rollout replaces that many at once, and the remaining endpoints would get all requests.
@@ -22,13 +22,13 @@
 	drained       map[Incarnation]bool      // as of the last Update
 }
 
-// NewDrainOverlay returns an overlay that lets peers override the own list for the given duration.
+// NewDrainOverlay returns an overlay that lets peers override the agent's own list for the given duration.
 func NewDrainOverlay(trustDuration time.Duration) *DrainOverlay {
 	return &DrainOverlay{trustDuration: trustDuration, firstNotice: map[Incarnation]time.Time{}, drained: map[Incarnation]bool{}}
 }
 
-// Update takes the incarnations that are ready in the own list and the confirmed notices. It returns the ready incarnations to drain, and
-// whether these differ from those of the last call.
+// Update takes the incarnations that are ready in the agent's own list and the confirmed notices. It returns the ready incarnations to
+// drain, and whether these differ from those of the last call.
 func (o *DrainOverlay) Update(now time.Time, ready map[Incarnation]bool, notices map[Incarnation]int64) (drained map[Incarnation]bool, changed bool) {
 	for incarnation := range o.firstNotice {
 		if !ready[incarnation] {
@@ -49,8 +49,8 @@
 	return drained, changed
 }
 
-// trusted reports whether peers' notice of a ready incarnation is recent enough to override the own list. It records the time of the
-// first notice.
+// trusted reports whether peers' notice of a ready incarnation is recent enough to override the agent's own list. It records the time of
+// the first notice.
 func (o *DrainOverlay) trusted(now time.Time, incarnation Incarnation) bool {
 	if _, known := o.firstNotice[incarnation]; !known {
 		o.firstNotice[incarnation] = now
--- a/internal/fleetstate/overlay_test.go
+++ b/internal/fleetstate/overlay_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Peers' notices override the own list only for a limited time, for at most half of the endpoints, and for the incarnation that they
-// name.
+// Peers' notices override the agent's own list only for a limited time, for at most half of the endpoints, and for the incarnation that
+// they name.
 func TestOverlayTrustsPeersForALimitedTime(t *testing.T) {
 	a, b, c := Incarnation{"a", 1}, Incarnation{"b", 1}, Incarnation{"c", 1}
 	ready := map[Incarnation]bool{a: true, b: true, c: true}
@@ -18,7 +18,7 @@
 		t.Errorf("two of three endpoints are drained: %v", drained)
 	}
 	if drained, _ := overlay.Update(epoch.Add(11*time.Second), ready, map[Incarnation]int64{a: Draining}); len(drained) != 0 {
-		t.Errorf("notices override the own list for longer than 10 s: %v", drained)
+		t.Errorf("notices override the agent's own list for longer than 10 s: %v", drained)
 	}
 	delete(ready, a)
 	overlay.Update(epoch.Add(12*time.Second), ready, nil)
