--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -16,8 +16,8 @@
 	Endpoint string        // the endpoint's id
 	Target   any           // the result of Upstream.Bind when the balancer decided on the attempt
 	SentAt   time.Duration // when the balancer decided on the attempt, on the core's clock
-	// WriteDeadline is the latest time to write the first byte. It equals the deadline, or the end of the idempotency window if that
-	// is earlier and a previous attempt of the call may have been executed.
+	// WriteDeadline is the time before which the first byte must be written. It is the deadline, or the end of the idempotency window
+	// if that is earlier and a previous attempt of the call may have been executed.
 	WriteDeadline time.Duration
 
 	deadline  atomic.Int64 // as time.Duration on the core's clock
@@ -119,7 +119,7 @@
 	return a
 }
 
-// writeDeadline returns the latest time at which the next attempt may begin. The balancer checks the idempotency window when it
+// writeDeadline returns the time before which the next attempt must be written. The balancer checks the idempotency window when it
 // decides on an attempt, but dialing may take until after the end of the window. Endpoints would then no longer recognize the
 // attempt as a repetition, and would execute the request again. The upstream therefore checks this deadline when it writes.
 func (c *Call) writeDeadline(deadline time.Duration) time.Duration {
--- a/internal/core/boundary_test.go
+++ b/internal/core/boundary_test.go
@@ -39,6 +39,6 @@
 		c.periodicCheck()
 	}
 	if len(answered.answer) != 0 || !attempt.reported.Load() || c.violations.Unread.Load() != 1 || c.violations.Overdue.Load() != 1 {
-		t.Errorf("%d answers pending, outcome known %v, violations %+v, want 0, true, and one of each kind", len(answered.answer), attempt.reported.Load(), &c.violations)
+		t.Errorf("%d answers pending, outcome known %v, violations %+v, want 0, true, 1 unread and 1 overdue", len(answered.answer), attempt.reported.Load(), &c.violations)
 	}
 }
--- a/internal/core/call.go
+++ b/internal/core/call.go
@@ -13,7 +13,7 @@
 	ID     string // unique among the calls in progress
 	Class  int    // index into logic.Settings.Classes
 	Tenant int    // index into logic.Settings.TenantQuotas; negative if there is none
-	Key    string // key for affinity: requests with the same key prefer the same endpoint; may be empty
+	Key    string // what the request concerns, for affinity: requests with the same key prefer the same endpoint; may be empty
 
 	// Timeout is the time limit for the answer, from the last byte of the message on. The client itself waits longer, by
 	// TimeoutSlack.
@@ -79,7 +79,7 @@
 	}
 }
 
-// AnswerKind is the kind of an answer.
+// AnswerKind says how a call ended for its client.
 type AnswerKind int
 
 // The kinds of answers.
@@ -94,7 +94,7 @@
 type Answer struct {
 	Kind       AnswerKind
 	Reason     event.Reason  // for events and the log
-	Content    Content       // only if Kind is Served; the receiver must consume or discard it
+	Content    Content       // only if Kind is Served; the receiver owns it and must consume or discard it
 	RetryAfter time.Duration // how long the client should wait before it sends the request again; 0 for no advice
 }
 
--- a/internal/core/clock_test.go
+++ b/internal/core/clock_test.go
@@ -17,7 +17,7 @@
 	if clock.FromUnix(1) >= 0 {
 		t.Error("a start before the epoch was not converted to a negative time")
 	}
-	for range 1000 { // the two clocks are read one after the other, so the result is exactly 0 only in some of the runs
+	for range 1000 { // the two clocks are read one after the other, so that their difference is exactly 0 only in some iterations
 		epoch := clock.epoch
 		exact := Clock{epoch: epoch, timeOfDay: func() time.Time { return time.UnixMilli(77).Add(time.Since(epoch)) }}
 		if exact.FromUnix(77) == 0 {
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -40,7 +40,7 @@
 					t.Errorf("answer kind %d, want %d", answer.Kind, c.want)
 				}
 				if answer.Kind == core.Served && answer.Content != lineContent("fine") {
-					t.Errorf("content %q, want \"fine\"", answer.Content)
+					t.Errorf("content %q, want fine", answer.Content)
 				}
 			})
 			if got := endpoints["a"].requests() + endpoints["b"].requests(); got != c.requests {
--- a/internal/core/loop.go
+++ b/internal/core/loop.go
@@ -63,7 +63,7 @@
 func (c *Core) fireTimers() {
 	for len(c.timers) > 0 && c.timers[0].due <= c.clock.Now() {
 		due := heap.Pop(&c.timers).(timer)
-		if !due.periodicCheck {
+		if !due.isPeriodicCheck {
 			c.handleEvent(logic.TimerFired{Token: due.token})
 			continue
 		}
@@ -74,7 +74,7 @@
 
 // schedulePeriodicCheck sets the timer for the next periodic check.
 func (c *Core) schedulePeriodicCheck() {
-	heap.Push(&c.timers, timer{due: c.clock.Now() + periodicCheckInterval, periodicCheck: true})
+	heap.Push(&c.timers, timer{due: c.clock.Now() + periodicCheckInterval, isPeriodicCheck: true})
 }
 
 // handleMessage calls the handler for the type of the message.
--- a/internal/core/timers.go
+++ b/internal/core/timers.go
@@ -4,9 +4,9 @@
 
 // timer is a timer that the balancer requested, or the core's timer for the periodic check.
 type timer struct {
-	due           time.Duration
-	token         uint64 // identifies a timer of the balancer
-	periodicCheck bool
+	due             time.Duration
+	token           uint64 // identifies a timer of the balancer
+	isPeriodicCheck bool
 }
 
 // timers is a min-heap (container/heap) by due time: the next timer is at index 0.
--- a/internal/event/names_test.go
+++ b/internal/event/names_test.go
@@ -44,7 +44,7 @@
 	count := 0
 	for lines := bufio.NewScanner(released); lines.Scan(); count++ {
 		if name := strings.TrimSpace(lines.Text()); !present[name] {
-			t.Errorf("released name %q no longer exists", name)
+			t.Errorf("the released name of %s no longer exists", name)
 		}
 	}
 	if count != 60 {
--- a/internal/invariant/monitor_test.go
+++ b/internal/invariant/monitor_test.go
@@ -58,7 +58,7 @@
 	}
 	var counts map[string]int64
 	if err := json.Unmarshal(data, &counts); err != nil || len(counts) != numRules {
-		t.Fatalf("JSON %s, error %v, want %d rules", data, err, numRules)
+		t.Fatalf("the JSON does not have a count for each rule: %s, %v", data, err)
 	}
 	for _, name := range released {
 		want := int64(0)
--- a/internal/invariant/send.go
+++ b/internal/invariant/send.go
@@ -16,7 +16,7 @@
 // Send describes an attempt whose first byte is about to be written or was just written. Times are on the agent's clock.
 type Send struct {
 	Now                time.Duration
-	WriteDeadline      time.Duration // from then on it is too late to begin
+	WriteDeadline      time.Duration // when it is too late to write the first byte
 	RequestFinished    bool          // the request was answered, or the client has disconnected
 	FinishedAt         time.Duration // valid only if RequestFinished
 	EndpointAcceptsNew bool          // the endpoint may receive new requests, and has not restarted since the attempt was bound to it
