--- a/internal/connlimit/readahead_test.go
+++ b/internal/connlimit/readahead_test.go
@@ -10,13 +10,13 @@
 	"ryeweir/internal/testkit"
 )
 
-// Bytes that came after a request, in any pieces, are read as the next requests: complete and in order.
+// Bytes that follow a request, in pieces of any size, are later read as the next requests: completely and in order.
 func TestReadAheadKeepsPipelinedRequestsInOrder(t *testing.T) {
 	s := newBlockingServer(t)
 	c := dial(t, s.l)
 	in := bufio.NewReader(c)
 	io.WriteString(c, get("/a"))
-	<-s.began
+	<-s.started
 	for _, piece := range []string{get("/b")[:1], get("/b")[1:5], get("/b")[5:] + get("/c")} {
 		io.WriteString(c, piece)
 	}
@@ -24,28 +24,28 @@
 		select {
 		case s.release <- struct{}{}:
 		case <-time.After(testTimeout):
-			t.Fatalf("the request for %s does not wait", want)
+			t.Fatalf("no handler is waiting for the release of the request for %s", want)
 		}
 		wantAnswer(t, in, want)
 		if want == "/c" {
 			break
 		}
-		receive(t, "a request follows "+want, s.began)
+		receive(t, "a request follows "+want, s.started)
 	}
 }
 
-// A client floods the connection after its request. What is read ahead of that is bounded, and the request is answered.
+// A client floods the connection after its request. Only a limited number of bytes is read ahead, and the request is answered.
 func TestReadAheadIsBounded(t *testing.T) {
 	s := newBlockingServer(t)
 	c := dial(t, s.l)
 	io.WriteString(c, get("/a"))
-	<-s.began
+	<-s.started
 	flooding := make(chan struct{})
 	go func() { defer close(flooding); io.CopyN(c, zeros{}, 64*maxReadAhead) }()
-	testkit.Eventually(t, "the bound is reached", func() bool {
+	testkit.Eventually(t, "the read-ahead limit is reached", func() bool {
 		return s.l.anyConn(func(c *Conn) bool {
 			select {
-			case <-c.readAhead.running:
+			case <-c.readAhead.done:
 				return len(c.readAhead.buffered) == maxReadAhead
 			default:
 				return false
