--- a/internal/core/endpoints.go
+++ b/internal/core/endpoints.go
@@ -17,8 +17,8 @@
 	Endpoints []Endpoint
 }
 
-// applyEndpoints applies an endpoint list. The upstream applies it before the balancer, so that no new request goes to a draining
-// endpoint by the time the balancer selects from the new list.
+// applyEndpoints applies an endpoint list to the upstream and then to the balancer. In this order the upstream already refuses new
+// requests to draining endpoints when the balancer selects from the new list.
 func (c *Core) applyEndpoints(list EndpointList) {
 	listed, ready := c.upstream.UpdateEndpoints(list)
 	endpoints := make([]logic.Endpoint, len(list.Endpoints))
--- a/internal/core/upstream.go
+++ b/internal/core/upstream.go
@@ -9,7 +9,8 @@
 // Upstream executes attempts by the protocol that the endpoints speak.
 type Upstream interface {
 	// UpdateEndpoints applies a full endpoint list or a change to it. It returns how many endpoints are listed and how many of
-	// them may receive new requests. After it returns, the others must receive no new request. It must not block.
+	// them may receive new requests. After UpdateEndpoints returns, the other endpoints must not receive new requests.
+	// UpdateEndpoints must not block.
 	UpdateEndpoints(EndpointList) (listed, ready int)
 
 	// Bind returns the current incarnation of an endpoint as an opaque target for an attempt, or nil if there is none. An endpoint
@@ -19,14 +20,14 @@
 
 	// Execute executes the attempt. It must report one outcome with Attempt.Report before Attempt.Deadline. It may continue after
 	// that to receive the rest of a long answer. It must not retry, and must not report that the request was not executed if it
-	// may have been. It returns soon after the context ends.
+	// may have been. Execute returns soon after the context ends.
 	Execute(ctx context.Context, attempt *Attempt)
 }
 
 // HealthChecker executes health checks.
 type HealthChecker interface {
-	// Check checks the health of an endpoint. The target is the incarnation that Upstream.Bind returned. It returns within a timeout
-	// of its own, or soon after the context ends.
+	// Check checks the health of an endpoint. The target is the incarnation that Upstream.Bind returned. Check returns within its own
+	// timeout, or soon after the context ends.
 	Check(ctx context.Context, endpoint string, target any) logic.HealthChecked
 }
 
