--- a/cmd/ryeweir/agent.go
+++ b/cmd/ryeweir/agent.go
@@ -20,42 +20,44 @@
 	"ryeweir/internal/logwriter"
 )
 
-// gcPercent is GOGC where the environment sets none: the heap may grow to five times what is in use before it is swept. The heap is a few
-// MB, and with Go's default of 100 it would be swept hundreds of times a second under load. The memory limit takes precedence.
+// gcPercent is the garbage collector's GOGC value if the environment sets none: the heap may grow to five times the live data before a
+// collection. The heap is a few MB, and with Go's default of 100 there would be hundreds of collections a second under load. The memory
+// limit takes precedence.
 const gcPercent = 400
 
-// heapFraction is the part of the memory limit that the runtime may fill; sockets and files count against the limit too.
+// heapFraction is the fraction of the platform's memory limit that the Go runtime may use. The rest is for the buffers of sockets and
+// files, which count against the limit too.
 const heapFraction = 0.6
 
-func agentCommand(log *logging) *cobra.Command {
+func agentCommand(log *logFlags) *cobra.Command {
 	var operatorFile string
 	var peerOptions peerFlags
 	agentCmd := &cobra.Command{
 		Use:   "agent",
-		Short: "Run the agent; the platform's environment says the rest",
-		Long: "Runs one agent in the foreground. PROXY_CONFIG names its configuration; PROXY_NAME, PROXY_LISTEN,\n" +
-			"PROXY_DISCOVERY and PROXY_CONTROL go before what stands there, and PROXY_ACCEPT_FD names an inherited\n" +
-			"socket for clients. SIGHUP reads the configuration again; SIGTERM drains and ends.",
+		Short: "Run the agent, as configured by the platform's environment variables",
+		Long: "Runs one agent in the foreground. PROXY_CONFIG names its configuration file; PROXY_NAME, PROXY_LISTEN,\n" +
+			"PROXY_DISCOVERY and PROXY_CONTROL override the values in that file, and PROXY_ACCEPT_FD names an inherited\n" +
+			"socket for clients. SIGHUP reloads the configuration; SIGTERM drains the agent and ends it.",
 		Example: "  PROXY_CONFIG=/run/balancer/config.json ryeweir agent --log-format json",
 		Args:    cobra.NoArgs,
 		RunE: func(command *cobra.Command, _ []string) error {
 			return runAgent(command.Context(), log, operatorFile, peerOptions, command.ErrOrStderr())
 		},
 	}
-	agentCmd.Flags().StringVar(&operatorFile, "operator", "", "the operators' file (see deploy/operator.toml); none: the defaults")
-	agentCmd.Flags().StringVar(&peerOptions.bind, "peer-bind", "", "where this agent's peers reach it, in place of peers.bind")
-	agentCmd.Flags().StringVar(&peerOptions.advertise, "peer-advertise", "", "in place of peers.advertise")
-	agentCmd.Flags().StringArrayVar(&peerOptions.seeds, "peer-seed", nil, "in place of peers.seeds; may be repeated")
+	agentCmd.Flags().StringVar(&operatorFile, "operator", "", "path of the operators' file (see deploy/operator.toml); without it the defaults apply")
+	agentCmd.Flags().StringVar(&peerOptions.bind, "peer-bind", "", "address to listen on for peers; overrides peers.bind of the operators' file")
+	agentCmd.Flags().StringVar(&peerOptions.advertise, "peer-advertise", "", "address at which peers reach this agent; overrides peers.advertise of the operators' file")
+	agentCmd.Flags().StringArrayVar(&peerOptions.seeds, "peer-seed", nil, "address of a peer to join at the start; overrides peers.seeds of the operators' file; may be repeated")
 	return agentCmd
 }
 
-// peerFlags are the settings that differ between agents that share one operators' file.
+// peerFlags holds the flags that override the peer settings of the operators' file. They differ between agents that share one file.
 type peerFlags struct {
 	bind, advertise string
 	seeds           []string
 }
 
-// apply puts the flags over the operators' file, and checks the result.
+// apply overrides the settings of the operators' file by the flags that are given, and checks the result.
 func (p peerFlags) apply(file *operator.File) error {
 	if p.bind != "" {
 		file.Peers.Bind = p.bind
@@ -69,7 +71,7 @@
 	return file.Check()
 }
 
-// load reads the operators' file, the defaults where its name is empty, and puts the flags over it.
+// load reads the operators' file and applies the flags to it. An empty name stands for the defaults.
 func (p peerFlags) load(name string) (operator.File, error) {
 	file, err := operator.Load(name)
 	if err != nil {
@@ -78,17 +80,18 @@
 	return file, p.apply(&file)
 }
 
-// runAgent runs an agent until SIGTERM or SIGINT has drained it.
-func runAgent(ctx context.Context, flags *logging, operatorFile string, peers peerFlags, errs io.Writer) error {
-	return runAgentOn(ctx, flags, operatorFile, peers, errs, func(*agent.Environment) {})
+// runAgent runs an agent until it has drained after SIGTERM or SIGINT.
+func runAgent(ctx context.Context, flags *logFlags, operatorFile string, peers peerFlags, stderr io.Writer) error {
+	return runAgentWith(ctx, flags, operatorFile, peers, stderr, func(*agent.Environment) {})
 }
 
-// runAgentOn is runAgent on sockets that change may wrap before the agent starts; the soak injects faults there.
-func runAgentOn(ctx context.Context, flags *logging, operatorFile string, peers peerFlags, errs io.Writer, change func(*agent.Environment)) error {
-	hangups := make(chan os.Signal, 1) // one pending signal is enough: the files are read after it
+// runAgentWith is runAgent with a function that may change the agent's environment before the agent starts. The soak uses it to inject
+// faults.
+func runAgentWith(ctx context.Context, flags *logFlags, operatorFile string, peers peerFlags, stderr io.Writer, change func(*agent.Environment)) error {
+	hangups := make(chan os.Signal, 1) // one pending signal is enough: the files are read only after it is received
 	signal.Notify(hangups, syscall.SIGHUP)
-	signal.Ignore(syscall.SIGPIPE) // from a log whose reader has died
-	lines := logwriter.New(errs)
+	signal.Ignore(syscall.SIGPIPE) // a write to the log raises it when the log's reader has exited
+	lines := logwriter.New(stderr)
 	defer lines.Close()
 	log, err := flags.logger(lines)
 	if err != nil {
@@ -105,15 +108,15 @@
 	limitProcess(config)
 	ctx, stop := signal.NotifyContext(ctx, syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	sockets, err := listen(config)
+	env, err := listen(config)
 	if err != nil {
 		return err
 	}
-	change(&sockets)
-	return agent.Run(ctx, config, operators, reloads(hangups, operatorFile, peers), sockets, log.With("agent", config.Name))
+	change(&env)
+	return agent.Run(ctx, config, operators, reloadConfig(hangups, operatorFile, peers), env, log.With("agent", config.Name))
 }
 
-// limitProcess sets the runtime's limits of processors and memory by the platform's.
+// limitProcess limits the Go runtime to the processors and the memory that the platform grants.
 func limitProcess(config platform.Config) {
 	runtime.GOMAXPROCS(max(1, int(math.Ceil(config.Cores))))
 	memory := heapFraction * float64(config.MemoryMB<<20)
@@ -126,22 +129,22 @@
 	}
 }
 
-// listen opens the sockets of clients and operators.
-func listen(config platform.Config) (sockets agent.Environment, err error) {
-	if sockets.Clients, sockets.Inherited, err = handover.Listen(os.Getenv, config.Listen); err != nil {
-		return sockets, err
+// listen opens the listeners for clients and operators, and returns them as the agent's environment.
+func listen(config platform.Config) (env agent.Environment, err error) {
+	if env.Clients, env.Inherited, err = handover.Listen(os.Getenv, config.Listen); err != nil {
+		return env, err
 	}
 	if config.Control == "" {
-		return sockets, nil
+		return env, nil
 	}
-	if sockets.Control, err = handover.ListenWithRetry(config.Control); err != nil {
-		return sockets, fmt.Errorf("listening for operators: %w", err)
+	if env.Control, err = handover.ListenWithRetry(config.Control); err != nil {
+		return env, fmt.Errorf("listening on the operators' address (control): %w", err)
 	}
-	return sockets, nil
+	return env, nil
 }
 
-// reloads says what SIGHUP reads again: the platform's configuration, and the operators' file where there is one.
-func reloads(hangups <-chan os.Signal, operatorFile string, peers peerFlags) agent.ReloadConfig {
+// reloadConfig returns what the agent reloads on SIGHUP: the platform's configuration, and the operators' file if there is one.
+func reloadConfig(hangups <-chan os.Signal, operatorFile string, peers peerFlags) agent.ReloadConfig {
 	r := agent.ReloadConfig{
 		Signals:      hangups,
 		LoadPlatform: func() (platform.Config, error) { return platform.Reload(os.Getenv) },
--- a/cmd/ryeweir/check.go
+++ b/cmd/ryeweir/check.go
@@ -16,9 +16,9 @@
 func checkCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "check FILE",
-		Short: "Read a configuration and say what is wrong with it, or what it means",
-		Long: "Reads the platform's JSON (FILE ends in .json) or one of this program's TOML files. What is wrong is printed\n" +
-			"with file, line and key, and the exit code is 1.",
+		Short: "Validate a configuration file, and print what it means or what is wrong with it",
+		Long: "Reads the platform's JSON configuration (FILE ends in .json) or one of this program's TOML files. Each mistake is printed\n" +
+			"with file, line and key; the exit code is 1 then.",
 		Example: "  ryeweir check /run/balancer/config.json",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(command *cobra.Command, args []string) error {
@@ -31,7 +31,7 @@
 	}
 }
 
-// check prints what a file means, or returns what is wrong with it.
+// check prints a description of a configuration file, or returns an error that says what is wrong with it.
 func check(out io.Writer, file string) error {
 	data, err := config.Read(file)
 	if err != nil {
@@ -50,7 +50,7 @@
 		if err := config.TOML(file, data, &d); err != nil {
 			return err
 		}
-		fmt.Fprintf(out, "deployment: build %q, run %q, sim %q, %d policy files, %d places of the real agent\n", d.Build, d.Run, d.Sim,
+		fmt.Fprintf(out, "deployment: build %q, run %q, sim %q, %d policy files, %d folders of the real agent\n", d.Build, d.Run, d.Sim,
 			len(d.Policy), len(d.Node))
 		return nil
 	}
@@ -62,7 +62,7 @@
 	return nil
 }
 
-// deployment is the platform's deploy/balancer.toml.
+// deployment is the content of deploy/balancer.toml, which tells the platform how to build and run this program.
 type deployment struct {
 	Build    string   `toml:"build"`
 	Run      string   `toml:"run"`
@@ -72,7 +72,7 @@
 	Packages []string `toml:"packages"`
 }
 
-// Check says what is missing.
+// Check returns an error for each required key that is missing or empty.
 func (d *deployment) Check() error {
 	var all []error
 	for key, value := range map[string]string{"build": d.Build, "run": d.Run, "sim": d.Sim} {
@@ -82,7 +82,7 @@
 	}
 	for key, value := range map[string][]string{"policy": d.Policy, "node": d.Node} {
 		if len(value) == 0 {
-			all = append(all, config.Wrong(key, "names nothing"))
+			all = append(all, config.Wrong(key, "must list at least one entry"))
 		}
 	}
 	return errors.Join(all...)
--- a/cmd/ryeweir/demo.go
+++ b/cmd/ryeweir/demo.go
@@ -26,34 +26,36 @@
 	var file string
 	command := &cobra.Command{
 		Use:   "demo",
-		Short: "Run a world, two agents and callers in one go, and say whether the rules held",
-		Long: "Ten order nodes of two kinds in three zones, discovery, two agents and about 290 requests a second, all on free\n" +
-			"loopback ports. On the way a node turns slow, another fails fast and a third drains. Ctrl-C ends it early. The\n" +
-			"exit code is 1 if a rule broke.",
+		Short: "Run an emulated environment, two agents and callers, and report whether the rules held",
+		Long: "Runs ten order nodes of two kinds in three zones, discovery, two agents and callers that send about 290 requests a\n" +
+			"second, all on free loopback ports. During the run one node becomes slow, another fails fast and a third drains.\n" +
+			"Ctrl-C ends it early. The exit code is 1 if a rule was broken.",
 		Example: "  ryeweir demo --seconds 20 --json figures.json",
 		Args:    cobra.NoArgs,
 		RunE: func(command *cobra.Command, _ []string) error {
 			if seconds < 3 || seconds > 600 {
-				return usage(fmt.Errorf("--seconds must be from 3 to 600, not %d", seconds))
+				return usageError(fmt.Errorf("--seconds is %d, but must be from 3 to 600", seconds))
 			}
 			ctx, stop := interruptible(command.Context())
 			defer stop()
 			return demo(ctx, command.OutOrStdout(), time.Duration(seconds)*time.Second, seed, file)
 		},
 	}
-	command.Flags().IntVar(&seconds, "seconds", 20, "how long callers send")
-	command.Flags().Uint64Var(&seed, "seed", 1, "what is drawn by chance follows from it")
-	command.Flags().StringVar(&file, "json", "", "write the figures to this file")
+	command.Flags().IntVar(&seconds, "seconds", 20, "how long callers send requests, in seconds")
+	command.Flags().Uint64Var(&seed, "seed", 1, "seed of the random draws: arrivals, work and faults")
+	command.Flags().StringVar(&file, "json", "", "also write the figures to this file, as JSON")
 	return command
 }
 
-// interruptible is a context that Ctrl-C and SIGTERM end; a second Ctrl-C kills the program.
+// interruptible returns a context that ends at Ctrl-C (SIGINT) or SIGTERM. A second signal kills the program, because the first one
+// restores the default handling.
 func interruptible(ctx context.Context) (context.Context, context.CancelFunc) {
 	ctx, stop := signal.NotifyContext(ctx, os.Interrupt, syscall.SIGTERM)
 	context.AfterFunc(ctx, stop)
 	return ctx, stop
 }
 
+// demo runs the demo's day and prints its outcome. It returns errReported if a rule was broken.
 func demo(ctx context.Context, out io.Writer, length time.Duration, seed uint64, file string) error {
 	self, err := os.Executable()
 	if err != nil {
@@ -82,11 +84,11 @@
 	return nil
 }
 
-// writeJSON writes a value to a file, whole or not at all.
+// writeJSON writes a value to a file atomically: the file has either the whole text or its old content.
 func writeJSON(file string, value any) error {
 	text, err := json.MarshalIndent(value, "", " ")
 	if err != nil {
-		return fmt.Errorf("figures: %w", err)
+		return fmt.Errorf("encoding the figures as JSON: %w", err)
 	}
 	if err := os.WriteFile(file+".part", append(text, '\n'), 0o644); err != nil {
 		os.Remove(file + ".part")
@@ -95,7 +97,7 @@
 	return os.Rename(file+".part", file)
 }
 
-// printFigures prints how requests ended, the service and the latencies of each class.
+// printFigures prints the counts of requests by outcome, the service and the latency percentiles of each class.
 func printFigures(out io.Writer, outcome experiment.Outcome) {
 	a := outcome.Account
 	fmt.Fprintf(out, "requests %d  completed %d  rejected %d  failed %d  unanswered %d\n", a.Requests, a.Completed, a.Rejected, a.Failed, a.Unanswered)
@@ -106,68 +108,68 @@
 	}
 }
 
-// printOutcome prints the account and the verdict.
+// printOutcome prints the figures of a run, the violations and the verdict.
 func printOutcome(out io.Writer, outcome experiment.Outcome) {
 	a := outcome.Account
 	fmt.Fprintln(out)
 	printFigures(out, outcome)
-	fmt.Fprintf(out, "attempts per request %.3f  wasted work %.1f%%  agents' CPU %.0f us a request\n", outcome.Attempts, 100*outcome.Waste, outcome.CPU)
+	fmt.Fprintf(out, "attempts per request %.3f  wasted work %.1f%%  agents' CPU %.0f us per request\n", outcome.Attempts, 100*outcome.Waste, outcome.CPU)
 	fmt.Fprintf(out, "lost %d  duplicates %d  after_drain %d  toppled %d\n", a.Lost, a.Duplicates, a.AfterDrain, a.SlowStartOverloads)
 	if r := outcome.Misbehaving; r.Clients > 0 {
-		fmt.Fprintf(out, "rude clients %d, of which %d were served and %d got neither an error nor a close\n", r.Clients, r.Served, r.Ignored)
+		fmt.Fprintf(out, "misbehaving clients %d, of which %d were served and %d got neither an error nor a close\n", r.Clients, r.Served, r.Ignored)
 	}
 	for _, b := range outcome.Breaches {
 		fmt.Fprintln(out, "BROKEN:", b)
 	}
 	if outcome.Lag > 50 {
-		fmt.Fprintf(out, "note: this machine was busy; a request was sent %.0f ms after its time\n", outcome.Lag)
+		fmt.Fprintf(out, "note: this machine was overloaded; requests were sent up to %.0f ms later than planned\n", outcome.Lag)
 	}
 	if outcome.Interrupted {
-		fmt.Fprintln(out, "interrupted: the account so far")
+		fmt.Fprintln(out, "interrupted: these are the figures up to then")
 	}
 	if a.RulesHold() {
 		fmt.Fprintln(out, "verdict: all rules held")
 	} else {
-		fmt.Fprintln(out, "verdict: a rule broke")
+		fmt.Fprintln(out, "verdict: a rule was broken")
 	}
 }
 
-// screen shows live figures: in place on a terminal, a line a second elsewhere.
+// screen prints the figures of a running demo every second. On a terminal each sample replaces the one before; elsewhere it is a new line.
 type screen struct {
-	out   io.Writer
-	live  bool
-	lines int // drawn last
-	last  referee.Account
-	marks int
+	out      io.Writer
+	terminal bool            // out is a terminal
+	lines    int             // lines of the sample that is on the terminal
+	last     referee.Account // of the sample before
+	marks    int             // fault events printed so far, if out is not a terminal
 }
 
 func newScreen(out io.Writer) *screen {
 	f, ok := out.(*os.File)
-	return &screen{out: out, live: ok && term.IsTerminal(int(f.Fd()))}
+	return &screen{out: out, terminal: ok && term.IsTerminal(int(f.Fd()))}
 }
 
-// show draws a look.
+// show prints one sample: the requests since the sample before, and on a terminal also each node and the faults in effect.
 func (s *screen) show(live experiment.Live) {
 	account := live.Account
 	calls := live.Calls
 	latencies := referee.Latencies(calls, -1)
-	elapsed := func(q float64) float64 {
+	percentileMS := func(q float64) float64 {
 		if len(latencies) == 0 {
 			return 0
 		}
 		return float64(latencies[int(q*float64(len(latencies)-1))].Microseconds()) / 1e3
 	}
-	line := fmt.Sprintf("%4.0fs  %4d/s  served %4d  refused %3d  failed %3d  p50 %6.1f ms  p99 %7.1f ms", live.At.Seconds(), account.Requests-s.last.Requests,
-		account.Completed-s.last.Completed, account.Rejected-s.last.Rejected, account.Failed+account.Unanswered-s.last.Failed-s.last.Unanswered, elapsed(0.5), elapsed(0.99))
+	line := fmt.Sprintf("%4.0fs  %4d/s  served %4d  rejected %3d  failed %3d  p50 %6.1f ms  p99 %7.1f ms", live.At.Seconds(), account.Requests-s.last.Requests,
+		account.Completed-s.last.Completed, account.Rejected-s.last.Rejected, account.Failed+account.Unanswered-s.last.Failed-s.last.Unanswered, percentileMS(0.5), percentileMS(0.99))
 	s.last = account
-	var news []string
+	var started []string
 	for _, m := range live.Marks[min(s.marks, len(live.Marks)):] {
-		news = append(news, fmt.Sprintf("%s: %s for %.0f s", m.Node, m.Text, (m.To-m.At).Seconds()))
+		started = append(started, fmt.Sprintf("%s: %s for %.0f s", m.Node, m.Text, (m.To-m.At).Seconds()))
 	}
-	if !s.live {
+	if !s.terminal {
 		s.marks = len(live.Marks)
-		if len(news) > 0 {
-			line += "  <- " + strings.Join(news, ", ")
+		if len(started) > 0 {
+			line += "  <- " + strings.Join(started, ", ")
 		}
 		fmt.Fprintln(s.out, line)
 		return
@@ -190,7 +192,7 @@
 		case n.FailureFraction > 0:
 			state = fmt.Sprintf("failing %.0f%%", 100*n.FailureFraction)
 		}
-		fmt.Fprintf(&b, "  %-10s %-12s %5.2f cores' worth  in hand %2d %s\n", n.ID, state, n.Capacity, n.InFlight, strings.Repeat("#", min(40, n.InFlight)))
+		fmt.Fprintf(&b, "  %-10s %-12s %5.2f cores  in flight %2d %s\n", n.ID, state, n.Capacity, n.InFlight, strings.Repeat("#", min(40, n.InFlight)))
 		s.lines++
 	}
 	for _, m := range live.Marks {
--- a/cmd/ryeweir/demo_test.go
+++ b/cmd/ryeweir/demo_test.go
@@ -15,7 +15,7 @@
 	"ryeweir/internal/experiment"
 )
 
-// output is what a command prints, read while it runs.
+// output collects what a command prints. It can be read while the command runs.
 type output struct {
 	mu  sync.Mutex
 	buf bytes.Buffer
@@ -33,7 +33,7 @@
 	return o.buf.String()
 }
 
-// until waits until the output holds a text.
+// until waits up to 30 s for the output to contain a text.
 func (o *output) until(t *testing.T, text string) {
 	t.Helper()
 	for end := time.Now().Add(30 * time.Second); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
@@ -41,10 +41,11 @@
 			return
 		}
 	}
-	t.Fatalf("never printed %q:\n%s", text, o.String())
+	t.Fatalf("%q was not printed within 30 s; the output is:\n%s", text, o.String())
 }
 
-// The demo plays with real processes on real sockets, and its account comes out even.
+// The demo runs real agent processes on real sockets: its counts must add up, no request may be lost or executed twice, and the output
+// must name the verdict, the faults and the classes.
 func TestDemo(t *testing.T) {
 	t.Setenv("RYEWEIR_AS_PROGRAM", "1")
 	file := filepath.Join(t.TempDir(), "figures.json")
@@ -59,16 +60,16 @@
 		t.Fatal(err)
 	}
 	if a := o.Account; !a.Balanced() || a.Completed < 300 || a.Lost+a.Duplicates+a.UnknownRequests > 0 || o.CPU <= 0 {
-		t.Errorf("%+v\n%s", a, out.String())
+		t.Errorf("wrong account: %+v\n%s", a, out.String())
 	}
 	for _, want := range []string{"verdict:", "node-02: drain", "place-order"} {
 		if !strings.Contains(out.String(), want) {
-			t.Errorf("no %q in\n%s", want, out.String())
+			t.Errorf("%q is missing in the output:\n%s", want, out.String())
 		}
 	}
 }
 
-// Ctrl-C ends the demo in order, with the account so far.
+// Ctrl-C must end the demo in order: it prints the figures up to then, and a verdict.
 func TestDemoInterrupted(t *testing.T) {
 	t.Setenv("RYEWEIR_AS_PROGRAM", "1")
 	ctx, cancel := context.WithCancel(t.Context())
@@ -78,12 +79,13 @@
 	out.until(t, "1s")
 	cancel()
 	<-done
-	if got := out.String(); !strings.Contains(got, "interrupted: the account so far") || !strings.Contains(got, "verdict:") {
+	if got := out.String(); !strings.Contains(got, "interrupted: these are the figures up to then") || !strings.Contains(got, "verdict:") {
 		t.Error(got)
 	}
 }
 
-// A world, an agent beside it and load from another process's place work together by hand, as the docs say.
+// A user can start the emulated environment, an agent and the load separately, as the documentation describes: the load's requests must
+// be completed.
 func TestWorldAndLoad(t *testing.T) {
 	t.Setenv("RYEWEIR_AS_PROGRAM", "1")
 	dir := t.TempDir()
@@ -97,7 +99,7 @@
 	defer cancel()
 	var world, agent, load output
 	all.Go(func() { run(ctx, []string{"world", file}, &world, &world) })
-	world.until(t, "nodes stand")
+	world.until(t, "nodes are listening")
 	text, err := os.ReadFile(filepath.Join(dir, "agent-0.json"))
 	if err != nil {
 		t.Fatal(err)
@@ -106,7 +108,7 @@
 	if err := json.Unmarshal(text, &cfg); err != nil {
 		t.Fatal(err)
 	}
-	program := exec.CommandContext(ctx, os.Args[0], "agent") // a process: it sets limits for all of it
+	program := exec.CommandContext(ctx, os.Args[0], "agent") // in a process of its own, because it sets limits of the whole process
 	program.Env, program.Stderr = append(os.Environ(), "PROXY_CONFIG="+filepath.Join(dir, "agent-0.json")), &agent
 	if err := program.Start(); err != nil {
 		t.Fatal(err)
@@ -118,6 +120,6 @@
 		t.Fatal(err)
 	}
 	if code := run(ctx, []string{"load", file}, &load, &load); code != 0 || !strings.Contains(load.String(), "completed 2") {
-		t.Errorf("code %d\n%s", code, load.String())
+		t.Errorf("exit code %d\n%s", code, load.String())
 	}
 }
--- a/cmd/ryeweir/describe.go
+++ b/cmd/ryeweir/describe.go
@@ -11,7 +11,8 @@
 	"ryeweir/internal/experiment"
 )
 
-// describeTOML says what a TOML file of ours means, or what is wrong with it.
+// describeTOML returns a short description of one of this program's TOML files, or an error that says what is wrong with it. The kind of
+// the file follows from its keys.
 func describeTOML(file string, data []byte) (string, error) {
 	kind, err := experiment.KindOf(file, data)
 	if err != nil {
@@ -57,14 +58,15 @@
 		}
 		return describeDay("world", &s.Day, s.Seed)
 	}
-	return "", &config.Error{File: file, Err: errors.New("is neither an experiment, a model of a fleet, an operators' file, a world, load nor a deployment")}
+	return "", &config.Error{File: file, Err: errors.New("its keys are those of neither an experiment, a drill, a fleet model, an operators' file, a world, a load nor a deployment")}
 }
 
+// describeDay returns one line on the day that a specification and a seed draw, or the error of drawing it.
 func describeDay(what string, spec *emulator.ScenarioSpec, seed uint64) (string, error) {
 	day, err := spec.Draw(seed)
 	if err != nil {
 		return "", err
 	}
-	return fmt.Sprintf("%s: day %s of %v, %d nodes, %d agents, %.0f requests a second, clients retry %d times, %d troubles", what, spec.Name,
+	return fmt.Sprintf("%s: day %s of %v, %d nodes, %d agents, %.0f requests a second, clients retry %d times, %d faults", what, spec.Name,
 		day.Length, len(day.Nodes), len(day.Agents), day.Rate, day.Clients.Retries, len(day.Faults)), nil
 }
--- a/cmd/ryeweir/drill.go
+++ b/cmd/ryeweir/drill.go
@@ -12,72 +12,72 @@
 
 func labCommand() *cobra.Command {
 	var long bool
-	var plays int
+	var maxRuns int
 	var file string
 	command := &cobra.Command{
 		Use:   "lab FILE",
-		Short: "Drill a fleet of real agent processes with faults of and between them; figures and a verdict",
-		Long: "Starts the agents of FILE's day as processes, with stand-in order nodes and discovery, and does to them what the day\n" +
-			"has for them: kills, pauses, restarts, cut and poor ways between chosen agents, nodes and discovery, surges. Prints\n" +
-			"figures and what was expected and did not come; then the exit code is 1. deploy/drills has some to begin with.",
+		Short: "Run a drill: a fleet of real agent processes with injected faults, checked against expectations",
+		Long: "Starts the agents of FILE's day as processes, with emulated order nodes and discovery, and injects the day's faults: kills,\n" +
+			"pauses, restarts, cut or degraded network paths between chosen agents, nodes and discovery, and surges of load. Prints\n" +
+			"the figures and each expectation that failed; if one did, the exit code is 1. deploy/drills has ready-made drills.",
 		Example: "  ryeweir lab deploy/drills/talk.toml",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(command *cobra.Command, args []string) error {
 			self, err := os.Executable()
 			if err != nil {
-				return fmt.Errorf("where this program is: %w", err)
+				return fmt.Errorf("finding the path of this program to start agents from: %w", err)
 			}
 			ctx, stop := interruptible(command.Context())
 			defer stop()
-			for play := 1; ; play++ {
-				spec, d, err := experiment.RunDrill(ctx, args[0], self, long)
+			for runNumber := 1; ; runNumber++ {
+				spec, result, err := experiment.RunDrill(ctx, args[0], self, long)
 				if err != nil {
 					return err
 				}
 				if file != "" {
-					if err := writeJSON(file, d); err != nil {
+					if err := writeJSON(file, result); err != nil {
 						return err
 					}
 				}
-				printDrill(command.OutOrStdout(), spec, d)
+				printDrill(command.OutOrStdout(), spec, result)
 				switch {
-				case len(d.FailedExpectations) == 0:
+				case len(result.FailedExpectations) == 0:
 					return nil
-				case d.RuleBroken || play >= plays:
+				case result.RuleBroken || runNumber >= maxRuns:
 					return errReported
 				}
 			}
 		},
 	}
-	command.Flags().IntVar(&plays, "plays", 1, "play it so many times at most until all is as expected; a broken rule ends it at once")
-	command.Flags().BoolVar(&long, "long", false, "play the long form")
-	command.Flags().StringVar(&file, "json", "", "write the last play's figures to this file")
+	command.Flags().IntVar(&maxRuns, "plays", 1, "maximum number of runs, until one meets all expectations; after a broken rule there is no further run")
+	command.Flags().BoolVar(&long, "long", false, "run the long form of the drill")
+	command.Flags().StringVar(&file, "json", "", "also write the figures of the last run to this file, as JSON")
 	return command
 }
 
-// printDrill prints what came of a drill.
-func printDrill(out io.Writer, spec *experiment.DrillSpec, drilled experiment.DrillResult) {
-	o := drilled.Outcome
+// printDrill prints the figures of a drill and the expectations that failed.
+func printDrill(out io.Writer, spec *experiment.DrillSpec, result experiment.DrillResult) {
+	o := result.Outcome
 	fmt.Fprintf(out, "%s: %s\n", spec.Name, spec.Question)
-	fmt.Fprintf(out, "%+v\nservice %.3f, attempts a request %.2f, chokes %d, probe work %.4f, cold peak %.2f", o.Account, o.Overall, o.Attempts, o.Chokes,
+	fmt.Fprintf(out, "%+v\nservice %.3f, attempts per request %.2f, nodes choked %d, health check work %.4f, slow start peak %.2f", o.Account, o.Overall, o.Attempts, o.Chokes,
 		o.HealthCheckWork, o.SlowStartPeak)
 	for i, class := range spec.Day.Classes {
 		fmt.Fprintf(out, ", %s %.3f", class.Name, o.ByClass[i])
 	}
-	fmt.Fprintf(out, ", passed over %.3f of the worthiest, at agents that nothing befell %.3f\n", o.PassedOver, o.Spared)
+	fmt.Fprintf(out, ", top priority passed over %.3f, service at agents without faults %.3f\n", o.PassedOver, o.Spared)
 	if s := o.Surge; s != nil {
-		fmt.Fprintf(out, "surge of %.1f times: goodput %.3f, service back after %.0f s\n", s.Offered, s.Goodput, s.RecoverySeconds)
+		fmt.Fprintf(out, "surge of %.1f times: goodput %.3f, service recovered after %.0f s (below 0: never)\n", s.Offered, s.Goodput, s.RecoverySeconds)
 	}
 	if l := o.Levels; l != nil {
-		fmt.Fprintf(out, "budgets: an agent took %.2f of its demand in the surge (median; %.2f to %.2f), %d requests shed, %d retries withheld, over themselves at %d looks\n",
+		fmt.Fprintf(out, "budgets: an agent admitted %.2f of its demand in the surge (median; %.2f to %.2f), %d requests shed, %d retries withheld, agents overloaded in %d samples\n",
 			l.Median, l.Least, l.Most, l.Shed, l.Withheld, l.SelfOverloaded)
 	}
-	fmt.Fprintf(out, "the rig waited %.3f ms for a processor (mean), callers were up to %.0f ms late\n", o.ProcessorWait, o.Lag)
+	fmt.Fprintf(out, "this process waited %.3f ms for a processor on average, callers sent up to %.0f ms late\n", o.ProcessorWait, o.Lag)
 	printViews(out, o)
-	for _, w := range drilled.FailedExpectations {
+	for _, w := range result.FailedExpectations {
 		fmt.Fprintln(out, "not as expected:", w)
 	}
-	if len(drilled.FailedExpectations) == 0 {
+	if len(result.FailedExpectations) == 0 {
 		fmt.Fprintln(out, "as expected")
 	}
 }
--- a/cmd/ryeweir/experiment.go
+++ b/cmd/ryeweir/experiment.go
@@ -14,25 +14,26 @@
 	"ryeweir/internal/experiment"
 )
 
-// experimentOptions are the flags of `ryeweir experiment`.
+// experimentOptions holds the flags of `ryeweir experiment`.
 type experimentOptions struct {
-	dir       string        // for the report
-	against   string        // the folder of an earlier run of the same file
-	hunt      time.Duration // how long to draw random days for; 0: FILE is run
-	seed      uint64        // of the first day drawn
-	simulated bool
-	repeats   int // in place of the file's; 0: the file's
+	dir       string        // folder for the report
+	against   string        // folder of an earlier run of the same file, to compare with; empty for none
+	hunt      time.Duration // how long to run random days; 0: run FILE instead
+	seed      uint64        // seed of the first random day
+	simulated bool          // run FILE's days in simulated time, even if the file does not say so
+	repeats   int           // overrides the number of repeats in FILE; 0: not overridden
 }
 
 func experimentCommand() *cobra.Command {
 	var options experimentOptions
 	command := &cobra.Command{
 		Use:   "experiment FILE",
-		Short: "Play days with one or more arms, repeated and paired, and report how they differ",
-		Long: "Plays each day of FILE with each arm, repeated with other seeds; equal repeats of all arms get the same arrivals and\n" +
-			"troubles. The folder gets report.html, figures.json and plots. An interrupted run leaves what was finished. The\n" +
-			"exit code is 1 if a rule broke or a run could not be played. With --hunt, no FILE is read: random days of whole fleets are\n" +
-			"played side by side, and each that breaks a rule or serves too little is left in the folder as a file to play again.",
+		Short: "Run days (scenarios) with one or more variants, repeated and paired, and report how the variants differ",
+		Long: "Runs each day of FILE with each variant (arm), repeated with other seeds; within a repeat all variants get the same\n" +
+			"arrivals and faults. Writes report.html, figures.json and plots to the folder. An interrupted experiment keeps the runs\n" +
+			"that are finished. The exit code is 1 if a rule was broken, a run failed or is missing, or the gate failed. With --hunt, no\n" +
+			"FILE is read: random days of whole fleets run in parallel, and for each that breaks a rule or serves too little a file\n" +
+			"that reproduces it is written to the folder.",
 		Example: "  ryeweir experiment deploy/experiments/arms.toml -o /tmp/arms\n" +
 			"  ryeweir experiment deploy/experiments/many-days.toml -o /tmp/after --against /tmp/before\n" +
 			"  ryeweir experiment deploy/experiments/overload.toml --simulated --repeats 10 -o /tmp/overload\n" +
@@ -40,10 +41,10 @@
 		Args: cobra.MaximumNArgs(1),
 		RunE: func(command *cobra.Command, args []string) error {
 			if options.dir == "" {
-				return usage(errors.New("-o DIR says where the report goes"))
+				return usageError(errors.New("-o DIR is required: the folder for the report"))
 			}
 			if options.hunt > 0 == (len(args) == 1) {
-				return usage(errors.New("it takes FILE or --hunt"))
+				return usageError(errors.New("experiment needs either FILE or --hunt"))
 			}
 			if options.hunt > 0 {
 				return huntDays(command, options)
@@ -52,16 +53,16 @@
 		},
 	}
 	flags := command.Flags()
-	flags.StringVarP(&options.dir, "output", "o", "", "the folder for the report")
-	flags.DurationVar(&options.hunt, "hunt", 0, "play random days of whole fleets for so long, and keep each that does not pass as a file")
-	flags.Uint64Var(&options.seed, "seed", 1, "with --hunt: the first day's")
-	flags.BoolVar(&options.simulated, "simulated", false, "play FILE's days in simulated time, in seconds instead of minutes")
-	flags.IntVar(&options.repeats, "repeats", 0, "in place of FILE's")
-	flags.StringVar(&options.against, "against", "", "the folder of another play of FILE, as by an earlier program, to compare with")
+	flags.StringVarP(&options.dir, "output", "o", "", "folder for the report")
+	flags.DurationVar(&options.hunt, "hunt", 0, "run random days of whole fleets for this time, and write a file for each that does not pass")
+	flags.Uint64Var(&options.seed, "seed", 1, "with --hunt: seed of the first day; each further day adds 1")
+	flags.BoolVar(&options.simulated, "simulated", false, "run FILE's days in simulated time, which takes seconds instead of minutes")
+	flags.IntVar(&options.repeats, "repeats", 0, "number of repeats; overrides the number in FILE")
+	flags.StringVar(&options.against, "against", "", "folder of another run of FILE to compare with, such as one by an earlier build of this program")
 	return command
 }
 
-// huntDays runs random days for a time. It returns errReported where one did not pass.
+// huntDays runs random days for the time of --hunt. It returns errReported if one did not pass.
 func huntDays(command *cobra.Command, options experimentOptions) error {
 	ctx, stop := interruptible(command.Context())
 	defer stop()
@@ -74,7 +75,8 @@
 	return err
 }
 
-// runExperiment runs a file's days and prints the figures. It returns errReported where a rule broke, the gate failed or a run is missing.
+// runExperiment runs a file's days and prints the figures. It returns errReported if a rule was broken, the gate failed, or a run failed or
+// is missing.
 func runExperiment(command *cobra.Command, file string, options experimentOptions) error {
 	spec, err := readExperiment(command, file, options)
 	if err != nil {
@@ -94,13 +96,13 @@
 	printExperiment(out, &figures)
 	fmt.Fprintln(out, "report:", filepath.Join(options.dir, "report.html"))
 	if figures.Unfinished || len(figures.Failures) > 0 || !figures.Held() || !figures.Passed() {
-		fmt.Fprintln(out, "not all of it went well: a run was interrupted or failed, a rule broke, or the gate failed")
+		fmt.Fprintln(out, "experiment failed: a run was interrupted or failed, a rule was broken, or the gate failed")
 		return errReported
 	}
 	return nil
 }
 
-// readExperiment reads a file and puts the flags over it. The file is checked again with them.
+// readExperiment reads an experiment's file and overrides it by the flags. The result is checked again, because a flag may make it invalid.
 func readExperiment(command *cobra.Command, file string, options experimentOptions) (*experiment.Spec, error) {
 	var spec experiment.Spec
 	if err := readTOML(command, file, &spec); err != nil {
@@ -111,12 +113,13 @@
 		spec.Repeats = options.repeats
 	}
 	if err := spec.Check(); err != nil {
-		return nil, usage(fmt.Errorf("%s, as it is to be played: %w", file, err))
+		return nil, usageError(fmt.Errorf("%s, with --simulated and --repeats applied: %w", file, err))
 	}
 	return &spec, nil
 }
 
-// printExperiment prints the figures of an experiment: a line for each day and variant, then what differs, then the gate.
+// printExperiment prints the figures of an experiment: a line for each day and variant, what agents that gossip saw of their peers, the
+// differences in service between variants, and the result of the gate.
 func printExperiment(out io.Writer, figures *experiment.Findings) {
 	for i := range figures.Rows {
 		printRow(out, figures.Simulated, &figures.Rows[i])
@@ -131,7 +134,7 @@
 	}
 	for _, g := range figures.Gate {
 		if !g.Passed {
-			fmt.Fprintf(out, "gate: %s with %s, seed %d: served %.3f, wanted %.3f: %s\n", g.Day, g.Variant, g.Seed, g.Served, g.Wanted, g.FailureReason)
+			fmt.Fprintf(out, "gate: %s with %s, seed %d: served %.3f, required %.3f: %s\n", g.Day, g.Variant, g.Seed, g.Served, g.Wanted, g.FailureReason)
 		}
 	}
 	switch {
@@ -148,29 +151,29 @@
 	fmt.Fprintf(out, "%-12s %-12s service %.3f (%.3f to %.3f)  worst 10 s %.3f  p50 %.1f ms  p99 %.0f ms", row.Day, row.Variant, row.Service.Mean,
 		row.Service.Low, row.Service.High, row.WorstWindow, row.P50, row.P99)
 	if simulated {
-		fmt.Fprintf(out, "  refused %.3f, with room %.4f, of its own %.4f  into a jam %.4f  probes %.3f  nodes used %.2f  cold peak %.2f",
+		fmt.Fprintf(out, "  rejected %.3f, while a node had capacity %.4f, while one of its subset had %.4f  sent into overload %.4f  health checks %.3f  nodes used %.2f  slow start peak %.2f",
 			row.Rejected, row.RejectedWithCapacity, row.RejectedNearCapacity, row.SentIntoOverload, row.HealthChecks, row.NodesUsed, row.SlowStartPeak)
 	}
 	if row.Goodput.Mean > 0 {
-		fmt.Fprintf(out, "  surge: goodput %.3f (%.3f to %.3f), back after %.0f s, chokes %.1f, done %.0f, attempts %.2f, probe work %.4f, worthiest served %.3f, passed over %.3f, cold peak %.2f",
+		fmt.Fprintf(out, "  surge: goodput %.3f (%.3f to %.3f), recovered after %.0f s (below 0: never), nodes choked %.1f, completed %.0f, attempts per request %.2f, health check work %.4f, top priority served %.3f, top priority passed over %.3f, slow start peak %.2f",
 			row.Goodput.Mean, row.Goodput.Low, row.Goodput.High, row.RecoverySeconds, row.Chokes, row.Completed, row.Attempts, row.HealthCheckWork, row.TopPriorityServed, row.PassedOver, row.SlowStartPeak)
 	}
 	if row.Unnotified > 0 {
-		fmt.Fprintf(out, "  sent to ending nodes by agents that were not told: %.0f", row.Unnotified)
+		fmt.Fprintf(out, "  sent to draining nodes by agents that were not notified: %.0f", row.Unnotified)
 	}
 	fmt.Fprintln(out)
 }
 
-// printViews prints what agents that talk with each other saw of their peers.
+// printViews prints what agents that gossip saw of their peers: traffic, notices, facts, and the recovery after each fault.
 func printViews(out io.Writer, outcome experiment.Outcome) {
 	views := outcome.Views
 	if views == nil {
 		return
 	}
-	fmt.Fprintf(out, "%-12s %-12s seed %d: an agent sent %.0f bytes a second (%.0f at most); %d notices came by peers in %.0f ms (%.0f at most), held back %d times; facts: %d at most, %d refused, %d evicted\n",
+	fmt.Fprintf(out, "%-12s %-12s seed %d: an agent sent its peers %.0f bytes a second (%.0f at most); %d notices arrived through peers after %.0f ms (%.0f at most), and agents withheld attempts on them %d times; facts: %d held at most, %d rejected, %d evicted\n",
 		outcome.Day, outcome.Variant, outcome.Seed, views.MeanBytesPerSecond, views.MaxBytesPerSecond, views.Notices, views.NoticeMeanMS, views.NoticeMaxMS, views.Withheld, views.MaxFacts, views.FactsRejected, views.FactsEvicted)
 	for _, heal := range views.Healed {
-		fmt.Fprintf(out, "  after %s (%.1f s; an agent saw as few as %d): all others seen after %.2f s, the last agent after %.2f s, never by %d\n", heal.Fault, heal.At,
+		fmt.Fprintf(out, "  after %s, which ended at %.1f s (fewest peers seen by an agent: %d): agents saw all others after %.2f s (median) to %.2f s (slowest), %d never did\n", heal.Fault, heal.At,
 			heal.MinPeersSeen, heal.Median, heal.Worst, heal.NeverHealed)
 	}
 }
--- a/cmd/ryeweir/fleet.go
+++ b/cmd/ryeweir/fleet.go
@@ -12,13 +12,13 @@
 )
 
 func fleetCommand() *cobra.Command {
-	var file string
+	var jsonFile string
 	command := &cobra.Command{
 		Use:   "fleet FILE",
-		Short: "Model the connections of many agents, with the real decisions on them",
-		Long: "Plays FILE's model with each of its arms, repeated with other seeds, and prints what the arms cost and lose: handshakes,\n" +
-			"open connections, requests that a close crossed or that went out on dead connections, and the peak of handshakes at a\n" +
-			"server that starts anew. Intervals are 95% ones.",
+		Short: "Model the connections of many agents, with the connection management of the real agent",
+		Long: "Runs FILE's model with each of its variants (arms), repeated with other seeds, and prints the costs and losses of each:\n" +
+			"handshakes, open connections, requests that crossed the server's close or were sent on dead connections, and the peak\n" +
+			"rate of handshakes at a server that has just restarted. Intervals are 95% confidence intervals.",
 		Example: "  ryeweir fleet deploy/experiments/fleet-start.toml",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(command *cobra.Command, args []string) error {
@@ -27,7 +27,7 @@
 				return err
 			}
 			figures, err := experiment.Fleet(&spec, command.OutOrStdout())
-			if err != nil || file == "" {
+			if err != nil || jsonFile == "" {
 				return err
 			}
 			text, err := json.MarshalIndent(struct {
@@ -37,13 +37,13 @@
 			if err != nil {
 				return err
 			}
-			if err := os.WriteFile(file, append(text, '\n'), 0o644); err != nil {
-				return errors.Join(errors.New("figures not written"), err)
+			if err := os.WriteFile(jsonFile, append(text, '\n'), 0o644); err != nil {
+				return errors.Join(errors.New("writing the figures failed"), err)
 			}
-			fmt.Fprintln(command.OutOrStdout(), "figures:", file)
+			fmt.Fprintln(command.OutOrStdout(), "figures:", jsonFile)
 			return nil
 		},
 	}
-	command.Flags().StringVar(&file, "json", "", "write the figures to this file, too")
+	command.Flags().StringVar(&jsonFile, "json", "", "also write the figures to this file")
 	return command
 }
--- a/cmd/ryeweir/load.go
+++ b/cmd/ryeweir/load.go
@@ -14,39 +14,39 @@
 )
 
 func loadCommand() *cobra.Command {
-	var file string
+	var jsonFile string
 	var compare bool
 	var seconds int
 	command := &cobra.Command{
 		Use:   "load FILE",
-		Short: "Send open-loop load to agents that run already, or compare the agent's cost with a plain proxy's",
-		Long: "Sends what FILE's day plans to the agents at its targets, and prints how it went, by what the callers saw. With\n" +
-			"--compare, no FILE is read: the agent and a plain reverse proxy of Go's library stand in turn before instant\n" +
-			"stand-ins, on one core each, at 300 requests a second and at full speed over 32 connections.",
+		Short: "Send open-loop load to running agents, or compare the agent's processor time with a plain proxy's",
+		Long: "Sends the requests that FILE's day plans to the agents at its targets, and prints the results that the callers saw. With\n" +
+			"--compare, no FILE is read: the agent and a plain reverse proxy of Go's standard library are measured in turn, on one\n" +
+			"core each, with backends that answer at once, at 300 and 1,200 requests a second and at full speed over 32 connections.",
 		Example: "  ryeweir load deploy/experiments/load.toml\n  ryeweir load --compare",
 		Args:    cobra.MaximumNArgs(1),
 		RunE: func(command *cobra.Command, args []string) error {
 			ctx, stop := interruptible(command.Context())
 			defer stop()
 			if compare == (len(args) == 1) {
-				return usage(errors.New("it takes FILE or --compare"))
+				return usageError(errors.New("load needs either FILE or --compare"))
 			}
 			if compare {
-				return compareCost(ctx, command, time.Duration(seconds)*time.Second, file)
+				return compareCost(ctx, command, time.Duration(seconds)*time.Second, jsonFile)
 			}
 			var spec experiment.LoadSpec
 			if err := readTOML(command, args[0], &spec); err != nil {
 				return err
 			}
 			if len(spec.Targets) == 0 {
-				return &config.Error{File: args[0], Key: "targets", Err: errors.New("names no agent's address")}
+				return &config.Error{File: args[0], Key: "targets", Err: errors.New("must list the address of at least one agent")}
 			}
 			outcome, err := experiment.Load(ctx, &spec)
 			if err != nil {
 				return err
 			}
-			if file != "" {
-				if err := writeJSON(file, outcome); err != nil {
+			if jsonFile != "" {
+				if err := writeJSON(jsonFile, outcome); err != nil {
 					return err
 				}
 			}
@@ -54,13 +54,15 @@
 			return nil
 		},
 	}
-	command.Flags().StringVar(&file, "json", "", "write the figures to this file")
-	command.Flags().BoolVar(&compare, "compare", false, "compare the agent's cost with a plain proxy's")
-	command.Flags().IntVar(&seconds, "seconds", 5, "with --compare: how long each measurement takes")
+	command.Flags().StringVar(&jsonFile, "json", "", "also write the figures to this file, as JSON")
+	command.Flags().BoolVar(&compare, "compare", false, "compare the agent's processor time with a plain proxy's")
+	command.Flags().IntVar(&seconds, "seconds", 5, "with --compare: duration of each measurement, in seconds")
 	return command
 }
 
-func compareCost(ctx context.Context, command *cobra.Command, each time.Duration, file string) error {
+// compareCost measures the agent and the plain proxy for the duration each at every rate, prints the costs, and writes them to jsonFile as
+// JSON if that is not empty.
+func compareCost(ctx context.Context, command *cobra.Command, each time.Duration, jsonFile string) error {
 	self, err := os.Executable()
 	if err != nil {
 		return err
@@ -76,11 +78,11 @@
 			cost.P50, cost.P99, cost.P999)
 		if ratio := ratios[i/2]; i%2 == 1 {
 			fmt.Fprintf(out, "the agent had %d connections open, %.2f handshakes per 1,000 answers\n", costs[i-1].OpenConnections, costs[i-1].HandshakesPerThousand)
-			fmt.Fprintf(out, "the agent takes %.3f (%.3f to %.3f) of the proxy's processor time, slice by slice\n", ratio.Mean, ratio.Low, ratio.High)
+			fmt.Fprintf(out, "the agent uses %.3f (95%% interval: %.3f to %.3f) times the proxy's processor time per answer, compared slice by slice\n", ratio.Mean, ratio.Low, ratio.High)
 		}
 	}
-	if file != "" {
-		return writeJSON(file, costs)
+	if jsonFile != "" {
+		return writeJSON(jsonFile, costs)
 	}
 	return nil
 }
--- a/cmd/ryeweir/main.go
+++ b/cmd/ryeweir/main.go
@@ -1,5 +1,6 @@
-// Command ryeweir is a client-side load balancer agent, and the tools to see it at work. Each subcommand has a file, which only parses,
-// checks and calls. Exit codes: 0 yes, 1 the answer is no (a rule broke, a check failed), 2 wrong use.
+// Command ryeweir is a client-side load balancer agent, together with tools that run it in an emulated environment. Each subcommand
+// has a file of its own, which parses the command line, checks it and calls the package that does the work. The exit code is 0 for
+// success, 1 if the command failed or found something wrong (a broken rule, an invalid file), and 2 for a usage error.
 package main
 
 import (
@@ -16,88 +17,89 @@
 
 // Exit codes.
 const (
-	exitYes   = 0
-	exitNo    = 1 // the answer is no, or the command failed
-	exitUsage = 2 // wrong use
+	exitOK      = 0
+	exitFailure = 1 // the command failed, or found something wrong
+	exitUsage   = 2 // usage error
 )
 
 func main() { os.Exit(run(context.Background(), os.Args[1:], os.Stdout, os.Stderr)) }
 
-// run is the program: it returns the exit code.
-func run(ctx context.Context, args []string, out, errs io.Writer) int {
+// run executes a command line and returns the exit code. It prints an error that has not been reported yet.
+func run(ctx context.Context, args []string, out, stderr io.Writer) int {
 	root := newRoot()
 	root.SetArgs(args)
 	root.SetOut(out)
-	root.SetErr(errs)
+	root.SetErr(stderr)
 	err := root.ExecuteContext(ctx)
 	if err == nil {
-		return exitYes
+		return exitOK
 	}
 	if !errors.Is(err, errReported) {
-		fmt.Fprintln(errs, "ryeweir:", err)
+		fmt.Fprintln(stderr, "ryeweir:", err)
 	}
 	if errors.Is(err, errUsage) {
 		return exitUsage
 	}
-	return exitNo
+	return exitFailure
 }
 
 var (
-	errUsage = errors.New("wrong use")
-	// errReported is a no whose reason has been printed in full.
-	errReported = errors.New("the answer is no")
+	// errUsage marks errors of the command line; see usageError.
+	errUsage = errors.New("usage error")
+	// errReported is returned by a command that has already printed why it fails.
+	errReported = errors.New("the command has reported its failure")
 )
 
-// usage marks an error as wrong use.
-func usage(err error) error { return fmt.Errorf("%w (%w; see --help)", err, errUsage) }
+// usageError wraps an error of the command line, so that the exit code is exitUsage.
+func usageError(err error) error { return fmt.Errorf("%w (%w; see --help)", err, errUsage) }
 
-// newRoot builds the command line.
+// newRoot returns the root command with all subcommands.
 func newRoot() *cobra.Command {
 	root := &cobra.Command{
 		Use:   "ryeweir",
-		Short: "A load balancer agent beside each calling application, and a world to try it in",
-		Long: "ryeweir runs beside each copy of a calling application and sends its requests to the backend that will\n" +
-			"answer soonest, by the rules of its deployment. See it at work with: ryeweir demo",
+		Short: "A client-side load balancer agent, and an emulated environment to test it in",
+		Long: "ryeweir runs beside each copy of a calling application and sends its requests to the backend that is expected\n" +
+			"to answer soonest, as its configuration allows. To see it run: ryeweir demo",
 		SilenceErrors: true,
 		SilenceUsage:  true,
 	}
-	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return usage(err) })
-	var log logging
-	root.PersistentFlags().StringVar(&log.format, "log-format", "text", "form of the log on standard error: text or json")
+	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return usageError(err) })
+	var log logFlags
+	root.PersistentFlags().StringVar(&log.format, "log-format", "text", "format of the log on standard error: text or json")
 	root.PersistentFlags().StringVar(&log.level, "log-level", defaultLevel(),
-		"least level that is logged: debug (each step of each request), info, warn or error; also "+levelVariable)
+		"minimum level that is logged: debug (each step of each request), info, warn or error; overrides "+levelVariable)
 	root.AddCommand(agentCommand(&log), versionCommand(), checkCommand(), demoCommand(), worldCommand(), loadCommand(),
 		experimentCommand(), labCommand(), fleetCommand(), proxyCommand(), soakCommand(), soakAgentCommand(&log), soakBackendCommand())
 	for _, command := range root.Commands() {
-		command.Args = argumentsAsUsage(command.Args)
+		command.Args = withUsageErrors(command.Args)
 	}
 	root.Args = cobra.ArbitraryArgs
 	root.RunE = func(command *cobra.Command, args []string) error {
 		if len(args) > 0 {
-			return usage(fmt.Errorf("no command %q", args[0]))
+			return usageError(fmt.Errorf("unknown command %q", args[0]))
 		}
 		return command.Help()
 	}
 	return root
 }
 
-// argumentsAsUsage makes an error of a command's arguments one of wrong use.
-func argumentsAsUsage(check cobra.PositionalArgs) cobra.PositionalArgs {
+// withUsageErrors returns a check of positional arguments whose errors are usage errors.
+func withUsageErrors(check cobra.PositionalArgs) cobra.PositionalArgs {
 	if check == nil {
 		return nil
 	}
 	return func(command *cobra.Command, args []string) error {
 		if err := check(command, args); err != nil {
-			return usage(err)
+			return usageError(err)
 		}
 		return nil
 	}
 }
 
-// levelVariable is the environment variable for the least level that is logged. The flag takes precedence.
+// levelVariable is the environment variable that sets the minimum level that is logged. The --log-level flag takes precedence.
 const levelVariable = "RYEWEIR_LOG_LEVEL"
 
-// defaultLevel is the least level that is logged where no flag says one.
+// defaultLevel returns the minimum level that is logged if --log-level is not given.
 func defaultLevel() string {
 	if level := os.Getenv(levelVariable); level != "" {
 		return level
@@ -105,14 +107,14 @@
 	return "info"
 }
 
-// logging holds the flags of the log.
-type logging struct{ format, level string }
+// logFlags holds the values of --log-format and --log-level.
+type logFlags struct{ format, level string }
 
-// logger returns the log on w.
-func (l *logging) logger(w io.Writer) (*slog.Logger, error) {
+// logger returns a logger that writes to w as the flags say. An invalid flag is a usage error.
+func (l *logFlags) logger(w io.Writer) (*slog.Logger, error) {
 	var level slog.Level
 	if err := level.UnmarshalText([]byte(l.level)); err != nil || strings.ContainsAny(l.level, "+-") {
-		return nil, usage(fmt.Errorf("--log-level %q is none of debug, info, warn and error", l.level))
+		return nil, usageError(fmt.Errorf("--log-level is %q, but must be debug, info, warn or error", l.level))
 	}
 	opts := &slog.HandlerOptions{Level: level}
 	switch l.format {
@@ -121,5 +123,5 @@
 	case "json":
 		return slog.New(slog.NewJSONHandler(w, opts)), nil
 	}
-	return nil, usage(fmt.Errorf("--log-format %q is neither text nor json", l.format))
+	return nil, usageError(fmt.Errorf("--log-format is %q, but must be text or json", l.format))
 }
--- a/cmd/ryeweir/proxy.go
+++ b/cmd/ryeweir/proxy.go
@@ -8,13 +8,13 @@
 	"ryeweir/internal/experiment"
 )
 
-// proxyCommand is the plain reverse proxy that load --compare sets the agent beside.
+// proxyCommand returns the command that runs a plain reverse proxy, with which load --compare compares the agent.
 func proxyCommand() *cobra.Command {
 	var listen string
 	var targets []string
 	command := &cobra.Command{
 		Use:     "proxy",
-		Short:   "A plain reverse proxy of Go's library, for load --compare",
+		Short:   "Run the plain reverse proxy of Go's standard library, for load --compare",
 		Example: "  ryeweir proxy --listen 127.0.0.1:9001 --target 127.0.0.1:9002",
 		Hidden:  true,
 		Args:    cobra.NoArgs,
@@ -28,7 +28,7 @@
 			return experiment.PlainProxy(ctx, listener, targets)
 		},
 	}
-	command.Flags().StringVar(&listen, "listen", "127.0.0.1:0", "where clients connect")
-	command.Flags().StringSliceVar(&targets, "target", nil, "a backend's address; may be repeated")
+	command.Flags().StringVar(&listen, "listen", "127.0.0.1:0", "address to listen on for clients")
+	command.Flags().StringSliceVar(&targets, "target", nil, "address of a backend; may be repeated")
 	return command
 }
--- a/cmd/ryeweir/soak.go
+++ b/cmd/ryeweir/soak.go
@@ -16,43 +16,44 @@
 	"ryeweir/internal/soak"
 )
 
-// soakFlags are what the soak's command is told.
+// soakFlags holds the flags of `ryeweir soak`.
 type soakFlags struct {
-	seed   uint64
-	runs   int
-	length time.Duration
-	until  time.Duration
-	dir    string
-	kinds  []string
-	plant  []string
-	plan   bool
+	seed    uint64        // seed of the first run
+	runs    int           // number of runs
+	length  time.Duration // duration of a run
+	maxTime time.Duration // no run starts later than this; 0: no limit
+	dir     string        // folder for logs; empty for a temporary one
+	kinds   []string      // draw only faults of these kinds; nil for all
+	plant   []string      // bugs that are planted in the agents, as arguments of faultshim's plant command
+	plan    bool          // print the plans and run nothing
 }
 
 func soakCommand() *cobra.Command {
 	var f soakFlags
 	cmd := &cobra.Command{
 		Use:   "soak",
-		Short: "Random overlapping faults on real processes, checked against the rules",
-		Long: "Plays agents, backends, discoveries and callers as real processes on loopback, lets two or three troubles overlap\n" +
-			"at a time, and checks what each client and backend saw against the rules. Prints the seed of each play, which draws\n" +
-			"the same plan again. Exits with 1 where a rule was broken; logs and the account stay in the folder then.",
+		Short: "Inject random overlapping faults into real processes, and check the rules",
+		Long: "Runs agents and backends as real processes on loopback, with discovery and callers, injects faults of which two or three\n" +
+			"overlap at a time, and checks what each client and backend saw against the rules. Prints the seed of each run, which\n" +
+			"draws the same plan again. The exit code is 1 if a rule was broken; the logs and the account are kept then.",
 		Example: "  ryeweir soak --seed 7 --plays 20\n  ryeweir soak --seed 7 --kinds agent-term,server-drain",
 		Args:    cobra.NoArgs,
 		RunE: func(command *cobra.Command, _ []string) error {
 			return runSoak(command.Context(), f, command.OutOrStdout())
 		},
 	}
-	cmd.Flags().Uint64Var(&f.seed, "seed", 1, "of the first play; the next ones count up")
-	cmd.Flags().IntVar(&f.runs, "plays", 1, "how many plays")
-	cmd.Flags().DurationVar(&f.length, "length", 30*time.Second, "of a play")
-	cmd.Flags().DurationVar(&f.until, "for", 0, "begin no play after so long; 0: all plays")
-	cmd.Flags().StringVarP(&f.dir, "output", "o", "", "a folder for logs; none: a temporary one, kept where a rule was broken")
-	cmd.Flags().StringSliceVar(&f.kinds, "kinds", nil, "draw only these troubles")
-	cmd.Flags().StringArrayVar(&f.plant, "plant", nil, "a fault planted in the agents, such as 'duplicate 0.01': the soak must notice it")
-	cmd.Flags().BoolVar(&f.plan, "plan", false, "print the plan and play nothing")
+	cmd.Flags().Uint64Var(&f.seed, "seed", 1, "seed of the first run; each further run adds 1")
+	cmd.Flags().IntVar(&f.runs, "plays", 1, "number of runs")
+	cmd.Flags().DurationVar(&f.length, "length", 30*time.Second, "duration of a run")
+	cmd.Flags().DurationVar(&f.maxTime, "for", 0, "start no further run after this time; 0: no limit")
+	cmd.Flags().StringVarP(&f.dir, "output", "o", "", "folder for logs; without it a temporary one, which is kept if a rule was broken")
+	cmd.Flags().StringSliceVar(&f.kinds, "kinds", nil, "draw only faults of these kinds")
+	cmd.Flags().StringArrayVar(&f.plant, "plant", nil, "bug to plant in the agents, with its probability, such as 'duplicate 0.01'; the soak must notice it")
+	cmd.Flags().BoolVar(&f.plan, "plan", false, "print the plans and run nothing")
 	return cmd
 }
 
+// runSoak runs the plans of consecutive seeds. It returns errReported if a run broke a rule.
 func runSoak(ctx context.Context, flags soakFlags, out io.Writer) error {
 	program, err := os.Executable()
 	if err != nil {
@@ -62,9 +63,9 @@
 	for _, kind := range flags.kinds {
 		only = append(only, soak.FaultKind(kind))
 	}
-	began, broken := time.Now(), 0
+	start, broken := time.Now(), 0
 	for n := range flags.runs {
-		if flags.until > 0 && time.Since(began) > flags.until {
+		if flags.maxTime > 0 && time.Since(start) > flags.maxTime {
 			break
 		}
 		plan := soak.Draw(flags.seed+uint64(n), flags.length, only)
@@ -81,16 +82,17 @@
 		}
 	}
 	if broken > 0 {
-		fmt.Fprintf(out, "rules broken in %d plays\n", broken)
+		fmt.Fprintf(out, "%d runs broke a rule\n", broken)
 		return errReported
 	}
 	return nil
 }
 
-// mostShown violations of one rule are printed; the account has all.
-const mostShown = 4
+// maxShownPerRule is how many violations of one rule are printed. The account that is saved has all.
+const maxShownPerRule = 4
 
-// soakOnce plays one plan, and reports whether the rules held.
+// soakOnce runs one plan, prints its figures and violations, and reports whether the rules held. It removes a temporary folder
+// of logs if they did.
 func soakOnce(ctx context.Context, plan *soak.Plan, program string, flags soakFlags, out io.Writer) (bool, error) {
 	dir := flags.dir
 	var err error
@@ -107,7 +109,7 @@
 	if err != nil {
 		return false, err
 	}
-	fmt.Fprintf(out, "seed %d: %d processes, %d requests, %d answered, %d served, %d attempts, %d troubles, latest by %v, %d MB at most, %d violations\n", plan.Seed,
+	fmt.Fprintf(out, "seed %d: %d processes, %d requests, %d answered, %d served, %d attempts, %d faults, soak process delayed by up to %v, largest agent %d MB, %d violations\n", plan.Seed,
 		result.Processes, result.Requests, result.Answered, result.Served, result.Attempts, len(plan.Faults), result.Lag.Round(time.Millisecond), result.MaxRSS>>20, len(result.Violations))
 	if len(result.Violations) == 0 {
 		if flags.dir == "" {
@@ -117,12 +119,12 @@
 	}
 	shown := map[string]int{}
 	for _, v := range result.Violations {
-		if shown[v.Rule]++; shown[v.Rule] <= mostShown {
+		if shown[v.Rule]++; shown[v.Rule] <= maxShownPerRule {
 			fmt.Fprintln(out, "  ", v)
 		}
 	}
 	for rule, n := range shown {
-		if n > mostShown {
+		if n > maxShownPerRule {
 			fmt.Fprintf(out, "   %s: %d in all\n", rule, n)
 		}
 	}
@@ -130,44 +132,45 @@
 	return false, result.Save(dir)
 }
 
-// soakAgentCommand is an agent on a machine that fails on command.
-func soakAgentCommand(log *logging) *cobra.Command {
+// soakAgentCommand returns the hidden command that runs an agent of a soak: its system calls, clock and storage fail as the commands on
+// standard input say (see faultshim).
+func soakAgentCommand(log *logFlags) *cobra.Command {
 	var seed uint64
 	var host string
 	var plant []string
 	var clock time.Duration
-	cmd := &cobra.Command{Use: "soak-agent", Hidden: true, Args: cobra.NoArgs, Short: "An agent of a soak",
+	cmd := &cobra.Command{Use: "soak-agent", Hidden: true, Args: cobra.NoArgs, Short: "Run an agent of a soak, with faults injected by commands on standard input",
 		RunE: func(command *cobra.Command, _ []string) error {
 			machine := faultshim.New(seed)
 			if err := machine.Execute("clock " + clock.String()); err != nil {
-				return usage(err)
+				return usageError(err)
 			}
 			for _, fault := range plant {
 				if err := machine.Execute("plant " + fault); err != nil {
-					return usage(err)
+					return usageError(err)
 				}
 			}
 			go machine.Run(command.InOrStdin(), func(line string, err error) { fmt.Fprintln(command.ErrOrStderr(), "soak:", line, err) })
-			return runAgentOn(command.Context(), log, "", peerFlags{}, command.ErrOrStderr(), func(s *agent.Environment) {
-				s.Clients = machine.Listen(s.Clients)
-				s.Dial = machine.Dial(host)
-				s.TimeOfDay = machine.Now
-				s.Disk = machine
+			return runAgentWith(command.Context(), log, "", peerFlags{}, command.ErrOrStderr(), func(env *agent.Environment) {
+				env.Clients = machine.Listen(env.Clients)
+				env.Dial = machine.Dial(host)
+				env.TimeOfDay = machine.Now
+				env.Disk = machine
 			})
 		}}
-	cmd.Flags().Uint64Var(&seed, "seed", 1, "of planted faults")
-	cmd.Flags().StringVar(&host, "discovery-host", "", "the host of discovery")
-	cmd.Flags().DurationVar(&clock, "clock", 0, "how far the time of day is off as it starts")
-	cmd.Flags().StringArrayVar(&plant, "plant", nil, "a planted fault and its probability")
+	cmd.Flags().Uint64Var(&seed, "seed", 1, "seed of the planted faults")
+	cmd.Flags().StringVar(&host, "discovery-host", "", "host of discovery; its connections get no faults but the planted fault 'deaf'")
+	cmd.Flags().DurationVar(&clock, "clock", 0, "initial offset of the wall clock")
+	cmd.Flags().StringArrayVar(&plant, "plant", nil, "bug to plant, with its probability; may be repeated")
 	return cmd
 }
 
-// soakBackendCommand is a backend of a soak.
+// soakBackendCommand returns the hidden command that runs a backend of a soak. It prints the address on which the backend listens.
 func soakBackendCommand() *cobra.Command {
 	var id string
 	var instance int
 	var seed uint64
-	cmd := &cobra.Command{Use: "soak-backend", Hidden: true, Args: cobra.NoArgs, Short: "A backend of a soak",
+	cmd := &cobra.Command{Use: "soak-backend", Hidden: true, Args: cobra.NoArgs, Short: "Run a backend of a soak",
 		RunE: func(command *cobra.Command, _ []string) error {
 			l, err := net.Listen("tcp", "127.0.0.4:0")
 			if err != nil {
@@ -176,8 +179,8 @@
 			fmt.Fprintln(command.OutOrStdout(), l.Addr())
 			return soak.RunBackend(command.Context(), l, id, instance, seed, command.InOrStdin(), command.OutOrStdout())
 		}}
-	cmd.Flags().StringVar(&id, "id", "", "its name in the list")
-	cmd.Flags().IntVar(&instance, "instance", 1, "which process of the backend this is")
-	cmd.Flags().Uint64Var(&seed, "seed", 1, "of what it does")
+	cmd.Flags().StringVar(&id, "id", "", "ID of the backend in the endpoint list")
+	cmd.Flags().IntVar(&instance, "instance", 1, "number of this process among those of the same backend")
+	cmd.Flags().Uint64Var(&seed, "seed", 1, "seed of the backend's random behavior")
 	return cmd
 }
--- a/cmd/ryeweir/toml.go
+++ b/cmd/ryeweir/toml.go
@@ -8,7 +8,8 @@
 	"ryeweir/internal/config"
 )
 
-// readTOML reads and checks one of our files. What is wrong with it has been said when it returns errReported.
+// readTOML reads one of this program's TOML files into a struct that holds the defaults, and checks it. It prints what is wrong with the
+// file and returns errReported then.
 func readTOML(command *cobra.Command, file string, into config.Checker) error {
 	data, err := config.Read(file)
 	if err == nil {
--- a/cmd/ryeweir/version.go
+++ b/cmd/ryeweir/version.go
@@ -10,13 +10,13 @@
 func versionCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:     "version",
-		Short:   "Print which build this is",
+		Short:   "Print the version and the commit of this program",
 		Example: "  ryeweir version",
 		Args:    cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			info, ok := debug.ReadBuildInfo()
 			if !ok {
-				return fmt.Errorf("this program was built without build information")
+				return fmt.Errorf("this program contains no build information: it was built without module support")
 			}
 			settings := map[string]string{}
 			for _, s := range info.Settings {
@@ -26,7 +26,7 @@
 			if commit := settings["vcs.revision"]; commit != "" {
 				fmt.Fprintf(c.OutOrStdout(), " commit %s of %s", commit, settings["vcs.time"])
 				if settings["vcs.modified"] == "true" {
-					fmt.Fprint(c.OutOrStdout(), " with changes")
+					fmt.Fprint(c.OutOrStdout(), " with uncommitted changes")
 				}
 			}
 			fmt.Fprintln(c.OutOrStdout())
--- a/cmd/ryeweir/world.go
+++ b/cmd/ryeweir/world.go
@@ -17,9 +17,9 @@
 func worldCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "world FILE",
-		Short: "Run stand-in nodes and discovery on loopback ports until stopped",
-		Long: "Runs the order nodes and discovery of FILE's day and writes a configuration for each agent, so that an agent can be\n" +
-			"started by hand beside it. The day's troubles come at their times; Ctrl-C ends it.",
+		Short: "Run emulated order nodes and discovery on loopback ports until interrupted",
+		Long: "Runs the emulated order nodes and discovery of FILE's day, and writes a configuration file for each agent, so that agents\n" +
+			"can be started by hand. The day's faults are injected at their times. Ctrl-C stops it.",
 		Example: "  ryeweir world deploy/experiments/world.toml",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(command *cobra.Command, args []string) error {
@@ -34,6 +34,8 @@
 	}
 }
 
+// runWorld runs the nodes and discovery until the context ends, and prints the state of each node every five seconds as
+// ID, requests in flight / requests served.
 func runWorld(ctx context.Context, command *cobra.Command, spec *experiment.WorldSpec) error {
 	day, err := spec.Day.Draw(spec.Seed)
 	if err != nil {
@@ -66,11 +68,11 @@
 		}
 		file := filepath.Join(dir, name+".json")
 		if err := os.WriteFile(file, text, 0o600); err != nil {
-			return fmt.Errorf("the agent's configuration: %w", err)
+			return fmt.Errorf("writing the agent's configuration: %w", err)
 		}
 		fmt.Fprintf(out, "PROXY_CONFIG=%s ryeweir agent    # clients at %s, operators at %s\n", file, listen, control)
 	}
-	fmt.Fprintf(out, "%d nodes stand; the day's troubles begin now. Ctrl-C ends it.\n", len(day.Nodes))
+	fmt.Fprintf(out, "%d nodes are listening; the day's faults start now. Ctrl-C stops it.\n", len(day.Nodes))
 	world.InjectFaults()
 	tick := time.NewTicker(5 * time.Second)
 	defer tick.Stop()
@@ -78,7 +80,7 @@
 		select {
 		case <-ctx.Done():
 			account := world.Referee.Account()
-			fmt.Fprintf(out, "%d attempts came to the nodes, %d were begun\n", account.Attempts, account.Effects)
+			fmt.Fprintf(out, "%d attempts arrived at the nodes, %d executions were started\n", account.Attempts, account.Effects)
 			return world.Err()
 		case <-tick.C:
 			line := fmt.Sprintf("%4.0fs", world.Now().Seconds())
--- a/internal/processrig/peer_addresses.go
+++ b/internal/processrig/peer_addresses.go
@@ -7,20 +7,21 @@
 	"ryeweir/internal/emulator/link"
 )
 
-// Peers are the addresses by which the agents of a scenario gossip through a mesh, which shapes each direction between two of them.
-// Each agent has an IP address of its own in 127.0.0.0/8, by which the mesh tells who sends.
+// Peers holds the addresses with which the agents of a scenario gossip through a link.Mesh. The mesh shapes the traffic between any two
+// agents separately for each direction. Each agent has an IP address of its own in 127.0.0.0/8, by which the mesh identifies the sender.
 type Peers struct {
-	bindAddrs []string // where the agents listen
-	meshAddrs []string // where the others reach them
+	bindAddrs []string // where each agent listens, by its number
+	meshAddrs []string // addresses of the mesh, at which the others reach each agent
 }
 
-// seedCount is how many agents all others get as seeds at their start.
+// seedCount is the number of agents whose addresses every agent gets as seeds at its start: those with the lowest numbers.
 const seedCount = 3
 
-// NewPeers gives each host an address in the mesh: the agents in the order of their numbers, and then others that gossip with them.
+// NewPeers adds each host to the mesh and gives it its addresses. hosts names the agents in the order of their numbers, and after them
+// any other hosts that gossip with them.
 func NewPeers(mesh *link.Mesh, hosts []string) (*Peers, error) {
 	p := &Peers{}
-	// Another rig on this machine most likely has another network; where it does not, the search for a free port covers it.
+	// Two rigs on one machine rarely draw the same network. If they do, freeTCPAndUDPAddr skips the ports that the other one holds.
 	a, b, c := loopbackNet()
 	for i, name := range hosts {
 		ip := net.IPv4(a, b, c, byte(1+i)).String()
@@ -37,7 +38,8 @@
 	return p, nil
 }
 
-// Addresses returns where a host, by its number, listens, where the others reach it, and the seeds that it gets at its start.
+// Addresses returns the address on which a host listens, given its number, the one at which the others reach it, and its seeds. A host is
+// never its own seed.
 func (p *Peers) Addresses(host int) (bind, advertise string, seeds []string) {
 	for i, addr := range p.meshAddrs[:min(seedCount, len(p.meshAddrs))] {
 		if i != host {
@@ -47,7 +49,7 @@
 	return p.bindAddrs[host], p.meshAddrs[host], seeds
 }
 
-// Args returns the arguments by which an agent, by its number, joins the others.
+// Args returns the command line arguments with which an agent, given its number, joins the gossip.
 func (p *Peers) Args(agent int) []string {
 	bind, advertise, seeds := p.Addresses(agent)
 	args := []string{"--peer-bind", bind, "--peer-advertise", advertise}
@@ -57,7 +59,8 @@
 	return args
 }
 
-// freeTCPAndUDPAddr returns an address whose port was free for both streams and datagrams a moment ago.
+// freeTCPAndUDPAddr returns an address of ip whose port was free for both TCP and UDP a moment ago. It returns the last error if none of
+// portAttempts ports was.
 func freeTCPAndUDPAddr(ip string) (addr string, err error) {
 	for range portAttempts {
 		var l net.Listener
@@ -73,5 +76,5 @@
 		}
 		l.Close()
 	}
-	return "", fmt.Errorf("a port for peers at %s: %w", ip, err)
+	return "", fmt.Errorf("finding a port of %s that is free for TCP and UDP: %w", ip, err)
 }
--- a/internal/processrig/process.go
+++ b/internal/processrig/process.go
@@ -18,35 +18,36 @@
 )
 
 const (
-	// ReadyTimeout is how long an agent has from its start until it accepts clients.
+	// ReadyTimeout is the time limit for an agent to accept clients after its start.
 	ReadyTimeout = 20 * time.Second
-	// StopTimeout is how long an agent has to end after SIGTERM: more than the longest deadline and the drain together.
+	// StopTimeout is the time limit for an agent to end after SIGTERM: longer than the longest deadline and the drain together.
 	StopTimeout = 8 * time.Second
 
 	readyPollInterval = 20 * time.Millisecond
 )
 
-// Process is an agent's process, and those that follow it at the same addresses when it is started again. It is safe for concurrent
-// use, but for Restart: that is for the one who has ended the process.
+// Process is an agent's process, and after a restart the one that follows it at the same addresses. Its methods are safe for concurrent
+// use, except that only the goroutine that ended the process may call Restart.
 type Process struct {
-	Addr    string // for clients
-	Control string // for operators
+	Addr    string // address for clients
+	Control string // address for operators
 
 	command     []string
-	configFile  string // the platform's configuration
-	filePrefix  string // the path of the process's files, without an ending
-	incarnation int    // counts the folders for temporary files
+	configFile  string // path of the platform's configuration
+	filePrefix  string // path of the process's files without their extension
+	incarnation int    // number of the folder for temporary files, counted up at each fresh start
 
 	mu           sync.Mutex
 	cmd          *exec.Cmd
-	exited       chan struct{} // closed when the present process has been waited for
-	exitErr      error         // read after exited
-	stoppedByRig bool          // the present process was ended on purpose
-	earlierCPU   time.Duration // of the processes that have ended
+	exited       chan struct{} // closed after the present process has ended and has been waited for
+	exitErr      error         // valid once exited is closed
+	stoppedByRig bool          // the rig has ended the present process, so Stop does not report its exit
+	earlierCPU   time.Duration // processor time of the processes that have ended
 }
 
-// Start starts an agent of a world by a command, such as the path of the program and "agent". Its configuration, log and state go to
-// a folder. peers may be nil. Stop must be called.
+// Start starts an agent of a world, given its number, with a command such as the path of the program and "agent". It does not wait until
+// the agent is ready. The agent's configuration, log and state are written to dir. peers is nil for an agent that does not gossip. The
+// caller must call Stop.
 func Start(w *emulator.World, agent int, command []string, dir string, limits emulator.Limits, peers *Peers) (*Process, error) {
 	if peers != nil {
 		command = slices.Concat(command, peers.Args(agent))
@@ -63,25 +64,25 @@
 	prefix := filepath.Join(dir, w.Scenario.Agents[agent])
 	configFile := prefix + ".json"
 	if err := os.WriteFile(configFile, text, 0o600); err != nil {
-		return nil, fmt.Errorf("the agent's configuration: %w", err)
+		return nil, fmt.Errorf("writing the agent's configuration: %w", err)
 	}
 	p := &Process{Addr: listen, Control: control, command: command, configFile: configFile, filePrefix: prefix}
 	return p, p.start(true)
 }
 
-// start starts a process: in a new folder for temporary files, and so without persisted state, where fresh; else in that of the one
-// before it.
+// start starts a process. A fresh one gets a new folder for temporary files, and so has no persisted state; any other gets the folder of
+// the process before it.
 func (p *Process) start(fresh bool) error {
 	if fresh {
 		p.incarnation++
 	}
 	tmp := fmt.Sprintf("%s.tmp%d", p.filePrefix, p.incarnation)
 	if err := os.MkdirAll(tmp, 0o700); err != nil {
-		return fmt.Errorf("the agent's temporary folder: %w", err)
+		return fmt.Errorf("creating the agent's temporary folder: %w", err)
 	}
 	log, err := os.OpenFile(p.logFile(), os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600)
 	if err != nil {
-		return fmt.Errorf("the agent's log: %w", err)
+		return fmt.Errorf("opening the agent's log: %w", err)
 	}
 	cmd := exec.Command(p.command[0], p.command[1:]...)
 	cmd.Env = append(os.Environ(), "PROXY_CONFIG="+p.configFile, "TMPDIR="+tmp)
@@ -98,8 +99,8 @@
 	return nil
 }
 
-// supervise starts a child, sends on started whether it could, waits for its end and closes exited. It closes the log. The kernel
-// kills the child when the thread that started it ends, so the goroutine holds its thread until the child has ended.
+// supervise starts a child, sends the result of that on started, waits for the child's end and closes exited and the log. Because the
+// kernel kills the child when the thread that started it ends, the goroutine is locked to its thread until the child has ended.
 func (p *Process) supervise(cmd *exec.Cmd, log *os.File, started chan<- error, exited chan<- struct{}) {
 	runtime.LockOSThread() // never unlocked: the thread ends with this goroutine
 	defer log.Close()
@@ -118,14 +119,15 @@
 
 func (p *Process) logFile() string { return p.filePrefix + ".log" }
 
+// current returns the present process and the channel that is closed when it has ended.
 func (p *Process) current() (*exec.Cmd, <-chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.cmd, p.exited
 }
 
-// Ready waits until the agent accepts clients. It returns an error when the process ends first, and when the context ends or
-// ReadyTimeout is over.
+// Ready waits until the agent accepts clients. It returns an error if the process ends first, the context ends, or ReadyTimeout has
+// passed.
 func (p *Process) Ready(ctx context.Context) error {
 	_, exited := p.current()
 	ctx, cancel := context.WithTimeout(ctx, ReadyTimeout)
@@ -139,13 +141,13 @@
 		case <-exited:
 			return fmt.Errorf("the agent ended before it was ready: %v; its log is %s", p.exitErr, p.logFile())
 		case <-ctx.Done():
-			return fmt.Errorf("the agent is not ready after %v; its log is %s", ReadyTimeout, p.logFile())
+			return fmt.Errorf("the agent was not ready within %v; its log is %s", ReadyTimeout, p.logFile())
 		case <-time.After(readyPollInterval):
 		}
 	}
 }
 
-// checkReady asks the agent once whether it accepts clients.
+// checkReady asks the agent once whether it accepts clients. The error is that of an invalid address.
 func (p *Process) checkReady(ctx context.Context) (bool, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+p.Addr+"/ready", nil)
 	if err != nil {
@@ -160,7 +162,7 @@
 	return resp.StatusCode == http.StatusOK, nil
 }
 
-// Alive reports whether the present process has not ended.
+// Alive reports whether the present process is still running. A paused process is.
 func (p *Process) Alive() bool {
 	_, exited := p.current()
 	return !isClosed(exited)
@@ -175,11 +177,11 @@
 	}
 }
 
-// Restart starts the next process at the same addresses after the present one has ended: without persisted state where fresh, else
-// with what the one before it left. It returns an error wrapping ErrRunning where that has not ended.
+// Restart starts the next process at the same addresses after the present one has ended. A fresh one has no persisted state; any other
+// has what the process before it persisted. Restart returns an error that wraps ErrRunning if the present process has not ended.
 func (p *Process) Restart(fresh bool) error {
 	if p.Alive() {
-		return fmt.Errorf("%s: %w", p.filePrefix, ErrRunning)
+		return fmt.Errorf("restarting %s: %w", p.filePrefix, ErrRunning)
 	}
 	return p.start(fresh)
 }
--- a/internal/processrig/signals.go
+++ b/internal/processrig/signals.go
@@ -9,15 +9,17 @@
 	"time"
 )
 
-// Errors of signals and of Restart.
+// Errors of the methods of Process.
 var (
-	ErrRunning = errors.New("the process before has not ended")
-	ErrExited  = errors.New("the process has ended")
-	// ErrKilled says that the agent did not end within StopTimeout after SIGTERM.
-	ErrKilled = errors.New("the agent had to be killed after SIGTERM")
+	// ErrRunning says that Restart was called before the present process had ended.
+	ErrRunning = errors.New("the present process has not ended")
+	// ErrExited says that a signal was to be sent to a process that had ended.
+	ErrExited = errors.New("the process has ended")
+	// ErrKilled says that the agent did not end within StopTimeout after SIGTERM, and was killed.
+	ErrKilled = fmt.Errorf("the agent did not end within %v after SIGTERM and was killed", StopTimeout)
 )
 
-// Kill ends the process at once with SIGKILL, as a machine that fails would, and returns when it has been waited for.
+// Kill ends the process at once with SIGKILL, as a failing machine would, and returns after the process has been waited for.
 func (p *Process) Kill() {
 	cmd, exited := p.current()
 	p.expectExit()
@@ -25,26 +27,26 @@
 	<-exited
 }
 
-// Terminate ends the process gracefully with SIGTERM, as a planned restart does. One that has not ended after StopTimeout is killed;
-// the error then wraps ErrKilled.
+// Terminate ends the process gracefully with SIGTERM, as a planned restart does. If the process does not end within StopTimeout it is
+// killed, and the error wraps ErrKilled.
 func (p *Process) Terminate() error {
 	cmd, exited := p.current()
 	p.expectExit()
 	if !terminate(cmd, exited) {
-		return fmt.Errorf("%s: %w", p.filePrefix, ErrKilled)
+		return fmt.Errorf("terminating %s: %w", p.filePrefix, ErrKilled)
 	}
 	return nil
 }
 
-// expectExit notes that the rig ends the present process, so that Stop does not report it.
+// expectExit records that the rig ends the present process, so that Stop does not report its exit as unexpected.
 func (p *Process) expectExit() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.stoppedByRig = true
 }
 
-// terminate sends SIGTERM and waits for the process's end. A paused process is resumed, as it gets SIGTERM only then. It returns
-// false where the process had to be killed.
+// terminate sends SIGTERM and waits for the process's end. It also resumes the process, because a paused one handles SIGTERM only after
+// that. It returns false if the process did not end within StopTimeout and was killed.
 func terminate(cmd *exec.Cmd, exited <-chan struct{}) bool {
 	cmd.Process.Signal(syscall.SIGTERM)
 	cmd.Process.Signal(syscall.SIGCONT)
@@ -58,8 +60,8 @@
 	}
 }
 
-// Stop ends the agent as Terminate does, and returns the processor time of all its processes. It returns an error where the agent
-// had ended by itself, ended with one, or had to be killed.
+// Stop ends the agent as Terminate does, and returns the total processor time of all its processes. It returns an error if the agent had
+// already ended without being told to, exited with an error, or had to be killed.
 func (p *Process) Stop() (cpu time.Duration, err error) {
 	cmd, exited := p.current()
 	switch {
@@ -75,52 +77,55 @@
 	return p.earlierCPU, err
 }
 
-// unexpectedExit returns an error where the process has ended and the rig did not end it.
+// unexpectedExit returns an error if the process, which has ended, was not ended by the rig.
 func (p *Process) unexpectedExit() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.stoppedByRig {
 		return nil
 	}
-	return fmt.Errorf("the agent ended by itself: %v; its log is %s", p.exitErr, p.logFile())
+	return fmt.Errorf("the agent exited unexpectedly: %v; its log is %s", p.exitErr, p.logFile())
 }
 
-// Pause stops the process with SIGSTOP: it holds its sockets and answers nothing. The error wraps ErrExited where it has ended.
+// Pause stops the process with SIGSTOP: it keeps its sockets open and answers nothing. The error wraps ErrExited if the process has ended.
 func (p *Process) Pause() error { return p.signal(syscall.SIGSTOP) }
 
-// Resume lets a paused process go on with SIGCONT. Its timers that came due meanwhile fire at once.
+// Resume continues a paused process with SIGCONT. Timers of the process that expired during the pause fire at once. The error wraps
+// ErrExited if the process has ended.
 func (p *Process) Resume() error { return p.signal(syscall.SIGCONT) }
 
+// signal sends a signal to the present process.
 func (p *Process) signal(s syscall.Signal) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if isClosed(p.exited) {
-		return fmt.Errorf("%s: %w", p.filePrefix, ErrExited)
+		return fmt.Errorf("signalling %s: %w", p.filePrefix, ErrExited)
 	}
 	return p.cmd.Process.Signal(s)
 }
 
-// throttlePeriod is the time of which a throttled process runs a part: far below its peers' timeouts, and longer than the kernel
-// takes to let it go on.
+// throttlePeriod is one cycle of running and pausing a throttled process. It is far below the timeouts of the process's peers, and longer
+// than the kernel takes to resume the process.
 const throttlePeriod = 50 * time.Millisecond
 
-// Throttle lets the process run for a fraction of the time only, as on a machine that is overcommitted, until the duration is over
-// or the context ends. The error wraps ErrExited where the process ends meanwhile.
+// Throttle alternately pauses and resumes the process, so that it runs for only a fraction of the time, as on an overcommitted machine.
+// It returns when the duration is over or the context ends. The error wraps ErrExited if the process ends meanwhile.
 func (p *Process) Throttle(ctx context.Context, runFraction float64, duration time.Duration) error {
 	runs := time.Duration(runFraction * float64(throttlePeriod))
 	for end := time.Now().Add(duration); time.Now().Before(end); {
-		if done, err := p.hold(ctx, p.Pause, throttlePeriod-runs); done || err != nil {
+		if done, err := p.signalAndWait(ctx, p.Pause, throttlePeriod-runs); done || err != nil {
 			return err
 		}
-		if done, err := p.hold(ctx, p.Resume, runs); done || err != nil {
+		if done, err := p.signalAndWait(ctx, p.Resume, runs); done || err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// hold signals the process and waits. done says that the context has ended: a process that is then paused is resumed by Stop.
-func (p *Process) hold(ctx context.Context, signal func() error, wait time.Duration) (done bool, err error) {
+// signalAndWait sends a signal to the process and then waits. done reports that the context has ended; a process that is paused at that
+// time stays so until Terminate or Stop resumes it.
+func (p *Process) signalAndWait(ctx context.Context, signal func() error, wait time.Duration) (done bool, err error) {
 	if err := signal(); err != nil {
 		return false, err
 	}
