--- a/cmd/ryeweir/demo.go
+++ b/cmd/ryeweir/demo.go
@@ -143,6 +143,7 @@
 	marks    int             // fault events printed so far, if out is not a terminal
 }
 
+// newScreen returns a screen that prints to out.
 func newScreen(out io.Writer) *screen {
 	f, ok := out.(*os.File)
 	return &screen{out: out, terminal: ok && term.IsTerminal(int(f.Fd()))}
--- a/cmd/ryeweir/drill.go
+++ b/cmd/ryeweir/drill.go
@@ -66,7 +66,7 @@
 	}
 	fmt.Fprintf(out, ", top priority passed over %.3f, service at agents without faults %.3f\n", o.PassedOver, o.Spared)
 	if s := o.Surge; s != nil {
-		fmt.Fprintf(out, "surge of %.1f times: goodput %.3f, service recovered after %.0f s (below 0: never)\n", s.Offered, s.Goodput, s.RecoverySeconds)
+		fmt.Fprintf(out, "surge of %.1f times the capacity of the nodes: goodput %.3f, service recovered after %.0f s (below 0: never)\n", s.Offered, s.Goodput, s.RecoverySeconds)
 	}
 	if l := o.Levels; l != nil {
 		fmt.Fprintf(out, "budgets: an agent admitted %.2f of its demand in the surge (median; %.2f to %.2f), %d requests shed, %d retries withheld, agents overloaded in %d samples\n",
--- a/cmd/ryeweir/faults_test.go
+++ b/cmd/ryeweir/faults_test.go
@@ -15,7 +15,7 @@
 	"ryeweir/internal/experiment"
 )
 
-// children counts the processes whose parent is this one.
+// children returns the IDs of the processes whose parent is this one.
 func children(t *testing.T) (pids []int) {
 	t.Helper()
 	stats, _ := filepath.Glob("/proc/[0-9]*/stat")
@@ -23,7 +23,7 @@
 	for _, f := range stats {
 		text, err := os.ReadFile(f)
 		if err != nil {
-			continue // it ended while we looked
+			continue // the process has ended meanwhile
 		}
 		// pid (comm) state ppid ...: comm may hold spaces, so the fields are counted after its last parenthesis
 		fields := strings.Fields(string(text[strings.LastIndexByte(string(text), ')')+1:]))
@@ -35,9 +35,9 @@
 	return pids
 }
 
-// Six real agent processes, which talk to each other, live through what befalls processes in a fleet, while callers send: half of them killed with
-// SIGKILL and started again cold, one stopped with SIGSTOP for two seconds and let go, one ended with SIGTERM and started again
-// with what it had learnt. Each request gets its one answer, the paused agent's too, no rule breaks, and no process is left.
+// Process faults must not cost a request its answer or break a rule. Of six real agent processes that gossip, three are killed with SIGKILL
+// and restarted without state, one is paused with SIGSTOP for two seconds and resumed, and one is ended with SIGTERM and restarted with its
+// persisted state, while callers send. Each request must get exactly one answer, those at the paused agent too, and no process may be left.
 func TestProcessFaults(t *testing.T) {
 	t.Setenv("RYEWEIR_AS_PROGRAM", "1")
 	self, err := os.Executable()
@@ -64,26 +64,28 @@
 	}
 	a := o.Account
 	if !a.Balanced() || !a.RulesHold() || a.UnknownRequests > 0 || a.Completed < 500 {
-		t.Errorf("%+v %v", a, o.Breaches)
+		t.Errorf("wrong account: %+v, violations %v", a, o.Breaches)
 	}
-	t.Logf("%+v; attempts a request %.2f", a, o.Attempts)
+	t.Logf("%+v; attempts per request %.2f", a, o.Attempts)
 	seen := map[string]int{}
 	for _, m := range o.Marks {
 		seen[m.Text]++
 	}
 	if seen[emulator.AgentKill] != 3 || seen[emulator.AgentPause] != 1 || seen[emulator.AgentRestart] != 1 {
-		t.Errorf("befell %v", seen)
+		t.Errorf("process faults were %v, want 3 kills, 1 pause and 1 restart", seen)
 	}
 	if left := children(t); len(left) > before {
-		t.Errorf("processes left: %v", left)
+		t.Errorf("processes are still running: %v", left)
 	}
 }
 
-// The drills of deploy/drills, each with processes that are killed, paused and cut off from each other: what each expects comes,
-// and no process is left. RYEWEIR_LONG plays their long forms. They are played by the program as it is built to be used: under
-// the race detector eight agents and their nodes take more than a core, and what they expect is a matter of time. Of a play for
-// which the machine was too busy only the rules are judged, and as chance has its part in each, one that does not bring what is
-// expected is played again, twice at most: without what it drills none of its plays does. Two are played at a time.
+// Each drill of deploy/drills, in which processes are killed, paused and cut off from each other, must meet its expectations and leave no
+// process. RYEWEIR_LONG selects the long forms.
+//
+// The drills run the program as it is built for use, without the race detector: under it eight agents and their nodes take more than a core,
+// and the expectations depend on timing. A run on an overloaded machine is judged by the rules only. Because each run depends on chance, a
+// drill that fails its expectations runs again, at most twice; without the mechanism that it tests, none of its runs passes. At most two
+// drills run at a time.
 func TestDrills(t *testing.T) {
 	program := filepath.Join(t.TempDir(), "ryeweir")
 	if out, err := exec.CommandContext(t.Context(), "go", "build", "-o", program, ".").CombinedOutput(); err != nil {
@@ -94,18 +96,18 @@
 		t.Fatalf("%v, %v", files, err)
 	}
 	before := len(children(t))
-	places := make(chan struct{}, 2)
+	slots := make(chan struct{}, 2)
 	t.Run("each", func(t *testing.T) {
 		for _, file := range files {
 			t.Run(strings.TrimSuffix(filepath.Base(file), ".toml"), func(t *testing.T) {
 				t.Parallel()
-				places <- struct{}{}
-				defer func() { <-places }()
+				slots <- struct{}{}
+				defer func() { <-slots }()
 				d := drill(t, program, file)
 				o := d.Outcome
-				t.Logf("%+v; attempts a request %.2f, chokes %d, by class %.3f, surge %+v, budgets %+v, views %+v", o.Account, o.Attempts, o.Chokes, o.ByClass, o.Surge, o.Levels, o.Views)
+				t.Logf("%+v; attempts per request %.2f, nodes choked %d, by class %.3f, surge %+v, budgets %+v, views %+v", o.Account, o.Attempts, o.Chokes, o.ByClass, o.Surge, o.Levels, o.Views)
 				if d.MachineOverloaded {
-					t.Logf("the machine was too busy to judge more than the rules: %.2f ms for a processor, callers %.0f ms late", o.ProcessorWait, o.Lag)
+					t.Logf("the machine was overloaded, so only the rules were judged: mean wait for a processor %.2f ms, callers up to %.0f ms late", o.ProcessorWait, o.Lag)
 				}
 				for _, w := range d.FailedExpectations {
 					t.Error("not as expected:", w)
@@ -114,11 +116,11 @@
 		}
 	})
 	if left := children(t); len(left) > before {
-		t.Errorf("processes left: %v", left)
+		t.Errorf("processes are still running: %v", left)
 	}
 }
 
-// drill plays a drill's file with a program. Its exit says no more than what it tells.
+// drill runs a drill's file with a program and returns the result that it wrote. The exit code is ignored, because the result says the same.
 func drill(t *testing.T, program, file string) (d experiment.DrillResult) {
 	t.Helper()
 	result := filepath.Join(t.TempDir(), "result.json")
@@ -135,7 +137,7 @@
 		t.Fatalf("%v, %v: %s", failed, err, out)
 	}
 	if n := strings.Count(string(out), "not as expected:"); n > len(d.FailedExpectations) {
-		t.Logf("of the plays before: %s", out)
+		t.Logf("output with the failed expectations of earlier runs: %s", out)
 	}
 	return d
 }
--- a/cmd/ryeweir/fleet.go
+++ b/cmd/ryeweir/fleet.go
@@ -15,7 +15,7 @@
 	var jsonFile string
 	command := &cobra.Command{
 		Use:   "fleet FILE",
-		Short: "Model the connections of many agents, with the connection management of the real agent",
+		Short: "Model the connections of many agents, with the agent's own decisions about connections",
 		Long: "Runs FILE's model with each of its variants (arms), repeated with other seeds, and prints the costs and losses of each:\n" +
 			"handshakes, open connections, requests that crossed the server's close or were sent on dead connections, and the peak\n" +
 			"rate of handshakes at a server that has just restarted. Intervals are 95% confidence intervals.",
--- a/cmd/ryeweir/log_test.go
+++ b/cmd/ryeweir/log_test.go
@@ -17,7 +17,8 @@
 	"ryeweir/internal/testkit"
 )
 
-// startProgram starts an agent's process on a discovery, with its log in a pipe, and waits until it takes clients.
+// startProgram starts an agent's process that uses the given discovery. The log goes to a pipe, of which log is the reading end.
+// startProgram returns when the agent is ready at addr.
 func startProgram(t *testing.T, d *testkit.Discovery, level string) (program *exec.Cmd, log *os.File, addr string) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -31,17 +32,17 @@
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	log, errs, err := os.Pipe()
+	log, logWriter, err := os.Pipe()
 	if err != nil {
 		t.Fatal(err)
 	}
 	program = exec.Command(os.Args[0], "agent", "--log-level", level)
 	program.Env = append(os.Environ(), "RYEWEIR_AS_PROGRAM=1", "PROXY_CONFIG="+file, "TMPDIR="+t.TempDir())
-	program.Stdout, program.Stderr = errs, errs
+	program.Stdout, program.Stderr = logWriter, logWriter
 	if err := program.Start(); err != nil {
 		t.Fatal(err)
 	}
-	errs.Close()
+	logWriter.Close()
 	t.Cleanup(func() { program.Process.Kill(); program.Wait(); log.Close() })
 	lines := bufio.NewScanner(log)
 	for lines.Scan() && !strings.Contains(lines.Text(), "listening") {
@@ -50,7 +51,7 @@
 	return program, log, addr
 }
 
-// statusOf is the status of an answer; 0 without one in 3 s.
+// statusOf sends a request with an ID and returns the status of the response, or 0 if none came within 3 s.
 func statusOf(url, id string) int {
 	client := http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: 3 * time.Second}
 	r, err := http.NewRequest(http.MethodGet, url, nil)
@@ -69,9 +70,10 @@
 	return resp.StatusCode
 }
 
-// An agent serves on when nobody reads its log any more: when the collector hangs with the pipe full, and when it has died.
+// An agent must go on serving, and end at SIGTERM, when its log is no longer read: because the collector hangs and the pipe is full, or
+// because the collector has exited and the pipe is broken.
 func TestServesWithoutALogReader(t *testing.T) {
-	for name, lose := range map[string]func(*os.File){
+	for name, stopReading := range map[string]func(*os.File){
 		"hangs": func(*os.File) {},
 		"died":  func(log *os.File) { log.Close() },
 	} {
@@ -80,8 +82,8 @@
 			b := testkit.NewBackend(t, testkit.Says(testkit.ServedText))
 			d := testkit.NewDiscovery(t, 1, testkit.EntryText("b", b.Addr().String(), "Ready", 0))
 			program, log, addr := startProgram(t, d, "debug")
-			lose(log)
-			for n := range 400 { // some hundred KB of log, more than a pipe holds
+			stopReading(log)
+			for n := range 400 { // these write some hundred KB of log, more than a pipe's buffer holds
 				if got := statusOf("http://"+addr+"/form-check", fmt.Sprintf("%016x", n)); got != http.StatusOK {
 					t.Fatalf("request %d: status %d", n, got)
 				}
@@ -95,7 +97,7 @@
 					t.Error(err)
 				}
 			case <-time.After(testkit.Patience):
-				t.Error("it does not end")
+				t.Errorf("the agent did not end within %v after SIGTERM", testkit.Patience)
 			}
 		})
 	}
--- a/cmd/ryeweir/main_test.go
+++ b/cmd/ryeweir/main_test.go
@@ -11,7 +11,8 @@
 	"time"
 )
 
-// TestMain lets the test binary stand in for the program, in a process of its own that takes real signals.
+// TestMain runs the program instead of the tests if RYEWEIR_AS_PROGRAM is set. Tests so start the test binary as an agent in a process of its
+// own, which gets real signals.
 func TestMain(m *testing.M) {
 	if os.Getenv("RYEWEIR_AS_PROGRAM") != "" {
 		main()
@@ -20,13 +21,15 @@
 	os.Exit(m.Run())
 }
 
+// platformJSON is a valid configuration of the platform. Nothing listens at its discovery address.
 const platformJSON = `{"name":"n0","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"8c1f30d27a5be964",
  "limits":{"cores":1.0,"memory_mb":192,"sockets":256},"settings":{"Balancers":1,"Me":0,"TickNs":5000000,
  "WeightKind":"silent","Discovery":"automatic","Zones":["z"],"Report":{"Fields":["util"],"Via":"piggyback"},
  "Ceilings":{"ConnIdleNs":15000000000,"ConnectTimeoutNs":5000000000,"MostHeld":10,"MostTries":2},
  "Classes":[{"AimNs":600000000,"DeadlineNs":2000000000,"Effect":"repeatable","Group":"all","Name":"c","Worth":2}]}}`
 
-// SIGHUP, which ends a process that does not handle it, reads the file again, and SIGTERM drains with exit code 0.
+// SIGHUP, which ends a process that does not handle it, must reload the configuration, and SIGTERM must drain the agent, which then exits
+// with 0. A second SIGTERM or a SIGHUP during the drain must not cut the drain short.
 func TestSignals(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(file, []byte(platformJSON), 0o600); err != nil {
@@ -44,26 +47,26 @@
 	giveUp := time.AfterFunc(20*time.Second, func() { program.Process.Kill() })
 	defer giveUp.Stop()
 	lines := bufio.NewScanner(log)
-	reach := func(text string) {
+	waitFor := func(text string) {
 		t.Helper()
 		for lines.Scan() {
 			if strings.Contains(lines.Text(), text) {
 				return
 			}
 		}
-		t.Fatalf("the log ended before %q", text)
+		t.Fatalf("the log ended without a line that contains %q", text)
 	}
-	reach("listening")
+	waitFor("listening")
 	for range 2 {
 		program.Process.Signal(syscall.SIGHUP)
-		reach("configuration reloaded")
+		waitFor("configuration reloaded")
 	}
 	program.Process.Signal(syscall.SIGTERM)
-	reach("draining")
-	program.Process.Signal(syscall.SIGTERM) // once more, and a reload on its heels: neither cuts the drain short
+	waitFor("draining")
+	program.Process.Signal(syscall.SIGTERM) // during the drain, followed by a reload
 	program.Process.Signal(syscall.SIGHUP)
-	reach("configuration reloaded")
-	reach("drained")
+	waitFor("configuration reloaded")
+	waitFor("drained")
 	for lines.Scan() {
 	}
 	if err := program.Wait(); err != nil {
@@ -71,7 +74,7 @@
 	}
 }
 
-// The exit code is 0 for yes, 1 for no and 2 for wrong use, and each says why in a line.
+// The exit code must be 0 for success, 1 for a failure and 2 for a usage error, and the output must name the reason.
 func TestExitCodes(t *testing.T) {
 	dir := t.TempDir()
 	write := func(name, text string) string {
@@ -83,9 +86,9 @@
 	}
 	good := write("good.json", platformJSON)
 	for _, c := range []struct {
-		args string
-		code int
-		says string
+		args   string
+		code   int
+		output string // a part of the output
 	}{
 		{"version", 0, "ryeweir"},
 		{"--help", 0, "ryeweir demo"},
@@ -113,8 +116,8 @@
 	} {
 		var out strings.Builder
 		t.Setenv("PROXY_CONFIG", "")
-		if code := run(t.Context(), strings.Fields(c.args), &out, &out); code != c.code || !strings.Contains(out.String(), c.says) {
-			t.Errorf("%s: code %d, %s", c.args, code, out.String())
+		if code := run(t.Context(), strings.Fields(c.args), &out, &out); code != c.code || !strings.Contains(out.String(), c.output) {
+			t.Errorf("%s: exit code %d, want %d with %q in the output: %s", c.args, code, c.code, c.output, out.String())
 		}
 	}
 }
--- a/cmd/ryeweir/soak_test.go
+++ b/cmd/ryeweir/soak_test.go
@@ -10,8 +10,8 @@
 	"ryeweir/internal/soak"
 )
 
-// The soak notices faults that are put into the agents by hand, each by the rule that it breaks: an oracle that finds nothing is
-// only as good as that.
+// The soak must find bugs that are planted in the agents, each by one of the rules that it breaks. Otherwise a soak without violations would
+// prove nothing.
 func TestSoakNoticesPlantedFaults(t *testing.T) {
 	t.Setenv("RYEWEIR_AS_PROGRAM", "1")
 	t.Run("each", func(t *testing.T) {
@@ -26,7 +26,7 @@
 			t.Run(strings.Fields(fault)[0], func(t *testing.T) {
 				t.Parallel()
 				plan := soak.Draw(5, 7*time.Second, soak.FaultKinds{soak.ServerDrain, soak.DiskFails})
-				r := playSoak(t, plan, fault)
+				r := runPlan(t, plan, fault)
 				seen := map[string]bool{}
 				for _, v := range r.Violations {
 					seen[v.Rule] = true
@@ -36,14 +36,14 @@
 						return
 					}
 				}
-				t.Errorf("of %d requests none broke one of %q, but %d other rules", r.Requests, rules, len(r.Violations))
+				t.Errorf("of %d requests none broke one of the rules %q; other violations: %d", r.Requests, rules, len(r.Violations))
 			})
 		}
 	})
 }
 
-// playSoak plays a plan with processes of this test's own binary, whose environment says so.
-func playSoak(t *testing.T, plan *soak.Plan, plant ...string) soak.Result {
+// runPlan runs a plan with this test binary as the program; the caller sets RYEWEIR_AS_PROGRAM. plant lists bugs to plant in the agents.
+func runPlan(t *testing.T, plan *soak.Plan, plant ...string) soak.Result {
 	t.Helper()
 	self, err := os.Executable()
 	if err != nil {
@@ -56,8 +56,8 @@
 	return r
 }
 
-// Two short plays of overlapping faults: no rule is broken, and the agents' own counts of violated invariants are 0. Longer ones with
-// other seeds are played by ryeweir soak. A play that is not in order leaves its account in the test's log.
+// Two short runs with overlapping faults must break no rule, and the agents' own counts of violated invariants must be 0. Longer runs with
+// other seeds are left to ryeweir soak. If a rule is broken, the test's log has the plan.
 func TestSoakHolds(t *testing.T) {
 	t.Setenv("RYEWEIR_AS_PROGRAM", "1")
 	t.Run("each", func(t *testing.T) {
@@ -65,10 +65,10 @@
 			t.Run(strconv.FormatUint(seed, 10), func(t *testing.T) {
 				t.Parallel()
 				plan := soak.Draw(seed, 13*time.Second, nil)
-				r := playSoak(t, plan)
-				t.Logf("%d processes, %d requests, %d served, latest by %v", r.Processes, r.Requests, r.Served, r.Lag)
+				r := runPlan(t, plan)
+				t.Logf("%d processes, %d requests, %d served, soak process delayed by up to %v", r.Processes, r.Requests, r.Served, r.Lag)
 				if r.Served < r.Requests/3 {
-					t.Errorf("of %d requests %d were served", r.Requests, r.Served)
+					t.Errorf("of %d requests only %d were served", r.Requests, r.Served)
 				}
 				if len(r.Violations) > 0 {
 					t.Log(plan.Describe())
--- a/internal/faultshim/command.go
+++ b/internal/faultshim/command.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// errnoByName returns the system errors that commands can name.
+// errnoByName returns the system error with a name such as EMFILE. known is false for an error that commands can't name.
 func errnoByName(name string) (errno syscall.Errno, known bool) {
 	errnos := map[string]syscall.Errno{
 		"EADDRNOTAVAIL": syscall.EADDRNOTAVAIL,
@@ -36,16 +36,16 @@
 	return errno, known
 }
 
-// CommandError says what is wrong with a command.
+// CommandError is the error of a command that is malformed or not known.
 type CommandError struct {
-	Line string
-	Text string
+	Line string // the whole command
+	Text string // what is wrong with it
 }
 
 // Error implements error.
 func (e *CommandError) Error() string { return fmt.Sprintf("command %q: %s", e.Line, e.Text) }
 
-// Run executes commands until there are no more. invalid gets those that can't be executed.
+// Run reads commands, one a line, and executes them until the reader ends. It calls invalid for each command that can't be executed.
 func (m *Machine) Run(commands io.Reader, invalid func(line string, err error)) {
 	lines := bufio.NewScanner(commands)
 	for lines.Scan() {
@@ -55,18 +55,18 @@
 	}
 }
 
-// Execute executes one command. It returns a *CommandError where the command is not known, or the error of a number or a duration
-// that can't be parsed.
+// Execute executes one command. It returns a *CommandError if the command is malformed or not known, or the error of parsing a number or a
+// duration.
 func (m *Machine) Execute(line string) error {
 	words := strings.Fields(line)
 	if len(words) < 2 {
-		return &CommandError{line, "a command has a name and an argument"}
+		return &CommandError{line, "must have a name and an argument"}
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	switch name, argument := words[0], words[1]; name {
 	case "clock":
-		return parseDuration(&m.wallStep, argument)
+		return parseDuration(&m.clockOffset, argument)
 	case "shortread":
 		var duration time.Duration
 		err := parseDuration(&duration, argument)
@@ -90,12 +90,13 @@
 	}
 }
 
+// parseDuration parses a duration into to.
 func parseDuration(to *time.Duration, text string) (err error) {
 	*to, err = time.ParseDuration(text)
 	return err
 }
 
-// parseCount reads the third word, which is 1 where there is none.
+// parseCount parses the third word of a command as a count. The count is 1 if there is no third word.
 func parseCount(to *int, words []string) (err error) {
 	*to = 1
 	if len(words) > 2 {
@@ -107,23 +108,23 @@
 // plant sets the probability of a planted fault. m.mu is held.
 func (m *Machine) plant(line string, words []string) (err error) {
 	if len(words) < 3 {
-		return &CommandError{line, "a planted fault has a name and a probability"}
+		return &CommandError{line, "must have the name of a planted fault and its probability"}
 	}
 	m.planted[PlantedFault(words[1])], err = strconv.ParseFloat(words[2], 64)
 	return err
 }
 
-// failNext lets the next calls at a point fail. m.mu is held.
+// failNext makes the next calls at a point fail. m.mu is held.
 func (m *Machine) failNext(line string, words []string) error {
 	point := Point(words[0])
 	switch point {
 	case Accept, Connect, ClientRead, ServerRead, ServerWrite:
 	default:
-		return &CommandError{line, "no such command"}
+		return &CommandError{line, "unknown command"}
 	}
 	errno, known := errnoByName(words[1])
 	if !known {
-		return &CommandError{line, "no such error"}
+		return &CommandError{line, "unknown system error"}
 	}
 	failure := &pendingFailure{errno: errno}
 	m.failures[point] = failure
--- a/internal/faultshim/conn.go
+++ b/internal/faultshim/conn.go
@@ -9,13 +9,14 @@
 )
 
 const (
-	ignoreDiscoveryFor = time.Minute     // longer than a soak lasts
-	duplicateOpenFor   = 2 * time.Second // so long the server may answer a duplicate
+	ignoreDiscoveryFor = time.Minute     // delay of each read by IgnoresDiscovery; longer than a soak's run
+	duplicateOpenFor   = 2 * time.Second // time in which the server may answer a duplicate
 )
 
-// Listen makes the accepts of a TCP listener, and the reads of its connections, fail on command.
+// Listen wraps a TCP listener so that its accepts, and the reads of its connections, fail on command.
 func (m *Machine) Listen(l net.Listener) net.Listener { return listener{l, m} }
 
+// listener is a listener of the agent for clients.
 type listener struct {
 	net.Listener
 	machine *Machine
@@ -32,8 +33,8 @@
 	return &clientConn{conn{c.(*net.TCPConn), l.machine}, false}, nil
 }
 
-// Dial returns a function like net.Dialer's DialContext, whose connects fail on command, and the reads and writes of its connections.
-// Connections to discoveryHost are not affected, but for IgnoresDiscovery.
+// Dial returns a function like DialContext of net.Dialer, whose connects fail on command, as do the reads and writes of its connections.
+// Connections to discoveryHost are not affected, except by IgnoresDiscovery.
 func (m *Machine) Dial(discoveryHost string) func(ctx context.Context, network, addr string) (net.Conn, error) {
 	return func(ctx context.Context, network, addr string) (net.Conn, error) {
 		toDiscovery := strings.HasPrefix(addr, discoveryHost+":")
@@ -53,19 +54,19 @@
 	}
 }
 
-// conn is a connection of a machine.
+// conn is a TCP connection together with the machine that injects its faults.
 type conn struct {
 	*net.TCPConn
 	machine *Machine
 }
 
-// NetConn returns the connection that system calls are made on: the agent looks at its socket.
+// NetConn returns the wrapped TCP connection, from which the agent gets the socket.
 func (c conn) NetConn() net.Conn { return c.TCPConn }
 
-// clientConn is a connection that the agent accepted.
+// clientConn is a connection that the agent accepted from a client.
 type clientConn struct {
 	conn
-	ignored bool // by IgnoresClient
+	ignored bool // by IgnoresClient: what comes is discarded
 }
 
 func (c *clientConn) Read(p []byte) (int, error) {
@@ -80,12 +81,12 @@
 	}
 	if n > 0 && (c.ignored || c.machine.plantedFaultOccurs(IgnoresClient)) {
 		c.ignored = true
-		return c.TCPConn.Read(make([]byte, len(p))) // what came is dropped
+		return c.TCPConn.Read(make([]byte, len(p))) // the bytes that were read are discarded
 	}
 	return n, err
 }
 
-// discoveryConn is a connection to discovery.
+// discoveryConn is a connection of the agent to discovery.
 type discoveryConn struct{ conn }
 
 func (c discoveryConn) Read(p []byte) (int, error) {
@@ -96,7 +97,7 @@
 	return n, err
 }
 
-// serverConn is a connection to a server.
+// serverConn is a connection of the agent to a server.
 type serverConn struct {
 	conn
 	addr string
@@ -131,7 +132,8 @@
 	return c.TCPConn.Write(p)
 }
 
-// writeOverstated writes a request with its X-Timeout made ten times as long: it is the last header, in microseconds.
+// writeOverstated writes a request with ten times its X-Timeout. That is the request's last header and has the unit u, so that a 0 before
+// the u does it.
 func (c *serverConn) writeOverstated(p []byte) (int, error) {
 	text := strings.Replace(string(p), "u\r\n\r\n", "0u\r\n\r\n", 1)
 	if _, err := c.TCPConn.Write([]byte(text)); err != nil {
@@ -140,7 +142,7 @@
 	return len(p), nil
 }
 
-// sendDuplicate sends the same bytes on a connection of their own.
+// sendDuplicate sends the same bytes to the server on another connection. Errors are ignored: the duplicate is then not sent.
 func (c *serverConn) sendDuplicate(p []byte) {
 	other, err := net.Dial("tcp", c.addr)
 	if err != nil {
--- a/internal/faultshim/machine.go
+++ b/internal/faultshim/machine.go
@@ -9,57 +9,59 @@
 	"time"
 )
 
-// Point is a place where system calls can be made to fail.
+// Point is a kind of system call that can be made to fail. Its value is the name of the command that does so.
 type Point string
 
-// The points.
+// The system calls that can be made to fail.
 const (
-	Accept      Point = "accept"
-	Connect     Point = "connect"
-	ClientRead  Point = "clientread"
-	ServerRead  Point = "serverread"
-	ServerWrite Point = "serverwrite"
+	Accept      Point = "accept"      // accept of a client's connection
+	Connect     Point = "connect"     // connect to a server
+	ClientRead  Point = "clientread"  // read from a client's connection
+	ServerRead  Point = "serverread"  // read from a server's connection
+	ServerWrite Point = "serverwrite" // write to a server's connection
 )
 
-// PlantedFault is a deliberate bug of the agent, which shows that the soak notices it.
+// PlantedFault is a simulated bug of the agent, which the soak must notice. Planting it tests the soak's checks. Its value is its name in
+// the plant command.
 type PlantedFault string
 
 // The planted faults.
 const (
-	DropsRequests    PlantedFault = "drop"      // a client's connection is closed with a request that was read
-	Duplicates       PlantedFault = "duplicate" // a request is sent twice
-	IgnoresDiscovery PlantedFault = "deaf"      // what discovery sends is not read
-	WrongAnswers     PlantedFault = "wrong"     // a byte of a response is changed
-	DelaysAttempts   PlantedFault = "late"      // a request is written half a second after it was decided on
-	OverstatesTime   PlantedFault = "overstate" // a server gets ten times the timeout
-	IgnoresClient    PlantedFault = "mute"      // a client's connection is not read any more
+	DropsRequests    PlantedFault = "drop"      // a client's connection is closed after bytes of a request were read from it
+	Duplicates       PlantedFault = "duplicate" // a request is sent to the server a second time
+	IgnoresDiscovery PlantedFault = "deaf"      // reads from discovery return only after ignoreDiscoveryFor
+	WrongAnswers     PlantedFault = "wrong"     // a bit of a server's response is changed
+	DelaysAttempts   PlantedFault = "late"      // a request is written to the server plantedAttemptDelay after it was decided on
+	OverstatesTime   PlantedFault = "overstate" // a server gets ten times the timeout that the agent gave
+	IgnoresClient    PlantedFault = "mute"      // what comes on a client's connection is discarded from then on
 )
 
 const (
-	plantedAttemptDelay = 500 * time.Millisecond // of DelaysAttempts
-	maxShortRead        = 64                     // bytes
+	plantedAttemptDelay = 500 * time.Millisecond // delay of a write by DelaysAttempts
+	maxShortRead        = 64                     // most bytes that a short read returns
 )
 
-// Machine fails on command. New makes one. It is safe for concurrent use.
+// Machine stands in for the machine that an agent runs on: its network, wall clock and storage fail on command. New makes one. Its methods
+// are safe for concurrent use.
 type Machine struct {
 	mu             sync.Mutex
 	rng            *rand.Rand
 	failures       map[Point]*pendingFailure
-	planted        map[PlantedFault]float64 // probabilities
-	wallStep       time.Duration
-	holdDuration   time.Duration // of each write that is held
-	holdsRemaining int
-	shortUntil     time.Time
-	diskErr        error
+	planted        map[PlantedFault]float64 // probability of each
+	clockOffset    time.Duration            // of the wall clock, against the real one
+	holdDuration   time.Duration            // delay of each held write
+	holdsRemaining int                      // writes that are yet to be held
+	shortUntil     time.Time                // reads are short until then
+	diskErr        error                    // returned by writes to storage; nil if they succeed
 }
 
-// pendingFailure is the failure of the next calls at a point.
+// pendingFailure is the error with which the next remaining calls at a point fail.
 type pendingFailure struct {
 	errno     syscall.Errno
 	remaining int
 }
 
-// New returns a machine on which nothing fails yet.
+// New returns a machine on which nothing fails yet. The seed determines when planted faults occur and how short short reads are.
 func New(seed uint64) *Machine {
 	return &Machine{
 		rng:      rand.New(rand.NewPCG(seed, 9)),
@@ -68,15 +70,15 @@
 	}
 }
 
-// Now returns the machine's wall clock.
+// Now returns the time of the machine's wall clock.
 func (m *Machine) Now() time.Time {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return time.Now().Add(m.wallStep)
+	return time.Now().Add(m.clockOffset)
 }
 
-// nextFailure takes the next failure at a point; nil where the call is to succeed. The error is an *net.OpError, as of the real
-// system call.
+// nextFailure returns the error with which the next call at a point fails, or nil if the call is to succeed, and counts it as used. The
+// error is a *net.OpError, like that of a real system call with the name call.
 func (m *Machine) nextFailure(at Point, call string) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -88,7 +90,7 @@
 	return &net.OpError{Op: string(at), Net: "tcp", Err: os.NewSyscallError(call, failure.errno)}
 }
 
-// plantedFaultOccurs draws whether a planted fault occurs now.
+// plantedFaultOccurs draws at random whether a planted fault occurs now.
 func (m *Machine) plantedFaultOccurs(fault PlantedFault) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -96,7 +98,7 @@
 	return probability > 0 && m.rng.Float64() < probability
 }
 
-// nextWriteDelay returns by how much the next write to a server is delayed.
+// nextWriteDelay returns the delay of the next write to a server, and counts a held write as used.
 func (m *Machine) nextWriteDelay() time.Duration {
 	if m.plantedFaultOccurs(DelaysAttempts) {
 		return plantedAttemptDelay
@@ -110,8 +112,8 @@
 	return m.holdDuration
 }
 
-// shortBuffer returns the part of a buffer that a read may fill. In short reads it has from 1 to maxShortRead bytes: with one byte
-// each time a long body would keep a process under the race detector busy for most of a second.
+// shortBuffer returns the part of a buffer that a read may fill. While reads are short it has a random length from 1 to maxShortRead
+// bytes, not always 1: reading a long body byte by byte would keep a process under the race detector busy for most of a second.
 func (m *Machine) shortBuffer(p []byte) []byte {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -121,8 +123,8 @@
 	return p[:min(len(p), 1+m.rng.IntN(maxShortRead))]
 }
 
-// Replace replaces a file atomically, as the agent's storage does, or fails on command with an *os.PathError: then the file is as it
-// was, and half of the new one is left beside it.
+// Replace replaces a file's content atomically, as the agent's storage does. If the disk is to fail it returns an *os.PathError; the file
+// is then unchanged, and a temporary file with half of the new content is left beside it.
 func (m *Machine) Replace(path string, data []byte) error {
 	m.mu.Lock()
 	failure := m.diskErr
--- a/internal/faultshim/machine_test.go
+++ b/internal/faultshim/machine_test.go
@@ -12,8 +12,9 @@
 	"time"
 )
 
-// connect returns both ends of a connection through the machine: as an agent accepts it and as it dials it.
-func connect(t *testing.T, m *Machine) (accepted, dialled net.Conn) {
+// connect returns both ends of a connection, each of which injects the machine's faults: the end that an agent accepts and the end that it
+// dials.
+func connect(t *testing.T, m *Machine) (accepted, dialed net.Conn) {
 	t.Helper()
 	raw, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -21,19 +22,19 @@
 	}
 	t.Cleanup(func() { raw.Close() })
 	l := m.Listen(raw)
-	dialled, err = m.Dial("127.9.9.9")(t.Context(), "tcp", raw.Addr().String())
+	dialed, err = m.Dial("127.9.9.9")(t.Context(), "tcp", raw.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	if accepted, err = l.Accept(); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { accepted.Close(); dialled.Close() })
-	return accepted, dialled
+	t.Cleanup(func() { accepted.Close(); dialed.Close() })
+	return accepted, dialed
 }
 
-// The soak counts on exact faults: calls fail as often and with the errors that commands say, and succeed after that. A command
-// with a mistake must not pass for one that was executed.
+// Calls must fail exactly as often, and with the errors, that commands say, and succeed after that, because the soak excuses what these
+// faults explain. A malformed or unknown command must return an error, or the soak would run without its fault.
 func TestCallsFailAsOftenAsCommanded(t *testing.T) {
 	m := New(1)
 	raw, err := net.Listen("tcp", "127.0.0.1:0")
@@ -51,8 +52,8 @@
 	if _, err := m.Dial("")(t.Context(), "tcp", raw.Addr().String()); !errors.Is(err, syscall.EMFILE) {
 		t.Error(err)
 	}
-	accepted, dialled := connect(t, m)
-	for point, conn := range map[string]net.Conn{"clientread": accepted, "serverread": dialled} {
+	accepted, dialed := connect(t, m)
+	for point, conn := range map[string]net.Conn{"clientread": accepted, "serverread": dialed} {
 		if err := m.Execute(point + " ETIMEDOUT 1"); err != nil {
 			t.Fatal(err)
 		}
@@ -60,36 +61,37 @@
 			t.Errorf("%s: %v", point, err)
 		}
 	}
-	_, dialled = connect(t, m)
+	_, dialed = connect(t, m)
 	m.Execute("serverwrite EPIPE 1")
-	if _, err := dialled.Write([]byte("x")); !errors.Is(err, syscall.EPIPE) {
+	if _, err := dialed.Write([]byte("x")); !errors.Is(err, syscall.EPIPE) {
 		t.Error(err)
 	}
 	for _, wrong := range []string{"accept", "accept ENONE", "fly away", "clock soon", "hold 1s many", "plant duplicate"} {
 		if m.Execute(wrong) == nil {
-			t.Errorf("%q was executed", wrong)
+			t.Errorf("command %q returned no error", wrong)
 		}
 	}
 }
 
-// A wall clock that steps must not touch timers, and writes that are held, or reads that return a few bytes, must still carry all.
+// The clock command must step the machine's wall clock, which timers do not use. hold must delay a write by at least its time, and that
+// write must still succeed. During shortread each read must return from 1 to maxShortRead bytes without an error.
 func TestClockStepsWritesAreHeldAndReadsAreShort(t *testing.T) {
 	m := New(1)
 	m.Execute("clock -1h")
 	if got := time.Until(m.Now()); got > -59*time.Minute {
-		t.Errorf("the clock is off by %v", got)
+		t.Errorf("the clock is off by %v, not by -1h", got)
 	}
 	m.Execute("hold 60ms 1")
-	accepted, dialled := connect(t, m)
+	accepted, dialed := connect(t, m)
 	for _, least := range []time.Duration{60 * time.Millisecond, 0} {
 		before := time.Now()
-		dialled.Write([]byte("x"))
+		dialed.Write([]byte("x"))
 		if took := time.Since(before); took < least {
-			t.Errorf("held for %v", took)
+			t.Errorf("the write took %v, less than %v", took, least)
 		}
 	}
 	m.Execute("shortread 1m")
-	dialled.Write(make([]byte, 10*maxShortRead))
+	dialed.Write(make([]byte, 10*maxShortRead))
 	for range 8 {
 		if n, err := accepted.Read(make([]byte, 9*maxShortRead)); n < 1 || n > maxShortRead || err != nil {
 			t.Errorf("%d bytes, %v", n, err)
@@ -97,7 +99,8 @@
 	}
 }
 
-// A disk that is full must leave the file as it was, or the agent would lose the state that it has; one that works again replaces it.
+// A write to a full disk must leave the file unchanged, or the agent would lose its persisted state. After "disk ok" the file must be
+// replaced again.
 func TestFailingDiskLeavesFileAsItWas(t *testing.T) {
 	m := New(1)
 	path := filepath.Join(t.TempDir(), "file")
@@ -118,16 +121,16 @@
 	}
 }
 
-// The soak proves by planted faults that it notices bugs of the agent, so they must occur: here a byte of a response is changed, and
-// a request is sent twice.
+// Planted faults test that the soak notices bugs of the agent, so they must really occur. Of those faults the test covers two: a changed
+// response, and a request that is sent twice.
 func TestPlantedFaultsOccur(t *testing.T) {
 	m := New(1)
-	accepted, dialled := connect(t, m)
+	accepted, dialed := connect(t, m)
 	m.Execute("plant wrong 1")
 	io.WriteString(accepted, "answer")
 	buf := make([]byte, 6)
-	if io.ReadFull(dialled, buf); string(buf) == "answer" {
-		t.Error("the answer is unchanged")
+	if io.ReadFull(dialed, buf); string(buf) == "answer" {
+		t.Error("the response is unchanged")
 	}
 	m.Execute("plant duplicate 1")
 	raw, err := net.Listen("tcp", "127.0.0.1:0")
