--- a/internal/pool/acquire.go
+++ b/internal/pool/acquire.go
@@ -2,21 +2,21 @@
 
 import "time"
 
-// lowPriorityReserve is the divisor of the places that low-priority use leaves free: a tenth.
+// lowPriorityReserve is the divisor of Settings.MaxConnections that gives the reserve which low-priority use leaves free: a tenth.
 const lowPriorityReserve = 10
 
-// Acquire asks for a connection to the endpoint for one request. It returns a slot, or else a waiter that has or will get a
-// result. nonIdempotent is a request that must not be repeated: it gets no connection that the endpoint may be closing as long as
-// another can be had, and no suspect one.
+// Acquire requests a connection to the endpoint for one request. It returns either a slot or a waiter; a waiter for an endpoint
+// that is not ready, or one above Settings.MaxWaiters, is rejected at once. A nonIdempotent request must not be repeated: it gets
+// no suspect connection, and gets one that the endpoint may be closing only if no idle one is safer and no handshake can start.
 func (t *Table) Acquire(now time.Duration, endpoint *Endpoint, nonIdempotent bool) (*Slot, *Waiter, []Action) {
-	t.begin()
+	t.beginEvent()
 	if endpoint == nil || !endpoint.ready {
 		waiter := t.rejectedWaiter(RejectNotReady)
 		return nil, waiter, t.actions
 	}
 	endpoint.demand.recordRequest(now)
 	if slot := t.pickIdle(now, endpoint, nonIdempotent); slot != nil {
-		t.take(now, slot)
+		t.grant(now, slot)
 		t.preopen(now, endpoint)
 		return slot, nil, t.actions
 	}
@@ -35,18 +35,20 @@
 	return nil, waiter, t.actions
 }
 
-// AllowsLowPriority reports whether use that must not compete with requests, such as a health check, may have a connection to
-// the endpoint: nothing waits, and one is idle there or a tenth of all places is free.
+// AllowsLowPriority reports whether use that must not compete with requests, such as a health check, may get a connection to the
+// endpoint. It may if no request waits, and either the endpoint has an idle connection or a tenth of Settings.MaxConnections is
+// free.
 func (t *Table) AllowsLowPriority(endpoint *Endpoint) bool {
 	if t.waiting > 0 {
 		return false
 	}
 	hasIdle := endpoint != nil && len(endpoint.idle) > 0
-	return hasIdle || lowPriorityReserve*t.places() < (lowPriorityReserve-1)*t.settings.MaxConnections
+	return hasIdle || lowPriorityReserve*t.connectionCount() < (lowPriorityReserve-1)*t.settings.MaxConnections
 }
 
-// pickIdle returns the idle slot for a request, or nil: then a new connection can be had, or none is idle. It closes expired slots
-// on its way. A non-idempotent request gets a slot that is past its own idle limit only where no handshake can begin.
+// pickIdle returns the idle slot for a request, or nil if there is none or a new connection should be opened instead. It closes the
+// expired slots that it finds. A non-idempotent request gets a slot that exceeds the idle limit for such requests only if no
+// handshake can start.
 func (t *Table) pickIdle(now time.Duration, endpoint *Endpoint, nonIdempotent bool) *Slot {
 	var best, fallback *Slot
 	for i := len(endpoint.idle) - 1; i >= 0; i-- {
@@ -58,7 +60,7 @@
 			t.close(slot, reason)
 			continue
 		}
-		if nonIdempotent && endpoint.suspicion.covers(slot) {
+		if nonIdempotent && endpoint.suspects.contains(slot) {
 			continue
 		}
 		if nonIdempotent && now-slot.idleSince > endpoint.idleLimit.forNonIdempotent(&t.settings, now) {
@@ -70,8 +72,8 @@
 		if best == nil || t.preferred(slot, best) {
 			best = slot
 		}
-		if t.settings.ReuseOrder == MostRecentlyUsed && t.noneSuspect(now, endpoint) {
-			break // the walk began at the most recently used
+		if t.settings.ReuseOrder == MostRecentlyUsed && t.suspectsExpired(now, endpoint) {
+			break // the iteration starts at the most recently used slot
 		}
 	}
 	if best == nil && !t.canStartHandshake(endpoint) {
@@ -80,10 +82,10 @@
 	return best
 }
 
-// preferred reports whether slot is used before other. A suspect one goes first, with a request that may be repeated, so that it
-// is proven or closed.
+// preferred reports whether slot is reused before other. A suspect slot goes first, with a request that may be repeated, so that it
+// is soon either known to work or closed.
 func (t *Table) preferred(slot, other *Slot) bool {
-	suspect, otherSuspect := slot.Endpoint.suspicion.covers(slot), other.Endpoint.suspicion.covers(other)
+	suspect, otherSuspect := slot.Endpoint.suspects.contains(slot), other.Endpoint.suspects.contains(other)
 	if suspect != otherSuspect {
 		return suspect
 	}
@@ -93,19 +95,19 @@
 	case FewestRequests:
 		return slot.requests < other.requests
 	}
-	return false // the walk begins at the most recently used
+	return false // the iteration starts at the most recently used slot
 }
 
-// noneSuspect reports whether all suspect connections of the endpoint must have expired by now.
-func (t *Table) noneSuspect(now time.Duration, endpoint *Endpoint) bool {
-	return now-endpoint.suspicion.since > t.settings.configuredIdleLimit()
+// suspectsExpired reports whether every connection that was suspect must have expired by now.
+func (t *Table) suspectsExpired(now time.Duration, endpoint *Endpoint) bool {
+	return now-endpoint.suspects.since > t.settings.configuredIdleLimit()
 }
 
-// expired reports whether an idle slot must not be used again, and why.
+// expired reports whether an idle slot must not be reused, and why.
 func (t *Table) expired(now time.Duration, slot *Slot) (CloseReason, bool) {
 	endpoint := slot.Endpoint
 	switch {
-	case t.settings.CloseSuspect && endpoint.suspicion.covers(slot):
+	case t.settings.CloseSuspect && endpoint.suspects.contains(slot):
 		return CloseSuspected, true
 	case now-slot.idleSince >= endpoint.idleLimit.current(&t.settings, now):
 		return CloseIdle, true
@@ -117,8 +119,8 @@
 	return 0, false
 }
 
-// take grants an idle slot to a request.
-func (t *Table) take(now time.Duration, slot *Slot) {
+// grant marks an idle slot as in use by a request.
+func (t *Table) grant(now time.Duration, slot *Slot) {
 	t.removeIdle(slot)
 	slot.idleFor = now - slot.idleSince
 	if slot.requests > 0 {
@@ -131,9 +133,10 @@
 	slot.requests++
 }
 
-// DiscardStale closes a slot that was just granted and can't be used: the endpoint closed it, or it has unexpected bytes to read.
+// DiscardStale closes a slot that was granted but cannot be used, because the endpoint closed it or it has unexpected bytes to
+// read.
 func (t *Table) DiscardStale(now time.Duration, slot *Slot) []Action {
-	t.begin()
+	t.beginEvent()
 	slot.requests--
 	slot.Endpoint.idleLimit.recordClose(&t.settings, now, slot.idleFor)
 	t.close(slot, CloseStale)
--- a/internal/pool/action.go
+++ b/internal/pool/action.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// ActionKind is what an Action asks for.
+// ActionKind identifies what an Action requests.
 type ActionKind int
 
-// The kinds of actions, with the fields of Action that each uses.
+// The kinds of actions, with the fields of Action that each one uses.
 const (
-	Open                  ActionKind = iota // begin a handshake with Slot.Endpoint
-	Close                                   // close Slot, for CloseReason
+	Open                  ActionKind = iota // start a handshake with Slot.Endpoint
+	Close                                   // close Slot, because of CloseReason
 	Grant                                   // give Slot to Waiter
-	Reject                                  // tell Waiter that it gets no connection, for RejectReason
+	Reject                                  // tell Waiter that it gets no connection, because of RejectReason
 	ScheduleQuarantineEnd                   // call QuarantineEnded with Slot after Delay
 )
 
-// Action is one step that the table's owner carries out. None of them blocks.
+// Action is one step that the owner of the table executes. No action blocks.
 type Action struct {
 	Kind         ActionKind
 	Slot         *Slot
@@ -27,21 +27,21 @@
 // CloseReason says why the table closed a connection.
 type CloseReason int
 
-// The reasons of a close.
+// The close reasons.
 const (
 	CloseIdle      CloseReason = iota // idle for as long as the endpoint's idle limit allows
-	CloseAge                          // reached its age or its number of requests, or the endpoint asked for the close
+	CloseAge                          // reached its age limit or request limit, or the endpoint asked for the close
 	CloseStale                        // found closed, or with unexpected bytes to read, before it was used
-	CloseSuspected                    // not proven since a burst of failures
-	CloseCrossed                      // closed by the endpoint while a request was on its way
-	CloseBroken                       // its exchange failed or left it out of step
-	CloseRetired                      // its endpoint drains, was removed or has restarted
-	CloseCapacity                     // another endpoint needed the place, or the limits were lowered
-	CloseShutdown                     // the pool is closing
+	CloseSuspected                    // suspect: no exchange has completed on it since others with the endpoint failed
+	CloseCrossed                      // closed by the endpoint while a request was in transit
+	CloseBroken                       // its exchange failed, or left it in an unknown state
+	CloseRetired                      // its endpoint is draining, was removed or has restarted
+	CloseCapacity                     // another endpoint needed the capacity, or the limits were lowered
+	CloseShutdown                     // the pool is being closed
 	closeReasons   int         = iota
 )
 
-// closeReasonKeys are the keys of the reasons in the metrics.
+// closeReasonKeys maps the close reasons to their keys in the metrics.
 var closeReasonKeys = [closeReasons]string{
 	CloseIdle:      "idle",
 	CloseAge:       "age",
@@ -60,22 +60,22 @@
 // RejectReason says why a waiter gets no connection.
 type RejectReason int
 
-// The reasons of a rejection.
+// The reject reasons.
 const (
-	RejectCapacity      RejectReason = iota // no place became free in time, too many wait, or the agent lacks a resource
-	RejectNotReady                          // the endpoint takes no new requests
-	RejectConnectFailed                     // the endpoint's handshake failed, or takes too long
+	RejectCapacity      RejectReason = iota // no connection became available in time, too many requests wait, or the agent lacks a resource
+	RejectNotReady                          // the endpoint accepts no new requests
+	RejectConnectFailed                     // the handshake with the endpoint failed or takes too long
 )
 
-// ReleaseOutcome says how an exchange left its connection.
+// ReleaseOutcome says in which state an exchange left its connection.
 type ReleaseOutcome int
 
-// The outcomes of a release.
+// The release outcomes.
 const (
-	Reusable       ReleaseOutcome = iota // the exchange is complete, and the connection can carry another
+	Reusable       ReleaseOutcome = iota // the exchange is complete, and the connection can carry another one
 	Unused                               // nothing was written
-	MustClose                            // the exchange is complete, and the connection can't carry another
-	ClosedByServer                       // the endpoint closed it before any part of an answer
-	Abandoned                            // the agent stopped waiting before an answer could be expected: no evidence against the endpoint
-	Broken                               // anything else
+	MustClose                            // the exchange is complete, and the connection cannot carry another one
+	ClosedByServer                       // the endpoint closed it before it sent any part of an answer
+	Abandoned                            // the agent stopped waiting before an answer could be expected; this is no evidence against the endpoint
+	Broken                               // any other failure
 )
--- a/internal/pool/conn.go
+++ b/internal/pool/conn.go
@@ -8,22 +8,22 @@
 	"ryeweir/internal/socket"
 )
 
-// Conn is an open connection. Whoever got it from Get owns it until Put.
+// Conn is an open connection. The caller that got it from Get owns it until Put.
 type Conn struct {
 	net.Conn
-	State any // of the protocol on it, from Config.NewState
+	State any // protocol state, created by Config.NewState
 	slot  *Slot
 }
 
-// FirstUse reports whether the present request is the first on the connection.
+// FirstUse reports whether the current request is the first one on the connection.
 func (c *Conn) FirstUse() bool { return c.slot.requests <= 1 }
 
-// quiet reports whether an idle connection is open with nothing to read.
+// openWithoutInput reports whether an idle connection is still open and has nothing to read.
 //
-// Failure: the endpoint closed the connection, or sent an answer that no request asked for. A request on it would be lost or get
-// the wrong answer. The guard holds for all that has arrived at this machine by the time of the look; for what is still on its
-// way see idleLimit and Settings.Quarantine.
-func (c *Conn) quiet() bool {
+// Failure: the endpoint has closed the connection, or has sent an answer to no request. A request written to this connection would
+// be lost or get the wrong answer. The check covers everything that has reached this machine when it is made; idleLimit and
+// Settings.Quarantine cover what is still in transit.
+func (c *Conn) openWithoutInput() bool {
 	if network, ok := c.Conn.(interface{ OpenWithoutInput() bool }); ok {
 		return network.OpenWithoutInput()
 	}
--- a/internal/pool/dial.go
+++ b/internal/pool/dial.go
@@ -11,12 +11,12 @@
 	"ryeweir/internal/socket"
 )
 
-// DialFunc opens a connection, as net.Dialer's DialContext does. A connection without a socket of the machine has a method
-// OpenWithoutInput() bool, which reports whether it is open with nothing to read.
+// DialFunc opens a connection, like net.Dialer's DialContext. A connection that has no operating system socket must have a method
+// OpenWithoutInput() bool, which reports whether it is open and has nothing to read.
 type DialFunc func(ctx context.Context, network, addr string) (net.Conn, error)
 
-// errPoolClosed says that a connection opened after the pool was closed.
-var errPoolClosed = errors.New("the pool is closed")
+// errPoolClosed means that a handshake completed after the pool was closed.
+var errPoolClosed = errors.New("connection pool closed")
 
 // connect opens the connection of a slot and reports the result to the table.
 func (p *Pool) connect(slot *Slot) {
@@ -29,7 +29,7 @@
 	}
 	if err != nil {
 		p.recordConnectFailure(slot, err)
-		p.execute(p.table.HandshakeFailed(p.cfg.Clock.Now(), slot, hasLocalCause(err)))
+		p.execute(p.table.HandshakeFailed(p.cfg.Clock.Now(), slot, isLocalError(err)))
 		return
 	}
 	p.recordOpened(slot, conn)
@@ -38,7 +38,7 @@
 	p.execute(p.table.HandshakeSucceeded(p.cfg.Clock.Now(), slot))
 }
 
-// dial opens a connection within the connect timeout and sizes its buffers.
+// dial opens a connection within the connect timeout and sets its socket buffer sizes.
 func (p *Pool) dial(addr string) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(p.dialCtx, p.cfg.ConnectTimeout)
 	defer cancel()
@@ -70,13 +70,13 @@
 	p.cfg.Events.Record(opened)
 }
 
-// localCauses are the errors of socket(2) and connect(2) that come from this machine.
+// localErrors are the errors of socket(2) and connect(2) whose cause is on this machine.
 //
-// Failure: the agent runs out of descriptors, ports or memory. If that counted against the endpoint, the balancer would eject
-// healthy endpoints. The guard holds because these errors come before any packet is sent.
-var localCauses = [...]error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL, syscall.EAGAIN, syscall.EPERM}
+// Failure: the agent runs out of file descriptors, ports or memory. If these errors counted against the endpoint, the balancer
+// would eject healthy endpoints. They can be told apart because they occur before any packet is sent.
+var localErrors = [...]error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL, syscall.EAGAIN, syscall.EPERM}
 
-// hasLocalCause reports whether a connect failed for want of a resource of this machine.
-func hasLocalCause(err error) bool {
-	return slices.ContainsFunc(localCauses[:], func(cause error) bool { return errors.Is(err, cause) })
+// isLocalError reports whether a connect failed because this machine lacked a resource or permission.
+func isLocalError(err error) bool {
+	return slices.ContainsFunc(localErrors[:], func(cause error) bool { return errors.Is(err, cause) })
 }
--- a/internal/pool/endpoint.go
+++ b/internal/pool/endpoint.go
@@ -2,28 +2,28 @@
 
 import "time"
 
-// Endpoint is one incarnation of a listed endpoint. A restart or another address makes a new one, so that no request and no
-// evidence of one incarnation reaches the next.
+// Endpoint is one incarnation of a listed endpoint. A restart or a new address creates another incarnation, so that neither
+// requests nor evidence carry over from the previous one.
 type Endpoint struct {
 	ID, Addr  string
-	startedAt time.Duration // on the agent's clock; 0: long ago
-	index     int           // in the table's endpoints; -1 once it is no longer there
+	startedAt time.Duration // on the agent's clock; 0 means long ago
+	index     int           // position in Table.endpoints; -1 once removed
 
-	ready         bool // may get new requests
+	ready         bool // accepts new requests
 	notReadySince time.Duration
 	retired       bool
 
-	connections         int     // slots open or opening
-	handshakes          int     // slots opening
-	failedHandshakes    int     // in a row
-	idle                []*Slot // by idleSince, the earliest first
+	connections         int     // slots that are open or opening
+	handshakes          int     // slots that are opening
+	failedHandshakes    int     // consecutive failures
+	idle                []*Slot // ordered by idleSince, earliest first
 	waiters             []*Waiter
-	awaitedInQuarantine int // idle slots that waiters count on once their quarantine is over
+	awaitedInQuarantine int // idle slots reserved for waiters until their quarantine ends
 
 	idleLimit idleLimit
-	suspicion suspicion
+	suspects  suspectTracker
 	demand    demand
 }
 
-// finished reports whether nothing of a retired endpoint is left.
-func (e *Endpoint) finished() bool { return e.retired && e.connections == 0 }
+// removable reports whether the endpoint is retired and has no connection left.
+func (e *Endpoint) removable() bool { return e.retired && e.connections == 0 }
--- a/internal/pool/execute.go
+++ b/internal/pool/execute.go
@@ -6,7 +6,7 @@
 	"ryeweir/internal/event"
 )
 
-// execute carries out the table's actions in order. The caller holds the lock, and nothing here blocks.
+// execute performs the table's actions in order. The caller holds p.mu; execute does not block.
 func (p *Pool) execute(actions []Action) {
 	for _, action := range actions {
 		switch action.Kind {
@@ -29,7 +29,7 @@
 	p.cfg.Events.Record(event.Event{Kind: event.UpstreamClosed, Reason: eventReasons[reason], Endpoint: slot.Endpoint.ID})
 }
 
-// eventReasons are the table's close reasons as reasons of events.
+// eventReasons maps the table's close reasons to the reasons in events.
 var eventReasons = [closeReasons]event.Reason{
 	CloseIdle:      event.IdleTimeout,
 	CloseAge:       event.AgeLimit,
@@ -42,7 +42,8 @@
 	CloseShutdown:  event.ProcessEnd,
 }
 
-// quarantineEnded reports the end of a scheduled delay to the table. After Close it changes nothing, as no slot is idle then.
+// quarantineEnded reports the end of a scheduled quarantine to the table. After Close it has no effect, because no slot is idle
+// then.
 func (p *Pool) quarantineEnded(slot *Slot) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/pool/get.go
+++ b/internal/pool/get.go
@@ -6,15 +6,16 @@
 	"time"
 )
 
-// Request says which connection Get is to return.
+// Request describes the connection that Get is to return.
 type Request struct {
 	Endpoint         *Endpoint
-	RepeatRestricted bool            // must not be repeated: see Table.Acquire
-	Deadline         time.Time       // until which to wait
-	Abandoned        <-chan struct{} // closed when nobody waits for the answer any more; may be nil
+	RepeatRestricted bool            // the request must not be repeated; see Table.Acquire
+	Deadline         time.Time       // limit of the wait
+	Abandoned        <-chan struct{} // closed once no one waits for the answer any more; may be nil
 }
 
-// Get returns a connection for one request, which Put must give back. The error wraps one of the package's reasons.
+// Get returns a connection for one request. The caller must return it with Put. The error wraps ErrNotReady, ErrExhausted,
+// ErrCanceled or ErrConnectFailed.
 func (p *Pool) Get(ctx context.Context, request Request) (*Conn, error) {
 	for {
 		conn, waiter, timeout := p.acquire(request.Endpoint, request.RepeatRestricted)
@@ -27,15 +28,15 @@
 			return nil, err
 		case slot == nil:
 			return nil, rejectError(reason, request.Endpoint)
-		case slot.requests <= 1 || slot.Conn.quiet():
+		case slot.requests <= 1 || slot.Conn.openWithoutInput():
 			return slot.Conn, nil
 		}
 		p.discardStale(slot)
 	}
 }
 
-// GetLowPriority is Get for use that must not compete with requests, such as a health check. It returns ErrExhausted if requests
-// wait, or if no connection is idle and less than a tenth of all places is free.
+// GetLowPriority is like Get, for use that must not compete with requests, such as a health check. It returns ErrExhausted if
+// requests wait, or if the endpoint has no idle connection and less than a tenth of Settings.MaxConnections is free.
 func (p *Pool) GetLowPriority(ctx context.Context, endpoint *Endpoint, deadline time.Time) (*Conn, error) {
 	p.mu.Lock()
 	allowed := p.table.AllowsLowPriority(endpoint)
@@ -46,14 +47,14 @@
 	return p.Get(ctx, Request{Endpoint: endpoint, Deadline: deadline})
 }
 
-// Put gives a connection back and says how its exchange left it.
+// Put returns a connection to the pool. outcome says in which state its exchange left it.
 func (p *Pool) Put(conn *Conn, outcome ReleaseOutcome) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.execute(p.table.Release(p.cfg.Clock.Now(), conn.slot, outcome))
 }
 
-// acquire returns an open connection with nothing to read, or a waiter and how long it may wait.
+// acquire returns an open connection with nothing to read, or else a waiter and the limit on its wait.
 func (p *Pool) acquire(endpoint *Endpoint, nonIdempotent bool) (*Conn, *Waiter, time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -64,7 +65,7 @@
 		if slot == nil {
 			return nil, waiter, p.cfg.Settings.AcquireTimeout
 		}
-		if slot.Conn.quiet() {
+		if slot.Conn.openWithoutInput() {
 			return slot.Conn, nil, 0
 		}
 		p.execute(p.table.DiscardStale(now, slot))
@@ -77,10 +78,10 @@
 	p.execute(p.table.DiscardStale(p.cfg.Clock.Now(), slot))
 }
 
-// await waits for a waiter's result: a slot, or why there is none. It returns ErrCanceled if the caller could not use a connection
-// any more.
+// await waits for the result of a waiter: a slot, or the reason why there is none. It returns ErrCanceled if the caller could no
+// longer use a connection.
 func (p *Pool) await(ctx context.Context, waiter *Waiter, timeout time.Duration, request Request) (*Slot, RejectReason, error) {
-	if result, ok := waiter.poll(); ok { // rejected at once
+	if result, ok := waiter.poll(); ok { // rejected immediately
 		return result.Slot, result.RejectReason, nil
 	}
 	timer := time.NewTimer(min(timeout, time.Until(request.Deadline)))
@@ -96,7 +97,7 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if result, ok := waiter.poll(); ok { // it came between the end of the wait and the lock
+	if result, ok := waiter.poll(); ok { // the result arrived after the wait ended and before the lock was taken
 		return result.Slot, result.RejectReason, nil
 	}
 	reason := p.table.Cancel(waiter)
@@ -106,7 +107,7 @@
 	return nil, reason, nil
 }
 
-// poll returns the waiter's result if it has one.
+// poll returns the result of the waiter if it is available, without blocking.
 func (w *Waiter) poll() (result Action, ok bool) {
 	select {
 	case result = <-w.Result:
@@ -116,7 +117,7 @@
 	}
 }
 
-// rejectError is the error of a rejection.
+// rejectError returns the error for a rejection.
 func rejectError(reason RejectReason, endpoint *Endpoint) error {
 	switch reason {
 	case RejectNotReady:
--- a/internal/pool/handshake.go
+++ b/internal/pool/handshake.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// failedHandshakeDivisor reduces the concurrent handshakes with an endpoint whose latest one failed: an endpoint that does not
-// answer would else take the handshakes that others need.
+// failedHandshakeDivisor reduces the concurrent handshakes with an endpoint whose last handshake failed. Without it an endpoint
+// that does not respond would use up the handshakes that other endpoints need.
 const failedHandshakeDivisor = 4
 
-// canStartHandshake reports whether a handshake with the endpoint may begin now, if need be in the place of an idle connection.
+// canStartHandshake reports whether a handshake with the endpoint may start now, if necessary by closing an idle connection.
 func (t *Table) canStartHandshake(endpoint *Endpoint) bool {
 	switch {
 	case !endpoint.ready:
@@ -16,10 +16,10 @@
 	case endpoint.handshakes >= t.maxHandshakes(endpoint), t.opening >= t.settings.MaxHandshakes:
 		return false
 	}
-	return t.places() < t.settings.MaxConnections || t.idle > 0
+	return t.connectionCount() < t.settings.MaxConnections || t.idle > 0
 }
 
-// maxHandshakes is how many handshakes with the endpoint may be under way.
+// maxHandshakes returns how many handshakes with the endpoint may be in progress at a time.
 func (t *Table) maxHandshakes(endpoint *Endpoint) int {
 	if endpoint.failedHandshakes > 0 {
 		return max(1, t.settings.MaxHandshakesPerEndpoint/failedHandshakeDivisor)
@@ -27,7 +27,7 @@
 	return t.settings.MaxHandshakesPerEndpoint
 }
 
-// startHandshakes begins handshakes for the waiters that have none under way.
+// startHandshakes starts handshakes for waiters that have none in progress, as far as the limits allow.
 func (t *Table) startHandshakes(now time.Duration) {
 	for t.waiting > 0 {
 		endpoint := t.nextToConnect()
@@ -38,8 +38,8 @@
 	}
 }
 
-// nextToConnect is the endpoint that gets the next handshake, or nil: the one with the fewest connections, and of equals the
-// one whose first waiter came first.
+// nextToConnect returns the endpoint that gets the next handshake, or nil if none may: the one with the fewest connections and,
+// among equals, the one whose first waiter arrived earliest.
 func (t *Table) nextToConnect() *Endpoint {
 	var best *Endpoint
 	for _, endpoint := range t.endpoints {
@@ -54,20 +54,20 @@
 	return best
 }
 
-// startHandshake begins a handshake. If all places are taken, the connection that has been idle for longest is closed for it.
+// startHandshake starts a handshake. At Settings.MaxConnections it first closes the connection that has been idle longest.
 func (t *Table) startHandshake(now time.Duration, endpoint *Endpoint, preopened bool) {
-	if t.places() >= t.settings.MaxConnections {
-		t.close(t.longestIdle(), CloseCapacity)
+	if t.connectionCount() >= t.settings.MaxConnections {
+		t.close(t.leastRecentlyUsedIdle(), CloseCapacity)
 	}
 	endpoint.connections++
 	endpoint.handshakes++
 	t.opening++
-	t.act(Action{Kind: Open, Slot: &Slot{Endpoint: endpoint, openedAt: now, preopened: preopened}})
+	t.emit(Action{Kind: Open, Slot: &Slot{Endpoint: endpoint, openedAt: now, preopened: preopened}})
 }
 
-// longestIdle is the slot that has been idle for longest, and of equals the one whose endpoint's ID comes first. At least one
-// must be idle.
-func (t *Table) longestIdle() *Slot {
+// leastRecentlyUsedIdle returns the slot that has been idle longest and, among equals, the one whose endpoint has the lowest ID. At
+// least one slot must be idle.
+func (t *Table) leastRecentlyUsedIdle() *Slot {
 	var longest *Slot
 	for _, endpoint := range t.endpoints {
 		if len(endpoint.idle) == 0 {
@@ -82,17 +82,17 @@
 	return longest
 }
 
-// HandshakeSucceeded is the event of a handshake that succeeded. The slot goes to the first waiter, which need not be the one that the
-// handshake was begun for.
+// HandshakeSucceeded is the event of a successful handshake. The slot goes to the first waiter that may use it, which need not be
+// the one for which the handshake was started.
 func (t *Table) HandshakeSucceeded(now time.Duration, slot *Slot) []Action {
-	t.begin()
+	t.beginEvent()
 	endpoint := slot.Endpoint
 	t.opening--
 	endpoint.handshakes--
 	t.open++
 	endpoint.demand.recordHandshake((now - slot.openedAt).Seconds())
 	endpoint.failedHandshakes = 0
-	slot.openedAt, slot.provenAt = now, now
+	slot.openedAt, slot.lastSuccessAt = now, now
 	if t.settings.MaxAge > 0 {
 		slot.expiresAt = now + time.Duration(float64(t.settings.MaxAge)*(1-t.settings.AgeJitter*t.rng.Float64()))
 	}
@@ -102,24 +102,25 @@
 	return t.actions
 }
 
-// HandshakeFailed is the event of a handshake that failed. localCause says that the agent lacked a resource, which is no evidence
-// against the endpoint. The first waiter is rejected, since a failure that no waiter saw would go unnoticed by the balancer.
-func (t *Table) HandshakeFailed(now time.Duration, slot *Slot, localCause bool) []Action {
-	t.begin()
+// HandshakeFailed is the event of a failed handshake. localError means that the agent lacked a resource, which is no evidence
+// against the endpoint. Unless the connection was to be opened in advance, the first waiter is rejected: the balancer learns of the
+// failure only through a rejected request.
+func (t *Table) HandshakeFailed(now time.Duration, slot *Slot, localError bool) []Action {
+	t.beginEvent()
 	endpoint := slot.Endpoint
 	t.opening--
 	endpoint.handshakes--
 	reason := RejectCapacity
-	if !localCause {
+	if !localError {
 		reason = RejectConnectFailed
 		endpoint.failedHandshakes++
 	}
-	t.freePlace(endpoint)
+	t.connectionGone(endpoint)
 	t.stats.OpenFailed++
 	if !slot.preopened && len(endpoint.waiters) > 0 {
 		first := endpoint.waiters[0]
 		t.dequeue(first)
-		t.act(Action{Kind: Reject, Waiter: first, RejectReason: reason})
+		t.emit(Action{Kind: Reject, Waiter: first, RejectReason: reason})
 	}
 	t.startHandshakes(now)
 	return t.actions
--- a/internal/pool/idlelimit.go
+++ b/internal/pool/idlelimit.go
@@ -5,50 +5,50 @@
 	"time"
 )
 
-// maxIdleEvidence bounds the net number of closes that are remembered, so that an endpoint whose idle timeout changes is
-// noticed after as many.
+// maxIdleEvidence bounds idleLimit.evidence, so that a changed idle timeout of the endpoint takes effect after about as many
+// observations.
 const maxIdleEvidence = 8
 
-// idleLimit is the rule for how long a connection to one endpoint may be idle and still be used.
+// idleLimit determines how long a connection to one endpoint may be idle and still be reused.
 //
-// Failure: an endpoint closes connections that are idle for longer than its timeout. A request written while the close is on its
-// way is lost, and whether it ran is unknown. It shows as close reason "crossed". The guard holds because a connection is
-// dropped before the endpoint's timeout, as far as that is known: a fraction of the configured timeout at first, lowered when
-// the endpoint is seen to close earlier, and recovering exponentially so that one early close has no lasting effect.
+// Failure: an endpoint closes connections that have been idle longer than its timeout. A request written while the close is in
+// transit is lost, and it is unknown whether it ran. The metrics count this as close reason "crossed". To prevent it, a connection
+// is dropped before the endpoint's timeout, as far as that is known. The limit starts at a fraction of the configured timeout, is
+// lowered when the endpoint is seen to close earlier, and recovers exponentially, so that one early close has no lasting effect.
 //
-// Endpoints also close for other reasons, such as load. A connection that outlived the idle time in question shows that
-// no timeout closed the other one.
+// Endpoints also close connections for other reasons, such as load. If another connection was idle for longer and stayed open, the
+// close was not caused by a timeout.
 type idleLimit struct {
-	lowered   time.Duration // the limit as set at loweredAt
-	loweredAt time.Duration
+	learned   time.Duration // the limit as of learnedAt
+	learnedAt time.Duration
 
-	survived   time.Duration // longest recent idle time after which a connection was still open
-	survivedAt time.Duration
+	longestSurvived   time.Duration // longest recent idle time after which a connection was still open
+	longestSurvivedAt time.Duration
 
-	evidence int // closes that speak for a timeout, less those that speak against one
+	evidence int // closes that indicate a timeout, minus those that contradict it
 }
 
-// configuredIdleLimit is the limit while nothing is known against it.
+// configuredIdleLimit returns the limit that applies until the endpoint is seen to close earlier.
 func (s *Settings) configuredIdleLimit() time.Duration {
 	return time.Duration(s.IdleFraction * float64(s.ServerIdleTimeout))
 }
 
-// current returns how long a connection may be idle and be used again.
+// current returns how long a connection may be idle and still be reused.
 func (l *idleLimit) current(settings *Settings, now time.Duration) time.Duration {
 	configured := settings.configuredIdleLimit()
-	if l.lowered >= configured {
+	if l.learned >= configured {
 		return configured
 	}
-	// Compared as floats: after some minutes the doubled value overflows a Duration.
-	recovered := float64(l.lowered) * math.Exp2(float64(now-l.loweredAt)/float64(settings.IdleLimitDoublingTime))
+	// The comparison uses floats, because the doubled value overflows a Duration after some minutes.
+	recovered := float64(l.learned) * math.Exp2(float64(now-l.learnedAt)/float64(settings.IdleLimitDoublingTime))
 	if recovered >= float64(configured) {
 		return configured
 	}
 	return time.Duration(recovered)
 }
 
-// forNonIdempotent returns the limit for a request that must not be repeated. It is below the current limit only while that is a
-// learned estimate.
+// forNonIdempotent returns the limit for a request that must not be repeated. It is lower than the current limit only while that is
+// below the configured one, because a learned limit is an estimate.
 func (l *idleLimit) forNonIdempotent(settings *Settings, now time.Duration) time.Duration {
 	limit := l.current(settings, now)
 	if limit == settings.configuredIdleLimit() {
@@ -57,17 +57,18 @@
 	return time.Duration(settings.NonIdempotentIdleFraction * float64(limit))
 }
 
-// recordSurvival records that a connection was still open after it had been idle for so long.
+// recordSurvival records that a connection was still open after the given idle time.
 func (l *idleLimit) recordSurvival(settings *Settings, now, idle time.Duration) {
-	if idle >= l.survived || now-l.survivedAt > settings.IdleLimitDoublingTime {
-		l.survived, l.survivedAt = idle, now
+	if idle >= l.longestSurvived || now-l.longestSurvivedAt > settings.IdleLimitDoublingTime {
+		l.longestSurvived, l.longestSurvivedAt = idle, now
 	}
 }
 
-// recordClose records that the endpoint closed a connection which had been idle for so long at the most: it was found closed,
-// or a request crossed the close. The limit is lowered unless another connection outlived that idle time.
+// recordClose records that the endpoint closed a connection that had been idle for at most the given time: the connection was found
+// closed, or a request was written while the close was in transit. The limit is lowered unless another connection recently survived
+// a longer idle time, or earlier evidence against a timeout prevails.
 func (l *idleLimit) recordClose(settings *Settings, now, idle time.Duration) {
-	if l.survived > idle && now-l.survivedAt <= settings.IdleLimitDoublingTime {
+	if l.longestSurvived > idle && now-l.longestSurvivedAt <= settings.IdleLimitDoublingTime {
 		l.evidence = max(l.evidence-1, -maxIdleEvidence)
 		return
 	}
@@ -77,6 +78,6 @@
 	}
 	lower := max(settings.MinIdleLimit, time.Duration(settings.IdleFraction*float64(idle)))
 	if lower < l.current(settings, now) {
-		l.lowered, l.loweredAt = lower, now
+		l.learned, l.learnedAt = lower, now
 	}
 }
--- a/internal/pool/idlelimit_test.go
+++ b/internal/pool/idlelimit_test.go
@@ -5,39 +5,39 @@
 	"time"
 )
 
-// An endpoint closes idle connections earlier than its settings say, and a close crosses a request. The idle limit falls below that
-// time and recovers; meanwhile non-idempotent requests use connections only up to a fraction of it.
+// An endpoint closes idle connections earlier than configured, while a request is in transit. The idle limit must fall below that
+// time and recover later. Until then non-idempotent requests reuse connections only up to a fraction of the limit.
 func TestIdleLimitFallsAtAnEarlyCloseAndRecovers(t *testing.T) {
-	b, endpoint := newTableTest(t, nil)
-	limit := func() time.Duration { return endpoint.idleLimit.current(&b.settings, b.now) }
+	table, endpoint := newTestTable(t, nil)
+	limit := func() time.Duration { return endpoint.idleLimit.current(&table.settings, table.now) }
 	if got := limit(); got != 8*time.Second {
-		t.Errorf("at first %v", got)
+		t.Errorf("initial limit %v, want 8 s", got)
 	}
-	slot := b.get(endpoint, false)
-	b.Release(b.now, slot, Reusable)
-	b.now += 2 * time.Second
-	slot = b.get(endpoint, false)
-	b.Release(b.now, slot, ClosedByServer)
+	slot := table.get(endpoint, false)
+	table.Release(table.now, slot, Reusable)
+	table.now += 2 * time.Second
+	slot = table.get(endpoint, false)
+	table.Release(table.now, slot, ClosedByServer)
 	if got := limit(); got != 1600*time.Millisecond {
-		t.Errorf("after a close at 2 s: %v", got)
+		t.Errorf("limit %v after a close at 2 s idle, want 1.6 s", got)
 	}
-	slot = b.get(endpoint, false)
-	b.now += time.Second
-	b.Release(b.now, slot, Reusable)
-	b.now += time.Second
-	if got := b.get(endpoint, true); got == slot {
-		t.Error("a non-idempotent request uses a connection that was idle for over half the limit")
-	} else if got := b.get(endpoint, false); got != slot {
-		t.Error("an idempotent request does not use it")
+	slot = table.get(endpoint, false)
+	table.now += time.Second
+	table.Release(table.now, slot, Reusable)
+	table.now += time.Second
+	if got := table.get(endpoint, true); got == slot {
+		t.Error("a non-idempotent request reused a connection that was idle for over half the limit")
+	} else if got := table.get(endpoint, false); got != slot {
+		t.Error("an idempotent request did not reuse that connection")
 	}
-	b.now += time.Minute
+	table.now += time.Minute
 	if got := limit(); got < 6*time.Second {
-		t.Errorf("after a minute: %v", got)
+		t.Errorf("limit %v after a minute, want at least 6 s", got)
 	}
 	for range 40 { // the recovered limit must not overflow
-		b.now += time.Hour
+		table.now += time.Hour
 		if got := limit(); got != 8*time.Second {
-			t.Fatalf("after hours: %v", got)
+			t.Fatalf("limit %v after hours, want 8 s", got)
 		}
 	}
 }
--- a/internal/pool/model_test.go
+++ b/internal/pool/model_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// tableModel carries out a table's actions and checks each against the table's invariants.
+// tableModel performs a table's actions and checks each of them against the table's invariants.
 type tableModel struct {
 	t         *rapid.T
 	table     *Table
@@ -19,14 +19,14 @@
 	retired   map[*Endpoint]bool
 	opening   []*Slot
 	used      []*Slot
-	delayed   []*Slot // that QuarantineEnded is to be called for
+	delayed   []*Slot // slots for which QuarantineEnded is due
 	open      map[*Slot]bool
 	waiting   map[*Waiter]bool
 
-	lastOutcome ReleaseOutcome // releases draw an outcome up to this one
+	lastOutcome ReleaseOutcome // highest outcome that a release may draw
 }
 
-// randomSettings draws settings with small limits, so that each is often reached.
+// randomSettings draws settings with low limits, so that each of them is often reached.
 func randomSettings(t *rapid.T) Settings {
 	settings := DefaultSettings(rapid.IntRange(1, 12).Draw(t, "max connections"))
 	settings.MaxPerEndpoint = rapid.IntRange(1, 6).Draw(t, "max per endpoint")
@@ -55,14 +55,14 @@
 	}
 }
 
-// execute carries out actions and checks that each is allowed.
+// execute performs actions and checks that each is allowed.
 func (m *tableModel) execute(actions []Action) {
 	m.t.Helper()
 	for _, action := range actions {
 		switch action.Kind {
 		case Open:
 			if !action.Slot.Endpoint.ready {
-				m.t.Fatal("a handshake with an endpoint that is not ready")
+				m.t.Fatal("handshake with an endpoint that is not ready")
 			}
 			m.opening = append(m.opening, action.Slot)
 		case Close:
@@ -77,53 +77,53 @@
 			m.checkResult(action.Waiter)
 		case ScheduleQuarantineEnd:
 			if action.Delay <= 0 || action.Delay > m.settings.Quarantine {
-				m.t.Fatalf("a quarantine of %v", action.Delay)
+				m.t.Fatalf("quarantine delay %v is out of range", action.Delay)
 			}
 			m.delayed = append(m.delayed, action.Slot)
 		}
 	}
 }
 
-// checkResult checks that a waiter gets one result.
+// checkResult checks that a waiter gets only one result.
 func (m *tableModel) checkResult(waiter *Waiter) {
 	m.t.Helper()
 	if waiter.endpoint == nil {
-		return // rejected at once
+		return // rejected immediately
 	}
 	if !m.waiting[waiter] {
-		m.t.Fatal("a result for a request that does not wait")
+		m.t.Fatal("result for a request that is not waiting")
 	}
 	delete(m.waiting, waiter)
 }
 
-// checkGrant checks that a connection may be used for a request.
+// checkGrant checks that a connection may be granted to a request.
 func (m *tableModel) checkGrant(slot *Slot, endpoint *Endpoint, nonIdempotent bool) {
 	m.t.Helper()
 	if !m.open[slot] || slot.Endpoint != endpoint || !endpoint.ready || m.retired[endpoint] {
 		m.t.Fatal("granted a connection that is closed, of another incarnation, or of an endpoint that is not ready")
 	}
 	if slices.Contains(m.used, slot) {
-		m.t.Fatal("granted twice")
+		m.t.Fatal("granted a connection that is in use")
 	}
 	if slot.answeredAt > 0 && m.now-slot.answeredAt < m.settings.Quarantine {
 		m.t.Fatal("granted a connection in quarantine")
 	}
-	if nonIdempotent && slot.provenAt < endpoint.suspicion.since {
+	if nonIdempotent && slot.lastSuccessAt < endpoint.suspects.since {
 		m.t.Fatal("granted a suspect connection to a non-idempotent request")
 	}
 	m.used = append(m.used, slot)
 }
 
-// check compares the table's figures and limits with the model.
+// check compares the table's counters with the model and with the limits.
 func (m *tableModel) check() {
 	m.t.Helper()
 	stats := m.table.Stats()
 	if stats.Open != len(m.open) || stats.Opening != len(m.opening) || stats.Waiting != len(m.waiting) || stats.Open-stats.Idle != len(m.used) {
-		m.t.Fatalf("it counts %+v; there are %d open, %d opening, %d waiting, %d used",
+		m.t.Fatalf("the table counts %+v; the model has %d open, %d opening, %d waiting, %d in use",
 			stats, len(m.open), len(m.opening), len(m.waiting), len(m.used))
 	}
 	if stats.Open+stats.Opening > m.settings.MaxConnections || stats.Opening > m.settings.MaxHandshakes || stats.Waiting > m.settings.MaxWaiters {
-		m.t.Fatalf("over a limit: %+v", stats)
+		m.t.Fatalf("above a limit: %+v", stats)
 	}
 	for _, endpoint := range m.table.endpoints {
 		m.checkEndpoint(endpoint)
@@ -133,29 +133,29 @@
 func (m *tableModel) checkEndpoint(endpoint *Endpoint) {
 	m.t.Helper()
 	if endpoint.connections > m.settings.MaxPerEndpoint || endpoint.handshakes > m.settings.MaxHandshakesPerEndpoint {
-		m.t.Fatalf("over a limit of an endpoint: %d connections, %d handshakes", endpoint.connections, endpoint.handshakes)
+		m.t.Fatalf("above a limit per endpoint: %d connections, %d handshakes", endpoint.connections, endpoint.handshakes)
 	}
 	if len(endpoint.waiters) > endpoint.handshakes+endpoint.awaitedInQuarantine && m.table.canStartHandshake(endpoint) {
-		m.t.Fatal("a request waits and a handshake could begin")
+		m.t.Fatal("a request waits although a handshake could start")
 	}
 	awaited := 0
 	for _, slot := range endpoint.idle {
 		if slot.awaitedInQuarantine {
 			awaited++
 			if !slices.Contains(m.delayed, slot) {
-				m.t.Fatal("a waiter counts on a connection in quarantine, and nothing ends that")
+				m.t.Fatal("a connection in quarantine is awaited, but no QuarantineEnded is scheduled")
 			}
 		}
 	}
 	if awaited != endpoint.awaitedInQuarantine {
-		m.t.Fatalf("%d connections in quarantine are awaited, it counts %d", awaited, endpoint.awaitedInQuarantine)
+		m.t.Fatalf("%d connections in quarantine are awaited, the endpoint counts %d", awaited, endpoint.awaitedInQuarantine)
 	}
 	if !endpoint.ready && (len(endpoint.waiters) > 0 || len(endpoint.idle) > 0) {
 		m.t.Fatal("an endpoint that is not ready has waiters or idle connections")
 	}
 }
 
-// takeAny draws an element and removes it.
+// takeAny removes a randomly drawn element and returns it.
 func takeAny[T any](t *rapid.T, from *[]T) (x T, ok bool) {
 	t.Helper()
 	if len(*from) == 0 {
@@ -177,7 +177,7 @@
 	return m.endpoints[rapid.IntRange(0, len(m.endpoints)-1).Draw(t, "endpoint")]
 }
 
-// The events, with what each draws.
+// The events of the model. Some draw their arguments.
 
 func (m *tableModel) acquire(t *rapid.T) {
 	endpoint, nonIdempotent := m.anyEndpoint(t), rapid.Bool().Draw(t, "non-idempotent")
@@ -236,7 +236,7 @@
 	m.addReadyEndpoint()
 }
 
-// raiseLimits only raises them: after a reduction the limits hold later.
+// raiseLimits never lowers the limits: lower limits would hold only once the connections in use are released.
 func (m *tableModel) raiseLimits(*rapid.T) {
 	m.settings.MaxConnections, m.settings.MaxPerEndpoint = m.settings.MaxConnections+1, m.settings.MaxPerEndpoint+1
 	m.execute(m.table.Configure(m.now, m.settings))
@@ -255,7 +255,7 @@
 	m.now += time.Duration(rapid.IntRange(1, 3000).Draw(t, "ms")) * time.Millisecond
 }
 
-// shutDown ends everything and checks that nothing is left.
+// shutDown ends all connections and checks that the table is empty.
 func (m *tableModel) shutDown(t *rapid.T) {
 	for len(m.opening) > 0 {
 		m.handshakeSucceeds(t)
@@ -269,12 +269,12 @@
 	}
 	m.check()
 	if len(m.open) > 0 || len(m.waiting) > 0 || len(m.table.endpoints) > 0 {
-		t.Fatalf("left: %d open, %d waiting, %d endpoints", len(m.open), len(m.waiting), len(m.table.endpoints))
+		t.Fatalf("left after shutdown: %d open, %d waiting, %d endpoints", len(m.open), len(m.waiting), len(m.table.endpoints))
 	}
 }
 
-// events are the events by name. The order of the names and the draws of each event are part of the recorded history in
-// testdata/rapid: with another order it would replay something else.
+// events returns the events by name. rapid draws among the sorted names, so the names and the draws of each event must not change:
+// the recorded history in testdata/rapid would replay as a different one.
 func (m *tableModel) events() map[string]func(*rapid.T) {
 	return map[string]func(*rapid.T){
 		"cancel":                 m.cancel,
@@ -295,13 +295,13 @@
 	}
 }
 
-// Events come in any order: limits hold, no request gets a closed connection or that of another, each waiter gets one result,
-// and in the end nothing is left.
+// Events occur in any order. Limits must hold, no request may get a closed connection or one in use, each waiter must get one
+// result, and the table must be empty in the end.
 func TestTableKeepsItsInvariantsOverAnyHistory(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) { checkHistory(newTableModel(t, randomSettings(t))) })
 }
 
-// Exchanges fail among the other events, so that connections become suspect: the same invariants hold.
+// Failed exchanges among the events make connections suspect. The same invariants must hold.
 func TestTableKeepsItsInvariantsWithBrokenExchanges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newTableModel(t, randomSettings(t))
@@ -310,7 +310,7 @@
 	})
 }
 
-// checkHistory plays random events on two endpoints and shuts down.
+// checkHistory applies random events on two endpoints, then shuts down.
 func checkHistory(m *tableModel) {
 	m.t.Helper()
 	m.addReadyEndpoint()
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -13,48 +13,49 @@
 	"ryeweir/logic"
 )
 
-// Reasons why Get returns no connection.
+// Errors of Get.
 var (
-	// ErrNotReady says that the endpoint takes no new requests.
-	ErrNotReady = errors.New("the endpoint takes no new requests")
-	// ErrExhausted says that no place became free in time, or that too many requests wait.
-	ErrExhausted = errors.New("the connection pool is exhausted")
-	// ErrCanceled says that the caller's deadline passed, or that its context or request ended.
-	ErrCanceled = errors.New("the wait for a connection was canceled")
-	// ErrConnectFailed says that the endpoint's handshake failed or took too long. It is the only one that is evidence against
-	// the endpoint.
-	ErrConnectFailed = errors.New("no connection could be opened")
+	// ErrNotReady means that the endpoint accepts no new requests.
+	ErrNotReady = errors.New("endpoint accepts no new requests")
+	// ErrExhausted means that no connection became available within Settings.AcquireTimeout, that too many requests were waiting
+	// already, or that the agent lacked a resource to open one.
+	ErrExhausted = errors.New("connection pool exhausted")
+	// ErrCanceled means that the caller's deadline passed, its context ended, or its request was abandoned.
+	ErrCanceled = errors.New("wait for a connection canceled")
+	// ErrConnectFailed means that the handshake with the endpoint failed or took too long. It is the only one of these errors that
+	// counts as evidence against the endpoint.
+	ErrConnectFailed = errors.New("could not open a connection")
 )
 
-// Config is what a Pool works with.
+// Config configures a Pool.
 type Config struct {
 	Settings          Settings
-	ConnectTimeout    time.Duration // for a handshake
-	SocketBufferBytes int           // each way, as the kernel is asked for it; 0: the kernel's default
+	ConnectTimeout    time.Duration // limit on one handshake
+	SocketBufferBytes int           // size requested from the kernel for each direction; 0 leaves the kernel's default
 	Seed              uint64
 	Clock             core.Clock
-	Dial              DialFunc           // nil: the machine's network
-	NewState          func(net.Conn) any // makes Conn.State for a new connection
-	Events            *event.Recorder    // nil: none are recorded
+	Dial              DialFunc           // nil dials the real network
+	NewState          func(net.Conn) any // creates Conn.State for a new connection
+	Events            *event.Recorder    // nil records none
 }
 
-// Pool owns the connections to all endpoints. It is safe for concurrent use.
+// Pool holds the connections to all endpoints and carries out the decisions of a Table. It is safe for concurrent use.
 type Pool struct {
 	cfg        Config
-	dialCtx    context.Context // of the handshakes; ends with Close
+	dialCtx    context.Context // parent of every handshake's context; canceled by Close
 	cancelDial context.CancelFunc
 	dials      sync.WaitGroup
 
 	mu        sync.Mutex
 	closed    bool
 	table     *Table
-	endpoints map[string]*Endpoint // by ID, those listed
+	endpoints map[string]*Endpoint // the listed endpoints by ID
 	startedAt map[*Endpoint]time.Duration
 	open      map[*Conn]struct{}
-	inspected []*Slot // buffer of Maintain
+	idleSlots []*Slot // buffer reused by Maintain
 }
 
-// New returns a pool, which must be closed. The error is that of Settings.Validate.
+// New returns a pool. The caller must close it. New fails if Settings.Validate does.
 func New(cfg Config) (*Pool, error) {
 	if err := cfg.Settings.Validate(); err != nil {
 		return nil, fmt.Errorf("connections: %w", err)
@@ -73,7 +74,7 @@
 	return p, nil
 }
 
-// Configure replaces the settings. The error is that of Settings.Validate, and leaves the old ones in force.
+// Configure replaces the settings. If Settings.Validate fails, Configure returns its error and the old settings stay in force.
 func (p *Pool) Configure(settings Settings) error {
 	if err := settings.Validate(); err != nil {
 		return fmt.Errorf("connections: %w", err)
@@ -85,9 +86,9 @@
 	return nil
 }
 
-// UpdateEndpoints applies a full snapshot of the endpoints, or a watch event with those that changed. It returns how many are listed
-// and how many of them are ready. A restart or another address makes a new incarnation of an endpoint; connections to the one before
-// close when they are released.
+// UpdateEndpoints applies a full snapshot of the endpoints or, if full is false, a watch event with the changed ones. It returns
+// the number of listed endpoints and how many of them are ready. A restart or a new address creates a new incarnation of an
+// endpoint; connections to the previous incarnation are closed when they are released.
 func (p *Pool) UpdateEndpoints(full bool, members []core.Endpoint) (listed, ready int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -107,7 +108,7 @@
 	return len(p.endpoints), ready
 }
 
-// updateEndpoint applies the state of one endpoint.
+// updateEndpoint applies the listed state of one endpoint.
 func (p *Pool) updateEndpoint(now time.Duration, member *core.Endpoint) {
 	endpoint := p.endpoints[member.ID]
 	if endpoint != nil && (member.State == logic.Removed || endpoint.Addr != member.Addr || p.startedAt[endpoint] != member.StartedAt) {
@@ -126,21 +127,22 @@
 	}
 }
 
-// retire ends the present incarnation of an endpoint.
+// retire ends the current incarnation of an endpoint.
 func (p *Pool) retire(now time.Duration, endpoint *Endpoint) {
 	p.execute(p.table.Retire(now, endpoint))
 	delete(p.endpoints, endpoint.ID)
 	delete(p.startedAt, endpoint)
 }
 
-// Endpoint returns the present incarnation of an endpoint, or nil.
+// Endpoint returns the current incarnation of a listed endpoint, or nil if it is not listed.
 func (p *Pool) Endpoint(id string) *Endpoint {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.endpoints[id]
 }
 
-// AcceptsRequests reports whether an incarnation of an endpoint may get new requests, and if not, since when on the agent's clock.
+// AcceptsRequests reports whether an incarnation of an endpoint accepts new requests. If it does not, notReadySince is the time on
+// the agent's clock at which that began.
 func (p *Pool) AcceptsRequests(endpoint *Endpoint) (accepts bool, notReadySince time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -150,23 +152,23 @@
 	return endpoint.ready, endpoint.notReadySince
 }
 
-// Maintain closes idle connections that must not be used again, and opens connections in advance. The owner calls it about once a
+// Maintain closes idle connections that must not be reused and opens connections in advance. The owner calls it about once a
 // second.
 func (p *Pool) Maintain() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.inspected = p.table.AppendIdle(p.inspected[:0])
-	stale := p.inspected[:0]
-	for _, slot := range p.inspected {
-		if !slot.Conn.quiet() {
+	p.idleSlots = p.table.AppendIdle(p.idleSlots[:0])
+	stale := p.idleSlots[:0]
+	for _, slot := range p.idleSlots {
+		if !slot.Conn.openWithoutInput() {
 			stale = append(stale, slot)
 		}
 	}
 	p.execute(p.table.Maintain(p.cfg.Clock.Now(), stale))
-	clear(p.inspected[:cap(p.inspected)])
+	clear(p.idleSlots[:cap(p.idleSlots)])
 }
 
-// Close closes all connections, also those in use, and returns once no handshake is under way.
+// Close closes all connections, including those in use, and waits until no handshake is in progress.
 func (p *Pool) Close() {
 	p.cancelDial()
 	p.mu.Lock()
--- a/internal/pool/preopen.go
+++ b/internal/pool/preopen.go
@@ -6,31 +6,31 @@
 )
 
 const (
-	handshakeTimeWeight = 0.2         // of a new sample in the smoothed time of a handshake
+	handshakeTimeWeight = 0.2         // weight of a new sample in the smoothed handshake duration
 	requestRateDecay    = time.Second // time constant of the smoothed request rate
-	minPreopenDemand    = 0.05        // requests during a handshake below which nothing is opened in advance
+	minPreopenDemand    = 0.05        // mean requests during one handshake below which only Settings.PreopenMinIdle applies
 )
 
-// demand estimates how many requests come to one endpoint while a handshake with it is under way.
+// demand estimates how many requests arrive for one endpoint while a handshake with it is in progress.
 type demand struct {
-	requestRate      float64 // requests a second, smoothed, as of rateAt
+	requestRate      float64 // requests per second, smoothed, as of rateAt
 	rateAt           time.Duration
-	handshakeSeconds float64       // smoothed; 0: no handshake has succeeded yet
-	nextPreopen      time.Duration // when a connection may next be opened in advance
+	handshakeSeconds float64       // smoothed; 0 before the first successful handshake
+	nextPreopen      time.Duration // earliest time at which the next connection may be opened in advance
 }
 
-// recordRequest counts one request.
+// recordRequest adds one request to the rate.
 func (d *demand) recordRequest(now time.Duration) {
 	d.requestRate = d.rateNow(now) + 1/requestRateDecay.Seconds()
 	d.rateAt = now
 }
 
-// rateNow is the request rate a second with its decay until now.
+// rateNow returns the request rate per second, decayed until now.
 func (d *demand) rateNow(now time.Duration) float64 {
 	return d.requestRate * math.Exp(-float64(now-d.rateAt)/float64(requestRateDecay))
 }
 
-// recordHandshake adds the duration of a handshake.
+// recordHandshake adds the duration of a handshake to the smoothed one.
 func (d *demand) recordHandshake(seconds float64) {
 	if d.handshakeSeconds == 0 {
 		d.handshakeSeconds = seconds
@@ -38,8 +38,8 @@
 	d.handshakeSeconds += handshakeTimeWeight * (seconds - d.handshakeSeconds)
 }
 
-// idleTarget is how many idle connections an endpoint should have. The requests that arrive during one handshake are Poisson
-// distributed at a steady rate: the target is their mean and two standard deviations.
+// idleTarget returns how many idle connections to keep to the endpoint. At a steady rate the number of requests that arrive during
+// one handshake is Poisson distributed; the target is its mean plus two standard deviations.
 func (d *demand) idleTarget(settings *Settings, now time.Duration) int {
 	mean := d.rateNow(now) * d.handshakeSeconds
 	if mean < minPreopenDemand {
@@ -51,9 +51,9 @@
 
 // preopen opens at most one connection to the endpoint before a request needs it.
 //
-// Failure: all agents learn of a restarted endpoint at once and fill it with handshakes while it warms up. It shows as a burst of
-// new connections at that endpoint. The guard holds because the sum over all agents is bounded by Settings.PreopenRate: each
-// agent gets its part of that rate, reduced during slow start, at random times.
+// Failure: all agents learn of a restarted endpoint at the same moment and flood it with handshakes while it is warming. The
+// endpoint sees a burst of new connections. Settings.PreopenRate bounds the sum over all agents: each agent opens connections at
+// its share of that rate, reduced during slow start, and at random times.
 func (t *Table) preopen(now time.Duration, endpoint *Endpoint) {
 	if !t.mayPreopen(now, endpoint) {
 		return
@@ -63,21 +63,21 @@
 	t.startHandshake(now, endpoint, true)
 }
 
-// mayPreopen reports whether a connection is to be opened in advance now. Requests that wait, and endpoints whose latest
-// handshake failed, come before that, and no connection is closed for it.
+// mayPreopen reports whether a connection is to be opened in advance now. None is opened while requests wait for the endpoint,
+// while its last handshake failed, or if that would require closing another connection.
 func (t *Table) mayPreopen(now time.Duration, endpoint *Endpoint) bool {
 	switch {
 	case t.settings.PreopenRate <= 0, now < endpoint.demand.nextPreopen:
 		return false
 	case endpoint.failedHandshakes > 0, len(endpoint.waiters) > 0:
 		return false
-	case t.places() >= t.settings.MaxConnections, !t.canStartHandshake(endpoint):
+	case t.connectionCount() >= t.settings.MaxConnections, !t.canStartHandshake(endpoint):
 		return false
 	}
 	return len(endpoint.idle)+endpoint.handshakes < endpoint.demand.idleTarget(&t.settings, now)
 }
 
-// preopenInterval is the mean time between two connections that one agent opens in advance on an endpoint.
+// preopenInterval returns the mean time between two connections that one agent opens in advance to an endpoint.
 func (t *Table) preopenInterval(now time.Duration, endpoint *Endpoint) time.Duration {
 	if t.settings.PreopenRate <= 0 {
 		return 0
@@ -86,7 +86,7 @@
 	return time.Duration(float64(t.settings.Agents) / rate * float64(time.Second))
 }
 
-// slowStartFraction is the fraction of its capacity that an endpoint has: it rises linearly from
+// slowStartFraction returns the fraction of its full capacity that an endpoint has. It rises linearly from
 // Settings.SlowStartInitialFraction to 1 over Settings.SlowStartWindow.
 func (t *Table) slowStartFraction(now time.Duration, endpoint *Endpoint) float64 {
 	initial, window := t.settings.SlowStartInitialFraction, t.settings.SlowStartWindow
--- a/internal/pool/preopen_test.go
+++ b/internal/pool/preopen_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// An endpoint starts and all agents of a large fleet learn of it at once. All together open no more connections in advance than the
-// settings allow, and fewer during slow start.
+// An endpoint starts, and all agents of a large fleet learn of it at the same moment. Together they must not open more connections
+// in advance than the settings allow, and fewer during slow start.
 func TestPreopeningIsBoundedOverAllAgents(t *testing.T) {
 	const agents, seconds, rate = 200, 10, 50
 	for window, limit := range map[time.Duration]int{0: rate * seconds, 100 * time.Second: rate * seconds / 4} {
@@ -17,12 +17,12 @@
 			opened += preopenedFor(t, settings, seed, seconds*time.Second)
 		}
 		if opened > limit*5/4 || opened < limit/4 {
-			t.Errorf("slow start of %v: %d opened in %d s, where %d may be", window, opened, seconds, limit)
+			t.Errorf("slow start window %v: %d connections opened in %d s, expected about %d", window, opened, seconds, limit)
 		}
 	}
 }
 
-// preopenedFor counts the connections that one agent opens in advance on an endpoint that has just started, with constant demand.
+// preopenedFor counts the connections that one agent opens in advance, at constant demand, to an endpoint that has just started.
 func preopenedFor(t *testing.T, settings Settings, seed uint64, duration time.Duration) (opened int) {
 	t.Helper()
 	table := NewTable(settings, seed)
@@ -37,7 +37,7 @@
 				t.Errorf("%+v", unexpected)
 			}
 			slot, _, _ := table.Acquire(now, endpoint, false)
-			table.Release(now, slot, MustClose) // so that another is always needed
+			table.Release(now, slot, MustClose) // keeps the number of idle connections below the target
 		}
 	}
 	return opened
--- a/internal/pool/release.go
+++ b/internal/pool/release.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// Release takes back a slot after its exchange.
+// Release takes back a slot after its exchange. outcome says in which state the exchange left it.
 func (t *Table) Release(now time.Duration, slot *Slot, outcome ReleaseOutcome) []Action {
-	t.begin()
+	t.beginEvent()
 	endpoint := slot.Endpoint
 	switch outcome {
 	case Reusable:
-		slot.provenAt, slot.answeredAt = now, now
-		endpoint.suspicion.recordSuccess()
+		slot.lastSuccessAt, slot.answeredAt = now, now
+		endpoint.suspects.recordSuccess()
 		endpoint.idleLimit.recordSurvival(&t.settings, now, slot.idleFor)
 		t.makeIdle(now, slot, now)
 	case Unused:
 		slot.requests--
-		t.makeIdle(now, slot, slot.idleSince) // its idle time goes on, as nothing was written
+		t.makeIdle(now, slot, slot.idleSince) // nothing was written, so its idle time continues
 	case MustClose:
 		t.close(slot, CloseAge)
 	case ClosedByServer:
@@ -28,7 +28,7 @@
 		t.close(slot, CloseBroken)
 	case Broken:
 		t.close(slot, CloseBroken)
-		if endpoint.suspicion.recordFailure(&t.settings, now) {
+		if endpoint.suspects.recordFailure(&t.settings, now) {
 			t.suspectAll(now, endpoint)
 		}
 	}
@@ -36,8 +36,8 @@
 	return t.actions
 }
 
-// makeIdle makes a slot available that has been idle since then: to a waiter, or for a later request. One that is of no use any
-// more is closed.
+// makeIdle makes an open slot available to a waiter or a later request, or closes it if it must not be reused. idleSince is the
+// time since which the slot has been idle.
 func (t *Table) makeIdle(now time.Duration, slot *Slot, idleSince time.Duration) {
 	slot.idleSince = idleSince
 	if reason, unusable := t.unusable(now, slot); unusable {
@@ -52,7 +52,7 @@
 	t.grantToWaiter(now, slot)
 }
 
-// unusable reports whether a slot that has become free is to be closed, and why.
+// unusable reports whether a slot that has become free must be closed, and why.
 func (t *Table) unusable(now time.Duration, slot *Slot) (CloseReason, bool) {
 	endpoint := slot.Endpoint
 	if !endpoint.ready {
@@ -61,14 +61,15 @@
 	if reason, expired := t.expired(now, slot); expired {
 		return reason, true
 	}
-	overLimit := t.places() > t.settings.MaxConnections || endpoint.connections > t.settings.MaxPerEndpoint
-	if overLimit || len(endpoint.waiters) > 0 && t.mustYieldPlace(endpoint) {
+	overLimit := t.connectionCount() > t.settings.MaxConnections || endpoint.connections > t.settings.MaxPerEndpoint
+	if overLimit || len(endpoint.waiters) > 0 && t.mustYieldCapacity(endpoint) {
 		return CloseCapacity, true
 	}
 	return 0, false
 }
 
-// insertIdle adds a slot to its endpoint's idle list, which is ordered by idleSince. A slot goes behind its equals.
+// insertIdle inserts a slot into the idle list of its endpoint, which is ordered by idleSince. It goes after slots with the same
+// time.
 func (t *Table) insertIdle(slot *Slot) {
 	endpoint := slot.Endpoint
 	at, _ := slices.BinarySearchFunc(endpoint.idle, slot.idleSince, func(other *Slot, idleSince time.Duration) int {
@@ -82,7 +83,7 @@
 	t.idle++
 }
 
-// removeIdle removes a slot from the idle list, if it is there.
+// removeIdle removes a slot from the idle list if it is in the list.
 func (t *Table) removeIdle(slot *Slot) {
 	if !slot.inIdleList {
 		return
@@ -103,8 +104,8 @@
 	if slot.preopened {
 		t.stats.PreopenedWasted++
 	}
-	t.freePlace(slot.Endpoint)
-	t.act(Action{Kind: Close, Slot: slot, CloseReason: reason})
+	t.connectionGone(slot.Endpoint)
+	t.emit(Action{Kind: Close, Slot: slot, CloseReason: reason})
 }
 
 // closeIdle closes all idle slots of an endpoint.
@@ -114,8 +115,8 @@
 	}
 }
 
-// freePlace frees the place of a slot that is closed or did not open.
-func (t *Table) freePlace(endpoint *Endpoint) {
+// connectionGone updates the endpoint after one of its slots was closed or failed to open.
+func (t *Table) connectionGone(endpoint *Endpoint) {
 	endpoint.connections--
-	t.dropFinished(endpoint)
+	t.removeIfUnused(endpoint)
 }
--- a/internal/pool/settings.go
+++ b/internal/pool/settings.go
@@ -5,53 +5,53 @@
 	"time"
 )
 
-// ReuseOrder says which of an endpoint's idle connections is used first.
+// ReuseOrder selects which idle connection of an endpoint is reused first.
 type ReuseOrder int
 
-// The orders.
+// The reuse orders.
 const (
-	MostRecentlyUsed  ReuseOrder = iota // connections that are not needed expire
-	LeastRecentlyUsed                   // all stay in use, and none expires for being idle
-	FewestRequests                      // spreads the requests evenly
+	MostRecentlyUsed  ReuseOrder = iota // lets surplus connections expire
+	LeastRecentlyUsed                   // keeps all connections in use, so that none expires from being idle
+	FewestRequests                      // spreads requests evenly over the connections
 )
 
-// Settings limit the connections of one agent and say how they are used.
+// Settings configure the connections of one agent.
 type Settings struct {
-	MaxConnections           int // open or opening
-	MaxPerEndpoint           int // of these to one endpoint
-	MaxHandshakes            int // under way at a time
-	MaxHandshakesPerEndpoint int // of these with one endpoint; fewer after one has failed
+	MaxConnections           int // connections that are open or opening
+	MaxPerEndpoint           int // the same, to one endpoint
+	MaxHandshakes            int // concurrent handshakes
+	MaxHandshakesPerEndpoint int // concurrent handshakes with one endpoint; reduced after a failed one
 
-	MaxWaiters     int           // requests that may wait for a connection at a time
-	AcquireTimeout time.Duration // how long each may wait
+	MaxWaiters     int           // requests that may wait for a connection concurrently
+	AcquireTimeout time.Duration // limit on each wait
 
 	ReuseOrder  ReuseOrder
-	MaxAge      time.Duration // 0: no limit
-	AgeJitter   float64       // fraction of MaxAge by which the ages of connections are spread, 0 to 1
-	MaxRequests int           // on one connection; 0: no limit
+	MaxAge      time.Duration // 0 means no limit
+	AgeJitter   float64       // fraction of MaxAge by which age limits are randomly shortened, 0 to 1
+	MaxRequests int           // requests on one connection; 0 means no limit
 
-	Quarantine time.Duration // how long a connection is unused after an answer; 0: none
+	Quarantine time.Duration // how long a connection carries no request after an answer; 0 means none
 
-	ServerIdleTimeout         time.Duration // endpoints close connections that are idle for longer
-	IdleFraction              float64       // of that timeout a connection is used; above 0, at most 1
-	MinIdleLimit              time.Duration // the learned limit never falls below
-	IdleLimitDoublingTime     time.Duration // in which a learned limit doubles again
-	NonIdempotentIdleFraction float64       // of a learned limit, for requests that must not be repeated; 0 to 1
+	ServerIdleTimeout         time.Duration // idle time after which endpoints are expected to close a connection
+	IdleFraction              float64       // fraction of ServerIdleTimeout up to which an idle connection is reused; above 0, at most 1
+	MinIdleLimit              time.Duration // lower bound of the learned idle limit
+	IdleLimitDoublingTime     time.Duration // time in which a learned idle limit doubles as it recovers
+	NonIdempotentIdleFraction float64       // fraction of a learned idle limit that applies to requests that must not be repeated, 0 to 1
 
-	SuspectAfterFailures int           // failed exchanges in a row after which an endpoint's older connections are suspect; 0: never
-	SuspectWindow        time.Duration // within which the failures must come
-	CloseSuspect         bool          // close suspect connections; else they carry requests that may be repeated
+	SuspectAfterFailures int           // consecutive failed exchanges that make an endpoint's older connections suspect; 0 disables
+	SuspectWindow        time.Duration // period in which those failures must occur
+	CloseSuspect         bool          // close suspect connections; otherwise they carry only requests that may be repeated
 
-	PreopenRate    float64 // connections a second that all agents together open in advance on one endpoint; 0: none
-	PreopenMaxIdle int     // idle connections to one endpoint up to which one agent opens in advance
-	PreopenMinIdle int     // idle connections to one endpoint at any request rate
-	Agents         int     // that share the endpoints
+	PreopenRate    float64 // connections per second that all agents together open in advance to one endpoint; 0 disables
+	PreopenMaxIdle int     // upper bound on the idle connections to one endpoint that an agent maintains by opening in advance
+	PreopenMinIdle int     // lower bound on them, at any request rate
+	Agents         int     // number of agents that share the endpoints
 
-	SlowStartInitialFraction float64       // of its capacity that a started endpoint has at first; above 0, at most 1
-	SlowStartWindow          time.Duration // until it has all of it; 0: no slow start
+	SlowStartInitialFraction float64       // fraction of its capacity that an endpoint has when it starts; above 0, at most 1
+	SlowStartWindow          time.Duration // time from its start until an endpoint has full capacity; 0 disables slow start
 }
 
-// DefaultSettings are those of an agent that may have so many connections.
+// DefaultSettings returns the settings of an agent that may hold maxConnections connections.
 func DefaultSettings(maxConnections int) Settings {
 	return Settings{
 		MaxConnections:           maxConnections,
@@ -81,15 +81,15 @@
 
 // Errors of Validate.
 var (
-	errNoCapacity = errors.New("there must be capacity for a connection and a handshake, and no limit on waiters below 0")
-	errQuarantine = errors.New("the quarantine after an answer must not be below 0")
-	errDuration   = errors.New("the times to wait, to be idle, to recover and to count failures must be above 0")
-	errFraction   = errors.New("a fraction must be from 0 to 1")
-	errLimit      = errors.New("no limit may be below 0")
-	errSlowStart  = errors.New("there must be an agent, and an initial fraction of slow start above 0 and at most 1")
+	errNoCapacity = errors.New("the limits on connections and handshakes must be at least 1, and the limit on waiters at least 0")
+	errQuarantine = errors.New("the quarantine after an answer must not be negative")
+	errDuration   = errors.New("the acquire timeout, idle timeout, minimum idle limit, doubling time and suspect window must be above 0")
+	errFraction   = errors.New("the idle fraction must be above 0 and at most 1, the other fractions from 0 to 1")
+	errLimit      = errors.New("limits and rates must not be negative")
+	errSlowStart  = errors.New("there must be at least one agent, and the initial fraction of slow start must be above 0 and at most 1")
 )
 
-// Validate returns an error for settings that a Table can't work with.
+// Validate returns an error if a Table cannot work with the settings.
 func (s *Settings) Validate() error {
 	switch {
 	case s.MaxConnections < 1 || s.MaxPerEndpoint < 1 || s.MaxHandshakes < 1 || s.MaxHandshakesPerEndpoint < 1 || s.MaxWaiters < 0:
--- a/internal/pool/slot.go
+++ b/internal/pool/slot.go
@@ -2,24 +2,24 @@
 
 import "time"
 
-// Slot is one connection, from the start of its handshake until it is closed. It is opening, then in use or idle. All times are
-// on the agent's clock.
+// Slot is one connection, from the start of its handshake until it is closed. It is first opening, then idle or in use. All times
+// are on the agent's clock.
 type Slot struct {
 	Endpoint *Endpoint
-	Conn     *Conn // set by the owner of the table, which does not look into it
+	Conn     *Conn // set by the owner of the table; the table does not use it
 
-	openedAt  time.Duration // when its handshake began, and once it is open, when that succeeded
-	expiresAt time.Duration // its age limit; 0: none
-	requests  int           // granted for so many, the present one included
-	preopened bool          // opened in advance and not used so far
+	openedAt  time.Duration // start of the handshake while opening, then the time at which the handshake succeeded
+	expiresAt time.Duration // age limit; 0 means none
+	requests  int           // requests it was granted to, including the current one
+	preopened bool          // opened in advance and not used yet
 
 	inIdleList bool
 	idleSince  time.Duration
-	idleFor    time.Duration // how long it had been idle when it was last granted; 0 when it was new
+	idleFor    time.Duration // how long it had been idle when last granted; 0 for a new connection
 
-	answeredAt time.Duration // of the last answer on it; 0: none yet
-	provenAt   time.Duration // when an exchange on it last completed, or its handshake did
+	answeredAt    time.Duration // time of the last answer on it; 0 before the first
+	lastSuccessAt time.Duration // time of its last completed exchange, or of its handshake before the first
 
-	// awaitedInQuarantine says that a waiter counts on it, and that a QuarantineEnded is scheduled.
+	// awaitedInQuarantine is set while the slot is reserved for a waiter and a QuarantineEnded event is scheduled for it.
 	awaitedInQuarantine bool
 }
--- a/internal/pool/stats.go
+++ b/internal/pool/stats.go
@@ -2,36 +2,36 @@
 
 import "encoding/json"
 
-// Stats are the figures of a pool: its present state, and counts since it began.
+// Stats are the current state of a pool and its counters since it was created.
 type Stats struct {
-	Open, Idle, Opening, Waiting int // at present
+	Open, Idle, Opening, Waiting int // current values
 
-	Opened, OpenFailed int64 // handshakes that succeeded, and that failed
+	Opened, OpenFailed int64 // handshakes that succeeded, and handshakes that failed
 	Reused             int64 // grants of a connection that had carried a request before
-	Preopened          int64 // handshakes begun in advance; of these connections:
-	PreopenedUsed      int64
-	PreopenedWasted    int64 // closed without a request
-	Waited             int64 // requests for which no handshake could begin at once; of all that waited:
-	WaitTimedOut       int64 // those that got no connection in time
-	Rejected           int64 // requests rejected as too many waited already
+	Preopened          int64 // handshakes started in advance
+	PreopenedUsed      int64 // connections opened in advance that then carried a request
+	PreopenedWasted    int64 // connections opened in advance that were closed without carrying one
+	Waited             int64 // requests that had to wait and for which no handshake started at once
+	WaitTimedOut       int64 // waiters that were canceled without a connection, whether or not they are in Waited
+	Rejected           int64 // requests rejected because too many were waiting
 	Closed             [closeReasons]int64
 }
 
-// Stats returns the figures of the table.
+// Stats returns the statistics of the table.
 func (t *Table) Stats() Stats {
 	stats := t.stats
 	stats.Open, stats.Idle, stats.Opening, stats.Waiting = t.open, t.idle, t.opening, t.waiting
 	return stats
 }
 
-// Stats returns the figures of the pool.
+// Stats returns the statistics of the pool.
 func (p *Pool) Stats() Stats {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.table.Stats()
 }
 
-// MarshalJSON encodes the figures under the keys of GET /v1/metrics.
+// MarshalJSON encodes the statistics under the keys of GET /v1/metrics.
 func (s Stats) MarshalJSON() ([]byte, error) {
 	closed := map[string]int64{}
 	for reason, n := range s.Closed {
--- a/internal/pool/suspect.go
+++ b/internal/pool/suspect.go
@@ -5,28 +5,28 @@
 	"time"
 )
 
-// suspicion is the rule for which connections to one endpoint are distrusted.
+// suspectTracker determines which connections to one endpoint are not trusted.
 //
-// Failure: a link or an endpoint breaks for a moment and its connections die without a word. Each request on such a connection
-// costs its whole timeout. It shows as several failed exchanges in a row. The guard holds because after so many every connection
-// that has not completed an exchange since is suspect: it is closed, or carries only requests that may be repeated until one
-// completes.
+// Failure: a link or an endpoint fails briefly, and its connections die without a FIN or RST. Each request on such a connection
+// waits for its whole timeout. This shows as several failed exchanges in a row. After Settings.SuspectAfterFailures of them, every
+// connection without a completed exchange since then is suspect: it is closed, or carries only requests that may be repeated until
+// one completes.
 //
-// An answer between two failures resets the count: it shows that the endpoint is slow or damages answers, and that its
-// connections work. Closing them would add handshakes to its load.
-type suspicion struct {
-	since    time.Duration   // connections not proven since then are suspect; 0: none are
-	failures []time.Duration // failed exchanges since the latest answer, within Settings.SuspectWindow
+// An answer between two failures resets the count. It shows that the connections work and that the endpoint is slow or damages
+// answers; closing connections would only add handshakes to its load.
+type suspectTracker struct {
+	since    time.Duration   // connections without a success since this time are suspect; 0 means none are
+	failures []time.Duration // times of the failed exchanges since the last answer, within Settings.SuspectWindow
 }
 
-// covers reports whether a connection is suspect.
-func (s *suspicion) covers(slot *Slot) bool { return slot.provenAt < s.since }
+// contains reports whether a connection is suspect.
+func (s *suspectTracker) contains(slot *Slot) bool { return slot.lastSuccessAt < s.since }
 
 // recordSuccess records a completed exchange.
-func (s *suspicion) recordSuccess() { s.failures = s.failures[:0] }
+func (s *suspectTracker) recordSuccess() { s.failures = s.failures[:0] }
 
-// recordFailure records a failed exchange and reports whether the endpoint's connections are to become suspect.
-func (s *suspicion) recordFailure(settings *Settings, now time.Duration) bool {
+// recordFailure records a failed exchange. It reports whether the endpoint's connections become suspect.
+func (s *suspectTracker) recordFailure(settings *Settings, now time.Duration) bool {
 	if settings.SuspectAfterFailures == 0 {
 		return false
 	}
@@ -38,12 +38,12 @@
 	return true
 }
 
-// suspectAll makes all present connections to an endpoint suspect.
+// suspectAll makes all current connections to an endpoint suspect.
 func (t *Table) suspectAll(now time.Duration, endpoint *Endpoint) {
 	if t.settings.SuspectAfterFailures == 0 {
 		return
 	}
-	endpoint.suspicion.since = now
+	endpoint.suspects.since = now
 	if t.settings.CloseSuspect {
 		t.closeIdle(endpoint, CloseSuspected)
 	}
--- a/internal/pool/table.go
+++ b/internal/pool/table.go
@@ -6,65 +6,66 @@
 	"time"
 )
 
-// Table decides which connection a request gets, which are opened and closed, and who waits. It does no I/O and reads no clock.
+// Table decides which connection a request gets, which connections are opened and closed, and which requests wait. It does no I/O
+// and reads no clock.
 //
-// Each event method takes the time, which must not go back, and returns actions that must be carried out in order before the next
-// event. The returned slice is valid until that event. A Table is not safe for concurrent use.
+// Each event method takes the current time, which must not decrease, and returns actions that the caller must execute in order
+// before the next event. The returned slice is valid until then. A Table is not safe for concurrent use.
 //
 // Invariants:
 //   - A slot is in exactly one state: opening (until HandshakeSucceeded or HandshakeFailed), idle, in use, or closed.
 //   - A slot is granted to one request at a time, and only while its endpoint is ready.
-//   - A waiter gets one Grant or one Reject, unless Cancel comes before.
-//   - If an endpoint has more waiters than handshakes and connections awaited in quarantine, no handshake with it may begin.
+//   - A waiter gets exactly one Grant or Reject, unless Cancel is called before.
+//   - If an endpoint has more waiters than handshakes and connections awaited in quarantine, no further handshake with it may start.
 type Table struct {
 	settings     Settings
 	rng          *rand.Rand
-	endpoints    []*Endpoint // listed, or with slots
-	open         int         // slots that are open
-	opening      int         // slots whose handshake is under way
+	endpoints    []*Endpoint // those that are not retired, and retired ones that still have connections
+	open         int         // open slots
+	opening      int         // slots with a handshake in progress
 	idle         int
 	waiting      int
-	nextSequence uint64 // of the next waiter
+	nextSequence uint64 // sequence number of the next waiter
 	actions      []Action
 	stats        Stats
 }
 
-// NewTable returns a table. Its random draws follow from the seed.
+// NewTable returns a table. The seed determines its random draws.
 func NewTable(settings Settings, seed uint64) *Table {
 	return &Table{settings: settings, rng: rand.New(rand.NewPCG(seed, 2))}
 }
 
-// begin starts an event.
-func (t *Table) begin() { t.actions = t.actions[:0] }
+// beginEvent clears the actions of the previous event.
+func (t *Table) beginEvent() { t.actions = t.actions[:0] }
 
-func (t *Table) act(action Action) { t.actions = append(t.actions, action) }
+func (t *Table) emit(action Action) { t.actions = append(t.actions, action) }
 
-// places is how many of Settings.MaxConnections are taken.
-func (t *Table) places() int { return t.open + t.opening }
+// connectionCount returns how many connections are open or opening, for comparison with Settings.MaxConnections.
+func (t *Table) connectionCount() int { return t.open + t.opening }
 
-// AddEndpoint adds an incarnation of an endpoint, which is not ready. startedAt is when it started, 0 for long ago; a start in the
-// future counts as now.
+// AddEndpoint adds an incarnation of an endpoint. It is not ready until SetReady. startedAt is its start time, 0 if it started long
+// ago; a start time in the future is replaced by now.
 func (t *Table) AddEndpoint(now time.Duration, id, addr string, startedAt time.Duration) *Endpoint {
 	endpoint := &Endpoint{
 		ID:        id,
 		Addr:      addr,
 		startedAt: min(startedAt, now),
 		index:     len(t.endpoints),
-		idleLimit: idleLimit{lowered: t.settings.configuredIdleLimit(), loweredAt: now},
+		idleLimit: idleLimit{learned: t.settings.configuredIdleLimit(), learnedAt: now},
 		demand:    demand{rateAt: now},
 	}
 	t.endpoints = append(t.endpoints, endpoint)
-	// All agents learn of a start at once: the first connection in advance comes at a random time.
+	// All agents learn of a new endpoint at the same moment, so each opens its first connection in advance at a random time.
 	endpoint.demand.nextPreopen = now + time.Duration(t.rng.Float64()*float64(t.preopenInterval(now, endpoint)))
 	return endpoint
 }
 
-// Configure replaces the settings. Idle connections over the new limits are closed at once, those in use when they are released.
+// Configure replaces the settings. Idle connections above the new limits are closed at once, those in use when they are released.
 func (t *Table) Configure(now time.Duration, settings Settings) []Action {
-	t.begin()
+	t.beginEvent()
 	t.settings = settings
 	for _, endpoint := range t.endpoints {
-		for len(endpoint.idle) > 0 && (t.places() > settings.MaxConnections || endpoint.connections > settings.MaxPerEndpoint) {
+		for len(endpoint.idle) > 0 && (t.connectionCount() > settings.MaxConnections || endpoint.connections > settings.MaxPerEndpoint) {
 			t.close(endpoint.idle[0], CloseCapacity)
 		}
 	}
@@ -72,10 +73,10 @@
 	return t.actions
 }
 
-// SetReady says whether an endpoint may get new requests. If not, its waiters are rejected and its idle connections closed; those
-// in use close when they are released.
+// SetReady sets whether an endpoint accepts new requests. If it does not, its waiters are rejected and its idle connections are
+// closed; those in use are closed when they are released.
 func (t *Table) SetReady(now time.Duration, endpoint *Endpoint, ready bool) []Action {
-	t.begin()
+	t.beginEvent()
 	if endpoint.ready && !ready {
 		endpoint.notReadySince = now
 	}
@@ -88,17 +89,18 @@
 	return t.actions
 }
 
-// Retire ends an incarnation of an endpoint: it is not ready from then on, and is dropped with its last connection.
+// Retire ends an incarnation of an endpoint. It is no longer ready, and is removed from the table once its last connection is
+// closed.
 func (t *Table) Retire(now time.Duration, endpoint *Endpoint) []Action {
 	t.SetReady(now, endpoint, false)
 	endpoint.retired = true
-	t.dropFinished(endpoint)
+	t.removeIfUnused(endpoint)
 	return t.actions
 }
 
-// dropFinished drops an endpoint of which nothing is left. The last one takes its index.
-func (t *Table) dropFinished(endpoint *Endpoint) {
-	if !endpoint.finished() || endpoint.index < 0 {
+// removeIfUnused removes a retired endpoint that has no connection left. The last endpoint moves to its index.
+func (t *Table) removeIfUnused(endpoint *Endpoint) {
+	if !endpoint.removable() || endpoint.index < 0 {
 		return
 	}
 	last := len(t.endpoints) - 1
@@ -109,10 +111,10 @@
 	endpoint.index = -1
 }
 
-// Maintain closes idle connections that must not be used again, and opens connections in advance. stale are idle slots that were
-// found closed or with unexpected bytes to read. It is to be called about once a second.
+// Maintain closes idle connections that must not be reused and opens connections in advance. stale lists the idle slots that were
+// found closed or with unexpected bytes to read. The owner calls Maintain about once a second.
 func (t *Table) Maintain(now time.Duration, stale []*Slot) []Action {
-	t.begin()
+	t.beginEvent()
 	for _, slot := range stale {
 		if slot.inIdleList {
 			slot.Endpoint.idleLimit.recordClose(&t.settings, now, now-slot.idleSince)
@@ -127,7 +129,7 @@
 	return t.actions
 }
 
-// closeExpired closes the idle slots of an endpoint that must not be used again. Each is known to be open still.
+// closeExpired closes the idle slots of an endpoint that must not be reused. The caller has checked that each is still open.
 func (t *Table) closeExpired(now time.Duration, endpoint *Endpoint) {
 	for _, slot := range slices.Clone(endpoint.idle) {
 		endpoint.idleLimit.recordSurvival(&t.settings, now, now-slot.idleSince)
@@ -137,7 +139,7 @@
 	}
 }
 
-// AppendIdle appends the idle slots to a slice and returns it.
+// AppendIdle appends all idle slots to slots and returns the result.
 func (t *Table) AppendIdle(slots []*Slot) []*Slot {
 	for _, endpoint := range t.endpoints {
 		slots = append(slots, endpoint.idle...)
@@ -145,9 +147,9 @@
 	return slots
 }
 
-// Shutdown closes all idle connections and rejects all waiters. Connections in use close when they are released.
+// Shutdown closes all idle connections and rejects all waiters. Connections in use are closed when they are released.
 func (t *Table) Shutdown() []Action {
-	t.begin()
+	t.beginEvent()
 	for _, endpoint := range slices.Clone(t.endpoints) {
 		endpoint.ready = false
 		t.rejectWaiters(endpoint, RejectNotReady)
--- a/internal/pool/table_test.go
+++ b/internal/pool/table_test.go
@@ -5,36 +5,36 @@
 	"time"
 )
 
-// tableTest is a table in which handshakes succeed at once.
-type tableTest struct {
+// testTable is a table whose handshakes succeed immediately.
+type testTable struct {
 	*Table
 	t   *testing.T
 	now time.Duration
 }
 
-// newTableTest returns a table without a quarantine and with a ready endpoint. change may be nil.
-func newTableTest(t *testing.T, change func(*Settings)) (*tableTest, *Endpoint) {
+// newTestTable returns a table without quarantine, and a ready endpoint in it. change modifies the settings and may be nil.
+func newTestTable(t *testing.T, change func(*Settings)) (*testTable, *Endpoint) {
 	t.Helper()
 	settings := DefaultSettings(40)
 	settings.Quarantine = 0
 	if change != nil {
 		change(&settings)
 	}
-	table := &tableTest{Table: NewTable(settings, 1), t: t, now: time.Second}
+	table := &testTable{Table: NewTable(settings, 1), t: t, now: time.Second}
 	return table, table.addReady("a")
 }
 
-func (b *tableTest) addReady(id string) *Endpoint {
-	b.t.Helper()
-	endpoint := b.AddEndpoint(b.now, id, id, 0)
-	b.SetReady(b.now, endpoint, true)
+func (table *testTable) addReady(id string) *Endpoint {
+	table.t.Helper()
+	endpoint := table.AddEndpoint(table.now, id, id, 0)
+	table.SetReady(table.now, endpoint, true)
 	return endpoint
 }
 
-// get returns a new connection or one that was used before, or nil.
-func (b *tableTest) get(endpoint *Endpoint, nonIdempotent bool) *Slot {
-	b.t.Helper()
-	slot, waiter, actions := b.Acquire(b.now, endpoint, nonIdempotent)
+// get returns a connection for one request, reused or newly opened, or nil if the request has to wait.
+func (table *testTable) get(endpoint *Endpoint, nonIdempotent bool) *Slot {
+	table.t.Helper()
+	slot, waiter, actions := table.Acquire(table.now, endpoint, nonIdempotent)
 	if slot != nil {
 		return slot
 	}
@@ -42,7 +42,7 @@
 		if action.Kind != Open {
 			continue
 		}
-		for _, action := range b.HandshakeSucceeded(b.now, action.Slot) {
+		for _, action := range table.HandshakeSucceeded(table.now, action.Slot) {
 			if action.Kind == Grant && action.Waiter == waiter {
 				return action.Slot
 			}
@@ -51,48 +51,49 @@
 	return nil
 }
 
-// threeIdle returns connections that were released in this order, a second apart, after 3, 2 and 4 requests.
-func (b *tableTest) threeIdle(endpoint *Endpoint) (slots [3]*Slot) {
-	b.t.Helper()
+// threeIdle returns three idle connections, released in this order one second apart, after 3, 2 and 4 requests.
+func (table *testTable) threeIdle(endpoint *Endpoint) (slots [3]*Slot) {
+	table.t.Helper()
 	for i := range slots {
-		slots[i] = b.get(endpoint, false)
+		slots[i] = table.get(endpoint, false)
 	}
 	slots[0].requests, slots[1].requests, slots[2].requests = 3, 2, 4
 	for i := range slots {
-		b.now += time.Second
-		b.Release(b.now, slots[i], Reusable)
+		table.now += time.Second
+		table.Release(table.now, slots[i], Reusable)
 	}
 	return slots
 }
 
-// An operator lowers the limits below what is open: idle connections close at once, those in use when they are released.
+// An operator lowers the limits below the number of open connections. Idle connections close at once, those in use when they are
+// released.
 func TestLoweredLimitsCloseConnections(t *testing.T) {
-	b, endpoint := newTableTest(t, nil)
-	b.threeIdle(endpoint)
-	used := []*Slot{b.get(endpoint, false), b.get(endpoint, false)}
-	settings := b.settings
+	table, endpoint := newTestTable(t, nil)
+	table.threeIdle(endpoint)
+	used := []*Slot{table.get(endpoint, false), table.get(endpoint, false)}
+	settings := table.settings
 	settings.MaxConnections, settings.MaxPerEndpoint = 1, 1
-	b.Configure(b.now, settings)
-	if stats := b.Stats(); stats.Open != 2 || stats.Idle != 0 {
-		t.Errorf("%d idle of %d", stats.Idle, stats.Open)
+	table.Configure(table.now, settings)
+	if stats := table.Stats(); stats.Open != 2 || stats.Idle != 0 {
+		t.Errorf("%d connections idle of %d open", stats.Idle, stats.Open)
 	}
 	for _, slot := range used {
-		b.Release(b.now, slot, Reusable)
+		table.Release(table.now, slot, Reusable)
 	}
-	if stats := b.Stats(); stats.Open != 1 || stats.Idle != 1 {
-		t.Errorf("%d idle of %d", stats.Idle, stats.Open)
+	if stats := table.Stats(); stats.Open != 1 || stats.Idle != 1 {
+		t.Errorf("%d connections idle of %d open", stats.Idle, stats.Open)
 	}
 }
 
-// Each close reason has a key in the metrics and a reason in the event stream, and no two share one.
+// Each close reason must have its own key in the metrics and its own reason in the events.
 func TestCloseReasonsHaveKeysAndEvents(t *testing.T) {
 	keys, reasons := map[string]bool{}, map[any]bool{}
 	for reason := range CloseReason(closeReasons) {
 		if reason.String() == "" || keys[reason.String()] {
-			t.Errorf("reason %d has the key %q", reason, reason)
+			t.Errorf("close reason %d has the empty or repeated key %q", reason, reason)
 		}
 		if eventReasons[reason] == 0 || reasons[eventReasons[reason]] {
-			t.Errorf("reason %v has the event reason %v", reason, eventReasons[reason])
+			t.Errorf("close reason %v has the missing or repeated event reason %v", reason, eventReasons[reason])
 		}
 		keys[reason.String()], reasons[eventReasons[reason]] = true, true
 	}
--- a/internal/pool/waiter.go
+++ b/internal/pool/waiter.go
@@ -5,22 +5,22 @@
 	"time"
 )
 
-// Waiter is a request that waits for a connection. It gets one Grant or one Reject, unless Cancel comes before.
+// Waiter is a request that waits for a connection. It gets exactly one Grant or Reject, unless Cancel is called before.
 type Waiter struct {
-	endpoint      *Endpoint // nil if it was rejected at once
+	endpoint      *Endpoint // nil if the request was rejected immediately
 	nonIdempotent bool
 	sequence      uint64      // order of arrival over all endpoints
-	Result        chan Action // holds one: a Grant or a Reject
+	Result        chan Action // receives the Grant or Reject; has a buffer of one
 }
 
-// rejectedWaiter returns a waiter that has its result.
+// rejectedWaiter returns a waiter that is rejected immediately.
 func (t *Table) rejectedWaiter(reason RejectReason) *Waiter {
 	waiter := &Waiter{Result: make(chan Action, 1)}
-	t.act(Action{Kind: Reject, Waiter: waiter, RejectReason: reason})
+	t.emit(Action{Kind: Reject, Waiter: waiter, RejectReason: reason})
 	return waiter
 }
 
-// enqueue adds a waiter for a connection to the endpoint.
+// enqueue adds a waiter to the endpoint.
 func (t *Table) enqueue(endpoint *Endpoint, nonIdempotent bool) *Waiter {
 	waiter := &Waiter{endpoint: endpoint, nonIdempotent: nonIdempotent, sequence: t.nextSequence, Result: make(chan Action, 1)}
 	t.nextSequence++
@@ -29,7 +29,7 @@
 	return waiter
 }
 
-// dequeue removes a waiter.
+// dequeue removes a waiter from its endpoint.
 func (t *Table) dequeue(waiter *Waiter) {
 	if i := slices.Index(waiter.endpoint.waiters, waiter); i >= 0 {
 		waiter.endpoint.waiters = slices.Delete(waiter.endpoint.waiters, i, i+1)
@@ -37,10 +37,10 @@
 	}
 }
 
-// Cancel removes a waiter that has no result so far. It returns why there was none in time: the endpoint's handshakes fail or
-// take too long, or there was no place.
+// Cancel removes a waiter that has no result yet. It returns why there was none in time: handshakes with the endpoint fail or take
+// too long, or the agent's limits left no connection for it.
 func (t *Table) Cancel(waiter *Waiter) RejectReason {
-	t.begin()
+	t.beginEvent()
 	t.dequeue(waiter)
 	t.stats.WaitTimedOut++
 	if waiter.endpoint.handshakes > 0 || waiter.endpoint.failedHandshakes > 0 {
@@ -49,24 +49,25 @@
 	return RejectCapacity
 }
 
-// grantToWaiter gives an idle slot to the first waiter that may have it.
+// grantToWaiter grants an idle slot to the first waiter that may use it.
 func (t *Table) grantToWaiter(now time.Duration, slot *Slot) {
 	endpoint := slot.Endpoint
 	for _, waiter := range endpoint.waiters {
-		if waiter.nonIdempotent && endpoint.suspicion.covers(slot) {
+		if waiter.nonIdempotent && endpoint.suspects.contains(slot) {
 			continue
 		}
 		t.dequeue(waiter)
-		t.take(now, slot)
-		t.act(Action{Kind: Grant, Waiter: waiter, Slot: slot})
+		t.grant(now, slot)
+		t.emit(Action{Kind: Grant, Waiter: waiter, Slot: slot})
 		return
 	}
 }
 
-// mustYieldPlace reports whether the endpoint is to give up a place, so that the last places are shared: all are taken and none
-// is idle, and another endpoint has fewer connections, a waiter without a handshake, and that waiter came first.
-func (t *Table) mustYieldPlace(endpoint *Endpoint) bool {
-	if t.places() < t.settings.MaxConnections || t.idle > 0 {
+// mustYieldCapacity reports whether a freed connection of the endpoint must be closed for another endpoint, so that the last
+// connections are shared. This is so if Settings.MaxConnections is reached, no connection is idle, and another endpoint has at
+// least two connections fewer and a waiter without a handshake that arrived earlier.
+func (t *Table) mustYieldCapacity(endpoint *Endpoint) bool {
+	if t.connectionCount() < t.settings.MaxConnections || t.idle > 0 {
 		return false
 	}
 	for _, other := range t.endpoints {
@@ -82,7 +83,7 @@
 func (t *Table) rejectWaiters(endpoint *Endpoint, reason RejectReason) {
 	t.waiting -= len(endpoint.waiters)
 	for _, waiter := range endpoint.waiters {
-		t.act(Action{Kind: Reject, Waiter: waiter, RejectReason: reason})
+		t.emit(Action{Kind: Reject, Waiter: waiter, RejectReason: reason})
 	}
 	endpoint.waiters = nil
 }
