--- a/internal/upstream/http/body.go
+++ b/internal/upstream/http/body.go
@@ -14,10 +14,10 @@
 	"ryeweir/logic"
 )
 
-// streamAfter is when a body in chunks is streamed that is not complete by then.
-const streamAfter = 100 * time.Millisecond
+// streamDelay is the time after which a chunked body that is not complete yet is streamed to the client.
+const streamDelay = 100 * time.Millisecond
 
-// readBody reads the body of the response. Only a 200 is passed on to the client.
+// readBody reads the body of the response. Only the body of a 200 is forwarded to the client.
 func (x *exchange) readBody(ctx context.Context, response *http.Response) pool.ReleaseOutcome {
 	switch {
 	case response.StatusCode != http.StatusOK:
@@ -26,30 +26,30 @@
 		x.outcome.Result = logic.Reset
 		return pool.Broken
 	}
-	return x.passOnBody(ctx, response)
+	return x.forwardBody(ctx, response)
 }
 
-// passOnBody brings the body into the pipe from which the client is answered.
+// forwardBody reads the body into the pipe from which the client is answered.
 //
-// A body that fits the buffer is checked to its end before any of it goes to the client, so that another attempt can follow a damaged
-// one. A longer body is streamed: as soon as some of it is there if its length says so, else once the buffer is full or streamAfter
-// has passed. A body with neither length nor chunks ends with the connection: an endpoint that dies resets that, and a damaged
-// response leaves it open, so that neither looks like an end.
-func (x *exchange) passOnBody(ctx context.Context, response *http.Response) pool.ReleaseOutcome {
+// A body that fits into the buffer is read completely before any of it goes to the client, so that another attempt can replace a
+// damaged one. A longer body is streamed. If its length is known, streaming starts with its first bytes, otherwise when the buffer
+// is full or, for a chunked body, after streamDelay. A body with neither a length nor chunks ends with the connection. Failures do
+// not look like such an end: an endpoint that dies resets the connection, and a damaged response leaves it open.
+func (x *exchange) forwardBody(ctx context.Context, response *http.Response) pool.ReleaseOutcome {
 	length := response.ContentLength
 	stream := x.newBodyStream(response)
-	defer stream.end()
-	if length < 0 || length > int64(stream.pipe.Size()) { // else the pipe never waits for its reader
+	defer stream.finish()
+	if length < 0 || length > int64(stream.pipe.Size()) { // otherwise the pipe has room for the whole body and Fill never blocks on it
 		stop := context.AfterFunc(ctx, stream.pipe.Close)
 		defer stop()
 	}
 	if length > httpmsg.MaxBufferedBytes {
-		stream.allow()
+		stream.enable()
 	} else if len(response.TransferEncoding) > 0 {
-		timer := time.AfterFunc(streamAfter, stream.allow)
+		timer := time.AfterFunc(streamDelay, stream.enable)
 		defer timer.Stop()
 	}
-	err := stream.pipe.Fill(io.LimitReader(response.Body, httpmsg.MaxBodyBytes+1), stream.allow, stream.added)
+	err := stream.pipe.Fill(io.LimitReader(response.Body, httpmsg.MaxBodyBytes+1), stream.enable, stream.onData)
 	if err != nil && x.reported.CompareAndSwap(false, true) {
 		stream.pipe.Close()
 		return x.failBody(err)
@@ -57,30 +57,30 @@
 	return releaseAfterResponse(response, err)
 }
 
-// failBody reports a body that broke off before any of it went to the client.
+// failBody reports the failure of a body that broke off before any of it went to the client.
 func (x *exchange) failBody(err error) pool.ReleaseOutcome {
 	x.outcome.Result = x.failureResult(fmt.Errorf("%w: %w", errMalformedResponse, err))
 	x.outcome.Content = nil
 	x.attempt.Report(x.outcome)
-	if x.outcome.Result == logic.TimedOut && x.waitedBelowObjective() {
+	if x.outcome.Result == logic.TimedOut && x.withinLatencyObjective() {
 		return pool.Abandoned
 	}
 	return pool.Broken
 }
 
-// bodyStream decides when the body of a response begins to be streamed to the client. Its methods are called by the exchange and by
+// bodyStream decides when the body of a response starts to be streamed to the client. Its methods are called by the exchange and by
 // a timer.
 type bodyStream struct {
 	exchange *exchange
 	pipe     *bodybuffer.Pipe
 
 	mu sync.Mutex
-	// over says that the exchange has ended: streaming must not begin any more, as it sets a deadline on a connection that
-	// may carry another exchange by then.
-	over bool
+	// finished is set when the exchange has ended. Streaming must not start after that, because it sets a deadline on a connection
+	// that may carry another exchange by then.
+	finished bool
 }
 
-// newBodyStream sets the outcome to an OK whose content comes through a new pipe.
+// newBodyStream sets the outcome to OK, with content that is read from a new pipe.
 func (x *exchange) newBodyStream(response *http.Response) *bodyStream {
 	capacity := int64(httpmsg.MaxBufferedBytes)
 	if response.ContentLength >= 0 {
@@ -96,41 +96,41 @@
 	return &bodyStream{exchange: x, pipe: pipe}
 }
 
-// allow lets streaming begin as soon as some of the body is there: a response that breaks off behind its head has not begun for
-// the client, and another attempt can follow.
-func (s *bodyStream) allow() {
+// enable lets streaming start as soon as part of the body has been read. Until then nothing has been sent to the client, so another
+// attempt can replace a response that breaks off after its head.
+func (s *bodyStream) enable() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.over {
+	if s.finished {
 		return
 	}
 	s.exchange.streaming.Store(true)
 	if buffered, _ := s.pipe.Complete(); buffered > 0 {
-		s.begin()
+		s.start()
 	}
 }
 
-// added is called when more of the body is in the pipe.
-func (s *bodyStream) added() {
+// onData is called when more of the body has been added to the pipe.
+func (s *bodyStream) onData() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.over && s.exchange.streaming.Load() {
-		s.begin()
+	if !s.finished && s.exchange.streaming.Load() {
+		s.start()
 	}
 }
 
-// begin reports the outcome, from which on the client is answered. The caller holds the lock.
-func (s *bodyStream) begin() {
+// start reports the outcome, which makes the front answer the client. The caller holds s.mu.
+func (s *bodyStream) start() {
 	x := s.exchange
 	if x.reported.CompareAndSwap(false, true) {
-		x.conn.SetReadDeadline(time.Now().Add(streamStall)) // also for a read that waits
+		x.conn.SetReadDeadline(time.Now().Add(streamStallTimeout)) // also applies to a read in progress
 		x.attempt.Report(x.outcome)
 	}
 }
 
-// end prevents that streaming begins later.
-func (s *bodyStream) end() {
+// finish prevents streaming from starting later.
+func (s *bodyStream) finish() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.over = true
+	s.finished = true
 }
--- a/internal/upstream/http/body_test.go
+++ b/internal/upstream/http/body_test.go
@@ -11,8 +11,8 @@
 	"ryeweir/logic"
 )
 
-// A response in chunks is complete at the moment at which it would begin to be streamed. The timer that starts streaming must not set a
-// deadline on the connection, which by then may carry the next request.
+// A chunked response completes at the moment when its streaming would start. The timer that starts streaming must not set a
+// deadline on the connection, which may carry the next request by then.
 func TestStreamingThatBeginsAtTheEndLeavesNoDeadline(t *testing.T) {
 	t.Parallel()
 	for range 5 {
@@ -21,7 +21,7 @@
 				return true // no response: the attempt ends at its own deadline
 			}
 			io.WriteString(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nfine\r\n")
-			time.Sleep(streamAfter - 300*time.Microsecond)
+			time.Sleep(streamDelay - 300*time.Microsecond)
 			io.WriteString(c, "0\r\n\r\n")
 			return true
 		})
@@ -32,7 +32,7 @@
 		}
 		start := time.Now()
 		if out := f.execute(f.attempt(300 * time.Millisecond)); out.Result != logic.TimedOut || time.Since(start) > 2*time.Second {
-			t.Errorf("%v after %v", out.Result, time.Since(start))
+			t.Errorf("second attempt: result %v after %v, want a timeout within 2 s", out.Result, time.Since(start))
 		}
 	}
 }
--- a/internal/upstream/http/connection_test.go
+++ b/internal/upstream/http/connection_test.go
@@ -19,14 +19,14 @@
 	"ryeweir/logic"
 )
 
-// An endpoint closes an idle connection. The close is found before a request is lost on it.
+// An endpoint closes an idle connection. The close must be detected before a request is lost on that connection.
 func TestClosedIdleConnectionIsNotUsed(t *testing.T) {
 	backend := testkit.NewBackend(t, func(c net.Conn, r *http.Request, n int) bool { testkit.Says(testkit.ServedText)(c, r, n); return n > 1 })
 	f := newFixture(t, backend.Addr().String(), 100)
 	f.execute(f.attempt(testkit.Patience))
 	testkit.Eventually(t, "the close has arrived", func() bool { f.Pool.Maintain(); return f.idleConnections() == 0 })
 	if out := f.execute(f.attempt(testkit.Patience)); out.Result != logic.OK || backend.Connections() != 2 {
-		t.Errorf("result %v on %d connections", out.Result, backend.Connections())
+		t.Errorf("result %v on %d connections, want an OK on the second", out.Result, backend.Connections())
 	}
 }
 
@@ -37,11 +37,11 @@
 		f.execute(f.attempt(testkit.Patience))
 	}
 	if backend.Connections() != 1 {
-		t.Errorf("%d connections for requests one after another", backend.Connections())
+		t.Errorf("%d connections for sequential requests, want 1", backend.Connections())
 	}
 }
 
-// An endpoint drains, restarts or is removed: its idle connections close with the update.
+// An endpoint drains, restarts or is removed. The update must close its idle connections.
 func TestEndpointUpdatesCloseConnections(t *testing.T) {
 	backend := testkit.NewBackend(t, testkit.Says(testkit.ServedText))
 	addr := backend.Addr().String()
@@ -56,17 +56,17 @@
 		f.listEndpoint(addr, logic.Ready, 0)
 		f.execute(f.attempt(testkit.Patience))
 		if f.idleConnections() != 1 {
-			t.Fatalf("%d: no connection is idle", i)
+			t.Fatalf("update %d: no connection is idle before it", i)
 		}
 		change()
 		if f.openConnections() != 0 {
-			t.Errorf("%d: the connection is still open", i)
+			t.Errorf("update %d: the connection is still open after it", i)
 		}
 	}
 }
 
-// An endpoint accepts connections and never answers. It uses up its own places only, and idle connections make place for those that
-// are needed.
+// An endpoint accepts connections and never answers. It must use up only its own limit of connections, and idle connections must be
+// closed when other endpoints need their capacity.
 func TestSilentEndpointKeepsToItsConnections(t *testing.T) {
 	silent, healthy := testkit.NewBackend(t, testkit.Silent), testkit.NewBackend(t, testkit.Says(testkit.ServedText))
 	f := newFixture(t, silent.Addr().String(), 8)
@@ -78,11 +78,11 @@
 		}
 	}
 	if _, err := f.Pool.Get(context.Background(), pool.Request{Endpoint: endpoint, Deadline: soon}); !errors.Is(err, pool.ErrExhausted) {
-		t.Errorf("a third of at most 8/4: %v", err)
+		t.Errorf("third connection with a limit of 8/4 per endpoint: %v", err)
 	}
-	// The agent's own limit is no evidence: as a failure of the endpoint it would make the balancer eject a healthy one.
+	// The agent's own limit is no evidence against the endpoint: if it counted, the balancer would eject healthy endpoints.
 	if out := f.execute(f.attempt(testkit.Patience)); out.Result != logic.NotSent {
-		t.Errorf("an attempt without a place: %v", out.Result)
+		t.Errorf("attempt at the connection limit: %v", out.Result)
 	}
 	var others []core.Endpoint
 	for i := range 9 {
@@ -96,11 +96,11 @@
 		}
 	}
 	if n := f.openConnections(); n > 8 {
-		t.Errorf("%d connections of at most 8", n)
+		t.Errorf("%d connections open, limit 8", n)
 	}
 }
 
-// A connect to one endpoint never completes. It fails at the connect timeout and holds up no other endpoint meanwhile.
+// A connect to one endpoint never completes. It must fail at the connect timeout and must not delay attempts on other endpoints.
 func TestBlockedDialHoldsUpNoOtherEndpoint(t *testing.T) {
 	t.Parallel()
 	blocked, healthy := testkit.NewBackend(t, testkit.Says(testkit.ServedText)), testkit.NewBackend(t, testkit.Says(testkit.ServedText))
@@ -111,17 +111,17 @@
 	go func() { done <- f.execute(f.attempt(testkit.Patience)) }()
 	<-began
 	if out := f.execute(f.attemptOn("other", testkit.Patience, testkit.Patience)); out.Result != logic.OK {
-		t.Errorf("to another backend meanwhile: %v", out.Result)
+		t.Errorf("attempt on another endpoint meanwhile: %v", out.Result)
 	}
 	if out := <-done; out.Result != logic.ConnectFailed || blocked.Requests() != 0 {
-		t.Errorf("the blocked dial: %v", out.Result)
+		t.Errorf("attempt with the blocked dial: %v, %d requests sent", out.Result, blocked.Requests())
 	}
 }
 
-// With RYEWEIR_LONG set: bytes of heap that an idle connection takes, after a request on each.
+// Measures the heap bytes that an idle connection takes, after one request on each. Runs only if RYEWEIR_LONG is set.
 func TestMemoryOfConnections(t *testing.T) {
 	if os.Getenv("RYEWEIR_LONG") == "" {
-		t.Skip("a measurement")
+		t.Skip("measurement; set RYEWEIR_LONG to run it")
 	}
 	const n = 400
 	l := testkit.Listen(t)
@@ -138,7 +138,7 @@
 				var buf [1024]byte
 				c.Read(buf[:])
 				arrived.Done()
-				arrived.Wait() // so that each request has a connection of its own
+				arrived.Wait() // gives each request a connection of its own
 				io.WriteString(c, testkit.ServedText)
 			}()
 		}
@@ -157,5 +157,5 @@
 		all.Go(func() { f.execute(f.attempt(testkit.Patience)).text(t) })
 	}
 	all.Wait()
-	t.Logf("%d idle connections, %d bytes of heap each with the stand-in's end", f.idleConnections(), (heap()-before)/n)
+	t.Logf("%d idle connections, %d bytes of heap each, including the test backend's end", f.idleConnections(), (heap()-before)/n)
 }
--- a/internal/upstream/http/doc.go
+++ b/internal/upstream/http/doc.go
@@ -1,18 +1,18 @@
-// Package http carries out attempts as HTTP/1.1 exchanges with endpoints. Each connection carries one request at a time.
+// Package http executes attempts as HTTP/1.1 exchanges with endpoints. Each connection carries one request at a time.
 //
-// [Upstream.Execute] takes an attempt through these steps. What holds after each decides what its outcome may say:
+// [Upstream.Execute] takes an attempt through these steps. How far the attempt got determines which outcomes are possible:
 //
-//	connect   a connection of the pool; nothing is written                      upstream.go
-//	claim     the send guard allows it; from here on the request may run        upstream.go
-//	write     all of the request is out, or else it never ran                   write.go
-//	await     the head of the final response, or else the request may have run  response.go
-//	read      the body, buffered or streamed to the client                      body.go
-//	release   the connection goes back with what is known of it                 release.go
+//	connect     get a connection from the pool; nothing has been written               upstream.go
+//	begin send  ask the send guard; if it allows the send, the request may run         upstream.go
+//	write       write the request; if that fails, it never ran                         write.go
+//	await       wait for the head of the final response; without it, it may have run   response.go
+//	read        read the body, buffered or streamed to the client                      body.go
+//	release     return the connection to the pool with the state it was left in        release.go
 //
-// Endpoints begin a request when its last byte arrives: one that was not written completely never ran.
+// Endpoints start to process a request when its last byte arrives, so a request that was not written completely never ran.
 //
-// net/http's Transport is not used, because it sends a request again by itself when a reused connection turns out to be closed.
-// That would be an attempt that the balancer did not decide on, and it may repeat an effect.
+// The package does not use net/http's Transport, because that sends a request again on its own when a reused connection turns out
+// to be closed. The balancer would not have decided on that attempt, and it could apply the effect of the request twice.
 //
-// Health checks go over the same pool, see [Upstream.HealthCheck].
+// Health checks use the same pool, see [Upstream.HealthCheck].
 package http
--- a/internal/upstream/http/exchange.go
+++ b/internal/upstream/http/exchange.go
@@ -14,14 +14,14 @@
 )
 
 const (
-	// bufferedStall is how long a response that is being buffered may pause. A damaged one stops in the middle while its
-	// connection stays open: it is given up soon, since another attempt may follow.
-	bufferedStall = 500 * time.Millisecond
-	// streamStall is how long a body may pause that is being streamed, in either direction.
-	streamStall = 5 * time.Second
+	// bufferStallTimeout is how long a buffered response may pause. A damaged response stops in the middle and leaves its
+	// connection open, and ending it early leaves time for another attempt.
+	bufferStallTimeout = 500 * time.Millisecond
+	// streamStallTimeout is how long a streamed body may pause, in either direction.
+	streamStallTimeout = 5 * time.Second
 )
 
-// exchange is an attempt on its connection, from the first byte of the request on.
+// exchange is an attempt with its connection, from the first byte of the request on.
 type exchange struct {
 	*Upstream
 	conn     *pool.Conn
@@ -31,15 +31,15 @@
 	message  *httpmsg.Message
 	outcome  core.Outcome
 
-	reported  atomic.Bool // whoever sets it reports the outcome
-	streaming atomic.Bool // the body is to be streamed once some of it is there
+	reported  atomic.Bool // set, by CompareAndSwap, by the one that reports the outcome
+	streaming atomic.Bool // the body is to be streamed once part of it has been read
 
-	// readCutoff is when reading was ended early, on the agent's clock; 0: it was not. It stays the same once set: with a
-	// deadline of "now" at each look a read would never time out.
+	// readCutoff is the time on the agent's clock at which reading was stopped early; 0 if it was not. The time is stored because a
+	// deadline recomputed as the current time for each read would never expire.
 	readCutoff atomic.Int64
 }
 
-// run carries out the exchange and returns how it leaves the connection.
+// run executes the exchange and returns in which state it leaves the connection.
 func (x *exchange) run(ctx context.Context) pool.ReleaseOutcome {
 	x.state.startExchange(x.readDeadline)
 	write := x.writeRequest()
@@ -61,51 +61,51 @@
 		return x.finishEarlyResponse(response)
 	}
 	if release == pool.Reusable && x.state.reader.Buffered() > 0 {
-		return pool.Broken // more came than one response
+		return pool.Broken // the endpoint sent more than one response
 	}
 	return release
 }
 
-// reportOnce reports the outcome, unless that was done when streaming began.
+// reportOnce reports the outcome, unless it was reported when streaming started.
 func (x *exchange) reportOnce() {
 	if x.reported.CompareAndSwap(false, true) {
 		x.attempt.Report(x.outcome)
 	}
 }
 
-// readDeadline is when the next bytes of the response must have arrived. lastRead is zero before the first.
+// readDeadline returns when the next bytes of the response must have arrived. lastRead is zero before the first ones.
 func (x *exchange) readDeadline(lastRead time.Time) time.Time {
 	if cutoff := x.readCutoff.Load(); cutoff != 0 {
 		return x.Clock.At(time.Duration(cutoff))
 	}
 	if x.reported.Load() {
-		return lastRead.Add(streamStall)
+		return lastRead.Add(streamStallTimeout)
 	}
 	attemptDeadline := x.Clock.At(x.attempt.Deadline())
 	if x.streaming.Load() || lastRead.IsZero() {
 		return attemptDeadline
 	}
-	if stalled := lastRead.Add(bufferedStall); stalled.Before(attemptDeadline) {
+	if stalled := lastRead.Add(bufferStallTimeout); stalled.Before(attemptDeadline) {
 		return stalled
 	}
 	return attemptDeadline
 }
 
-// failWrite ends an exchange whose request was not written completely: it never ran.
+// failWrite ends an exchange whose request was not written completely, and so never ran.
 func (x *exchange) failWrite(err error) pool.ReleaseOutcome {
 	if x.message.Body.Err() != nil {
-		x.outcome.Result = logic.NotSent // the client broke off, which is no evidence against the endpoint
+		x.outcome.Result = logic.NotSent // the client aborted its upload, which is no evidence against the endpoint
 		return pool.Abandoned
 	}
-	if x.message.Body.Remainder == nil && isTimeout(err) && x.waitedBelowObjective() {
-		x.outcome.Result = logic.NotSent // the client's deadline passed before the endpoint could take it
+	if x.message.Body.Remainder == nil && isTimeout(err) && x.withinLatencyObjective() {
+		x.outcome.Result = logic.NotSent // the client's deadline passed before the endpoint could take the request
 		return pool.Abandoned
 	}
 	x.outcome.Result = logic.ConnectFailed
 	return x.releaseAfterFailure(err)
 }
 
-// failHead ends an exchange that got no complete response head.
+// failHead ends an exchange that received no complete response head.
 func (x *exchange) failHead(err error, write writeResult) pool.ReleaseOutcome {
 	x.outcome.Result = x.failureResult(err)
 	if !write.complete() {
@@ -114,8 +114,8 @@
 	return x.releaseAfterFailure(err)
 }
 
-// finishEarlyResponse ends an exchange whose response came before all of the request was written. An error says that the
-// request was rejected, as it never ran.
+// finishEarlyResponse ends an exchange whose response arrived before the request was written completely. Any status but 200 counts
+// as a rejection, because the request never ran.
 func (x *exchange) finishEarlyResponse(response *http.Response) pool.ReleaseOutcome {
 	if response.StatusCode != http.StatusOK {
 		x.outcome.Result = logic.Rejected
@@ -123,7 +123,7 @@
 	return pool.Broken
 }
 
-// recordWritten records that the request was written, and on which connection.
+// recordWritten records an event that the request was written and, if events are verbose, on which connection.
 func (x *exchange) recordWritten() {
 	written := event.Event{
 		Kind:     event.AttemptWritten,
@@ -137,8 +137,8 @@
 	x.Events.Record(written)
 }
 
-// waitedBelowObjective reports whether the endpoint has had less time than the class's latency objective. A timeout then is the
-// client's doing and no evidence against the endpoint.
-func (x *exchange) waitedBelowObjective() bool {
+// withinLatencyObjective reports whether the endpoint has had less time than the latency objective of the class. A timeout is then
+// due to the client's short deadline and no evidence against the endpoint.
+func (x *exchange) withinLatencyObjective() bool {
 	return x.Clock.Now()-x.attempt.AwaitingSince() < x.attempt.Call.LatencyObjective
 }
--- a/internal/upstream/http/fixture_test.go
+++ b/internal/upstream/http/fixture_test.go
@@ -20,7 +20,7 @@
 	requestID  = "9b1f03aa5c7e2d41"
 )
 
-// fixture is an upstream with one listed endpoint.
+// fixture is an Upstream with one listed endpoint.
 type fixture struct {
 	*Upstream
 	malformedReports []error
@@ -54,24 +54,24 @@
 	return f
 }
 
-// listEndpoint makes the endpoint the only one that is listed.
+// listEndpoint makes the endpoint the only listed one.
 func (f *fixture) listEndpoint(addr string, state logic.EndpointState, startedAt time.Duration) {
 	endpoint := core.Endpoint{Endpoint: logic.Endpoint{ID: endpointID, State: state, StartedAt: startedAt}, Addr: addr}
 	f.UpdateEndpoints(core.EndpointList{Full: true, Endpoints: []core.Endpoint{endpoint}})
 }
 
-// testAttempt is an attempt and where its outcome is reported.
+// testAttempt is an attempt with the channel on which its outcome is reported.
 type testAttempt struct {
 	*core.Attempt
 	reported chan core.Outcome
 }
 
-// attempt returns an attempt of a request with an idempotency key, with so long for its answer.
+// attempt returns an attempt of a request with an idempotency key, with the given timeout.
 func (f *fixture) attempt(timeout time.Duration) testAttempt {
 	return f.attemptOn(endpointID, timeout, timeout)
 }
 
-// attemptOn returns an attempt on an endpoint that may begin to be written within writeTimeout.
+// attemptOn returns an attempt on the given endpoint whose write must start within writeTimeout.
 func (f *fixture) attemptOn(id string, timeout, writeTimeout time.Duration) testAttempt {
 	call := &core.Call{ID: requestID, Timeout: timeout, Message: &httpmsg.Message{
 		Head: []byte("POST /refund-record HTTP/1.1\r\nHost: origin.svc\r\nIdempotency-Key: k\r\nX-Request-Id: " + requestID + "\r\nContent-Length: 4\r\n"),
@@ -83,7 +83,7 @@
 	return testAttempt{attempt, reported}
 }
 
-// outcome is what an attempt reports.
+// outcome is the reported outcome of an attempt.
 type outcome struct{ core.Outcome }
 
 // execute executes an attempt and returns its outcome.
@@ -92,7 +92,7 @@
 	return outcome{<-attempt.reported}
 }
 
-// text is the body of the response, or empty without one.
+// text returns the body of the response, or "" if there is none.
 func (o outcome) text(t *testing.T) string {
 	t.Helper()
 	if o.Content == nil {
@@ -110,14 +110,14 @@
 
 func (f *fixture) openConnections() int { return f.Pool.Stats().Open }
 
-// resetsConnection is a backend's script that ends the connection with a reset.
+// resetsConnection is a backend script that resets the connection.
 func resetsConnection(c net.Conn, _ *http.Request, _ int) bool {
 	c.(*net.TCPConn).SetLinger(0)
 	return false
 }
 
-// dialBlockedUntil returns a dial that at this address blocks until the channel is closed, as with a machine that does not answer.
-// began receives each such dial.
+// dialBlockedUntil returns a dial function that, for this address, blocks until unblock is closed, as if the machine did not
+// respond. began receives a value for each such dial.
 func dialBlockedUntil(addr string, unblock chan struct{}) (dial pool.DialFunc, began chan struct{}) {
 	began = make(chan struct{}, 1)
 	return func(ctx context.Context, network, to string) (net.Conn, error) {
--- a/internal/upstream/http/healthcheck.go
+++ b/internal/upstream/http/healthcheck.go
@@ -17,14 +17,15 @@
 	healthCheckHost    = "origin.svc"
 )
 
-// healthCheckRequests are the platform's two health check requests.
+// healthCheckRequests are the two health check requests that the platform defines.
 var healthCheckRequests = [...]string{
 	healthcheck.LoadRequest:   "GET /status/load HTTP/1.1\r\nHost: " + healthCheckHost + "\r\n\r\n",
 	healthcheck.HealthRequest: "GET /health HTTP/1.1\r\nHost: " + healthCheckHost + "\r\n\r\n",
 }
 
-// HealthCheck implements healthcheck.Transport over connections that requests do not need. If the endpoint closed a reused connection
-// as the health check was on its way, it is repeated once, as that is no evidence of its health.
+// HealthCheck implements healthcheck.Transport. It uses connections that no request needs. If the endpoint closes a reused
+// connection while the health check is in transit, the check is repeated once, because that close says nothing about the endpoint's
+// health.
 func (u *Upstream) HealthCheck(ctx context.Context, target any, kind healthcheck.RequestKind, deadline time.Time) healthcheck.Response {
 	endpoint, _ := target.(*pool.Endpoint)
 	if endpoint == nil {
@@ -41,26 +42,26 @@
 	return healthcheck.Response{Result: result, LoadReport: logic.NoLoadReport}
 }
 
-// tryHealthCheck makes one health check, and returns how it left its connection.
+// tryHealthCheck makes one health check. It also returns in which state the check left its connection.
 func (u *Upstream) tryHealthCheck(ctx context.Context, endpoint *pool.Endpoint, kind healthcheck.RequestKind, deadline time.Time) (healthcheck.Response, pool.ReleaseOutcome) {
 	conn, err := u.Pool.GetLowPriority(ctx, endpoint, deadline)
 	if err != nil {
 		return noResponse(connectFailure(err)), pool.Unused
 	}
-	if accepts, _ := u.Pool.AcceptsRequests(endpoint); !accepts { // it began to drain during the handshake
+	if accepts, _ := u.Pool.AcceptsRequests(endpoint); !accepts { // the endpoint started to drain during the handshake
 		u.Pool.Put(conn, pool.Unused)
 		return noResponse(logic.NotSent), pool.Unused
 	}
 	stop := context.AfterFunc(ctx, func() { conn.SetDeadline(time.Now()) })
 	response, release := u.exchangeHealthCheck(conn, kind, deadline)
 	if !stop() && release == pool.Reusable {
-		release = pool.MustClose // the deadline may be set at any time from now on
+		release = pool.MustClose // the AfterFunc may still set the deadline
 	}
 	u.Pool.Put(conn, release)
 	return response, release
 }
 
-// exchangeHealthCheck writes the request and reads the response.
+// exchangeHealthCheck writes the request and interprets the response.
 func (u *Upstream) exchangeHealthCheck(conn *pool.Conn, kind healthcheck.RequestKind, deadline time.Time) (healthcheck.Response, pool.ReleaseOutcome) {
 	state := conn.State.(*connState)
 	state.startExchange(func(time.Time) time.Time { return deadline })
@@ -75,7 +76,7 @@
 	return response, releaseAfterResponse(head, nil)
 }
 
-// roundTripHealthCheck returns the head of the response and at most one byte more of its body than maxHealthCheckBody.
+// roundTripHealthCheck writes the request and returns the head of the response and up to maxHealthCheckBody+1 bytes of its body.
 func (s *connState) roundTripHealthCheck(conn *pool.Conn, kind healthcheck.RequestKind, deadline time.Time) (*http.Response, []byte, error) {
 	if err := conn.SetWriteDeadline(deadline); err != nil {
 		return nil, nil, err
@@ -91,7 +92,7 @@
 	return head, body, err
 }
 
-// interpretHealthCheck is what a complete response says of the endpoint.
+// interpretHealthCheck returns what a complete response says about the endpoint.
 func (u *Upstream) interpretHealthCheck(head *http.Response, body []byte, kind healthcheck.RequestKind) healthcheck.Response {
 	switch head.StatusCode {
 	case http.StatusOK:
--- a/internal/upstream/http/healthcheck_test.go
+++ b/internal/upstream/http/healthcheck_test.go
@@ -13,7 +13,8 @@
 	"ryeweir/logic"
 )
 
-// Endpoints answer health checks in every form. The result is exact, and the connection is reused only after a complete response.
+// Endpoints answer health checks in every form, including damaged ones. The result must be exact, and the connection must be reused
+// only after a complete response.
 func TestHealthCheckResponses(t *testing.T) {
 	for name, test := range map[string]struct {
 		script      func(c net.Conn, r *http.Request, n int) bool
@@ -42,14 +43,14 @@
 			f := newFixture(t, backend.Addr().String(), 4)
 			got := f.HealthCheck(context.Background(), f.Bind(endpointID), test.kind, time.Now().Add(300*time.Millisecond))
 			if got.Result != test.result || got.LoadReport.Utilization != test.utilization || got.Unsupported != test.unsupported || f.idleConnections() != test.idle {
-				t.Errorf("%+v, %d connections idle", got, f.idleConnections())
+				t.Errorf("got %+v, %d connections idle", got, f.idleConnections())
 			}
 		})
 	}
 }
 
-// A health check crosses the close of an idle connection, comes while requests need every place, or to an endpoint that drains. It is
-// repeated once after a crossed close, takes no place that requests need, and is not sent to a draining endpoint.
+// A health check must be repeated once if the endpoint closes its idle connection while the check is in transit. It must not take a
+// connection that requests need, and must not be sent to a draining endpoint.
 func TestHealthCheckYieldsToRequests(t *testing.T) {
 	crossed := testkit.NewBackend(t, func(c net.Conn, r *http.Request, n int) bool {
 		if n == 2 {
@@ -65,25 +66,25 @@
 		}
 	}
 	if crossed.Requests() != 3 || crossed.Connections() != 2 {
-		t.Errorf("%d requests on %d connections", crossed.Requests(), crossed.Connections())
+		t.Errorf("%d requests on %d connections, want 3 on 2", crossed.Requests(), crossed.Connections())
 	}
 	conn, err := f.Pool.Get(context.Background(), pool.Request{Endpoint: f.Pool.Endpoint(endpointID), Deadline: soon()})
 	if err != nil {
 		t.Fatal(err)
 	}
 	if got := f.HealthCheck(context.Background(), f.Bind(endpointID), healthcheck.LoadRequest, soon()); got.Result != logic.NotSent {
-		t.Errorf("with the only place in use: %+v", got)
+		t.Errorf("with the only connection in use: %+v", got)
 	}
 	f.Pool.Put(conn, pool.Reusable)
 	endpoint := f.Bind(endpointID)
 	f.listEndpoint(crossed.Addr().String(), logic.Draining, 0)
 	if got := f.HealthCheck(context.Background(), endpoint, healthcheck.LoadRequest, soon()); got.Result != logic.NotSent {
-		t.Errorf("while it drains: %+v", got)
+		t.Errorf("on a draining endpoint: %+v", got)
 	}
 	refused := testkit.Listen(t)
 	refused.Close()
 	f = newFixture(t, refused.Addr().String(), 4)
 	if got := f.HealthCheck(context.Background(), f.Bind(endpointID), healthcheck.LoadRequest, soon()); got.Result != logic.ConnectFailed {
-		t.Errorf("where nobody listens: %+v", got)
+		t.Errorf("with a refused connection: %+v", got)
 	}
 }
--- a/internal/upstream/http/loadreport.go
+++ b/internal/upstream/http/loadreport.go
@@ -10,11 +10,11 @@
 	"ryeweir/logic"
 )
 
-// maxLoadFigure is the highest value of a load report that is believed.
+// maxLoadFigure is the highest value that is accepted in a load report.
 const maxLoadFigure = 1e9
 
-// readLoadReport returns the first load report of a response that can be read, or logic.NoLoadReport. A malformed one must not spoil
-// the response that brought it, nor the averages of the balancer.
+// readLoadReport returns the first valid load report of a response, or logic.NoLoadReport. A malformed report affects neither the
+// response that carried it nor the balancer's averages.
 func (u *Upstream) readLoadReport(texts []string) logic.LoadReport {
 	for _, text := range texts {
 		report, err := parseLoadReport(text, u.LoadReportFields)
@@ -26,15 +26,15 @@
 	return logic.NoLoadReport
 }
 
-// parseLoadReport parses "name=value" pairs separated by commas. Names that are not among fields are ignored, but must have a valid
-// value.
+// parseLoadReport parses "name=value" pairs separated by commas. Names that are not in fields are ignored, but their values must be
+// valid too.
 func parseLoadReport(text string, fields []string) (logic.LoadReport, error) {
 	report := logic.NoLoadReport
 	for pair := range strings.SplitSeq(text, ",") {
 		name, value, ok := strings.Cut(strings.TrimSpace(pair), "=")
 		figure, err := strconv.ParseFloat(value, 64)
 		if !ok || err != nil || math.IsNaN(figure) || figure < 0 || figure > maxLoadFigure {
-			return report, fmt.Errorf("load report %.100q", text)
+			return report, fmt.Errorf("cannot parse load report %.100q", text)
 		}
 		for _, field := range fields {
 			if field == name {
--- a/internal/upstream/http/loadreport_test.go
+++ b/internal/upstream/http/loadreport_test.go
@@ -15,26 +15,26 @@
 	}
 	for _, text := range []string{"util", "util=", "util=x", "util=NaN,qps=1", "util=Inf", "util=-1", "qps=1e300", "=,"} {
 		if report, err := parseLoadReport(text, fields); err == nil {
-			t.Errorf("%q gives %+v", text, report)
+			t.Errorf("malformed report %q was parsed as %+v", text, report)
 		}
 	}
 }
 
-// An endpoint sends a malformed load report. It spoils neither the response that brought it nor the balancer's averages.
+// An endpoint sends a malformed load report. It must affect neither the response that carried it nor the balancer's averages.
 func TestMalformedLoadReportIsIgnored(t *testing.T) {
 	backend := testkit.NewBackend(t, testkit.Says("HTTP/1.1 200 OK\r\nX-Server-Load: util=NaN,qps=3\r\nContent-Length: 4\r\n\r\nfine"))
 	f := newFixture(t, backend.Addr().String(), 100)
 	out := f.execute(f.attempt(testkit.Patience))
 	if out.Result != logic.OK || out.LoadReport != logic.NoLoadReport || len(f.malformedReports) != 1 {
-		t.Errorf("%v %+v %v", out.Result, out.LoadReport, f.malformedReports)
+		t.Errorf("result %v, report %+v, malformed reports %v", out.Result, out.LoadReport, f.malformedReports)
 	}
 }
 
-// A response has two load reports, the first of them malformed. The second one counts.
+// A response has two load reports, and the first is malformed. The second one must be used.
 func TestLoadReportAfterAMalformedOneCounts(t *testing.T) {
 	backend := testkit.NewBackend(t, testkit.Says("HTTP/1.1 200 OK\r\nX-Server-Load: %%%\r\nX-Server-Load: util=0.5\r\nContent-Length: 4\r\n\r\nfine"))
 	f := newFixture(t, backend.Addr().String(), 100)
 	if out := f.execute(f.attempt(testkit.Patience)); out.Result != logic.OK || out.LoadReport.Utilization != 0.5 {
-		t.Errorf("%v %+v", out.Result, out.LoadReport)
+		t.Errorf("result %v, report %+v", out.Result, out.LoadReport)
 	}
 }
--- a/internal/upstream/http/outcome_test.go
+++ b/internal/upstream/http/outcome_test.go
@@ -16,8 +16,8 @@
 	"ryeweir/logic"
 )
 
-// Endpoints answer in every form, damaged ones too. The balancer retries by the outcome, so it must say exactly what may have run: an
-// outcome that denies it repeats an effect.
+// Endpoints answer in every form, including damaged ones. The balancer decides on a retry by the outcome, so the outcome must state
+// exactly whether the request may have run: a retry after a wrong "did not run" applies an effect twice.
 func TestOutcomeSaysExactlyWhatMayHaveRun(t *testing.T) {
 	t.Parallel()
 	for name, test := range map[string]struct {
@@ -42,7 +42,7 @@
 		"switching protocols":        {testkit.Says("HTTP/1.1 101 Other\r\n\r\nsomething else\r\n\r\n"), logic.Reset, 0},
 		"error longer than the buffer": {testkit.Says("HTTP/1.1 500 Oops\r\nContent-Length: 70000\r\n\r\n" + strings.Repeat("x", 70000)),
 			logic.Failed, 0},
-		// These leave the connection open and silent, which must not hold the attempt until its deadline.
+		// These leave the connection open without sending more. The attempt must not wait for that until its deadline.
 		"noise with no line":        {testkit.Says("\x16\x03\x01noise"), logic.Reset, 0},
 		"noise like a response":     {testkit.Says("HTTPS"), logic.Reset, 0},
 		"half a head":               {testkit.Says("HTTP/1.1 200 OK\r\nContent-Le"), logic.Reset, 0},
@@ -54,7 +54,7 @@
 		"no length, left open":      {testkit.Says("HTTP/1.1 200 OK\r\n\r\nfine"), logic.Reset, 0},
 		"endless interim responses": {testkit.Says(strings.Repeat("HTTP/1.1 103 Early Hints\r\n\r\n", 2*maxInterimResponses)), logic.Reset, 0},
 		"complete, then noise":      {testkit.Says(testkit.ServedText + "\x00noise"), logic.OK, 0},
-		// Such a body ends with the connection; an endpoint that dies in the middle of one resets it.
+		// A body without a length ends with the connection. An endpoint that dies in the middle of one resets the connection.
 		"no length, then closed": {func(c net.Conn, r *http.Request, n int) bool {
 			io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\nfine")
 			return false
@@ -80,10 +80,10 @@
 				t.Errorf("body %q", body)
 			}
 			if latency := f.Clock.Now() - attempt.SentAt; latency > testkit.Patience/2 {
-				t.Errorf("it took %v", latency)
+				t.Errorf("the attempt took %v", latency)
 			}
 			if backend.Requests() != 1 {
-				t.Errorf("the backend saw %d requests", backend.Requests())
+				t.Errorf("the backend received %d requests, want 1", backend.Requests())
 			}
 			if f.idleConnections() != test.idle {
 				t.Errorf("%d idle connections, want %d", f.idleConnections(), test.idle)
@@ -111,8 +111,8 @@
 	}
 }
 
-// A reused connection breaks under a request. The outcome is one Reset and nothing is sent again: net/http's Transport would do that by
-// itself, which may repeat an effect.
+// A reused connection breaks under a request. The outcome must be one Reset, and nothing may be sent again. net/http's Transport
+// would send the request again on its own, which can apply an effect twice.
 func TestBrokenConnectionIsNotRetriedByTheUpstream(t *testing.T) {
 	backend := testkit.NewBackend(t, func(c net.Conn, r *http.Request, n int) bool {
 		return n == 1 && testkit.Says(testkit.ServedText)(c, r, n)
@@ -125,17 +125,18 @@
 		t.Errorf("second: %v", out.Result)
 	}
 	if backend.Requests() != 2 || backend.Connections() != 1 {
-		t.Errorf("%d requests on %d connections", backend.Requests(), backend.Connections())
+		t.Errorf("%d requests on %d connections, want 2 on 1", backend.Requests(), backend.Connections())
 	}
 }
 
-// A client sets deadlines below the class's latency objective. Its attempts get exact outcomes, also if the response has begun to arrive
-// or the deadline passed before the write, and each costs its own connection only, as it is no evidence against the endpoint.
+// Clients set deadlines below the latency objective of the class. Their attempts must get exact outcomes, also if a response has
+// started to arrive or the deadline has passed before the write. Each attempt may cost only its own connection, because it is no
+// evidence against the endpoint.
 func TestShortDeadlinesCostNoOtherConnections(t *testing.T) {
 	t.Parallel()
 	const idle = 6
-	// Far below the objective, and long enough that a machine which stalls for a moment still hands over a connection in time: a deadline
-	// that passes before that is another case, NotSent.
+	// This is far below the objective, and long enough that a machine which stalls briefly still provides a connection in time. A
+	// deadline that passes before that is a different case: NotSent.
 	const belowObjective = 500 * time.Millisecond
 	var together sync.WaitGroup
 	together.Add(idle)
@@ -167,7 +168,7 @@
 		{belowObjective, time.Minute, logic.TimedOut},
 		{belowObjective, time.Minute, logic.TimedOut},
 		{-time.Millisecond, time.Minute, logic.NotSent},
-		{-time.Millisecond, 0, logic.ConnectFailed}, // the endpoint had its objective, and took nothing
+		{-time.Millisecond, 0, logic.ConnectFailed}, // the endpoint had its whole latency objective and did not take the request
 	} {
 		attempt := f.attemptOn(endpointID, test.timeout, time.Second)
 		attempt.Call.LatencyObjective = test.objective
@@ -175,13 +176,13 @@
 			t.Errorf("timeout %v: result %d", test.timeout, out.Result)
 		}
 		if n := f.idleConnections(); n != idle-1-i || f.openConnections() != n {
-			t.Errorf("after %d of them %d of %d open connections are idle", i+1, n, f.openConnections())
+			t.Errorf("after %d attempts %d of %d open connections are idle", i+1, n, f.openConnections())
 		}
 	}
 }
 
-// The agent runs out of descriptors, ports or memory and a connect fails. The attempt was not sent, and no endpoint is ejected for it. An
-// error of the network or the endpoint is a failed connect.
+// A connect fails because the agent is out of file descriptors, ports or memory. The attempt must count as not sent, so that no
+// endpoint is ejected for it. An error of the network or of the endpoint must count as a failed connect.
 func TestLocalConnectErrorsAreNoEvidenceAgainstTheEndpoint(t *testing.T) {
 	for errno, want := range map[syscall.Errno]logic.Result{
 		syscall.EMFILE: logic.NotSent, syscall.ENFILE: logic.NotSent, syscall.ENOBUFS: logic.NotSent, syscall.ENOMEM: logic.NotSent,
--- a/internal/upstream/http/release.go
+++ b/internal/upstream/http/release.go
@@ -9,12 +9,12 @@
 	"ryeweir/logic"
 )
 
-// Two questions are answered here: what an error says of the request (a logic.Result), and what it says of the connection (a
+// This file derives two things from an error: the result of the request (a logic.Result) and the state of the connection (a
 // pool.ReleaseOutcome).
 
 func isTimeout(err error) bool { return errors.Is(err, os.ErrDeadlineExceeded) }
 
-// failureResult is the result of a request that was written completely and got no complete response.
+// failureResult returns the result of a request that was written completely and got no complete response.
 func failureResult(err error) logic.Result {
 	if isTimeout(err) && !errors.Is(err, errMalformedResponse) {
 		return logic.TimedOut
@@ -22,7 +22,8 @@
 	return logic.Reset
 }
 
-// failureResult is that of an attempt: a response that was still arriving at the attempt's deadline timed out and is not damaged.
+// failureResult returns the result of a failed attempt. A response that was still arriving at the attempt's deadline counts as
+// timed out, not as damaged.
 func (x *exchange) failureResult(err error) logic.Result {
 	if isTimeout(err) && x.Clock.Now() >= x.attempt.Deadline() {
 		return logic.TimedOut
@@ -30,16 +31,16 @@
 	return failureResult(err)
 }
 
-// releaseAfterFailure is how an exchange without a response leaves its connection.
+// releaseAfterFailure returns in which state an exchange without a response leaves its connection.
 func (x *exchange) releaseAfterFailure(err error) pool.ReleaseOutcome {
-	if x.outcome.Result == logic.TimedOut && x.waitedBelowObjective() {
+	if x.outcome.Result == logic.TimedOut && x.withinLatencyObjective() {
 		return pool.Abandoned
 	}
 	return x.state.releaseAfterFailure(x.conn, err)
 }
 
-// releaseAfterFailure tells a crossed close from other failures: on a reused connection that ended before a byte came, the endpoint
-// was closing it while the request was on its way.
+// releaseAfterFailure distinguishes a crossed close from other failures. If a reused connection ended before any byte of the
+// response arrived, the endpoint was closing it while the request was in transit.
 func (s *connState) releaseAfterFailure(conn *pool.Conn, err error) pool.ReleaseOutcome {
 	ended := !isTimeout(err) && !errors.Is(err, errMalformedResponse)
 	if ended && !conn.FirstUse() && !s.anyRead() {
@@ -48,7 +49,7 @@
 	return pool.Broken
 }
 
-// releaseAfterResponse is how a response leaves its connection. err is that of reading its body.
+// releaseAfterResponse returns in which state a response leaves its connection. err is the error of reading its body.
 func releaseAfterResponse(response *http.Response, err error) pool.ReleaseOutcome {
 	switch {
 	case err != nil:
--- a/internal/upstream/http/response.go
+++ b/internal/upstream/http/response.go
@@ -14,20 +14,20 @@
 
 const (
 	maxInterimResponses = 8
-	maxHeadBytes        = 16 << 10                 // of a response, with interim ones
-	maxResponseBytes    = 4 * httpmsg.MaxBodyBytes // of its body as it is sent, with the framing of its chunks
-	responseStart       = "HTTP/1."
+	maxHeadBytes        = 16 << 10                 // of a response, including interim ones
+	maxResponseBytes    = 4 * httpmsg.MaxBodyBytes // of a body on the wire, including the framing of its chunks
+	responsePrefix      = "HTTP/1."
 )
 
-// errMalformedResponse says that what came can't be a response to the request. The request may have run.
+// errMalformedResponse means that the received bytes are not a valid response. The request may have run.
 var errMalformedResponse = errors.New("malformed response")
 
-// errInterimResponses says that too many interim responses came.
+// errInterimResponses means that more than maxInterimResponses interim responses arrived.
 var errInterimResponses = errors.New("too many interim responses")
 
-// readHead reads the head of the final response. It fails as soon as what came can't become one.
+// readHead reads the head of the final response. It fails as soon as the received bytes cannot become one.
 func (s *connState) readHead() (*http.Response, error) {
-	if err := checkStart(s.reader); err != nil {
+	if err := checkPrefix(s.reader); err != nil {
 		return nil, err
 	}
 	response, err := s.readFinalResponse()
@@ -38,24 +38,24 @@
 	return response, nil
 }
 
-// checkStart waits for the first bytes of a response and fails at the first byte that none begins with.
+// checkPrefix waits for the first bytes of a response and fails at the first byte that differs from responsePrefix.
 //
-// Failure: a damaged link delivers noise without the end of a line, for which the parser would wait until the deadline. It shows as
-// timeouts in place of resets. The guard holds because each byte is checked as it arrives.
-func checkStart(reader *bufio.Reader) error {
-	for n := 1; n <= len(responseStart); n++ {
+// Failure: a damaged link delivers noise without a line end, and the parser waits for one until the deadline. The attempt times out
+// instead of failing with a reset. To prevent this, each byte is checked as it arrives.
+func checkPrefix(reader *bufio.Reader) error {
+	for n := 1; n <= len(responsePrefix); n++ {
 		got, err := reader.Peek(n)
 		if err != nil {
 			return err
 		}
-		if got[n-1] != responseStart[n-1] {
+		if got[n-1] != responsePrefix[n-1] {
 			return errMalformedResponse
 		}
 	}
 	return nil
 }
 
-// readFinalResponse reads response heads until one is not interim.
+// readFinalResponse reads response heads until it finds one that is not interim.
 func (s *connState) readFinalResponse() (*http.Response, error) {
 	for range maxInterimResponses {
 		response, err := http.ReadResponse(s.reader, nil)
@@ -66,11 +66,11 @@
 	return nil, errInterimResponses
 }
 
-// discardErrorBody reads past the body of a response that is no 200, and sets what the status says of the request. The connection is
-// closed if the body is longer than is worth reading.
+// discardErrorBody discards the body of a response other than 200, and derives the result from its status. The connection is closed
+// if the body reaches httpmsg.MaxBufferedBytes, because reading the rest costs more than a new connection.
 func (x *exchange) discardErrorBody(response *http.Response) pool.ReleaseOutcome {
 	x.outcome.Result = logic.Failed
-	if saysNotProcessed(response) {
+	if notProcessed(response) {
 		x.outcome.Result = logic.Rejected
 	}
 	n, err := io.Copy(io.Discard, io.LimitReader(response.Body, httpmsg.MaxBufferedBytes))
@@ -82,8 +82,8 @@
 	return releaseAfterResponse(response, err)
 }
 
-// saysNotProcessed reports whether the endpoint says that the request did not run. Only a 503 or 504 can say so.
-func saysNotProcessed(response *http.Response) bool {
+// notProcessed reports whether the endpoint states that the request did not run. Only a 503 or 504 can state that.
+func notProcessed(response *http.Response) bool {
 	switch response.StatusCode {
 	case http.StatusServiceUnavailable, http.StatusGatewayTimeout:
 		return response.Header.Get("X-Not-Processed") == "1"
--- a/internal/upstream/http/send_test.go
+++ b/internal/upstream/http/send_test.go
@@ -17,8 +17,8 @@
 	"ryeweir/logic"
 )
 
-// A dial takes long, and meanwhile the endpoint drains, is removed, restarts or moves, the deadline passes, or the endpoints may have
-// forgotten the idempotency key. Nothing is written.
+// During a slow dial the endpoint drains, is removed, restarts or moves, the deadline passes, or the time passes after which the
+// endpoints may have forgotten the idempotency key. Nothing may be written.
 func TestNothingIsWrittenOnceTheSendIsForbidden(t *testing.T) {
 	backend := testkit.NewBackend(t, testkit.Says(testkit.ServedText))
 	addr := backend.Addr().String()
@@ -41,8 +41,8 @@
 			if out := f.execute(attempt); out.Result != logic.NotSent {
 				t.Errorf("result %v", out.Result)
 			}
-			if f.mayStillSend(attempt.Attempt, attempt.Target.(*pool.Endpoint)) || backend.Requests() != before {
-				t.Error("it was sent, or would have been")
+			if f.sendAllowed(attempt.Attempt, attempt.Target.(*pool.Endpoint)) || backend.Requests() != before {
+				t.Error("the request was sent, or the send guard would have allowed it")
 			}
 		})
 	}
@@ -53,10 +53,10 @@
 	f := newFixture(t, backend.Addr().String(), 100)
 	f.execute(f.attempt(1500 * time.Millisecond))
 	if backend.Requests() != 1 {
-		t.Fatal("nothing arrived")
+		t.Fatal("the request did not arrive")
 	}
 	request := backend.Seen[0]
-	timeout, err := time.ParseDuration(request.Header.Get("X-Timeout") + "s") // 1234u and s are 1234us
+	timeout, err := time.ParseDuration(request.Header.Get("X-Timeout") + "s") // the header's value 1234u with an s appended is the Go duration 1234us
 	if err != nil || timeout > 1500*time.Millisecond {
 		t.Errorf("X-Timeout %q: %v", request.Header.Get("X-Timeout"), err)
 	}
@@ -66,7 +66,7 @@
 	}
 }
 
-// An endpoint begins to drain during the dial. Nothing is written, though the connection opens.
+// An endpoint starts to drain during the dial. The connection opens, but nothing may be written.
 func TestNothingIsWrittenAfterADrainDuringTheDial(t *testing.T) {
 	backend := testkit.NewBackend(t, testkit.Says(testkit.ServedText))
 	addr := backend.Addr().String()
@@ -83,7 +83,7 @@
 	}
 }
 
-// delayedUpstream is an upstream whose attempts wait for the test before they begin.
+// delayedUpstream is an Upstream whose attempts do not start until the test lets them proceed.
 type delayedUpstream struct {
 	*Upstream
 	started, proceed chan struct{}
@@ -95,7 +95,7 @@
 	u.Upstream.Execute(ctx, attempt)
 }
 
-// A client leaves between the balancer's decision and the write. Nothing is written, though a connection is idle.
+// A client disconnects between the balancer's decision and the write. Nothing may be written, although a connection is idle.
 func TestNothingIsWrittenAfterTheClientHasLeft(t *testing.T) {
 	t.Parallel()
 	backend := testkit.NewBackend(t, testkit.Says(testkit.ServedText))
@@ -129,17 +129,17 @@
 	stop()
 	<-ended
 	if n := backend.Requests(); n != 2 {
-		t.Errorf("the endpoint has read %d requests", n)
+		t.Errorf("the endpoint received %d requests, want 2", n)
 	}
 }
 
-// A client breaks off during its upload, at an endpoint that says nothing. The attempt ends at once as not sent, which is no evidence
+// A client aborts its upload to an endpoint that does not answer. The attempt must end at once as not sent, which is no evidence
 // against the endpoint.
 func TestClientAbortDuringUploadEndsTheAttempt(t *testing.T) {
 	t.Parallel()
 	backend := testkit.NewBackend(t, testkit.Silent)
 	f := newFixture(t, backend.Addr().String(), 4)
-	errClientLeft := errors.New("the client broke off")
+	errClientLeft := errors.New("the client aborted the upload")
 	attempt := f.attempt(testkit.Patience)
 	attempt.Call.BodyPending = true
 	attempt.Call.Message = &httpmsg.Message{
@@ -153,7 +153,7 @@
 			t.Errorf("%+v", out)
 		}
 	case <-time.After(testkit.Patience):
-		t.Fatal("the attempt does not end")
+		t.Fatal("the attempt did not end")
 	}
 	if n := f.Pool.Stats().Closed[pool.CloseBroken]; n != 1 {
 		t.Errorf("%d connections closed as broken", n)
--- a/internal/upstream/http/upstream.go
+++ b/internal/upstream/http/upstream.go
@@ -13,30 +13,31 @@
 	"ryeweir/logic"
 )
 
-// Upstream carries out attempts and health checks. It implements core.Upstream and healthcheck.Transport, and is safe for
-// concurrent use.
+// Upstream executes attempts and health checks. It implements core.Upstream and healthcheck.Transport, and is safe for concurrent
+// use.
 type Upstream struct {
-	Pool              *pool.Pool // with NewConnState as its Config.NewState
+	Pool              *pool.Pool // its Config.NewState must be NewConnState
 	Clock             core.Clock
-	Budget            *bodybuffer.Budget // for buffers of responses
-	LoadReportFields  []string           // that are read of a load report
+	Budget            *bodybuffer.Budget // for the buffers of responses
+	LoadReportFields  []string           // names of the fields that are read from a load report
 	OnRequestWritten  func()             // called when a request has been written completely
-	OnMalformedReport func(err error)    // called with a load report that can't be read
+	OnMalformedReport func(err error)    // called when a load report cannot be parsed
 
-	Events  *event.Recorder    // nil: none are recorded
-	Monitor *invariant.Monitor // nil: none
+	Events  *event.Recorder    // nil records none
+	Monitor *invariant.Monitor // nil monitors none
 }
 
-// UpdateEndpoints applies a full snapshot of the endpoints or a watch event.
+// UpdateEndpoints applies a full snapshot of the endpoints or a watch event. It returns the number of listed endpoints and how many
+// of them are ready.
 func (u *Upstream) UpdateEndpoints(list core.EndpointList) (listed, ready int) {
 	return u.Pool.UpdateEndpoints(list.Full, list.Endpoints)
 }
 
-// Bind returns the present incarnation of an endpoint, or nil.
+// Bind returns the current incarnation of an endpoint, or a nil *pool.Endpoint if it is not listed.
 func (u *Upstream) Bind(endpointID string) any { return u.Pool.Endpoint(endpointID) }
 
-// Execute carries out an attempt and reports its one outcome. It returns when the exchange is over, which is later than the report
-// if the response is streamed.
+// Execute executes an attempt and reports exactly one outcome. It returns when the exchange has ended. If the response is streamed,
+// the outcome is reported before that.
 func (u *Upstream) Execute(ctx context.Context, attempt *core.Attempt) {
 	endpoint, _ := attempt.Target.(*pool.Endpoint)
 	outcome := core.Outcome{Result: logic.NotSent, LoadReport: logic.NoLoadReport}
@@ -46,7 +47,7 @@
 		attempt.Report(outcome)
 		return
 	}
-	if !u.claim(attempt, endpoint) {
+	if !u.beginSend(attempt, endpoint) {
 		u.Pool.Put(conn, pool.Unused)
 		attempt.Report(outcome)
 		return
@@ -74,8 +75,8 @@
 	})
 }
 
-// connectFailure is the result of an attempt that got no connection. Only a failed handshake is evidence against the endpoint; the
-// agent's own limits are not.
+// connectFailure returns the result of an attempt that got no connection. Only a failed handshake is evidence against the endpoint;
+// the agent's own limits are not.
 func connectFailure(err error) logic.Result {
 	if errors.Is(err, pool.ErrConnectFailed) {
 		return logic.ConnectFailed
@@ -83,21 +84,21 @@
 	return logic.NotSent
 }
 
-// claim reports whether the attempt may write its first byte.
+// beginSend reports whether the attempt may write its first byte.
 //
-// Failure: the wait for a connection took long, and meanwhile the endpoint began to drain or restarted, the call ended, or the
-// endpoints may have forgotten its idempotency key. The guard holds because it is asked after the connection is there, just
-// before the first byte; Attempt.Begin then excludes that the call ends as not sent.
-func (u *Upstream) claim(attempt *core.Attempt, endpoint *pool.Endpoint) bool {
-	return u.mayStillSend(attempt, endpoint) && attempt.Begin()
+// Failure: while the attempt waits for a connection, the endpoint starts to drain or restarts, the call ends, or the time passes
+// after which the endpoints may have forgotten its idempotency key. To catch this, the send guard is asked when the connection is
+// available, just before the first byte. After Attempt.Begin the call can no longer end as not sent.
+func (u *Upstream) beginSend(attempt *core.Attempt, endpoint *pool.Endpoint) bool {
+	return u.sendAllowed(attempt, endpoint) && attempt.Begin()
 }
 
-// mayStillSend asks the send guard.
-func (u *Upstream) mayStillSend(attempt *core.Attempt, endpoint *pool.Endpoint) bool {
+// sendAllowed reports whether the send guard allows the attempt now.
+func (u *Upstream) sendAllowed(attempt *core.Attempt, endpoint *pool.Endpoint) bool {
 	return !u.describeSend(attempt, endpoint).Check().Denied
 }
 
-// describeSend describes an attempt at this moment, for the send guard.
+// describeSend returns the current state of an attempt and its endpoint, for the send guard.
 func (u *Upstream) describeSend(attempt *core.Attempt, endpoint *pool.Endpoint) invariant.Send {
 	accepts, notReadySince := u.Pool.AcceptsRequests(endpoint)
 	return invariant.Send{
--- a/internal/upstream/http/write.go
+++ b/internal/upstream/http/write.go
@@ -16,24 +16,24 @@
 const (
 	writeBufferBytes = 32 << 10
 
-	// lastResponseWait is how long a response is waited for after the endpoint has stopped reading the request: it may have
-	// sent one before that.
-	lastResponseWait = 20 * time.Millisecond
+	// lateResponseTimeout is how long to wait for a response after the endpoint stopped reading the request. It may have sent a
+	// response before it did so.
+	lateResponseTimeout = 20 * time.Millisecond
 )
 
-// errAnsweredEarly ends the writing of a request to which a response has begun to arrive.
-var errAnsweredEarly = errors.New("the endpoint answered before it had the request")
+// errAnsweredEarly ends the write of a request when its response starts to arrive.
+var errAnsweredEarly = errors.New("endpoint answered before it received the whole request")
 
-// writeResult is how far the writing of a request came.
+// writeResult describes how much of a request was written.
 type writeResult struct {
-	err      error // why it is not complete; nil if it is
-	answered bool  // a response began to arrive before the request was complete
+	err      error // why the request was not written completely; nil if it was
+	answered bool  // a response started to arrive before the request was complete
 }
 
-// complete reports whether all of the request was written.
+// complete reports whether the whole request was written.
 func (w writeResult) complete() bool { return w.err == nil }
 
-// writeRequest writes the request.
+// writeRequest writes the request, with a body that is in memory or still arrives from the client.
 func (x *exchange) writeRequest() writeResult {
 	if x.message.Body.Remainder == nil {
 		return writeResult{err: x.writeBuffered()}
@@ -41,7 +41,7 @@
 	return x.writeStreamed()
 }
 
-// writeBuffered writes a request whose body is in memory, with one write.
+// writeBuffered writes a request whose body is in memory, in a single write.
 func (x *exchange) writeBuffered() error {
 	attempt := x.attempt
 	timeout := x.remainingTimeout()
@@ -59,12 +59,13 @@
 	return err
 }
 
-// remainingTimeout is the timeout that is passed to the endpoint: what the client has left, at most that of its class.
+// remainingTimeout returns the timeout that is sent to the endpoint: the time that the client has left, limited by the timeout of
+// its class.
 func (x *exchange) remainingTimeout() time.Duration {
 	return min(x.attempt.Call.Timeout, max(0, x.attempt.Deadline()-x.Clock.Now()))
 }
 
-// appendHead appends the request's head with the timeout.
+// appendHead appends the head of the request, including the timeout header.
 func (x *exchange) appendHead(buffer []byte, timeout time.Duration) []byte {
 	buffer = append(buffer, x.message.Head...)
 	buffer = append(buffer, httpmsg.TimeoutHeader+": "...)
@@ -72,19 +73,20 @@
 	return append(buffer, "u\r\n\r\n"...)
 }
 
-// writeStreamed writes a request whose body still comes from the client, and watches for a response that does not wait for the rest.
+// writeStreamed writes a request whose body still arrives from the client. Meanwhile it watches for a response that the endpoint
+// sends before it has the whole request.
 //
-// Failure: an endpoint rejects a long upload and closes, and the agent, which only writes, sees a reset instead of the response.
-// The guard holds because the watch reads beside the writer and stops it at the first byte of a response; if the write fails
-// first, a response that was already sent is waited for a moment longer.
+// Failure: an endpoint rejects a long upload and closes the connection. An agent that only writes would see a reset instead of the
+// response. Therefore the watch reads concurrently and stops the writer at the first byte of a response. If the write fails first,
+// the agent waits lateResponseTimeout for a response that was already sent.
 func (x *exchange) writeStreamed() writeResult {
 	watch := x.watchForResponse()
 	err := x.writeBody(watch)
-	watch.written.Store(true)
+	watch.writeEnded.Store(true)
 	if err == nil {
-		x.conn.SetReadDeadline(x.Clock.At(x.attempt.Deadline())) // until now a read could wait for as long as an upload may take
+		x.conn.SetReadDeadline(x.Clock.At(x.attempt.Deadline())) // replaces the later deadline that applied during the upload
 	} else if !watch.answered.Load() {
-		cutoff := time.AfterFunc(lastResponseWait, x.cutReading)
+		cutoff := time.AfterFunc(lateResponseTimeout, x.stopReading)
 		defer cutoff.Stop()
 	}
 	<-watch.done
@@ -92,17 +94,17 @@
 	return writeResult{err: err, answered: answered}
 }
 
-// cutReading ends the reading of a response, also a read that waits.
-func (x *exchange) cutReading() {
+// stopReading ends the reading of a response, including a read in progress.
+func (x *exchange) stopReading() {
 	x.readCutoff.Store(int64(x.Clock.Now()))
 	x.conn.SetReadDeadline(time.Now())
 }
 
-// writeBody writes the head and the body as it comes from the client.
+// writeBody writes the head, and the body as it arrives from the client.
 func (x *exchange) writeBody(watch *responseWatch) error {
 	head := x.appendHead(x.state.requestBuffer[:0], x.remainingTimeout())
 	writer := bufio.NewWriterSize(streamWriter{x.conn, watch}, writeBufferBytes)
-	writer.Write(head) // an error is returned by Flush
+	writer.Write(head) // Flush returns the error
 	if err := copyBody(writer, &x.message.Body); err != nil {
 		return err
 	}
@@ -113,7 +115,7 @@
 	return nil
 }
 
-// copyBody writes a body in the form that its head states: with its length, or in chunks.
+// copyBody writes a body in the form that its head announces: with a length or in chunks.
 func copyBody(writer *bufio.Writer, body *httpmsg.Body) error {
 	if body.Length < 0 {
 		return copyChunked(writer, body)
@@ -138,19 +140,19 @@
 	return err
 }
 
-// responseWatch waits for the first byte of a response while a request is written.
+// responseWatch waits for the first byte of a response while the request is being written.
 type responseWatch struct {
-	written  atomic.Bool   // the writer has ended
-	answered atomic.Bool   // a response began before that
-	done     chan struct{} // closed when the watch has ended; the reader is not to be used before
+	writeEnded atomic.Bool   // the writer has ended
+	answered   atomic.Bool   // a response started before that
+	done       chan struct{} // closed when the watch has ended; connState.reader must not be used before
 }
 
-// watchForResponse starts a watch. When a response begins it stops the body's source and a write that waits.
+// watchForResponse starts a watch. When a response starts, the watch stops the source of the body and any write in progress.
 func (x *exchange) watchForResponse() *responseWatch {
 	watch := &responseWatch{done: make(chan struct{})}
 	go func() {
 		defer close(watch.done)
-		if _, err := x.state.reader.Peek(1); err != nil || watch.written.Load() {
+		if _, err := x.state.reader.Peek(1); err != nil || watch.writeEnded.Load() {
 			return
 		}
 		watch.answered.Store(true)
@@ -160,7 +162,7 @@
 	return watch
 }
 
-// streamWriter writes to a connection as long as that makes progress and no response has begun.
+// streamWriter writes to a connection while the writes make progress and no response has started.
 type streamWriter struct {
 	net.Conn
 	watch *responseWatch
@@ -168,10 +170,10 @@
 
 // Write implements io.Writer.
 func (w streamWriter) Write(p []byte) (int, error) {
-	if err := w.SetWriteDeadline(time.Now().Add(streamStall)); err != nil {
+	if err := w.SetWriteDeadline(time.Now().Add(streamStallTimeout)); err != nil {
 		return 0, err
 	}
-	// Checked after the deadline was set, which else might replace the one by which the watch ends this write.
+	// This check must follow SetWriteDeadline, which might otherwise overwrite the deadline with which the watch ends this write.
 	if w.watch.answered.Load() {
 		return 0, errAnsweredEarly
 	}
