--- a/internal/bodybuffer/budget.go
+++ b/internal/bodybuffer/budget.go
@@ -2,33 +2,33 @@
 
 import "sync/atomic"
 
-// Budget bounds the bytes of the buffers that all exchanges share. It may be used by any goroutine.
-type Budget struct{ left atomic.Int64 }
+// Budget limits the total size of the buffers that all exchanges share. It is safe for concurrent use.
+type Budget struct{ available atomic.Int64 }
 
-// minGrant is granted also when the budget is used up.
+// minReservation is the size, in bytes, that is granted even if the budget is exhausted.
 //
-// Guards against: a deadlock of exchanges that wait for buffers which others hold. The budget may be overdrawn by this much for each
-// open exchange.
-const minGrant = 4 << 10
+// It prevents a deadlock of exchanges that wait for each other's buffers. The budget can be exceeded by this amount for each open
+// exchange.
+const minReservation = 4 << 10
 
-// NewBudget returns a budget of this many bytes.
+// NewBudget returns a budget of size bytes.
 func NewBudget(size int64) *Budget {
 	b := &Budget{}
-	b.left.Store(size)
+	b.available.Store(size)
 	return b
 }
 
-// Reserve grants as many of the bytes wanted as are left, but minGrant of them at least. It does not wait. The grant must be given
-// back by Release.
+// Reserve reserves up to want bytes and returns how many it granted: as many as are available, but at least minReservation or want,
+// whichever is less. It does not block. The caller must return the granted bytes with Release.
 func (b *Budget) Reserve(want int) (granted int) {
 	for {
-		left := b.left.Load()
-		granted = min(want, max(minGrant, int(left)))
-		if b.left.CompareAndSwap(left, left-int64(granted)) {
+		available := b.available.Load()
+		granted = min(want, max(minReservation, int(available)))
+		if b.available.CompareAndSwap(available, available-int64(granted)) {
 			return granted
 		}
 	}
 }
 
-// Release gives back a grant.
-func (b *Budget) Release(granted int) { b.left.Add(int64(granted)) }
+// Release returns granted bytes to the budget.
+func (b *Budget) Release(granted int) { b.available.Add(int64(granted)) }
--- a/internal/bodybuffer/pipe.go
+++ b/internal/bodybuffer/pipe.go
@@ -6,36 +6,36 @@
 	"sync"
 )
 
-// ErrClosed says that the pipe was closed.
-var ErrClosed = errors.New("the pipe is closed")
+// ErrClosed means that the pipe was closed.
+var ErrClosed = errors.New("body pipe closed")
 
-// Pipe is a ring buffer between one goroutine that fills it and one that empties it. Each waits for the other. Its other methods may
-// be called by any goroutine.
+// Pipe is a ring buffer between one goroutine that fills it and one that empties it; each blocks until the other makes progress.
+// All other methods are safe for concurrent use.
 type Pipe struct {
 	budget *Budget
 	buf    []byte
 
 	mu       sync.Mutex
 	changed  *sync.Cond
-	start    int   // index in buf of the first byte that is buffered
-	buffered int   // bytes, which may go on at the beginning of buf
-	end      error // why no more comes; io.EOF when all has come
+	start    int   // index in buf of the first buffered byte
+	buffered int   // number of buffered bytes; they may wrap around the end of buf
+	fillErr  error // why no more data will arrive; io.EOF after all data has arrived
 	closed   bool
 }
 
-// NewPipe returns a pipe that can hold as many bytes as wanted, or fewer where the budget does not reach. It must be closed.
+// NewPipe returns a pipe that can hold want bytes, or fewer if the budget does not suffice. The caller must close it.
 func NewPipe(b *Budget, want int) *Pipe {
 	p := &Pipe{budget: b, buf: make([]byte, b.Reserve(max(want, 1)))}
 	p.changed = sync.NewCond(&p.mu)
 	return p
 }
 
-// Size returns how many bytes the pipe can hold.
+// Size returns the capacity of the pipe in bytes.
 func (p *Pipe) Size() int { return len(p.buf) }
 
-// Fill reads r to its end into the pipe. It calls onFull once, before it first waits for free space, and onData after each piece
-// that was read; both may be nil. The error says why not all has come: that of r, which WriteTo returns after what has come, or
-// ErrClosed.
+// Fill reads r to its end into the pipe. It calls onFull once, before it first waits for free space, and onData after each read
+// that returned data; both may be nil. It returns nil at the end of r. Otherwise it returns the error of r, which WriteTo returns
+// after the buffered data, or ErrClosed.
 func (p *Pipe) Fill(r io.Reader, onFull, onData func()) error {
 	for {
 		free, err := p.awaitSpace(onFull)
@@ -43,7 +43,7 @@
 			return err
 		}
 		n, err := r.Read(free)
-		p.add(n, err)
+		p.commit(n, err)
 		if n > 0 && onData != nil {
 			onData()
 		}
@@ -56,7 +56,7 @@
 	}
 }
 
-// awaitSpace waits for free space and returns a contiguous piece of it.
+// awaitSpace waits for free space and returns a contiguous part of it.
 func (p *Pipe) awaitSpace(onFull func()) ([]byte, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -78,16 +78,16 @@
 	return p.buf[from:to], nil
 }
 
-func (p *Pipe) add(n int, end error) {
+func (p *Pipe) commit(n int, fillErr error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.buffered += n
-	p.end = end
+	p.fillErr = fillErr
 	p.changed.Broadcast()
 }
 
-// WriteTo writes what comes through the pipe to w until all has come. It implements io.WriterTo. The error is that of w, that of
-// the reader that fills the pipe, or ErrClosed.
+// WriteTo writes the data to w as it arrives, until all of it has been written. It implements io.WriterTo. The error is that of w,
+// the one with which Fill ended, or ErrClosed.
 func (p *Pipe) WriteTo(w io.Writer) (written int64, err error) {
 	for {
 		piece, err := p.awaitContent()
@@ -96,18 +96,18 @@
 		}
 		n, err := w.Write(piece)
 		written += int64(n)
-		p.remove(n)
+		p.consume(n)
 		if err != nil {
 			return written, err
 		}
 	}
 }
 
-// awaitContent waits for content and returns a contiguous piece of it. At the end it returns none and no error.
+// awaitContent waits for data and returns a contiguous part of it. At the end it returns no data and no error.
 func (p *Pipe) awaitContent() ([]byte, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for p.buffered == 0 && p.end == nil && !p.closed {
+	for p.buffered == 0 && p.fillErr == nil && !p.closed {
 		p.changed.Wait()
 	}
 	switch {
@@ -115,13 +115,13 @@
 		return nil, ErrClosed
 	case p.buffered > 0:
 		return p.buf[p.start:min(len(p.buf), p.start+p.buffered)], nil
-	case p.end == io.EOF:
+	case p.fillErr == io.EOF:
 		return nil, nil
 	}
-	return nil, p.end
+	return nil, p.fillErr
 }
 
-func (p *Pipe) remove(n int) {
+func (p *Pipe) consume(n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.start = (p.start + n) % len(p.buf)
@@ -129,14 +129,14 @@
 	p.changed.Broadcast()
 }
 
-// Complete reports whether all content has come, and how many bytes of it are buffered.
+// Complete returns the number of buffered bytes and reports whether all data has arrived.
 func (p *Pipe) Complete() (buffered int, complete bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.buffered, p.end == io.EOF
+	return p.buffered, p.fillErr == io.EOF
 }
 
-// Close ends both sides and gives the buffer back to the budget. It may be called more than once.
+// Close ends Fill and WriteTo and returns the buffer to the budget. It may be called more than once.
 func (p *Pipe) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/httpmsg/body.go
+++ b/internal/httpmsg/body.go
@@ -8,14 +8,14 @@
 	"ryeweir/internal/bodybuffer"
 )
 
-// Body is a request's body: what is buffered of it and, where that is not all, what still comes in from the client.
+// Body is the body of a request: the buffered part and, if that is not all of it, the remainder that still arrives from the client.
 type Body struct {
 	Buffered  []byte
-	Length    int64      // of the whole body, in bytes; -1 when it is not known
-	Remainder *Remainder // nil when all is buffered
+	Length    int64      // of the whole body, in bytes; -1 if unknown
+	Remainder *Remainder // nil if the whole body is buffered
 }
 
-// Reader returns the whole body, for one attempt.
+// Reader returns a reader of the whole body, for one attempt.
 func (b *Body) Reader() io.Reader {
 	if b.Remainder == nil {
 		return bytes.NewReader(b.Buffered)
@@ -23,10 +23,10 @@
 	return io.MultiReader(bytes.NewReader(b.Buffered), b.Remainder)
 }
 
-// Consumed reports whether the body can't be sent from its beginning any more.
+// Consumed reports whether part of the remainder has been read, so that the body can no longer be sent from its beginning.
 func (b *Body) Consumed() bool { return b.Remainder != nil && b.Remainder.Consumed() }
 
-// Err returns what went wrong on the client's side; nil when nothing has.
+// Err returns the error on the client's side, or nil if there is none.
 func (b *Body) Err() error {
 	if b.Remainder == nil {
 		return nil
@@ -34,8 +34,9 @@
 	return b.Remainder.Err()
 }
 
-// ReceiveBody reads a request's body as far as it is buffered. The buffer is reserved from the budget, and given back by release,
-// which must be called once unless there is an error. The error is that of the upload.
+// ReceiveBody reads the body of a request into a buffer that it reserves from the budget. What does not fit becomes the body's
+// Remainder. Unless ReceiveBody returns an error, the caller must call release exactly once; it returns the buffer to the budget.
+// The error is that of upload.
 func ReceiveBody(r *http.Request, upload *Upload, budget *bodybuffer.Budget) (body Body, release func(), err error) {
 	body.Length = r.ContentLength
 	if body.Length == 0 {
@@ -61,7 +62,7 @@
 	return body, release, nil
 }
 
-// bufferSize is the size of the buffer for a body of this length, which may not be known.
+// bufferSize returns the size of the buffer for a body of the given length, or of unknown length if it is negative.
 func bufferSize(length int64) int {
 	if length < 0 {
 		return MaxBufferedBytes
--- a/internal/httpmsg/doc.go
+++ b/internal/httpmsg/doc.go
@@ -1,11 +1,11 @@
-// Package httpmsg is what an HTTP front and an HTTP upstream share: a request as it is forwarded (Message), and what an endpoint
-// made for it (Content). The core carries both without looking into them.
+// Package httpmsg defines what an HTTP front and an HTTP upstream share: a request to be forwarded (Message) and an endpoint's
+// response body (Content). The core passes both on without looking into them.
 //
-// A body is buffered up to MaxBufferedBytes. One that fits is complete before its call is submitted, and can be sent again in a
-// retry. Of a longer one the first part is buffered, and the Remainder is read by the first attempt that gets to it, as it comes in
-// from the client (Upload): such a request can't be sent again once its Remainder has been consumed.
+// Up to MaxBufferedBytes of a body are buffered. A body that fits is received completely before its call is submitted, and a retry
+// can send it again. Of a longer body only the first part is buffered. The first attempt that gets to the Remainder reads it as it
+// arrives from the client (Upload). Once that has begun, the request cannot be sent again.
 //
-// Three parties meet at a Remainder: the attempt that reads it, the upstream that stops it when the endpoint answers early, and the
-// front that closes it when the request is over. Stop and Close make sure that no late attempt reads from a connection which may
-// carry the client's next request.
+// Three parties use a Remainder: the attempt reads it, the upstream stops it when the endpoint answers early, and the front closes
+// it when the request has ended. Stop and Close ensure that no late attempt reads from a connection that may carry the client's
+// next request.
 package httpmsg
--- a/internal/httpmsg/message.go
+++ b/internal/httpmsg/message.go
@@ -6,35 +6,35 @@
 	"ryeweir/internal/bodybuffer"
 )
 
-// Bounds of messages.
+// Limits on messages.
 const (
-	// MaxBodyBytes is the length of the longest body, in bytes.
+	// MaxBodyBytes is the maximum length of a body, in bytes.
 	MaxBodyBytes = 32 << 20
-	// MaxBufferedBytes is how many bytes of a body are buffered. One that is not longer can be sent again.
+	// MaxBufferedBytes is the maximum number of bytes of a body that are buffered. A body that is not longer can be sent again.
 	MaxBufferedBytes = 64 << 10
-	// MinUploadRate is the rate, in bytes per second since the head was read, below which a body is given up.
+	// MinUploadRate is the rate, in bytes per second since the head was read, below which an upload is aborted.
 	MinUploadRate = 8 << 10
-	// UploadStallTimeout is how long a body may pause, whatever its rate so far.
+	// UploadStallTimeout is the longest time that an upload may pause, whatever its rate so far.
 	UploadStallTimeout = 2200 * time.Millisecond
-	// MaxUploadDuration is the time after which the longest body at the lowest rate is complete.
+	// MaxUploadDuration is the time that a body of MaxBodyBytes takes at MinUploadRate, plus a margin of one minute.
 	MaxUploadDuration = MaxBodyBytes/MinUploadRate*time.Second + time.Minute
 )
 
-// TimeoutHeader is the header that states how long the answer may take.
+// TimeoutHeader is the header that states how long the answer to a request may take.
 const TimeoutHeader = "X-Timeout"
 
-// Message is a request as it is forwarded.
+// Message is a request to be forwarded.
 type Message struct {
-	Head []byte // the request line and the headers as bytes, without the timeout and the empty line
+	Head []byte // request line and headers as sent, without the timeout header and the empty line
 	Body Body
 }
 
-// Content is what an endpoint made for a request. It may still be coming in while it is written to the client.
+// Content is the response body of an endpoint. It may still be arriving while it is written to the client.
 type Content struct {
 	Pipe        *bodybuffer.Pipe
-	Length      int64  // in bytes; -1 when it is not known
-	ContentType string // empty without one
+	Length      int64  // in bytes; -1 if unknown
+	ContentType string // empty if the response has none
 }
 
-// Discard gives the content up.
+// Discard releases the content without reading the rest of it.
 func (c *Content) Discard() { c.Pipe.Close() }
--- a/internal/httpmsg/remainder_test.go
+++ b/internal/httpmsg/remainder_test.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// An endpoint answers in the instant in which the last byte of a body has been read, before the attempt that writes it has noticed.
-// That is no early answer: the client's connection gets no deadline, which net/http would take for a client that disconnects. While
-// some of the body is still to come it does get one.
+// An endpoint answers just after the last byte of a body has been read, before the attempt that writes it has noticed the end. This
+// is no early answer, so Stop must not set a deadline on the client's connection: net/http would take it for a client that has
+// disconnected. While part of the body is still missing, Stop must set one.
 func TestStopAfterTheEndLeavesTheConnectionAlone(t *testing.T) {
 	for _, complete := range []bool{true, false} {
 		var deadlines []time.Time
@@ -30,7 +30,7 @@
 			t.Errorf("complete %v: stopped %v, last deadline %v", complete, r.Stopped(), last)
 		}
 		if n, err := r.Read(make([]byte, 1)); n > 0 || err == nil {
-			t.Errorf("complete %v: after the stop %d bytes, %v", complete, n, err)
+			t.Errorf("complete %v: read %d bytes after Stop, error %v", complete, n, err)
 		}
 	}
 }
--- a/internal/httpmsg/upload.go
+++ b/internal/httpmsg/upload.go
@@ -9,33 +9,33 @@
 	"time"
 )
 
-// ErrBodyTooLarge says that a body is longer than MaxBodyBytes. Its text is sent to the client.
+// ErrBodyTooLarge means that a body is longer than MaxBodyBytes. Its text is sent to the client.
 var ErrBodyTooLarge = errors.New("the body is over 32 MiB")
 
-// errRequestOver says that nothing more is read of a body, as its request is over.
-var errRequestOver = errors.New("the client's request is over")
+// errRequestEnded means that no more of a body is read because its request has ended.
+var errRequestEnded = errors.New("the client's request has ended")
 
-// Upload reads a body from a client for as long as it makes progress.
+// Upload reads a body from a client as long as the upload makes progress.
 //
-// Rule: the body must come in at MinUploadRate or faster, with a head start of UploadStallTimeout, and never pause for longer than
-// that.
-// Inputs: the time at which its head had been read, and the bytes since.
-// Guards against: clients that hold connections and memory by sending a byte now and then.
+// The body must arrive at MinUploadRate or faster, measured from the time at which its head had been read, with UploadStallTimeout
+// as a head start. It must never pause for longer than UploadStallTimeout. This guards against clients that occupy connections and
+// memory by sending a byte now and then.
 type Upload struct {
 	Source          io.Reader
 	SetReadDeadline func(time.Time) error // of the client's connection
 	StartedAt       time.Time             // when the head had been read
 
 	received int64       // bytes
-	stopped  atomic.Bool // stop ended the reading, at least once
+	stopped  atomic.Bool // stop has interrupted the reading at least once; resume does not reset it
 
-	mu          sync.Mutex // guards what follows, and the order of calls to SetReadDeadline
+	mu          sync.Mutex // guards the fields below and the order of calls to SetReadDeadline
 	complete    bool       // the end has been read
-	interrupted bool       // no read may wait any more
+	interrupted bool       // reads fail until resume
 }
 
-// Read reads from the client, until a deadline that follows from the rule. It fails with ErrBodyTooLarge past MaxBodyBytes. At the
-// end it clears the deadline: the next read of the connection is for another request.
+// Read reads from the client, with the deadline that follows from the upload's rate and pauses. It returns ErrBodyTooLarge once
+// more than MaxBodyBytes have arrived. At the end it clears the deadline, because the next read of the connection is for another
+// request.
 func (u *Upload) Read(p []byte) (int, error) {
 	if err := u.setDeadline(u.nextDeadline(time.Now())); err != nil {
 		return 0, err
@@ -46,14 +46,14 @@
 		return 0, ErrBodyTooLarge
 	}
 	if err == io.EOF {
-		if clearErr := u.end(); clearErr != nil {
+		if clearErr := u.markComplete(); clearErr != nil {
 			return n, clearErr
 		}
 	}
 	return n, err
 }
 
-// nextDeadline returns the time by which the next bytes must come.
+// nextDeadline returns the time by which more bytes must arrive.
 func (u *Upload) nextDeadline(now time.Time) time.Time {
 	byRate := u.StartedAt.Add(UploadStallTimeout + time.Duration(u.received)*time.Second/MinUploadRate)
 	byStall := now.Add(UploadStallTimeout)
@@ -63,12 +63,13 @@
 	return byRate
 }
 
-// setDeadline sets the deadline of the next read, unless reading was interrupted: it would undo the deadline that did so.
+// setDeadline sets the deadline of the next read. It fails if reading has been interrupted, because it would overwrite the deadline
+// that interrupts the read.
 func (u *Upload) setDeadline(deadline time.Time) error {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if u.interrupted {
-		return errRequestOver
+		return errRequestEnded
 	}
 	if err := u.SetReadDeadline(deadline); err != nil {
 		return fmt.Errorf("setting the read deadline: %w", err)
@@ -76,8 +77,8 @@
 	return nil
 }
 
-// end notes that the end has been read, and clears the deadline.
-func (u *Upload) end() error {
+// markComplete records that the end has been read and clears the deadline.
+func (u *Upload) markComplete() error {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.complete = true
@@ -87,19 +88,19 @@
 	return nil
 }
 
-// stop ends a read that waits, and lets none begin until resume. It does nothing when the end has been read.
+// stop interrupts a read in progress and prevents further reads until resume. It has no effect once the end has been read.
 func (u *Upload) stop() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if u.complete {
 		return
 	}
-	u.stopped.Store(true) // first: a read that is interrupted asks for it
+	u.stopped.Store(true) // set before the deadline, because an interrupted read checks it
 	u.interrupted = true
-	u.SetReadDeadline(time.Now()) // fails only where there is no connection any more
+	u.SetReadDeadline(time.Now()) // fails only if the connection is already closed
 }
 
-// resume lets reads begin again after stop.
+// resume allows reads again after stop.
 func (u *Upload) resume() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
--- a/internal/httpmsg/upload_test.go
+++ b/internal/httpmsg/upload_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// A client must send a body at MinUploadRate, with a head start, and may not pause for long even when it was fast before.
+// A client must send a body at MinUploadRate after a head start. It must not pause for long, even if it was fast before.
 func TestUploadDeadlineBoundsRateAndPause(t *testing.T) {
 	start := time.Now()
 	for name, c := range map[string]struct {
--- a/internal/pool/acquire_test.go
+++ b/internal/pool/acquire_test.go
@@ -40,7 +40,7 @@
 	for range 2 {
 		table.Release(table.now, first, Reusable)
 		if slot := table.get(endpoint, false); (slot == first) != (slot.requests == 2) {
-			t.Errorf("the granted connection carries its request number %d", slot.requests)
+			t.Errorf("granted a connection with a request count of %d", slot.requests)
 		}
 	}
 }
--- a/internal/pool/conn.go
+++ b/internal/pool/conn.go
@@ -20,8 +20,8 @@
 
 // openWithoutInput reports whether an idle connection is still open and has nothing to read.
 //
-// Failure: the endpoint has closed the connection, or has sent an answer to no request. A request written to this connection would
-// be lost or get the wrong answer. The check covers everything that has reached this machine when it is made; idleLimit and
+// Failure: the endpoint has closed the connection, or has sent bytes that answer no request. A request written to this connection
+// would be lost or get the wrong answer. The check covers everything that has reached this machine when it is made; idleLimit and
 // Settings.Quarantine cover what is still in transit.
 func (c *Conn) openWithoutInput() bool {
 	if network, ok := c.Conn.(interface{ OpenWithoutInput() bool }); ok {
--- a/internal/pool/preopen_test.go
+++ b/internal/pool/preopen_test.go
@@ -37,7 +37,7 @@
 				t.Errorf("%+v", unexpected)
 			}
 			slot, _, _ := table.Acquire(now, endpoint, false)
-			table.Release(now, slot, MustClose) // keeps the number of idle connections below the target
+			table.Release(now, slot, MustClose) // keeps the number of idle connections below its target
 		}
 	}
 	return opened
--- a/internal/pool/settings.go
+++ b/internal/pool/settings.go
@@ -18,7 +18,7 @@
 // Settings configure the connections of one agent.
 type Settings struct {
 	MaxConnections           int // connections that are open or opening
-	MaxPerEndpoint           int // the same, to one endpoint
+	MaxPerEndpoint           int // connections to one endpoint that are open or opening
 	MaxHandshakes            int // concurrent handshakes
 	MaxHandshakesPerEndpoint int // concurrent handshakes with one endpoint; reduced after a failed one
 
--- a/internal/socket/socket.go
+++ b/internal/socket/socket.go
@@ -1,5 +1,5 @@
-// Package socket reaches what net.Conn does not offer of a socket: a look at what waits to be read, and the sizes of the kernel's
-// buffers.
+// Package socket provides socket operations that net.Conn does not offer: looking at unread data without consuming it, and setting
+// the sizes of the kernel's buffers.
 package socket
 
 import (
@@ -8,11 +8,12 @@
 	"syscall"
 )
 
-// Peek looks at what waits to be read on a connection, one byte at the most, and does not wait: 0 without an error says that the
-// peer has closed, syscall.EAGAIN that nothing waits. Unlike Read it ignores a deadline. It looks below connections that wrap
-// another and have a method NetConn that returns it. For one without a socket it returns errors.ErrUnsupported.
+// Peek looks at up to one unread byte of a connection without consuming it. It does not block and ignores the read deadline. It
+// returns 1 if data is waiting, 0 without an error if the peer has closed the connection, and the error syscall.EAGAIN if nothing
+// is waiting. If c wraps another connection and has a method NetConn that returns it, Peek uses the wrapped one. If there is no
+// socket, it returns errors.ErrUnsupported.
 func Peek(c net.Conn) (n int, err error) {
-	systemConn, ok := innermost(c).(syscall.Conn)
+	systemConn, ok := unwrap(c).(syscall.Conn)
 	if !ok {
 		return 0, errors.ErrUnsupported
 	}
@@ -28,8 +29,8 @@
 	return n, errors.Join(err, peekErr)
 }
 
-// innermost returns the connection that the others wrap.
-func innermost(c net.Conn) net.Conn {
+// unwrap returns the innermost connection that c wraps, or c itself if it wraps none.
+func unwrap(c net.Conn) net.Conn {
 	for {
 		wrapper, ok := c.(interface{ NetConn() net.Conn })
 		if !ok {
@@ -39,7 +40,8 @@
 	}
 }
 
-// SetBufferSizes sets the kernel's buffers to this many bytes each way, where the connection has some; 0 leaves them as they are.
+// SetBufferSizes sets the sizes of the kernel's receive and send buffer to the given number of bytes each. 0 leaves them unchanged,
+// and a connection without such buffers is ignored.
 func SetBufferSizes(c net.Conn, bytes int) error {
 	sized, ok := c.(interface {
 		SetReadBuffer(int) error
@@ -51,14 +53,14 @@
 	return errors.Join(sized.SetReadBuffer(bytes), sized.SetWriteBuffer(bytes))
 }
 
-// Listener is a listener that sets the buffer sizes of its connections.
+// Listener is a net.Listener that sets the buffer sizes of the connections it accepts.
 type Listener struct {
 	net.Listener
-	BufferBytes int // each way; 0 leaves the kernel's default
+	BufferBytes int // in each direction; 0 leaves the kernel's default
 }
 
-// Accept returns the next connection. One whose buffers can't be sized has been closed by its client already, and fails at its first
-// use.
+// Accept returns the next connection. A failure to set its buffer sizes is ignored: it means that the client has already closed the
+// connection, which then fails on first use.
 func (l Listener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err == nil {
--- a/internal/upstream/http/connection_test.go
+++ b/internal/upstream/http/connection_test.go
@@ -92,7 +92,7 @@
 	for i := range 9 {
 		attempt := f.attemptOn(fmt.Sprint(i), testkit.Patience, testkit.Patience)
 		if out := f.execute(attempt); out.Result != logic.OK {
-			t.Errorf("backend %d: %v", i, out.Result)
+			t.Errorf("attempt on endpoint %d: result %v", i, out.Result)
 		}
 	}
 	if n := f.openConnections(); n > 8 {
--- a/internal/upstream/http/exchange.go
+++ b/internal/upstream/http/exchange.go
@@ -31,7 +31,7 @@
 	message  *httpmsg.Message
 	outcome  core.Outcome
 
-	reported  atomic.Bool // set, by CompareAndSwap, by the one that reports the outcome
+	reported  atomic.Bool // set with CompareAndSwap before the outcome is reported, so that it is reported once
 	streaming atomic.Bool // the body is to be streamed once part of it has been read
 
 	// readCutoff is the time on the agent's clock at which reading was stopped early; 0 if it was not. The time is stored because a
--- a/internal/upstream/http/outcome_test.go
+++ b/internal/upstream/http/outcome_test.go
@@ -107,7 +107,7 @@
 		t.Errorf("result %v", out.Result)
 	}
 	if n := f.openConnections(); n != 0 {
-		t.Errorf("%d connections left open", n)
+		t.Errorf("%d connections are still open", n)
 	}
 }
 
@@ -119,10 +119,10 @@
 	})
 	f := newFixture(t, backend.Addr().String(), 100)
 	if out := f.execute(f.attempt(testkit.Patience)); out.Result != logic.OK {
-		t.Fatalf("first: %v", out.Result)
+		t.Fatalf("first attempt: result %v", out.Result)
 	}
 	if out := f.execute(f.attempt(testkit.Patience)); out.Result != logic.Reset {
-		t.Errorf("second: %v", out.Result)
+		t.Errorf("second attempt: result %v, want a Reset", out.Result)
 	}
 	if backend.Requests() != 2 || backend.Connections() != 1 {
 		t.Errorf("%d requests on %d connections, want 2 on 1", backend.Requests(), backend.Connections())
@@ -158,7 +158,7 @@
 	}
 	all.Wait()
 	if f.idleConnections() != idle {
-		t.Fatalf("%d connections are idle", f.idleConnections())
+		t.Fatalf("%d connections are idle after the first attempts", f.idleConnections())
 	}
 	for i, test := range []struct {
 		timeout, objective time.Duration
--- a/internal/upstream/http/send_test.go
+++ b/internal/upstream/http/send_test.go
@@ -79,7 +79,7 @@
 	f.listEndpoint(addr, logic.Draining, 0)
 	close(unblock)
 	if out := <-done; out.Result != logic.NotSent || backend.Requests() != 0 || f.openConnections() != 0 {
-		t.Errorf("%v with %d requests, %d connections left", out.Result, backend.Requests(), f.openConnections())
+		t.Errorf("result %v, %d requests received, %d connections still open", out.Result, backend.Requests(), f.openConnections())
 	}
 }
 
@@ -156,6 +156,6 @@
 		t.Fatal("the attempt did not end")
 	}
 	if n := f.Pool.Stats().Closed[pool.CloseBroken]; n != 1 {
-		t.Errorf("%d connections closed as broken", n)
+		t.Errorf("%d connections closed as broken, want 1", n)
 	}
 }
