--- a/internal/pool/model_test.go
+++ b/internal/pool/model_test.go
@@ -310,7 +310,7 @@
 	})
 }
 
-// checkHistory applies random events on two endpoints, then shuts down.
+// checkHistory applies random events to a table with two endpoints, then shuts it down.
 func checkHistory(m *tableModel) {
 	m.t.Helper()
 	m.addReadyEndpoint()
