--- a/logic/action.go
+++ b/logic/action.go
@@ -2,45 +2,46 @@
 
 import "time"
 
-// ActionKind says what an Action does, and which of its fields are set.
+// ActionKind is the kind of an Action. It determines which of the Action's fields are set.
 type ActionKind int
 
 // The kinds of actions.
 const (
-	Send        ActionKind = iota // send an attempt of Request to Endpoint, until the request's deadline
-	Reject                        // answer Request: trying again does no harm
-	Fail                          // answer Request: no promise about its effect
+	Send        ActionKind = iota // send an attempt of Request to Endpoint, valid until the request's deadline
+	Reject                        // reject Request; the client can safely try again
+	Fail                          // fail Request; it may or may not have taken effect
 	SetTimer                      // deliver TimerFired with Token after Delay
-	HealthCheck                   // check Endpoint
+	HealthCheck                   // send a health check to Endpoint
 	Subscribe                     // subscribe to the endpoint list, or poll it
 )
 
-// Reason is why the Balancer decided on a Send, a Reject or a Fail.
+// Reason is why the Balancer emits a Send, a Reject or a Fail.
 type Reason int
 
-// The reasons. The first four after NoReason belong to Send, the others to Reject and Fail.
+// The reasons. FirstAttempt to HalfOpenAttempt belong to Send, the later ones to Reject and Fail.
 const (
-	NoReason             Reason = iota // of other actions
-	FirstAttempt                       // first attempt of the request
-	RetryAttempt                       // the attempt before it ended without an answer
-	HedgedAttempt                      // the attempt before it is late
+	NoReason             Reason = iota // of all other actions
+	FirstAttempt                       // the first attempt of the request
+	RetryAttempt                       // the previous attempt ended without a successful response
+	HedgedAttempt                      // the previous attempt is still in flight and late
 	HalfOpenAttempt                    // tests whether an ejected endpoint has recovered
-	Overloaded                         // the endpoints are overloaded
-	NoEndpointLeft                     // no endpoint may get it, or no further attempt is allowed
-	RetryBudgetExhausted               // a retry would exceed the retry budget
+	Overloaded                         // the request is shed because the endpoints are overloaded
+	NoEndpointLeft                     // no endpoint may get the request, or MaxAttempts is reached
+	RetryBudgetExhausted               // the retry budget does not allow a retry
 	NotRetryable                       // it may have been executed, or can't be sent again
 	DeadlineExceeded                   // the client's deadline has passed
-	ShuttingDown                       // the process ends
+	ShuttingDown                       // the process is shutting down
 )
 
-// Action is something that the owner of a Balancer has to do. Actions take effect in order.
+// Action is an instruction to the owner of a Balancer. Actions must be executed in order.
 type Action struct {
 	Kind     ActionKind
 	Reason   Reason // of Send, Reject and Fail
-	Request  string // ID, of Send, Reject and Fail
-	Endpoint string // ID, of Send and HealthCheck
-	// Delay is the time to the timer (SetTimer), the Retry-After (Reject and Fail; 0 for none), or the timeout
-	// of the attempt alone (Send; 0 for the request's deadline, which is what the present rules use).
+	Request  string // ID; of Send, Reject and Fail
+	Endpoint string // ID; of Send and HealthCheck
+	// Delay is the time until the timer fires (SetTimer), the Retry-After (Reject and Fail; 0 for none), or
+	// the timeout of this attempt (Send). For Send the current rules always use 0, which stands for the
+	// request's deadline.
 	Delay time.Duration
 	Token uint64 // of SetTimer
 }
--- a/logic/admission.go
+++ b/logic/admission.go
@@ -2,19 +2,20 @@
 
 import "math"
 
-// Admission: which requests are shed in an overload. To reject early costs no endpoint anything, and leaves
-// the capacity to requests that are then answered in time.
+// Admission decides which requests are shed in an overload. A request that is rejected early does not load
+// any endpoint, and leaves the capacity to requests that are then served in time.
 
-// handleRequest admits a request or rejects it. Its budgets grow with each request, admitted or not. The
-// shedding level is updated with each request: once a tick it would swing between all and nothing.
+// handleRequest admits or rejects a request. Every request, admitted or not, refills the retry and health
+// check budgets. The shedding level is updated with each request; if it were updated only once per tick, it
+// would oscillate between shedding everything and nothing.
 func (b *Balancer) handleRequest(e Request) {
 	if e.Class < 0 || e.Class >= len(b.settings.Classes) || b.requests[e.ID] != nil {
 		return
 	}
 	r := &request{Request: e, class: &b.settings.Classes[e.Class]}
 	b.requests[e.ID] = r
-	b.retries.earn()
-	b.healthChecks.earn(b.settings.HealthChecksPerRequest)
+	b.retryBudget.refill()
+	b.healthCheckBudget.refill(b.settings.HealthChecksPerRequest)
 	if r.BodyPending {
 		r.Deadline = math.MaxInt64
 	} else {
@@ -24,16 +25,17 @@
 	switch {
 	case b.shuttingDown:
 		b.finish(r, ShuttingDown)
-	case b.sheds(r):
+	case b.shouldShed(r):
 		b.finish(r, Overloaded)
 	default:
 		b.dispatch(r)
 	}
 }
 
-// sheds reports whether a request is shed. One that would test an ejected endpoint is not: else, where all of
-// the cheapest class is shed, ejected endpoints would get no request and stand idle.
-func (b *Balancer) sheds(r *request) bool {
+// shouldShed decides whether a request is shed, and updates the quotas and the mean priority. A request
+// that would test an ejected endpoint is not shed. Otherwise, when all requests of the class with the
+// lowest priority are shed, ejected endpoints would get no requests and stay idle.
+func (b *Balancer) shouldShed(r *request) bool {
 	if b.settings.ExternalAdmission {
 		return false
 	}
@@ -43,23 +45,24 @@
 	return b.drawShedding(priority) && b.halfOpenCandidate(r) == nil
 }
 
-// observePriority takes the priority of a request into the mean.
+// observePriority updates the mean priority with the priority of a request.
 func (b *Balancer) observePriority(priority float64) {
 	if b.meanPriority == 0 {
 		b.meanPriority = priority
 	}
-	b.meanPriority += averageSampleWeight * (priority - b.meanPriority)
+	b.meanPriority += movingAverageWeight * (priority - b.meanPriority)
 }
 
-// drawShedding draws whether a request of a priority is shed: its probability is the shedding level times the
-// square of the mean priority over its own. So requests of low priority are shed first.
+// drawShedding draws whether a request of the given priority is shed. The probability is the shedding level
+// times the square of the mean priority divided by the request's priority, so requests of low priority are
+// shed first.
 func (b *Balancer) drawShedding(priority float64) bool {
 	relative := b.meanPriority / priority
 	return b.random.Float64() < b.overload.level*relative*relative
 }
 
-// priorityOf is the weight of the request's class over its baseline latency, so that long requests do not
-// displace short ones of the same weight, times the factor of its tenant's quota.
+// priorityOf returns the weight of the request's class divided by its baseline latency, times the priority
+// factor of its tenant. The division prevents long requests from displacing short ones of the same weight.
 func (b *Balancer) priorityOf(r *request) float64 {
-	return r.class.PriorityWeight / b.baseline[r.Class] * b.quotas.factor(r.Tenant)
+	return r.class.PriorityWeight / b.baseline[r.Class] * b.quotas.priorityFactor(r.Tenant)
 }
--- a/logic/admission_test.go
+++ b/logic/admission_test.go
@@ -92,7 +92,7 @@
 			rejected[class]++
 			continue
 		}
-		h.answer(id, to, time.Duration(20+60*class)*time.Millisecond, NoLoadReport)
+		h.respond(id, to, time.Duration(20+60*class)*time.Millisecond, NoLoadReport)
 	}
 	if rejected[1] < 2*rejected[0] {
 		t.Errorf("shed %d short and %d long requests of 2000 each", rejected[0], rejected[1])
--- a/logic/affinity.go
+++ b/logic/affinity.go
@@ -7,21 +7,24 @@
 	"math/rand/v2"
 )
 
-// Affinity: weighted rendezvous hashing. An endpoint that has served a key lately has it cached and does less
-// work for it, so all balancers prefer the same endpoint for a key; few keys migrate when capacities change.
+// Affinity uses weighted rendezvous hashing. An endpoint that has recently served a key has it cached and
+// does less work for it, so all balancers prefer the same endpoint for a key. Few keys migrate when
+// capacities change.
 
-// affinityWeightFactor is the factor by which the affinity endpoint of a key counts as larger in selection.
-// It still loses to endpoints with less load, so that a hot key spreads.
+// affinityWeightFactor is the factor by which selection raises the weight of a key's affinity endpoint. The
+// endpoint still loses to less loaded ones, so that the requests of a hot key are spread.
 const affinityWeightFactor = 2
 
-// usesAffinity draws whether the affinity endpoint is among those drawn for a request. In a large fleet
-// only a part of the requests use it, as one endpoint can't serve the keys of all balancers.
-func (b *Balancer) usesAffinity(r *request) bool {
+// drawAffinity draws whether the affinity endpoint is among the endpoints considered for a request. In a
+// large fleet only a fraction of the requests use it, because one endpoint can't serve a key for all
+// balancers.
+func (b *Balancer) drawAffinity(r *request) bool {
 	return b.settings.KeyAffinity && r.Key != "" &&
 		b.random.Float64()*float64(b.settings.Balancers) < referenceFleetSize
 }
 
-// affinityEndpoint draws as drawByWeight does, with the key in place of the random source.
+// affinityEndpoint returns the affinity endpoint of a key. It draws by weight as drawByWeight does, but
+// takes its random numbers from the key.
 func affinityEndpoint(from []*endpoint, key string) (best *endpoint) {
 	lowest := math.Inf(1)
 	for _, e := range from {
@@ -33,9 +36,9 @@
 	return best
 }
 
-// hash returns a number of which all bits change with any change of the text. FNV alone is not enough: its
-// high bits hardly change with the last letter, and an order by it favours the same endpoints at all
-// balancers.
+// hash returns a number in which a change of any letter of the text can change every bit. FNV alone is not
+// sufficient: its high bits hardly depend on the last letter, and an order by it would favour the same
+// endpoints at all balancers.
 func hash(text string) uint64 {
 	h := fnv.New64a()
 	io.WriteString(h, text)
--- a/logic/attempt.go
+++ b/logic/attempt.go
@@ -6,42 +6,43 @@
 	"time"
 )
 
-// Attempts: what may be sent where, and how a request ends.
+// This file holds the rules for sending a request, and ends requests.
 
-// request is a client's request, from its arrival until it has ended and no attempt is in flight.
+// request is a client's request, from its arrival until it has its final response and no attempt is in
+// flight.
 type request struct {
 	Request
 	class         *Class
 	attempts      []*attempt // in the order of the sends
 	inFlight      int        // attempts without an outcome
-	closed        bool       // it has its final answer, or needs none
+	closed        bool       // it has its final response, or needs none
 	notReplayable bool       // it can't be sent again
 	queued        bool       // it is in the deadline queue
-	queueIndex    int        // there
+	queueIndex    int        // index in the deadline queue
 }
 
 // attempt is one send of a request.
 type attempt struct {
-	request       *request
-	endpoint      *endpoint
-	zone, cell    int // of the endpoint when it was sent: a later list may change them
-	sentAt        time.Duration
-	answerDueFrom time.Duration // since when the endpoint owes an answer; 0 while the body still arrives
-	inFlight      bool
-	neverExecuted bool
+	request         *request
+	endpoint        *endpoint
+	zone, cell      int // of the endpoint at the time of the send; a later list may change them
+	sentAt          time.Duration
+	responseDueFrom time.Duration // when the endpoint had the whole request; 0 while the body is arriving
+	inFlight        bool
+	neverExecuted   bool
 }
 
-// awaitsAnswer reports whether the endpoint has the whole request.
-func (a *attempt) awaitsAnswer() bool { return a.answerDueFrom > 0 }
+// awaitsResponse reports whether the endpoint has received the whole request.
+func (a *attempt) awaitsResponse() bool { return a.responseDueFrom > 0 }
 
-// maySend is the guard of all sends: it reports whether a request may be sent to an endpoint now. It holds
-// these rules, whatever selection and retries ask for:
+// maySend reports whether a request may be sent to an endpoint now. Every send passes this check, so these
+// rules hold regardless of selection and retries:
 //
-//   - nothing for a request that has ended or whose deadline has passed;
-//   - nothing to an endpoint that drains or is removed;
-//   - at most MaxAttempts, and at most two in flight, where hedging is allowed;
-//   - no second attempt while the body streams to the first, nor once it can't be replayed;
-//   - what may have been executed is sent again only as its idempotency allows.
+//   - a request that has ended or whose deadline has passed is not sent;
+//   - nothing is sent to an endpoint that is draining or removed;
+//   - a request has at most MaxAttempts attempts, and at most one in flight, or two if hedging is allowed;
+//   - there is no second attempt while the body is being streamed, or once the request can't be replayed;
+//   - a request that may have been executed is sent again only as its idempotency allows.
 func (b *Balancer) maySend(r *request, e *endpoint) bool {
 	switch {
 	case r.closed || b.now >= r.Deadline || e.State != Ready:
@@ -57,9 +58,10 @@
 	return first == nil || b.mayRepeat(r, first, e)
 }
 
-// mayRepeat reports whether a request of which an attempt may have been executed may go to the endpoint:
-// within the idempotency window, counted from that attempt and less the error of the timers, and within the
-// endpoints that drop repeats of it.
+// mayRepeat reports whether a request may be sent to the endpoint although an earlier attempt may have been
+// executed. With an idempotency key it must be within the idempotency window, which starts with the first
+// such attempt and is shortened by the timer resolution, and at an endpoint that drops repeats of that
+// attempt.
 func (b *Balancer) mayRepeat(r *request, first *attempt, e *endpoint) bool {
 	switch r.class.Idempotency {
 	case Idempotent:
@@ -79,8 +81,7 @@
 	return false
 }
 
-// firstPossiblyExecuted returns the first attempt that is not known to have had no effect, nil if there is
-// none.
+// firstPossiblyExecuted returns the first attempt that may have had an effect, or nil.
 func (r *request) firstPossiblyExecuted() *attempt {
 	for _, a := range r.attempts {
 		if !a.neverExecuted {
@@ -90,19 +91,19 @@
 	return nil
 }
 
-// attemptedAt reports whether an attempt of the request went to the endpoint.
+// attemptedAt reports whether an attempt of the request was sent to the endpoint.
 func (r *request) attemptedAt(e *endpoint) bool {
 	return slices.ContainsFunc(r.attempts, func(a *attempt) bool { return a.endpoint == e })
 }
 
-// mayReject reports whether the promise of a Reject holds: the client may try again without harm.
+// mayReject reports whether the guarantee of a Reject holds: the client can safely try again.
 func (r *request) mayReject() bool {
 	return r.firstPossiblyExecuted() == nil || r.class.Idempotency == Idempotent ||
 		r.class.Idempotency == IdempotentWithKey && r.class.DedupScope == DedupFleet
 }
 
-// dispatch sends the request to the best endpoint, or ends it where there is none. It reports whether it
-// was sent.
+// dispatch sends the request to the selected endpoint, or ends it if there is none. It reports whether the
+// request was sent.
 func (b *Balancer) dispatch(r *request) bool {
 	e := b.selectEndpoint(r)
 	if e == nil {
@@ -120,7 +121,7 @@
 	return true
 }
 
-// unsendableReason is why no endpoint may get the request.
+// unsendableReason returns why no endpoint may get the request.
 func (b *Balancer) unsendableReason(r *request) Reason {
 	switch {
 	case b.now >= r.Deadline:
@@ -131,14 +132,14 @@
 	return NoEndpointLeft
 }
 
-// send records and emits an attempt that maySend allows.
+// send records and emits an attempt. The caller must have checked it with maySend.
 func (b *Balancer) send(r *request, e *endpoint, reason Reason) {
 	if len(e.inFlight) == 0 {
 		e.lastSeen = b.now
 	}
 	a := &attempt{request: r, endpoint: e, zone: e.Zone, cell: e.Cell, sentAt: b.now, inFlight: true}
 	if !r.BodyPending {
-		a.answerDueFrom = b.now
+		a.responseDueFrom = b.now
 	}
 	r.attempts = append(r.attempts, a)
 	r.inFlight++
@@ -146,8 +147,9 @@
 	b.emit(Action{Kind: Send, Reason: reason, Request: r.ID, Endpoint: e.ID})
 }
 
-// handleBodyReceived starts the deadline of a request whose body has arrived and gone on to its endpoint.
-// Only now does that endpoint owe an answer. The body is not buffered, so the request can't be sent again.
+// handleBodyReceived starts the deadline of a request whose body has arrived and was forwarded to its
+// endpoint. The endpoint's response is due from now on. The body is not buffered, so the request can't be
+// sent again.
 func (b *Balancer) handleBodyReceived(e BodyReceived) {
 	r := b.requests[e.Request]
 	if r == nil || !r.BodyPending {
@@ -155,15 +157,15 @@
 	}
 	r.BodyPending, r.notReplayable, r.Deadline = false, true, e.Deadline
 	for _, a := range r.attempts {
-		a.answerDueFrom = b.now
+		a.responseDueFrom = b.now
 	}
 	if !r.closed {
 		b.watchDeadline(r)
 	}
 }
 
-// finish gives a request that was not served its final answer. Where the promise of a Reject is not known to
-// hold, it is a Fail.
+// finish ends a request that was not served, with a Reject if the client can safely try again and with a
+// Fail otherwise.
 func (b *Balancer) finish(r *request, reason Reason) {
 	if r.closed {
 		return
@@ -177,8 +179,8 @@
 	b.closeRequest(r)
 }
 
-// closeRequest marks a request as ended: nothing is sent or answered for it any more. It is forgotten with
-// the outcome of its last attempt in flight.
+// closeRequest marks a request as ended: no further attempt or response follows. The request is deleted
+// when its last attempt in flight has its outcome.
 func (b *Balancer) closeRequest(r *request) {
 	if r.queued {
 		heap.Remove(&b.deadlines.queue, r.queueIndex)
--- a/logic/attempt_test.go
+++ b/logic/attempt_test.go
@@ -8,7 +8,7 @@
 // A request streams its body to its endpoint for a minute. Until the body has arrived the endpoint owes no
 // answer: it must not be ejected as silent, and the request has no deadline and no second attempt. From
 // then on it owes one.
-func TestRequestWithPendingBodyAwaitsNoAnswer(t *testing.T) {
+func TestNoResponseIsDueWhileBodyIsPending(t *testing.T) {
 	set := testSettings()
 	set.HedgingAllowed = true
 	h := newHarness(t, set, 1, 1)
@@ -114,19 +114,19 @@
 				ClientDisconnected{id},
 				TimerFired{h.deadlines.latestToken()},
 			}
-			answers := 0
+			finalResponses := 0
 			for _, next := range order {
 				for _, a := range h.Handle(h.clock, events[next]) {
 					switch a.Kind {
 					case Send:
 						t.Errorf("result %d, order %v: sent at the deadline", result, order)
 					case Reject, Fail:
-						answers++
+						finalResponses++
 					}
 				}
 			}
-			if answers > 1 || len(h.requests) != 0 {
-				t.Errorf("result %d, order %v: %d final answers, %d requests left", result, order, answers, len(h.requests))
+			if finalResponses > 1 || len(h.requests) != 0 {
+				t.Errorf("result %d, order %v: %d final responses, %d requests left", result, order, finalResponses, len(h.requests))
 			}
 		}
 	}
--- a/logic/balancer.go
+++ b/logic/balancer.go
@@ -6,57 +6,61 @@
 	"time"
 )
 
-// ticksPerHorizon is how often health, overload and late attempts are looked at in a horizon.
+// ticksPerHorizon is the number of ticks per horizon. Each tick checks for unresponsive endpoints, overload
+// and late attempts.
 const ticksPerHorizon = 8
 
-// averageSampleWeight is the weight of a new sample in the moving averages that count samples, not time.
-const averageSampleWeight = 0.05
+// movingAverageWeight is the weight of a new sample in moving averages whose samples do not decay with
+// time.
+const movingAverageWeight = 0.05
 
 // Tokens of the timers.
 const (
 	tickToken     uint64 = iota
 	pollToken            // poll the endpoint list again
-	deadlineToken        // plus the number of the timer, from 1: see deadlineTimer
+	deadlineToken        // plus the number of the timer, which starts at 1; see deadlineTimer
 )
 
-// Balancer decides for one client process. It is a deterministic state machine: equal settings, seed and
-// events give equal actions. It is not safe for concurrent use. A restart is a new Balancer.
+// Balancer makes the decisions for one client process. It is a deterministic state machine: equal settings,
+// seeds and events give equal actions. It is not safe for concurrent use. It can't be restarted; a
+// restarted process creates a new Balancer.
 type Balancer struct {
 	settings Settings
 	random   *rand.Rand
-	horizon  time.Duration // the longest latency objective: the unit of the module's own times
+	horizon  time.Duration // the longest latency objective; the unit of the package's time constants
 
-	now          time.Duration // time of the event at hand
-	actions      []Action      // result of the event at hand; reused by the next
+	now          time.Duration // time of the current event
+	actions      []Action      // result of the current event; the slice is reused by the next one
 	lastTick     time.Duration
 	shuttingDown bool
 
-	requests  map[string]*request // without a final answer, or with attempts in flight
-	deadlines deadlineTimer
-	retries   retryBudget
+	requests    map[string]*request // without a final response, or with attempts in flight
+	deadlines   deadlineTimer
+	retryBudget retryBudget
 
-	endpoints    endpointSet
-	candidates   candidateSet // of the selection at hand
-	polling      discoveryPolling
-	remembered   rememberedEndpoints
-	baseline     baselineLatency
-	healthChecks healthCheckBudget
+	endpoints         endpointSet
+	candidates        candidateSet // of the current selection
+	polling           discoveryPolling
+	remembered        rememberedEndpoints
+	baseline          baselineLatency
+	healthCheckBudget healthCheckBudget
 
-	// loadReported says that answers carry load reports: capacities follow from them, not from latencies.
+	// loadReported is whether responses carry load reports. If they do, capacities are estimated from them
+	// and not from latencies.
 	loadReported bool
-	// halfOpenIdempotency is the least harmful idempotency among the classes: only such requests are risked on
-	// an ejected endpoint.
+	// halfOpenIdempotency is the idempotency of the classes that is safest to repeat. Only requests of this
+	// idempotency are sent to an ejected endpoint to test it.
 	halfOpenIdempotency Idempotency
 
 	overload overloadEstimator
 	quotas   tenantQuotas
-	// meanPriority is the mean priority of the latest requests: weight over baseline latency. 0 before the
-	// first.
+	// meanPriority is the mean priority of recent requests, where priority is weight divided by baseline
+	// latency. 0 before the first request.
 	meanPriority float64
 }
 
-// New returns a Balancer whose random numbers follow from the seed alone. The error for settings that are not
-// acceptable is a *SettingsError.
+// New returns a Balancer that derives its random numbers from the seed alone. If a setting is invalid, the
+// error is a *SettingsError.
 func New(set Settings, seed uint64) (*Balancer, error) {
 	if err := set.validate(); err != nil {
 		return nil, err
@@ -67,8 +71,8 @@
 		requests:            map[string]*request{},
 		endpoints:           endpointSet{byID: map[string]*endpoint{}},
 		remembered:          rememberedEndpoints{},
-		retries:             newRetryBudget(set.Balancers),
-		healthChecks:        healthCheckBudget{available: initialHealthChecks},
+		retryBudget:         newRetryBudget(set.Balancers),
+		healthCheckBudget:   healthCheckBudget{available: initialHealthCheckBudget},
 		quotas:              newTenantQuotas(set.TenantQuotas, set.OverQuotaWeight),
 		halfOpenIdempotency: NonIdempotent,
 	}
@@ -80,7 +84,7 @@
 	return b, nil
 }
 
-// Start returns the actions of a new Balancer before its first event.
+// Start returns the initial actions of a new Balancer. It must be called before the first Handle.
 func (b *Balancer) Start(now time.Duration) []Action {
 	b.now, b.actions = now, b.actions[:0]
 	b.lastTick = now
@@ -91,10 +95,11 @@
 	return b.actions
 }
 
-// Handle takes one event and returns the actions that follow, in order. They are valid until the next call.
-// An event about a request, attempt or endpoint that is not known has no effect. The time is that of a
-// clock which all balancers and endpoints share, to a small part of a latency objective; no rule is broken
-// where it is off by more.
+// Handle processes one event and returns the resulting actions in order. The slice is valid until the next
+// call. An event for an unknown request, attempt or endpoint has no effect.
+//
+// The clock must agree with those of all balancers and endpoints to within a small fraction of a latency
+// objective. A larger difference impairs decisions but violates no rule.
 func (b *Balancer) Handle(now time.Duration, event Event) []Action {
 	b.now, b.actions = now, b.actions[:0]
 	switch e := event.(type) {
@@ -136,23 +141,23 @@
 	}
 }
 
-// tick does the periodic work. Ejections come first, as overload is estimated without ejected endpoints,
-// and overload before hedged requests and health checks, which depend on it. A timer may fire late, so the
-// averages fade by the number of ticks that passed.
+// tick does the periodic work. The order matters: overload is estimated without the ejected endpoints, so
+// ejections come first, and hedged requests and health checks depend on the overload, so they come last. A
+// timer may fire late, so averages decay by the number of ticks that have passed.
 func (b *Balancer) tick() {
 	b.setTimer(tickToken, b.horizon/ticksPerHorizon)
 	ticks := max(1, math.Round(float64(b.now-b.lastTick)/float64(b.horizon/ticksPerHorizon)))
 	b.lastTick = b.now
-	b.ejectSilentEndpoints()
-	b.fadeEstimates(ticks)
+	b.ejectUnresponsiveEndpoints()
+	b.decayEstimates(ticks)
 	b.updateOverload(ticks)
 	b.hedgeLateRequests()
 	b.startHealthChecks()
 }
 
-// Idle reports whether nothing is under way: no request is open or in flight, and no poll of the endpoint
-// list is scheduled. Then timers may fire late, together with the next event.
+// Idle reports whether no request is open or in flight and no poll of the endpoint list is scheduled. While
+// it is true, the owner may deliver timers late, together with the next event.
 func (b *Balancer) Idle() bool { return len(b.requests) == 0 && !b.polling.scheduled }
 
-// seconds converts to the type of the clock.
+// seconds converts a number of seconds to a time.Duration.
 func seconds(x float64) time.Duration { return time.Duration(x * float64(time.Second)) }
--- a/logic/capacity.go
+++ b/logic/capacity.go
@@ -5,53 +5,55 @@
 	"time"
 )
 
-// Capacity: what an endpoint can serve, and how certain that is. Three sources tell of it:
+// Capacity is how many requests an endpoint can serve. It is estimated from three sources:
 //
-//   - load reports in answers: completed requests a second over utilization;
-//   - without those, the latencies of this balancer's own answers;
-//   - load reports in health checks, through a Kalman filter of their own.
+//  - load reports in responses: completed requests per second divided by utilization;
+//  - without those, the latencies of this balancer's own responses;
+//  - load reports in health checks, smoothed by a separate Kalman filter.
 //
-// What is not certain is taken from the mean of the other endpoints, in proportion to the listed weights.
+// To the degree that the estimate is uncertain, it is replaced by the mean of the other endpoints, scaled
+// by the listed weight.
 
 const (
-	// minUtilization is the utilization below which a report says nothing of capacity: the quotient of two
-	// small figures would call an idle endpoint small, and keep it idle.
+	// minUtilization is the utilization below which a report is not used to estimate capacity: the quotient
+	// of two small figures could make an idle endpoint look small and keep it idle.
 	minUtilization = 0.05
-	// reportFadeHorizons is the time in which load reports in answers fade to 1/e, in horizons.
-	reportFadeHorizons = 4
-	// answerFadeHorizons is the time in which the count of own answers fades to 1/e, in horizons.
-	answerFadeHorizons = 6
-	// priorAnswers is the number of own answers that the mean of the other endpoints counts for.
-	priorAnswers = 4
-	// zonePreference times CrossZoneCost is the factor by which an idle endpoint of the own zone counts as
-	// larger.
+	// reportDecayHorizons is the time in which load reports in responses decay to 1/e, in horizons.
+	reportDecayHorizons = 4
+	// responseDecayHorizons is the time in which the count of own responses decays to 1/e, in horizons.
+	responseDecayHorizons = 6
+	// priorResponses is the weight of the mean of the other endpoints, as a number of own responses.
+	priorResponses = 4
+	// zonePreference times CrossZoneCost is the relative increase of the weight of an idle endpoint in the
+	// balancer's own zone.
 	zonePreference = 60
 )
 
-// capacityEstimate is what is known of the capacity of one endpoint.
+// capacityEstimate is the estimated capacity of one endpoint.
 type capacityEstimate struct {
-	rate      float64 // requests a second at full utilization, or 1/s of latency; 0 without an estimate
-	certainty float64 // of requestRate: from 0 to 1, fading with time
-	answers   answerLatency
-	reports   reportedLoad
-	checked   checkedCapacity
+	rate         float64 // requests per second at full utilization, or 1/s of latency; 0 without an estimate
+	certainty    float64 // of rate: from 0 to 1, decays with time
+	responses    responseLatency
+	reports      reportedLoad
+	healthChecks healthCheckCapacity
 }
 
-// answerLatency is the mean latency of this balancer's own answers.
-type answerLatency struct {
+// responseLatency is the mean latency of this balancer's own responses.
+type responseLatency struct {
 	mean    float64 // seconds
-	samples float64 // answers behind the mean, fading with time
+	samples float64 // responses in the mean; decays with time
 }
 
-// reportedLoad is the load that the endpoint reports in answers.
+// reportedLoad is the load that the endpoint reports in responses.
 type reportedLoad struct {
-	requestRate       float64       // requests a second, smoothed
+	requestRate       float64       // requests per second, smoothed
 	utilization       float64       // fraction, smoothed
-	latestUtilization float64       // fraction, as last reported
-	at                time.Duration // latest report; 0: none
+	latestUtilization float64       // fraction, from the latest report
+	at                time.Duration // time of the latest report; 0: none
 }
 
-// learnFromReport takes the load report of an answer. One of a warming endpoint says nothing of its capacity.
+// learnFromReport updates the estimate with the load report of a response. The report of a warming endpoint
+// is ignored, because it does not show the endpoint's full capacity.
 func (b *Balancer) learnFromReport(e *endpoint, r LoadReport) {
 	if r.Utilization < 0 || r.RequestRate < 0 || b.slowStartFraction(e) < 1 {
 		return
@@ -62,7 +64,7 @@
 
 func (c *capacityEstimate) addReport(r LoadReport, now, horizon time.Duration) {
 	load := &c.reports
-	retained := math.Exp(-float64(now-load.at) / (reportFadeHorizons * float64(horizon)))
+	retained := math.Exp(-float64(now-load.at) / (reportDecayHorizons * float64(horizon)))
 	if load.at == 0 {
 		retained = 0
 	}
@@ -74,85 +76,88 @@
 	}
 }
 
-// learnFromAnswer takes the latency of an own answer where no endpoint reports its load. By Little's law the
-// served rate over the mean number in flight is one over the mean latency.
-func (b *Balancer) learnFromAnswer(e *endpoint, latency time.Duration) {
+// learnFromResponse updates the estimate with the latency of an own response if no endpoint reports its
+// load. By Little's law, the served rate divided by the mean number in flight is the inverse of the mean
+// latency.
+func (b *Balancer) learnFromResponse(e *endpoint, latency time.Duration) {
 	if b.loadReported || latency <= 0 {
 		return
 	}
-	e.estimate.addAnswer(latency)
+	e.estimate.addResponse(latency)
 }
 
-func (c *capacityEstimate) addAnswer(latency time.Duration) {
-	own := &c.answers
+func (c *capacityEstimate) addResponse(latency time.Duration) {
+	own := &c.responses
 	own.samples++
-	own.mean += max(averageSampleWeight, 1/own.samples) * (latency.Seconds() - own.mean)
-	c.rate, c.certainty = 1/own.mean, own.samples/(own.samples+priorAnswers)
+	own.mean += max(movingAverageWeight, 1/own.samples) * (latency.Seconds() - own.mean)
+	c.rate, c.certainty = 1/own.mean, own.samples/(own.samples+priorResponses)
 }
 
-// fadeEstimates lets what is known of the capacities age by a number of ticks.
-func (b *Balancer) fadeEstimates(ticks float64) {
+// decayEstimates ages the capacity estimates of all endpoints by a number of ticks.
+func (b *Balancer) decayEstimates(ticks float64) {
 	for _, e := range b.endpoints.listed {
-		e.estimate.fade(ticks, b.loadReported)
+		e.estimate.decay(ticks, b.loadReported)
 	}
 }
 
-func (c *capacityEstimate) fade(ticks float64, loadReported bool) {
+func (c *capacityEstimate) decay(ticks float64, loadReported bool) {
 	if loadReported {
-		c.certainty *= math.Exp(-ticks / ticksPerHorizon / reportFadeHorizons)
+		c.certainty *= math.Exp(-ticks / ticksPerHorizon / reportDecayHorizons)
 		return
 	}
-	c.answers.samples *= math.Exp(-ticks / ticksPerHorizon / answerFadeHorizons)
-	c.certainty = c.answers.samples / (c.answers.samples + priorAnswers)
+	c.responses.samples *= math.Exp(-ticks / ticksPerHorizon / responseDecayHorizons)
+	c.certainty = c.responses.samples / (c.responses.samples + priorResponses)
 }
 
-// uncertainty is the part of the capacity that rests on the mean of the other endpoints: 1 where nothing is
-// known of this one.
+// uncertainty is the fraction of the capacity that is taken from the mean of the other endpoints: 1 if
+// nothing is known about this endpoint.
 func (c *capacityEstimate) uncertainty(now time.Duration) float64 {
-	return priorAnswers / (priorAnswers + c.answers.samples + c.checked.equivalentAnswers(now))
+	return priorResponses / (priorResponses + c.responses.samples + c.healthChecks.equivalentResponses(now))
 }
 
-// fleetCapacity is the means over all endpoints that an uncertain one is estimated by.
+// fleetCapacity holds means over all endpoints, which stand in for the uncertain part of an estimate.
 type fleetCapacity struct {
-	ratePerWeight float64 // requests a second for each unit of listed weight
-	checkedLog    float64 // mean logarithm of the capacities from health checks
+	ratePerWeight   float64 // requests per second per unit of listed weight
+	meanLogCapacity float64 // mean logarithm of the capacities from health checks
 }
 
 func (set *endpointSet) meanCapacity(now time.Duration) fleetCapacity {
-	rate, weight, checkedLog, checkedAnswers := 0.0, 0.0, 0.0, 0.0
+	rate, weight, meanLogCapacity, healthCheckResponses := 0.0, 0.0, 0.0, 0.0
 	for _, e := range set.listed {
 		rate += e.estimate.rate * e.estimate.certainty
 		weight += e.Weight * e.estimate.certainty
-		if n := e.estimate.checked.equivalentAnswers(now); n > 0 {
-			checkedLog += n * e.estimate.checked.logCapacity
-			checkedAnswers += n
+		if n := e.estimate.healthChecks.equivalentResponses(now); n > 0 {
+			meanLogCapacity += n * e.estimate.healthChecks.logCapacity
+			healthCheckResponses += n
 		}
 	}
 	mean := fleetCapacity{ratePerWeight: 1}
 	if weight > 0 {
 		mean.ratePerWeight = rate / weight
 	}
-	if checkedAnswers > 0 {
-		mean.checkedLog = checkedLog / checkedAnswers
+	if healthCheckResponses > 0 {
+		mean.meanLogCapacity = meanLogCapacity / healthCheckResponses
 	}
 	return mean
 }
 
-// combine returns the capacity of an endpoint of a listed weight. Each source counts by its certainty, and
-// the mean of the others as priorAnswers answers: without that, an endpoint that once looked slow would get
-// nothing by which to correct it, and a balancer with few requests would follow chance.
+// combine returns the capacity of an endpoint with the given listed weight. Each source is weighted by its
+// certainty, and the mean of the other endpoints by priorResponses. Without that prior, an endpoint that
+// once looked slow would get no requests that could correct its estimate, and a balancer with few requests
+// would follow random variation.
 func (c *capacityEstimate) combine(listedWeight float64, mean fleetCapacity, now time.Duration) float64 {
-	typical := mean.ratePerWeight * listedWeight
-	capacity := typical + (c.rate-typical)*c.certainty
-	if n := c.checked.equivalentAnswers(now); n > 0 {
-		checked := typical * math.Exp(c.checked.logCapacity-mean.checkedLog)
-		capacity += (checked - capacity) * n / (n + c.answers.samples + priorAnswers)
+	prior := mean.ratePerWeight * listedWeight
+	capacity := prior + (c.rate-prior)*c.certainty
+	if n := c.healthChecks.equivalentResponses(now); n > 0 {
+		checked := prior * math.Exp(c.healthChecks.logCapacity-mean.meanLogCapacity)
+		capacity += (checked - capacity) * n / (n + c.responses.samples + priorResponses)
 	}
 	return capacity
 }
 
-// updateWeights sets the capacity and weight of each endpoint, the subset and its capacity, for the event at
-// hand. The zone preference comes last: it steers selection and is no capacity.
+// updateWeights computes the capacity and weight of each endpoint, the subset, and the weight of the subset
+// for the current event. The zone preference is applied last, because it affects selection but is not
+// capacity.
 func (b *Balancer) updateWeights() {
 	mean := b.endpoints.meanCapacity(b.now)
 	for _, e := range b.endpoints.listed {
@@ -164,7 +169,8 @@
 	b.preferOwnZone()
 }
 
-// preferOwnZone raises the weight of endpoints in the balancer's own zone, the less the more they are used.
+// preferOwnZone raises the weight of endpoints in the balancer's own zone, by less the higher their
+// utilization is.
 func (b *Balancer) preferOwnZone() {
 	for _, e := range b.endpoints.listed {
 		if e.State == Ready && e.Zone == b.settings.Zone && b.slowStartFraction(e) == 1 {
@@ -176,31 +182,33 @@
 const (
 	// reportRelativeError is the relative standard error of a figure in a load report.
 	reportRelativeError = 0.07
-	// reportCountingSeconds is the time over which an endpoint counts its requests for a report, in seconds.
-	reportCountingSeconds = 0.8
+	// reportWindowSeconds is the length of the window over which an endpoint counts its requests for a
+	// report, in seconds.
+	reportWindowSeconds = 0.8
 	// reportDelaySeconds is the age of a report when it arrives, in seconds.
 	reportDelaySeconds = 0.3
-	// capacityDriftVariance is the variance that the logarithm of a capacity gains, per second.
+	// capacityDriftVariance is the increase per second of the variance of the logarithm of a capacity.
 	capacityDriftVariance = 0.03
 )
 
-// checkedCapacity is a Kalman filter of the logarithm of the capacity that health checks report. Its state
-// drifts as a random walk.
-type checkedCapacity struct {
-	logCapacity float64       // logarithm of requests a second
-	variance    float64       // of logCapacity at the time of the latest report
-	at          time.Duration // latest report; 0: none
+// healthCheckCapacity is a Kalman filter for the logarithm of the capacity that an endpoint reports in
+// health checks. The capacity is modelled as a random walk.
+type healthCheckCapacity struct {
+	logCapacity float64       // logarithm of requests per second
+	variance    float64       // of logCapacity, at the time of the latest report
+	at          time.Duration // time of the latest report; 0: none
 }
 
-// add takes a report. Its error is that of both figures, of counting few requests, and of its age. A report
-// of an idle endpoint says nothing.
-func (f *checkedCapacity) add(r LoadReport, now time.Duration) {
+// add updates the filter with a report. The variance of the report is the sum of the errors of both
+// figures, the error of counting few requests, and the drift over the report's age. A report of an idle
+// endpoint is ignored.
+func (f *healthCheckCapacity) add(r LoadReport, now time.Duration) {
 	if r.Utilization <= minUtilization || r.RequestRate <= 0 {
 		return
 	}
 	measured := math.Log(r.RequestRate / r.Utilization)
-	noise := 2*reportRelativeError*reportRelativeError + 1/(1+r.RequestRate*reportCountingSeconds) +
-		capacityDriftVariance*(reportDelaySeconds+reportCountingSeconds/2)
+	noise := 2*reportRelativeError*reportRelativeError + 1/(1+r.RequestRate*reportWindowSeconds) +
+		capacityDriftVariance*(reportDelaySeconds+reportWindowSeconds/2)
 	if f.at == 0 {
 		f.logCapacity, f.variance = measured, noise
 	} else {
@@ -212,13 +220,14 @@
 	f.at = now
 }
 
-// varianceAt is the variance of the logarithm at a time: it grows with the age of the latest report.
-func (f *checkedCapacity) varianceAt(now time.Duration) float64 {
+// varianceAt is the variance of logCapacity at a time. It grows with the age of the latest report.
+func (f *healthCheckCapacity) varianceAt(now time.Duration) float64 {
 	return f.variance + capacityDriftVariance*(now-f.at).Seconds()
 }
 
-// equivalentAnswers is the number of own answers that would say as much as the reports do; 0 without one.
-func (f *checkedCapacity) equivalentAnswers(now time.Duration) float64 {
+// equivalentResponses is the number of own responses that carry as much information as the reports; 0
+// without a report.
+func (f *healthCheckCapacity) equivalentResponses(now time.Duration) float64 {
 	if f.at == 0 {
 		return 0
 	}
--- a/logic/capacity_test.go
+++ b/logic/capacity_test.go
@@ -32,7 +32,7 @@
 
 // An idle endpoint reports next to no requests at next to no utilization. The quotient called it small, so
 // it got no requests and stayed idle. Such reports must not lower its capacity.
-func TestIdleEndpointIsNotTakenForSmall(t *testing.T) {
+func TestIdleReportsDoNotLowerCapacity(t *testing.T) {
 	h := newHarness(t, testSettings(), 1, 1)
 	busy, idle := h.endpoint("s0"), h.endpoint("s1")
 	for range 50 {
@@ -82,7 +82,7 @@
 	if h.updateWeights(); slow.capacity > 10 {
 		t.Fatalf("after reports of 2 requests a second the capacity is %v", slow.capacity)
 	}
-	end := h.clock + 3*reportFadeHorizons*h.horizon
+	end := h.clock + 3*reportDecayHorizons*h.horizon
 	for h.clock < end { // the others go on to report
 		for _, id := range []string{"s1", "s2"} {
 			h.learnFromReport(h.endpoint(id), loadReport(0.5, 50))
@@ -102,9 +102,9 @@
 	latencies := []time.Duration{40 * time.Millisecond, 80 * time.Millisecond}
 	for i := range 400 {
 		jitter := time.Duration(i%5-2) * time.Millisecond
-		h.learnFromAnswer(h.endpoint(endpointID(i%2)), latencies[i%2]+jitter)
+		h.learnFromResponse(h.endpoint(endpointID(i%2)), latencies[i%2]+jitter)
 	}
-	h.learnFromAnswer(h.endpoint("s2"), time.Second)
+	h.learnFromResponse(h.endpoint("s2"), time.Second)
 	h.updateWeights()
 	for i, want := range []float64{25, 12.5, 15.2, 18.7} { // s2: a fifth of 1 and four fifths of the mean
 		if got := h.endpoint(endpointID(i)).weight; math.Abs(got-want) > 0.1*want {
@@ -128,11 +128,11 @@
 // utilization, with errors of counting and of measuring.
 func (h *harness) noisyReport(capacity float64) LoadReport {
 	utilization := 0.4 + 0.6*h.random.Float64()
-	mean := utilization * capacity * reportCountingSeconds
+	mean := utilization * capacity * reportWindowSeconds
 	counted := math.Round(mean * (1 + h.random.NormFloat64()/math.Sqrt(mean)))
 	measuringError := func() float64 { return 1 + 0.05*h.random.NormFloat64() }
 	return LoadReport{
-		RequestRate: max(0, counted/reportCountingSeconds*measuringError()),
+		RequestRate: max(0, counted/reportWindowSeconds*measuringError()),
 		Utilization: min(1, utilization*measuringError()),
 	}
 }
@@ -144,7 +144,7 @@
 	within, samples := 0, 0
 	for range 400 {
 		e := &endpoint{}
-		checked := &e.estimate.checked
+		checked := &e.estimate.healthChecks
 		logCapacity := math.Log(40)
 		for i := range 24 {
 			if i == 12 {
@@ -177,8 +177,8 @@
 	h := newHarness(t, healthCheckSettings(), 1)
 	e := &endpoint{}
 	for _, report := range []LoadReport{NoLoadReport, loadReport(0, 10), loadReport(0.5, 0)} {
-		if h.learnFromHealthCheck(e, report); e.estimate.checked.at != 0 {
-			t.Errorf("%+v gives a capacity of %v", report, e.estimate.checked.logCapacity)
+		if h.learnFromHealthCheck(e, report); e.estimate.healthChecks.at != 0 {
+			t.Errorf("%+v gives a capacity of %v", report, e.estimate.healthChecks.logCapacity)
 		}
 	}
 }
--- a/logic/deadline.go
+++ b/logic/deadline.go
@@ -7,35 +7,34 @@
 	"time"
 )
 
-// Deadlines: each open request ends at its deadline at the latest, and all of them at shutdown.
+// Deadlines: each open request ends at its deadline at the latest, and all open requests end at shutdown.
 
-// deadlineTimer is one timer for the deadlines of all requests. A timer for each request would wake the
-// process as often as requests arrive, long after most of them are answered.
+// deadlineTimer is one timer for the deadlines of all requests. One timer per request would wake the
+// process as often as requests arrive, mostly for requests that ended long before.
 //
 // Invariant: while the queue is not empty, a timer is set for its earliest deadline or an earlier time. A
-// timer that is replaced can't be cancelled; it fires with the token of an earlier number and is ignored.
+// replaced timer can't be cancelled; when it fires, it is ignored because its token has a lower number.
 type deadlineTimer struct {
-	queue     deadlineQueue // requests with a deadline that have not ended
-	setFor    time.Duration // when the latest timer fires; 0 when none is set
-	timersSet uint64        // number of timers so far, which is also that of the latest
+	queue      deadlineQueue // open requests that have a deadline
+	firesAt    time.Duration // when the latest timer fires; 0: no timer is set
+	timerCount uint64        // timers set so far, which is also the number of the latest one
 }
 
-func (d *deadlineTimer) latestToken() uint64 { return deadlineToken + d.timersSet }
+func (d *deadlineTimer) latestToken() uint64 { return deadlineToken + d.timerCount }
 
-// watchDeadline makes sure that the request ends at its deadline.
+// watchDeadline adds the request to the queue, so that it ends at its deadline.
 func (b *Balancer) watchDeadline(r *request) {
 	heap.Push(&b.deadlines.queue, r)
 	b.setDeadlineTimer()
 }
 
-// setDeadlineTimer sets the timer for the earliest deadline, unless one is set for that time or an earlier
-// one.
+// setDeadlineTimer sets the timer for the earliest deadline, unless one is set for that time or earlier.
 func (b *Balancer) setDeadlineTimer() {
 	d := &b.deadlines
-	if len(d.queue) > 0 && (d.setFor == 0 || d.queue[0].Deadline < d.setFor) {
-		d.timersSet++
-		d.setFor = d.queue[0].Deadline
-		b.setTimer(d.latestToken(), d.setFor-b.now)
+	if len(d.queue) > 0 && (d.firesAt == 0 || d.queue[0].Deadline < d.firesAt) {
+		d.timerCount++
+		d.firesAt = d.queue[0].Deadline
+		b.setTimer(d.latestToken(), d.firesAt-b.now)
 	}
 }
 
@@ -43,13 +42,13 @@
 func (b *Balancer) expireRequests() {
 	d := &b.deadlines
 	for len(d.queue) > 0 && d.queue[0].Deadline <= b.now {
-		b.finish(d.queue[0], DeadlineExceeded) // which removes it from the queue
+		b.finish(d.queue[0], DeadlineExceeded) // also removes it from the queue
 	}
-	d.setFor = 0
+	d.firesAt = 0
 	b.setDeadlineTimer()
 }
 
-// shutDown ends all open requests, by ID, and from now on each request that arrives.
+// shutDown ends all open requests in the order of their IDs. Requests that arrive later end at once.
 func (b *Balancer) shutDown() {
 	b.shuttingDown = true
 	for _, id := range slices.Sorted(maps.Keys(b.requests)) {
@@ -57,8 +56,8 @@
 	}
 }
 
-// deadlineQueue is a heap of requests by deadline, and by ID where that is equal. A request knows its
-// index, so that it can be removed when it ends.
+// deadlineQueue is a heap of requests, ordered by deadline and then by ID. Each request stores its index,
+// so that it can be removed when it ends.
 type deadlineQueue []*request
 
 func (q deadlineQueue) Len() int { return len(q) }
@@ -72,14 +71,14 @@
 	q[i].queueIndex, q[j].queueIndex = i, j
 }
 
-// Push is for container/heap.
+// Push implements heap.Interface.
 func (q *deadlineQueue) Push(x any) {
 	r := x.(*request)
 	r.queued, r.queueIndex = true, len(*q)
 	*q = append(*q, r)
 }
 
-// Pop is for container/heap.
+// Pop implements heap.Interface.
 func (q *deadlineQueue) Pop() any {
 	last := len(*q) - 1
 	r := (*q)[last]
--- a/logic/endpoint.go
+++ b/logic/endpoint.go
@@ -5,11 +5,11 @@
 // EndpointState is the state of an endpoint in the endpoint list.
 type EndpointState int
 
-// The states.
+// The states of an endpoint.
 const (
 	Ready    EndpointState = iota
-	Draining               // completes what is in flight; gets nothing new
-	Removed                // not listed any more; only in a change of the list
+	Draining               // completes the requests in flight, accepts no new ones
+	Removed                // no longer listed; occurs only in a change of the list
 )
 
 // Endpoint is an entry of the endpoint list.
@@ -17,35 +17,35 @@
 	ID        string
 	State     EndpointState
 	Zone      int
-	Cell      int           // a small group of endpoints that drop each other's repeats
-	Weight    float64       // its size, relative to the others
-	StartedAt time.Duration // its latest start, on the clock of the events; 0: long ago
+	Cell      int           // small group of endpoints that share deduplication
+	Weight    float64       // capacity relative to the other endpoints
+	StartedAt time.Duration // latest start, on the same clock as the events; 0: long ago
 }
 
-// endpoint is all that is known of one endpoint.
+// endpoint is the state that the Balancer keeps of one endpoint.
 type endpoint struct {
 	Endpoint
-	rank        uint64        // position in this balancer's order of the endpoints: see subset.go
-	restartedAt time.Duration // when the list brought its latest restart; 0 without one
-	lastSeen    time.Duration // latest answer or, if later, the first send that waits for one
+	rank        uint64        // position in this balancer's order of the endpoints; see subset.go
+	restartedAt time.Duration // when the list reported its latest restart; 0: never
+	lastSeen    time.Duration // latest response or, if later, the first send that waits for one
 	inFlight    []*attempt    // oldest first
 	health      endpointHealth
 	estimate    capacityEstimate
-	utilization checkedUtilization
+	utilization healthCheckUtilization
 	check       checkSchedule
 
-	// Set by updateWeights for the event at hand.
-	capacity float64 // requests a second when warm, as far as it is known
-	weight   float64 // capacity at present: less while it warms up or fails, more in the own zone
-	inSubset bool    // this balancer spreads its requests over it
+	// Set by updateWeights for the current event.
+	capacity float64 // estimated requests per second after slow start
+	weight   float64 // capacity lowered by slow start and failures, raised in the balancer's own zone
+	inSubset bool    // whether the endpoint is in this balancer's subset
 }
 
-// loadAfterRequest is the load in the sense of the paper, with the request at hand: attempts in flight over
-// weight.
+// loadAfterRequest is the load as the paper of selection.go defines it, with the current request added:
+// attempts in flight divided by weight.
 func (e *endpoint) loadAfterRequest() float64 { return float64(len(e.inFlight)+1) / e.weight }
 
-// restart drops what earlier incarnations have shown: a restarted process is healthy and warms up. Attempts
-// in flight and the schedule of health checks remain.
+// restart discards what was learned about earlier incarnations: a restarted process is healthy and in slow
+// start. Attempts in flight and the schedule of health checks are kept.
 func (e *endpoint) restart(now time.Duration) {
 	*e = endpoint{rank: e.rank, restartedAt: now, lastSeen: now, inFlight: e.inFlight, check: e.check}
 }
--- a/logic/endpoints.go
+++ b/logic/endpoints.go
@@ -8,35 +8,34 @@
 	"time"
 )
 
-// How the endpoint list is applied, and when it is polled again.
+// This file applies the endpoint list and schedules the next poll of it.
 
-// endpointSet is the listed endpoints and the figures that concern them together.
+// endpointSet is the set of listed endpoints, with their aggregate figures.
 type endpointSet struct {
 	listed []*endpoint // in this balancer's own order, by rank
 	byID   map[string]*endpoint
 	subset subsetSize
 
-	// Set by updateWeights, over the subset.
+	// Set by updateWeights; sums over the subset.
 	subsetWeight  float64
-	healthyWeight float64 // the part of it that is not ejected
+	healthyWeight float64 // the part of subsetWeight that is not ejected
 }
 
-// applyEndpointList applies a full snapshot or a change of the list. All that it says counts from this
-// event on.
+// applyEndpointList applies a full snapshot or a change of the list. It takes effect immediately.
 func (b *Balancer) applyEndpointList(list EndpointList) {
 	b.polling.failures = 0
-	named := make(map[string]bool, len(list.Endpoints))
+	present := make(map[string]bool, len(list.Endpoints))
 	for _, entry := range list.Endpoints {
-		named[entry.ID] = true
+		present[entry.ID] = true
 		b.applyEntry(entry)
 	}
-	b.dropEndpoints(func(e *endpoint) bool { return e.State == Removed || list.Full && !named[e.ID] })
+	b.dropEndpoints(func(e *endpoint) bool { return e.State == Removed || list.Full && !present[e.ID] })
 	b.endpoints.subset.byFleet = fleetSubsetSize(len(b.endpoints.listed), b.settings.Balancers)
 	b.scheduleFirstChecks()
 	slices.SortFunc(b.endpoints.listed, func(x, y *endpoint) int { return cmp.Compare(x.rank, y.rank) })
 }
 
-// applyEntry adds or updates one endpoint. Another start time is another incarnation of the process.
+// applyEntry adds or updates one endpoint. A different start time means that the process has restarted.
 func (b *Balancer) applyEntry(entry Endpoint) {
 	e := b.endpoints.byID[entry.ID]
 	added := e == nil
@@ -58,11 +57,11 @@
 	}
 }
 
-// dropEndpoints removes endpoints from the list and remembers what is known of them, as a list can be wrong
-// and they may return. Attempts in flight keep referring to a dropped endpoint.
-func (b *Balancer) dropEndpoints(gone func(*endpoint) bool) {
+// dropEndpoints removes endpoints from the set and remembers what was learned about them, because the list
+// can be wrong and they may return. Attempts in flight keep their reference to a removed endpoint.
+func (b *Balancer) dropEndpoints(remove func(*endpoint) bool) {
 	b.endpoints.listed = slices.DeleteFunc(b.endpoints.listed, func(e *endpoint) bool {
-		if !gone(e) {
+		if !remove(e) {
 			return false
 		}
 		b.remembered.add(b.knowledgeOf(e), b.now)
@@ -72,30 +71,32 @@
 	})
 }
 
-// endpointRank places an endpoint in a balancer's own order, which a restart of the balancer does not change.
+// endpointRank returns the position of an endpoint in a balancer's own order. It stays the same when the
+// balancer restarts.
 func endpointRank(balancerIndex int, id string) uint64 {
 	return hash(strconv.Itoa(balancerIndex) + " " + id)
 }
 
 const (
-	// referenceFleetSize is the number of balancers up to which the limits for a single balancer hold unchanged.
+	// referenceFleetSize is the number of balancers up to which the limits of a single balancer are not
+	// scaled.
 	referenceFleetSize = 8
-	// maxBackoffDoublings bounds the exponential backoff of polls.
+	// maxBackoffDoublings limits the exponential backoff of polls.
 	maxBackoffDoublings = 4
-	// maxFleetBackoff bounds the factor by which the backoff is longer in a large fleet.
+	// maxFleetBackoff limits the factor by which a large fleet lengthens the backoff.
 	maxFleetBackoff = 4
 )
 
-// discoveryPolling is the state of polls of the endpoint list.
+// discoveryPolling is the state of polling the endpoint list.
 type discoveryPolling struct {
-	failures  int  // polls that have failed in a row
-	scheduled bool // a timer for the next poll is set
+	failures  int  // consecutive failed polls
+	scheduled bool // whether a timer for the next poll is set
 }
 
-// scheduleNextPoll sets the timer of the next poll after a failed one: exponential backoff with jitter. It
-// guards against an outage of discovery after which all balancers poll together and overload it again; a
-// large fleet backs off longer, so that discovery gets through the polls that it can serve. However many
-// polls have failed, one timer is set.
+// scheduleNextPoll sets the timer for the next poll after a failed one, with exponential backoff and
+// jitter. Without it, all balancers would poll at the same time after an outage of discovery and overload
+// it again. A large fleet backs off for longer, so that the rate of polls stays within what discovery can
+// serve. At most one timer is set at a time, however many polls have failed.
 func (b *Balancer) scheduleNextPoll() {
 	if !b.settings.SubscriptionRequired || b.polling.scheduled {
 		return
@@ -105,14 +106,14 @@
 	b.polling.failures++
 }
 
-// pollBackoff draws the time until the next poll. It stays below MaxPollRetryInterval, and below two times
-// MaxPollInterval in the largest fleet.
+// pollBackoff draws the time until the next poll. If the settings limit it, it is at most
+// MaxPollRetryInterval, and at most twice MaxPollInterval in the largest fleet.
 func (b *Balancer) pollBackoff() time.Duration {
 	fleetFactor := min(maxFleetBackoff, max(1, float64(b.settings.Balancers)/referenceFleetSize))
 	doublings := float64(min(b.polling.failures, maxBackoffDoublings))
 	backoff := fleetFactor * float64(b.horizon) * math.Exp2(doublings)
 	if b.settings.MaxPollRetryInterval > 0 {
-		// The jitter below is from 1/4 to 3/4: the longest backoff is then the interval.
+		// The jitter below multiplies by 1/4 to 3/4, so the longest backoff equals the interval.
 		backoff = min(backoff, float64(b.settings.MaxPollRetryInterval)*4/3)
 	}
 	backoff *= (0.5 + b.random.Float64()) / 2
--- a/logic/event.go
+++ b/logic/event.go
@@ -2,13 +2,14 @@
 
 import "time"
 
-// LoadReport is what an endpoint reports of its own load. A negative figure is one that it does not report.
+// LoadReport is the load that an endpoint reports about itself. A negative value means that the endpoint
+// does not report this figure.
 type LoadReport struct {
-	Utilization float64 // fraction of its cores' time in use, 0 to 1
-	RequestRate float64 // requests completed a second
+	Utilization float64 // fraction of the CPU time of its cores in use, 0 to 1
+	RequestRate float64 // completed requests per second
 }
 
-// NoLoadReport is the LoadReport of an answer that carried none.
+// NoLoadReport is the LoadReport of a response that carried none.
 var NoLoadReport = LoadReport{Utilization: -1, RequestRate: -1}
 
 // Result is how an attempt or a health check ended.
@@ -16,14 +17,14 @@
 
 // The results.
 const (
-	OK            Result = iota // served
-	Failed                      // answered with an error; it may have been executed
+	OK            Result = iota // served successfully
+	Failed                      // error response; may have been executed
 	Rejected                    // rejected by the endpoint before execution
-	TimedOut                    // no answer in the time allowed; it may have been executed
-	ConnectFailed               // no connection in time; never executed
-	Reset                       // the connection broke; it may have been executed
-	Cancelled                   // cancelled by this side; it may have been executed
-	NotSent                     // not sent at all, as it was too late or over a limit; never executed
+	TimedOut                    // no response before the deadline; may have been executed
+	ConnectFailed               // no connection was established in time; never executed
+	Reset                       // the connection broke; may have been executed
+	Cancelled                   // cancelled by the balancer's side; may have been executed
+	NotSent                     // not sent, because it was too late or over a limit; never executed
 )
 
 // neverExecuted reports whether the result proves that the request had no effect.
@@ -33,43 +34,48 @@
 type Event interface{ event() }
 
 type (
-	// EndpointList brings the endpoint list or a change of it. The slice is only read.
+	// EndpointList is the endpoint list or a change of it. The Balancer does not modify the slice.
 	EndpointList struct {
-		Full      bool // a full snapshot, not only the entries that changed
+		Full      bool // a full snapshot, not only the changed entries
 		Endpoints []Endpoint
 	}
-	// DiscoveryUnavailable says that a poll of the endpoint list failed or the subscription broke.
+	// DiscoveryUnavailable reports that a poll of the endpoint list failed or that the subscription broke.
 	DiscoveryUnavailable struct{}
-	// Request is a client's request. It gets one final answer: an attempt with result OK, a Reject or a Fail.
+	// Request is a client's request. It gets one final response: an attempt with the result OK, a Reject or
+	// a Fail.
 	Request struct {
 		ID          string
 		Class       int           // index in Settings.Classes
-		Tenant      int           // index in Settings.TenantQuotas; one outside it has no quota
+		Tenant      int           // index in Settings.TenantQuotas; a tenant outside it has no quota
 		Key         string        // affinity key; may be empty
-		Deadline    time.Duration // when the client stops waiting, on the clock of the events
-		BodyPending bool          // the body streams to one endpoint; BodyReceived will bring the deadline
+		Deadline    time.Duration // when the client stops waiting, on the same clock as the events
+		BodyPending bool          // the body is being streamed to one endpoint; BodyReceived sets the deadline
 	}
-	// BodyReceived says that the body of a BodyPending request has arrived and gone on to its endpoint.
+	// BodyReceived reports that the body of a BodyPending request has arrived and was forwarded to its
+	// endpoint.
 	BodyReceived struct {
 		Request  string
-		Deadline time.Duration // replaces that of the Request
+		Deadline time.Duration // replaces the deadline of the Request
 	}
-	// Outcome ends one attempt. Every Send gets one. The first OK is the answer to the client.
+	// Outcome is the end of one attempt. Every Send gets one. The first OK is the response to the client.
 	Outcome struct {
 		Request       string
 		Attempt       int // numbered from 0 in the order of the sends
 		Endpoint      string
 		Result        Result
-		Latency       time.Duration // from the send to the answer
-		Closed        bool          // the request needs no final answer any more
-		NotReplayable bool          // the request can't be sent again, as its body is not buffered
+		Latency       time.Duration // from the send to the response
+		Closed        bool          // the request no longer needs a final response
+		NotReplayable bool          // the request can't be sent again, because its body is not buffered
 		LoadReport    LoadReport
 	}
-	// ResponseStarted says that a streamed answer has begun: no other attempt and no final answer may follow.
+	// ResponseStarted reports that a streamed response has begun: no further attempt and no final response
+	// may follow.
 	ResponseStarted struct{ Request string }
-	// ClientDisconnected says that the client has left: no final answer is owed any more.
+	// ClientDisconnected reports that the client has disconnected: the request no longer needs a final
+	// response.
 	ClientDisconnected struct{ Request string }
-	// Shutdown says that the process ends: open requests, and those that still arrive, end at once.
+	// Shutdown reports that the process is shutting down: open requests and requests that still arrive end
+	// at once.
 	Shutdown struct{}
 	// HealthChecked is the result of a health check.
 	HealthChecked struct {
@@ -78,12 +84,13 @@
 		Latency    time.Duration
 		LoadReport LoadReport
 	}
-	// PeerReport says that other balancers see an endpoint fail, or no longer do. It is repeated while they do.
+	// PeerReport reports that other balancers observe that an endpoint fails, or no longer observe it. It
+	// is repeated for as long as they do.
 	PeerReport struct {
 		Endpoint  string
 		Unhealthy bool
 	}
-	// TimerFired says that a timer set by SetTimer is due.
+	// TimerFired reports that a timer set by SetTimer is due.
 	TimerFired struct{ Token uint64 }
 )
 
--- a/logic/gossip.go
+++ b/logic/gossip.go
@@ -1,11 +1,12 @@
 package logic
 
-// Gossip: ejection on the reports of other balancers. Without it each balancer finds out by itself that an
-// endpoint fails, and all of them test a dead one again and again. It overrules nothing that this balancer
-// has seen itself: not an ejection of its own, not a half-open test, not an answer within the last horizon.
+// Gossip ejects endpoints because other balancers report them as unhealthy. Without it, each balancer has
+// to detect a failing endpoint itself, and all of them test a dead endpoint again and again. Reports of
+// peers never override this balancer's own observations: an ejection of its own, a half-open test, or a
+// response within the last horizon.
 
-// handlePeerReport ejects an endpoint that peers report, for one horizon from each report, and readmits it
-// when they no longer do.
+// handlePeerReport ejects an endpoint that peers report as unhealthy, for one horizon from each report, and
+// readmits it when they no longer do.
 func (b *Balancer) handlePeerReport(report PeerReport) {
 	e := b.endpoints.byID[report.Endpoint]
 	if e == nil {
--- a/logic/gossip_test.go
+++ b/logic/gossip_test.go
@@ -34,14 +34,14 @@
 
 // Peers may be wrong, or cut off themselves. Their reports must not change an ejection on this balancer's own
 // evidence, and must not leave it without endpoints.
-func TestPeerReportsOverruleNoOwnEvidence(t *testing.T) {
+func TestPeerReportsDoNotOverrideLocalEjection(t *testing.T) {
 	h := newHarness(t, testSettings(), 1, 1, 1, 1)
 	e := h.endpoint("s0")
 	h.eject(e)
 	until := e.health.ejectedUntil
 	h.clock += 2 * h.horizon
 	h.Handle(h.clock, PeerReport{Endpoint: "s0", Unhealthy: true})
-	if e.health.ejectedUntil != until || e.health.state != ejectedOnOwnEvidence {
+	if e.health.ejectedUntil != until || e.health.state != ejectedLocally {
 		t.Errorf("a peer's report extended an ejection on own evidence: %+v", e.health)
 	}
 	h.Handle(h.clock, PeerReport{Endpoint: "s0"})
--- a/logic/halfopen.go
+++ b/logic/halfopen.go
@@ -3,10 +3,10 @@
 // Half-open: after the ejection time one request tests the endpoint. Its outcome readmits the endpoint or
 // ejects it again (updateHealth in outlier.go).
 
-// halfOpenCandidate returns an ejected endpoint that the request should test, or nil. Only a first attempt
-// is risked, and only of the class with the least harmful idempotency. An endpoint that a health check is
-// about to judge is left to it, and one in slow start is not tested: the test would come on top of its
-// part.
+// halfOpenCandidate returns an ejected endpoint that the request should test, or nil. Only first attempts
+// of requests with the safest idempotency of all classes are used, because the test may fail. Endpoints
+// with a health check in flight are skipped, because its result is about to decide. Warming endpoints are
+// skipped, because the test would exceed their share of the requests.
 func (b *Balancer) halfOpenCandidate(r *request) *endpoint {
 	if len(r.attempts) > 0 || r.class.Idempotency != b.halfOpenIdempotency {
 		return nil
--- a/logic/harness_test.go
+++ b/logic/harness_test.go
@@ -120,7 +120,7 @@
 }
 
 // answer ends the first attempt of a request with an answer of a latency that closes it.
-func (h *harness) answer(id, endpoint string, latency time.Duration, report LoadReport) {
+func (h *harness) respond(id, endpoint string, latency time.Duration, report LoadReport) {
 	h.Handle(h.clock, Outcome{Request: id, Endpoint: endpoint, Latency: latency, Closed: true, LoadReport: report})
 }
 
--- a/logic/healthcheck_test.go
+++ b/logic/healthcheck_test.go
@@ -6,7 +6,7 @@
 )
 
 // checked delivers a served health check.
-func (h *harness) checked(id string, report LoadReport) {
+func (h *harness) passHealthCheck(id string, report LoadReport) {
 	h.Handle(h.clock, HealthChecked{Endpoint: id, Result: OK, LoadReport: report})
 }
 
@@ -26,17 +26,17 @@
 			if !subset[id] {
 				t.Fatalf("%s is checked and was never in the subset", id)
 			}
-			h.checked(id, loadReport(0.1, 5))
+			h.passHealthCheck(id, loadReport(0.1, 5))
 		}
 	}
 	if checks < 30 {
 		t.Errorf("%d checks of %d endpoints in 37 s, at an interval of %.0f s", checks, len(subset), h.checkInterval())
 	}
 	for id := range subset {
-		h.endpoint(id).utilization = checkedUtilization{value: 0.1, at: h.clock}
+		h.endpoint(id).utilization = healthCheckUtilization{value: 0.1, at: h.clock}
 	}
 	h.now = h.clock
-	if u := h.checkedFleetUtilization(); u > 0.2 {
+	if u := h.healthCheckFleetUtilization(); u > 0.2 {
 		t.Errorf("with all of the subset at 0.1 the utilization is taken for %.2f", u)
 	}
 }
@@ -44,11 +44,11 @@
 // A balancer with few requests suddenly gets many and sends some of them to a dead endpoint, which misses
 // too few answers to be ejected. It must be checked, and ejected as soon as the check is lost too. Later a
 // lost check must extend the ejection, without the cost of a half-open request.
-func TestSilentEndpointIsCheckedAndEjected(t *testing.T) {
+func TestUnresponsiveEndpointIsCheckedAndEjected(t *testing.T) {
 	set := healthCheckSettings()
 	set.EndpointHealthCheckRate = 100
 	h := newHarness(t, set, 1, 1, 1)
-	h.healthChecks.available = maxSavedHealthChecks
+	h.healthCheckBudget.available = maxHealthCheckBudget
 	dead := h.endpoint("s0")
 	for range 40 {
 		if id, to := h.sendRequest(nonIdempotentClass); to != "s0" {
@@ -59,8 +59,8 @@
 			break
 		}
 	}
-	if dead.health.state == healthy || h.missedAnswers(dead) >= maxMissedAnswers {
-		t.Fatalf("%+v with %.1f missed answers", dead.health, h.missedAnswers(dead))
+	if dead.health.state == healthy || h.missedResponses(dead) >= maxMissedResponses {
+		t.Fatalf("%+v with %.1f missed answers", dead.health, h.missedResponses(dead))
 	}
 	for range 50 {
 		id, to := h.sendRequest(nonIdempotentClass)
@@ -93,7 +93,7 @@
 		}
 		h.endAttempt(id, to, 0, result, NoLoadReport)
 		failingRequests.check.inFlight, losingChecks.check.inFlight = true, true
-		h.checked(failingRequests.ID, loadReport(0.2, 20))
+		h.passHealthCheck(failingRequests.ID, loadReport(0.2, 20))
 		h.Handle(h.clock, HealthChecked{Endpoint: losingChecks.ID, Result: TimedOut, LoadReport: NoLoadReport})
 		if i%4 == 0 {
 			h.advanceTick()
@@ -128,7 +128,7 @@
 			h.endAttempt(id, to, 0, OK, NoLoadReport)
 			for id := range healthChecksIn(h.advance(250 * time.Millisecond)) {
 				checks++
-				h.checked(id, loadReport(0.5, 50))
+				h.passHealthCheck(id, loadReport(0.5, 50))
 			}
 		}
 	}
@@ -148,10 +148,10 @@
 		h.endAttempt(id, to, 0, OK, NoLoadReport)
 		for id, n := range healthChecksIn(h.advance(h.horizon)) {
 			checks += n
-			h.checked(id, NoLoadReport)
+			h.passHealthCheck(id, NoLoadReport)
 		}
 	}
-	most := initialHealthChecks + h.settings.HealthChecksPerRequest*requests
+	most := initialHealthCheckBudget + h.settings.HealthChecksPerRequest*requests
 	if checks == 0 || float64(checks) > most {
 		t.Errorf("%d checks, at most %.0f are allowed", checks, most)
 	}
@@ -160,7 +160,7 @@
 		t.Errorf("without requests it sends %v", late)
 	}
 	h.settings.HealthChecksPerRequest = 0
-	h.healthChecks.available = 5
+	h.healthCheckBudget.available = 5
 	h.sendRequest(nonIdempotentClass)
 	if got := healthChecksIn(h.advance(h.horizon)); len(got) > 0 {
 		t.Errorf("checks %v where none are allowed", got)
--- a/logic/hedge.go
+++ b/logic/hedge.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Hedging: a second attempt for a request whose answer is late. It guards against a connection that has
-// gone silent and an endpoint that hangs: the first answer may never come, and at the deadline it is too
+// Hedging sends a second attempt for a request whose response is late. It helps when a connection is broken
+// without notice or an endpoint hangs: the first response may never come, and at the deadline it is too
 // late to retry.
 
 const (
@@ -13,25 +13,25 @@
 	maxHedgingUtilization = 0.65
 )
 
-// hedgeLateRequests sends a hedged request for each late attempt, while half of the retry budget is left, to
-// an endpoint that the request was not sent to. None is sent where endpoints are busy: all answers are late
-// there, and more attempts make it worse.
+// hedgeLateRequests sends a hedged request for each late attempt, to an endpoint without an earlier attempt
+// of the request, while at least half of the retry budget is left. It sends none while the endpoints are
+// busy: all responses are late then, and more attempts would make them later.
 func (b *Balancer) hedgeLateRequests() {
 	if b.overload.level > 0 || b.overload.utilization > maxHedgingUtilization {
 		return
 	}
 	for _, r := range b.lateRequests() {
-		if !b.retries.allowsHedge() {
+		if !b.retryBudget.allowsHedge() {
 			return
 		}
 		if e := b.selectEndpoint(r); e != nil && !r.attemptedAt(e) {
-			b.retries.spend()
+			b.retryBudget.spend()
 			b.send(r, e, HedgedAttempt)
 		}
 	}
 }
 
-// lateRequests returns the requests with one attempt in flight that is late.
+// lateRequests returns the requests with exactly one attempt in flight, if that attempt is late.
 func (b *Balancer) lateRequests() (late []*request) {
 	for _, e := range b.endpoints.listed {
 		for _, a := range e.inFlight {
@@ -45,5 +45,5 @@
 
 func (b *Balancer) isLate(a *attempt) bool {
 	hedgeDelay := time.Duration(hedgeDelayFactor * b.baseline[a.request.Class])
-	return a.awaitsAnswer() && b.now-a.answerDueFrom > hedgeDelay
+	return a.awaitsResponse() && b.now-a.responseDueFrom > hedgeDelay
 }
--- a/logic/hedge_test.go
+++ b/logic/hedge_test.go
@@ -33,7 +33,7 @@
 		}
 		h.advanceTick()
 		id, to := h.sendRequest(c.class)
-		hedges, before := 0, h.retries.available
+		hedges, before := 0, h.retryBudget.available
 		for _, a := range h.advance(time.Duration(2 * hedgeDelayFactor * h.baseline[c.class])) {
 			if a.Kind == Send && a.Request == id {
 				hedges++
@@ -42,9 +42,9 @@
 				}
 			}
 		}
-		if hedges != c.hedges || h.retries.available != before-float64(hedges) {
+		if hedges != c.hedges || h.retryBudget.available != before-float64(hedges) {
 			t.Errorf("%s: %d hedged requests, want %d; %v of %v retries are left",
-				name, hedges, c.hedges, h.retries.available, before)
+				name, hedges, c.hedges, h.retryBudget.available, before)
 		}
 	}
 }
--- a/logic/invariants_test.go
+++ b/logic/invariants_test.go
@@ -32,8 +32,8 @@
 			t.Errorf("seed %d: after all have ended %d are in flight, %d wait for a deadline",
 				seed, inFlight, len(b.deadlines.queue))
 		}
-		if b.retries.available < 0 || b.retries.available > b.retries.capacity {
-			t.Errorf("seed %d: %v of at most %v retries are saved", seed, b.retries.available, b.retries.capacity)
+		if b.retryBudget.available < 0 || b.retryBudget.available > b.retryBudget.capacity {
+			t.Errorf("seed %d: %v of at most %v retries are saved", seed, b.retryBudget.available, b.retryBudget.capacity)
 		}
 		sends, rejects, fails = sends+s.sends, rejects+s.rejects, fails+s.fails
 	}
@@ -62,13 +62,13 @@
 
 // The simulation must report a planted violation of each rule: a check that sees nothing would pass for a
 // proof.
-func TestSimulationReportsPlantedViolations(t *testing.T) {
+func TestSimulationReportsInjectedViolations(t *testing.T) {
 	for _, c := range []struct {
 		violation string
-		plant     func(s *simulation, actions []Action) []Action
+		inject    func(s *simulation, actions []Action) []Action
 	}{
-		{"no final answer", dropFinalAnswers},
-		{"a second final answer", repeatFinalAnswer},
+		{"no final answer", dropFinalResponses},
+		{"a second final answer", repeatFinalResponse},
 		{"which drains", sendToDraining},
 		{"repeated", resendInsteadOfEnding},
 		{"is rejected", rejectInsteadOfFail},
@@ -83,21 +83,21 @@
 				LatencyObjective: objective, Timeout: timeout, PriorityWeight: 1},
 		}
 		s := newSimulation(set, 5)
-		s.run(t, 3000, 0.5, func(actions []Action) []Action { return c.plant(s, slices.Clone(actions)) })
+		s.run(t, 3000, 0.5, func(actions []Action) []Action { return c.inject(s, slices.Clone(actions)) })
 		if !slices.ContainsFunc(s.violations, func(v string) bool { return strings.Contains(v, c.violation) }) {
 			t.Errorf("a planted violation is not reported: %s; reported: %d", c.violation, len(s.violations))
 		}
 	}
 }
 
-func isFinalAnswer(a Action) bool { return a.Kind == Fail || a.Kind == Reject }
+func isFinalResponse(a Action) bool { return a.Kind == Fail || a.Kind == Reject }
 
-func dropFinalAnswers(_ *simulation, actions []Action) []Action {
-	return slices.DeleteFunc(actions, isFinalAnswer)
+func dropFinalResponses(_ *simulation, actions []Action) []Action {
+	return slices.DeleteFunc(actions, isFinalResponse)
 }
 
-func repeatFinalAnswer(_ *simulation, actions []Action) []Action {
-	if i := slices.IndexFunc(actions, isFinalAnswer); i >= 0 {
+func repeatFinalResponse(_ *simulation, actions []Action) []Action {
+	if i := slices.IndexFunc(actions, isFinalResponse); i >= 0 {
 		actions = append(actions, actions[i])
 	}
 	return actions
@@ -113,7 +113,7 @@
 func sendToDraining(s *simulation, actions []Action) []Action {
 	for i := range actions {
 		for _, id := range s.ids {
-			if actions[i].Kind == Send && s.endpoints[id].downAt != 0 {
+			if actions[i].Kind == Send && s.endpoints[id].unavailableSince != 0 {
 				actions[i].Endpoint = id
 			}
 		}
@@ -123,7 +123,7 @@
 
 func resendInsteadOfEnding(s *simulation, actions []Action) []Action {
 	for i, a := range actions {
-		if isFinalAnswer(a) && len(s.requests[a.Request].attempts) > 0 {
+		if isFinalResponse(a) && len(s.requests[a.Request].attempts) > 0 {
 			actions[i] = Action{Kind: Send, Request: a.Request, Endpoint: s.ids[0]}
 		}
 	}
--- a/logic/knowledge.go
+++ b/logic/knowledge.go
@@ -5,37 +5,38 @@
 	"time"
 )
 
-// Knowledge: what a balancer has learned, persisted for the next process in the same place, and remembered of
+// Knowledge is persisted for the next process of the same balancer. The same data is kept in memory for
 // endpoints that leave the list.
 
-// Knowledge is what a Balancer has learned of its endpoints and classes. Times in it are ages, so that it
-// can be read on another clock.
+// Knowledge is what a Balancer has learned about its endpoints and classes. Times in it are ages, so that a
+// process with a different clock can use it.
 type Knowledge struct {
 	Endpoints       []EndpointKnowledge
 	BaselineLatency []time.Duration // mean latency, by class
-	MeanPriority    float64         // mean of weight over baseline latency in nanoseconds
+	MeanPriority    float64         // mean of weight divided by baseline latency in nanoseconds
 }
 
-// EndpointKnowledge is what was learned of one endpoint.
+// EndpointKnowledge is what was learned about one endpoint.
 type EndpointKnowledge struct {
 	ID                  string
-	Age                 time.Duration // time since its start; 0: long ago
-	MeanLatency         float64       // of this balancer's own answers, in seconds
-	Samples             float64       // answers behind MeanLatency
-	FailureRate         float64       // of the latest outcomes, 0 to 1
-	EjectionRemaining   time.Duration // time until it may be tested; 0: healthy, or due, and restored as healthy
-	LogCapacity         float64       // logarithm of the requests a second that health checks reported
-	LogCapacityVariance float64       // variance of LogCapacity; 0: nothing was reported
+	Age                 time.Duration // time since its start; 0: started long ago
+	MeanLatency         float64       // of this balancer's own responses, in seconds
+	Samples             float64       // number of responses in MeanLatency
+	FailureRate         float64       // of recent outcomes, 0 to 1
+	EjectionRemaining   time.Duration // time until it may be tested; 0: healthy or due now, restored as healthy
+	LogCapacity         float64       // logarithm of requests per second, from health checks
+	LogCapacityVariance float64       // variance of LogCapacity; 0: no health check reported a load
 }
 
-// startTimeTolerance is the difference up to which two start times are of the same incarnation, as they
-// come by different clocks.
+// startTimeTolerance is the maximum difference between two start times of the same incarnation, as they are
+// read from different clocks.
 const startTimeTolerance = 100 * time.Millisecond
 
-// minKnownAnswers is the number of answers, or reports that say as much, from which an endpoint is persisted.
-const minKnownAnswers = 1
+// minPersistedResponses is the minimum number of responses, or of reports with as much information, for an
+// endpoint to be persisted.
+const minPersistedResponses = 1
 
-// Knowledge returns what has been learned so far.
+// Knowledge returns what the Balancer has learned so far.
 func (b *Balancer) Knowledge(now time.Duration) Knowledge {
 	b.now = now
 	k := Knowledge{MeanPriority: b.meanPriority}
@@ -43,7 +44,8 @@
 		k.BaselineLatency = append(k.BaselineLatency, time.Duration(latency))
 	}
 	for _, e := range b.endpoints.listed {
-		known := e.estimate.answers.samples+e.estimate.checked.equivalentAnswers(now) >= minKnownAnswers
+		known := e.estimate.responses.samples+
+			e.estimate.healthChecks.equivalentResponses(now) >= minPersistedResponses
 		if e.State == Ready && (known || e.health.state != healthy) {
 			k.Endpoints = append(k.Endpoints, b.knowledgeOf(e))
 		}
@@ -54,23 +56,24 @@
 func (b *Balancer) knowledgeOf(e *endpoint) EndpointKnowledge {
 	k := EndpointKnowledge{
 		ID:                e.ID,
-		MeanLatency:       e.estimate.answers.mean,
-		Samples:           e.estimate.answers.samples,
+		MeanLatency:       e.estimate.responses.mean,
+		Samples:           e.estimate.responses.samples,
 		FailureRate:       e.health.failureRate,
 		EjectionRemaining: max(0, e.health.ejectedUntil-b.now),
 	}
 	if e.StartedAt != 0 {
 		k.Age = b.now - e.StartedAt
 	}
-	if checked := &e.estimate.checked; checked.at != 0 {
+	if checked := &e.estimate.healthChecks; checked.at != 0 {
 		k.LogCapacity, k.LogCapacityVariance = checked.logCapacity, checked.varianceAt(b.now)
 	}
 	return k
 }
 
-// Restore starts from what an earlier Balancer with the same settings had learned, ago before now. It must
-// be called before the first event. What concerns an endpoint is used when the list brings it with the same
-// start time. The latencies and the priority are ignored where the number of classes differs.
+// Restore loads what an earlier Balancer with the same settings had learned. The knowledge is as old as
+// age. Restore must be called before the first event. The knowledge of an endpoint is used when the
+// endpoint is listed with the same start time. The latencies and the priority are ignored if the number of
+// classes differs.
 func (b *Balancer) Restore(now time.Duration, k Knowledge, age time.Duration) {
 	if len(k.BaselineLatency) == len(b.baseline) {
 		for i, latency := range k.BaselineLatency {
@@ -85,19 +88,19 @@
 	}
 }
 
-// maxRememberedEndpoints bounds the memory of endpoints that are not listed.
+// maxRememberedEndpoints limits the number of unlisted endpoints that are remembered.
 const maxRememberedEndpoints = 1024
 
-// rememberedEndpoints is what is known of endpoints that are not listed, by ID.
+// rememberedEndpoints is what was learned about endpoints that are not listed, by ID.
 type rememberedEndpoints map[string]rememberedEndpoint
 
 type rememberedEndpoint struct {
 	EndpointKnowledge
-	at time.Duration // as of this time
+	at time.Duration // time at which the knowledge was recorded
 }
 
-// add remembers an endpoint that is not listed. Where there are too many the oldest is dropped: an endpoint
-// that was replaced never returns, and would fill the memory for good.
+// add remembers an endpoint that is not listed. If there are too many, it drops the oldest: replaced
+// endpoints never return and would otherwise stay in memory forever.
 func (m rememberedEndpoints) add(k EndpointKnowledge, at time.Duration) {
 	if _, known := m[k.ID]; !known && len(m) >= maxRememberedEndpoints {
 		delete(m, m.oldest())
@@ -105,7 +108,7 @@
 	m[k.ID] = rememberedEndpoint{k, at}
 }
 
-// oldest returns the ID of the oldest entry; of several the lowest ID.
+// oldest returns the ID of the oldest entry, or the lowest ID of several.
 func (m rememberedEndpoints) oldest() string {
 	oldest := rememberedEndpoint{at: math.MaxInt64}
 	for _, k := range m {
@@ -116,14 +119,14 @@
 	return oldest.ID
 }
 
-// take removes and returns what is known of an endpoint.
+// take removes the entry of an endpoint and returns it.
 func (m rememberedEndpoints) take(id string) (rememberedEndpoint, bool) {
 	k, ok := m[id]
 	delete(m, id)
 	return k, ok
 }
 
-// sameIncarnation reports whether the entry is about a process that started at that time.
+// sameIncarnation reports whether the entry belongs to the process that started at the given time.
 func (k rememberedEndpoint) sameIncarnation(startedAt time.Duration) bool {
 	if (k.Age == 0) != (startedAt == 0) {
 		return false
@@ -132,8 +135,8 @@
 	return k.Age == 0 || max(difference, -difference) <= startTimeTolerance
 }
 
-// restoreEndpoint gives a newly listed endpoint what was remembered of the same incarnation, aged by the time
-// since. An ejection that has ended meanwhile is due for a test.
+// restoreEndpoint restores what was learned about the same incarnation of a newly listed endpoint, aged by
+// the time that has passed. If its ejection has ended in the meantime, a half-open request is due.
 func (b *Balancer) restoreEndpoint(e *endpoint) {
 	k, ok := b.remembered.take(e.ID)
 	if !ok || !k.sameIncarnation(e.StartedAt) {
@@ -141,20 +144,25 @@
 	}
 	passed := b.now - k.at
 	if k.MeanLatency > 0 && k.Samples > 0 && !b.loadReported {
-		e.estimate.answers = answerLatency{mean: k.MeanLatency, samples: k.Samples}
+		e.estimate.responses = responseLatency{mean: k.MeanLatency, samples: k.Samples}
 		e.estimate.rate = 1 / k.MeanLatency
-		e.estimate.fade(ticksPerHorizon*float64(passed)/float64(b.horizon), b.loadReported)
+		e.estimate.decay(ticksPerHorizon*float64(passed)/float64(b.horizon), b.loadReported)
 	}
 	e.health.failureRate = min(1, max(0, k.FailureRate))
 	if k.EjectionRemaining > 0 {
 		e.health.restoreEjection(b.now + max(0, min(k.EjectionRemaining-passed, b.horizon)))
 	}
 	if k.LogCapacityVariance > 0 {
-		e.estimate.checked = checkedCapacity{logCapacity: k.LogCapacity, variance: k.LogCapacityVariance, at: k.at}
+		e.estimate.healthChecks = healthCheckCapacity{
+			logCapacity: k.LogCapacity,
+			variance:    k.LogCapacityVariance,
+			at:          k.at,
+		}
 	}
 }
 
-// restoreEjection ejects until a time; at the time 0 of the clock nothing can be ejected.
+// restoreEjection ejects the endpoint until the given time. It does nothing if that is time 0 of the clock,
+// which ejectedUntil uses for healthy endpoints.
 func (h *endpointHealth) restoreEjection(until time.Duration) {
 	if until > 0 {
 		h.eject(until)
--- a/logic/knowledge_test.go
+++ b/logic/knowledge_test.go
@@ -6,33 +6,33 @@
 	"time"
 )
 
-// experienced returns a balancer that has learned of s0 and s1 from answers, ejected s2, and learned of s3,
-// which started a minute ago.
-func experienced(t *testing.T) *harness {
+// balancerWithKnowledge returns a balancer that has learned of s0 and s1 from answers, ejected s2, and learned of s3,
+// which started a minute age.
+func balancerWithKnowledge(t *testing.T) *harness {
 	t.Helper()
 	h := newHarness(t, testSettings(), 1, 1, 1, 1)
 	for i := range 200 {
-		h.learnFromAnswer(h.endpoint("s0"), 20*time.Millisecond)
-		h.learnFromAnswer(h.endpoint("s1"), time.Duration(80+i%2)*time.Millisecond)
-		h.learnFromAnswer(h.endpoint("s3"), 40*time.Millisecond)
+		h.learnFromResponse(h.endpoint("s0"), 20*time.Millisecond)
+		h.learnFromResponse(h.endpoint("s1"), time.Duration(80+i%2)*time.Millisecond)
+		h.learnFromResponse(h.endpoint("s3"), 40*time.Millisecond)
 	}
 	h.endpoint("s3").StartedAt = h.clock - time.Minute
 	h.eject(h.endpoint("s2"))
 	return h
 }
 
-// restored returns the next process with that knowledge, on another clock, some time later. The start of s3
+// restoredBalancer returns the next process with that knowledge, on another clock, some time later. The start of s3
 // comes by the list: a minute before the knowledge, or now where it has restarted.
-func restored(t *testing.T, k Knowledge, ago time.Duration, restarted bool) *harness {
+func restoredBalancer(t *testing.T, k Knowledge, age time.Duration, restarted bool) *harness {
 	t.Helper()
 	b, err := New(testSettings(), 2)
 	if err != nil {
 		t.Fatal(err)
 	}
 	h := &harness{Balancer: b, clock: 3 * time.Second}
-	h.Restore(h.clock, k, ago)
+	h.Restore(h.clock, k, age)
 	h.Start(h.clock)
-	startedAt := h.clock - ago - time.Minute
+	startedAt := h.clock - age - time.Minute
 	if restarted {
 		startedAt = h.clock
 	}
@@ -45,29 +45,29 @@
 // What was learned goes to the next process on its own clock, the less the later it comes, and only to the
 // same incarnation of an endpoint.
 func TestKnowledgeIsRestoredForSameIncarnation(t *testing.T) {
-	before := experienced(t)
+	before := balancerWithKnowledge(t)
 	k := before.Knowledge(before.clock)
 
-	h := restored(t, k, 100*time.Millisecond, false)
+	h := restoredBalancer(t, k, 100*time.Millisecond, false)
 	if ratio := h.endpoint("s0").weight / h.endpoint("s1").weight; math.Abs(ratio-4) > 0.4 {
 		t.Errorf("the faster endpoint has %.2f times the weight of the slower, want about 4", ratio)
 	}
 	if h.endpoint("s2").health.state == healthy {
 		t.Error("an ejected endpoint is restored as healthy")
 	}
-	if n := h.endpoint("new").estimate.answers.samples; n != 0 {
+	if n := h.endpoint("new").estimate.responses.samples; n != 0 {
 		t.Errorf("%v answers of a new endpoint are known", n)
 	}
-	if h.endpoint("s3").estimate.answers.samples == 0 {
+	if h.endpoint("s3").estimate.responses.samples == 0 {
 		t.Error("nothing is known of an endpoint of the same incarnation")
 	}
 
-	h = restored(t, k, 100*time.Millisecond, true)
-	if n := h.endpoint("s3").estimate.answers.samples; n != 0 {
+	h = restoredBalancer(t, k, 100*time.Millisecond, true)
+	if n := h.endpoint("s3").estimate.responses.samples; n != 0 {
 		t.Errorf("%v answers of an earlier incarnation are known", n)
 	}
 
-	h = restored(t, k, time.Minute, false)
+	h = restoredBalancer(t, k, time.Minute, false)
 	if u := h.endpoint("s0").estimate.uncertainty(h.now); u < 0.9 || h.baseline[0] != before.baseline[0] {
 		t.Errorf("a minute later the uncertainty is %.2f, the baseline %v, before %v", u, h.baseline[0], before.baseline[0])
 	}
@@ -87,12 +87,12 @@
 func TestDelistedEndpointIsRemembered(t *testing.T) {
 	h := newHarness(t, testSettings(), 1, 1)
 	for range 50 {
-		h.learnFromAnswer(h.endpoint("s0"), 20*time.Millisecond)
+		h.learnFromResponse(h.endpoint("s0"), 20*time.Millisecond)
 	}
-	before := h.endpoint("s0").estimate.answers.samples
+	before := h.endpoint("s0").estimate.responses.samples
 	h.list(Endpoint{ID: "s0", State: Removed})
 	h.list(Endpoint{ID: "s0", Weight: 1})
-	if after := h.endpoint("s0").estimate.answers.samples; after != before {
+	if after := h.endpoint("s0").estimate.responses.samples; after != before {
 		t.Errorf("%v of %v answers are known after it has returned", after, before)
 	}
 	for i := range 2 * maxRememberedEndpoints {
@@ -130,10 +130,10 @@
 	h := newHarness(t, healthCheckSettings(), 1)
 	h.now = h.clock
 	h.learnFromHealthCheck(h.endpoint("s0"), loadReport(0.5, 50))
-	before := h.endpoint("s0").estimate.checked
+	before := h.endpoint("s0").estimate.healthChecks
 	const age = time.Second
-	next := restored(t, h.Knowledge(h.clock), age, false)
-	after := next.endpoint("s0").estimate.checked
+	next := restoredBalancer(t, h.Knowledge(h.clock), age, false)
+	after := next.endpoint("s0").estimate.healthChecks
 	if after.logCapacity != before.logCapacity {
 		t.Errorf("the logarithm of the capacity is %v, before %v", after.logCapacity, before.logCapacity)
 	}
--- a/logic/outlier.go
+++ b/logic/outlier.go
@@ -5,60 +5,62 @@
 	"time"
 )
 
-// Outlier detection: an endpoint that fails, or that takes requests and answers none, is ejected for one
-// horizon. It returns by a half-open request (halfopen.go).
+// Outlier detection ejects an endpoint for one horizon if its requests fail, or if it accepts requests
+// without responding. The endpoint is readmitted by a half-open request (halfopen.go).
 
 const (
 	// outcomeWeight is the weight of a new outcome in the failure rate of an endpoint.
 	outcomeWeight = 0.3
-	// ejectionFailureRate is the failure rate above which an endpoint is ejected: three failures in a row,
-	// from 0.
+	// ejectionFailureRate is the failure rate above which an endpoint is ejected. Starting from 0, three
+	// consecutive failures exceed it.
 	ejectionFailureRate = 0.6
-	// maxMissedAnswers is the number of missed answers above which an endpoint is ejected.
-	maxMissedAnswers = 16
-	// minHealthyFraction is the part of the subset's weight that healthy endpoints must have for ejections to
-	// count. In the sum an ejected endpoint has its weight, which its failure rate has lowered already.
+	// maxMissedResponses is the number of missed responses above which an endpoint is ejected.
+	maxMissedResponses = 16
+	// minHealthyFraction is the minimum fraction of the subset's weight that is healthy; below it ejections
+	// are ignored. The weight of an ejected endpoint in this sum has already been lowered by its failure
+	// rate.
 	minHealthyFraction = 0.5
 )
 
 // healthState is the state of an endpoint in outlier detection.
 //
-//	from                  to                    when
-//	healthy               ejectedOnOwnEvidence  its failure rate is too high, or it misses too many answers
-//	healthy               ejectedByGossip       a peer reports it
-//	ejectedByGossip       healthy               no peer reports it any more
-//	either ejected state  halfOpen              the ejection time is over and a request tests it
-//	halfOpen              healthy               that request is answered
-//	halfOpen              ejectedOnOwnEvidence  that request fails, or has no answer for long
-//	halfOpen              the state before      the outcome of that request proves nothing
-//	any but healthy       ejectedOnOwnEvidence  a health check is lost
-//	any                   healthy               the process restarts
+//	from               to               when
+//	healthy            ejectedLocally   its failure rate is too high, or it misses too many responses
+//	healthy            ejectedLocally   it misses some responses, and a health check gets none
+//	healthy            ejectedByGossip  a peer reports it as unhealthy
+//	ejectedByGossip    healthy          no peer reports it as unhealthy any more
+//	ejected, either    halfOpen         the ejection time is over and a request tests the endpoint
+//	halfOpen           healthy          that request succeeds
+//	halfOpen           ejectedLocally   that request fails, or the endpoint misses too many responses
+//	halfOpen           previous state   the outcome of that request is inconclusive
+//	any but healthy    ejectedLocally   a health check gets no response
+//	any                healthy          the process restarts
 //
-// An ejected endpoint also becomes healthy by answers to requests from before the ejection, or from a time
-// when ejections did not count, once its failure rate is low enough.
+// An ejected endpoint also becomes healthy when successful responses lower its failure rate enough. These
+// belong to requests that were sent before the ejection, or while ejections were ignored.
 type healthState int
 
 const (
-	healthy              healthState = iota
-	ejectedOnOwnEvidence             // by what this balancer has seen itself
-	ejectedByGossip                  // on the reports of peers alone
-	halfOpen                         // still ejected, but one request is under way to test it
+	healthy         healthState = iota
+	ejectedLocally              // because of outcomes at this balancer
+	ejectedByGossip             // because of reports of peers alone
+	halfOpen                    // still ejected, while one request tests it
 )
 
 // endpointHealth is the health of one endpoint.
 type endpointHealth struct {
 	state          healthState
-	beforeHalfOpen healthState   // the state to which an undecided half-open request returns
-	ejectedUntil   time.Duration // in any state but healthy: when a half-open request may test it
-	failureRate    float64       // moving average of outcomes: 1 a failure, 0 an answer
+	beforeHalfOpen healthState   // the state restored by an inconclusive half-open request
+	ejectedUntil   time.Duration // unless healthy: when a half-open request may test it
+	failureRate    float64       // moving average of outcomes: 1 for a failure, 0 for a success
 }
 
-// eject ejects on own evidence, from any state.
+// eject ejects the endpoint from any state, because of local observations.
 func (h *endpointHealth) eject(until time.Duration) {
-	h.state, h.ejectedUntil = ejectedOnOwnEvidence, until
+	h.state, h.ejectedUntil = ejectedLocally, until
 }
 
-// ejectByGossip ejects, or extends an ejection, on the reports of peers.
+// ejectByGossip ejects the endpoint, or extends its ejection, because of reports of peers.
 func (h *endpointHealth) ejectByGossip(until time.Duration) {
 	h.state, h.ejectedUntil = ejectedByGossip, until
 }
@@ -66,35 +68,36 @@
 // readmit ends an ejection.
 func (h *endpointHealth) readmit() { h.state, h.ejectedUntil = healthy, 0 }
 
-// awaitsTest reports whether the endpoint is ejected and no request tests it.
+// awaitsTest reports whether the endpoint is ejected and no half-open request is in flight.
 func (h *endpointHealth) awaitsTest() bool {
-	return h.state == ejectedOnOwnEvidence || h.state == ejectedByGossip
+	return h.state == ejectedLocally || h.state == ejectedByGossip
 }
 
-// beginHalfOpen marks that a request tests the endpoint.
+// beginHalfOpen records that a request tests the endpoint.
 func (h *endpointHealth) beginHalfOpen() { h.state, h.beforeHalfOpen = halfOpen, h.state }
 
-// abandonHalfOpen ends a test that proves nothing; another request may test the endpoint at once.
+// abandonHalfOpen ends an inconclusive test. Another request may test the endpoint immediately.
 func (h *endpointHealth) abandonHalfOpen() {
 	if h.state == halfOpen {
 		h.state = h.beforeHalfOpen
 	}
 }
 
-// eject ejects an endpoint on own evidence for one horizon from now.
+// eject ejects an endpoint for one horizon from now, because of local observations.
 func (b *Balancer) eject(e *endpoint) { e.health.eject(b.now + b.horizon) }
 
-// isEjected reports whether the endpoint is avoided: it gets the half-open request that tests it, and others
-// only where no other endpoint may get them. While healthy endpoints have less than minHealthyFraction of
-// the subset's weight, no ejection counts: in an overload all endpoints are late, and to eject them leaves
-// the load to the few others.
+// isEjected reports whether the endpoint is avoided: apart from the half-open request that tests it, it
+// gets requests only if no other endpoint may get them. While healthy endpoints have less than
+// minHealthyFraction of the subset's weight, ejections are ignored: in an overload all endpoints are late,
+// and ejecting them would move their load to the few others.
 func (b *Balancer) isEjected(e *endpoint) bool {
 	set := &b.endpoints
 	return e.health.state != healthy && set.healthyWeight >= minHealthyFraction*set.subsetWeight
 }
 
-// Unavailable returns the number of listed endpoints that are avoided now: draining, or ejected where
-// ejections count. It falls to the draining ones when most endpoints fail and ejections stop counting.
+// Unavailable returns the number of listed endpoints that are avoided now: the draining ones, and the
+// ejected ones unless ejections are ignored. When most endpoints fail, ejections are ignored and the number
+// drops to the draining ones.
 func (b *Balancer) Unavailable() (n int) {
 	for _, e := range b.endpoints.listed {
 		if e.State != Ready || b.isEjected(e) {
@@ -104,25 +107,26 @@
 	return n
 }
 
-// evidence is what an outcome says of the endpoint.
+// evidence is what an outcome shows about the endpoint.
 type evidence int
 
 const (
-	noEvidence       evidence = iota // cancelled or not sent
-	answerEvidence                   // it answers
+	noEvidence       evidence = iota // nothing: the attempt was cancelled or not sent
+	responseEvidence                 // it responds
 	faultEvidence                    // it fails
-	overloadEvidence                 // it answers other requests, but not this one in time
+	overloadEvidence                 // it responds to other requests, but not to this one in time
 )
 
-// evidenceOf classifies the outcome of an attempt. A timeout at an endpoint that has answered others
-// meanwhile shows a costly request or an overload, no fault. A rejection counts as a fault: an endpoint
-// that rejects several requests in a row is avoided for a horizon, whatever the cause.
+// evidenceOf classifies the outcome of an attempt. A timeout is not a fault if the healthy endpoint has
+// responded to another request in the meantime: the request is costly or the endpoint overloaded. A
+// rejection counts as a fault, so that an endpoint that rejects several requests in a row is avoided for a
+// horizon, whatever the cause.
 func evidenceOf(a *attempt, result Result) evidence {
 	switch result {
 	case OK:
-		return answerEvidence
+		return responseEvidence
 	case TimedOut:
-		if a.endpoint.lastSeen > a.answerDueFrom && a.endpoint.health.state == healthy {
+		if a.endpoint.lastSeen > a.responseDueFrom && a.endpoint.health.state == healthy {
 			return overloadEvidence
 		}
 		return faultEvidence
@@ -132,41 +136,42 @@
 	return noEvidence
 }
 
-// learnFromOutcome takes the outcome of an attempt into latencies, capacity, the overload signals and the
-// health of its endpoint. An attempt on an earlier incarnation says nothing of the present one.
+// learnFromOutcome updates latencies, capacity, the overload signals and the endpoint's health with the
+// outcome of an attempt. An attempt at an earlier incarnation is ignored, because it shows nothing about
+// the current one.
 func (b *Balancer) learnFromOutcome(a *attempt, o Outcome) {
 	e := a.endpoint
 	if a.sentAt < e.restartedAt {
 		return
 	}
-	if b.timedOutEarly(a, o.Result) {
+	if b.timedOutBeforeObjective(a, o.Result) {
 		e.health.abandonHalfOpen()
 		return
 	}
-	found := evidenceOf(a, o.Result)
-	b.observeOverload(a, o, found)
-	switch found {
+	ev := evidenceOf(a, o.Result)
+	b.observeOverload(a, o, ev)
+	switch ev {
 	case noEvidence:
 		e.health.abandonHalfOpen()
-	case answerEvidence:
+	case responseEvidence:
 		b.baseline.observe(a.request.Class, o.Latency)
 		e.lastSeen = b.now
-		b.learnFromAnswer(e, o.Latency)
+		b.learnFromResponse(e, o.Latency)
 		b.updateHealth(e, o.Result)
 	case faultEvidence:
 		b.updateHealth(e, o.Result)
 	}
 }
 
-// timedOutEarly reports whether the client waited for less than the latency objective: its timeout says
-// nothing of the endpoint or of overload. Guards against clients with short deadlines that would eject
-// healthy endpoints.
-func (b *Balancer) timedOutEarly(a *attempt, result Result) bool {
-	return result == TimedOut && a.awaitsAnswer() && b.now-a.answerDueFrom < a.request.class.LatencyObjective
+// timedOutBeforeObjective reports whether the client waited for less than the latency objective. Such a
+// timeout indicates neither a fault of the endpoint nor an overload. If it did, clients with short
+// deadlines would cause the ejection of healthy endpoints.
+func (b *Balancer) timedOutBeforeObjective(a *attempt, result Result) bool {
+	return result == TimedOut && a.awaitsResponse() && b.now-a.responseDueFrom < a.request.class.LatencyObjective
 }
 
-// updateHealth takes an answer or a failure into the failure rate, and ejects or readmits the endpoint. The
-// failure rate also lowers its weight: failures come fast and make an endpoint look idle.
+// updateHealth updates the failure rate with a success or a failure, and ejects or readmits the endpoint.
+// The failure rate also lowers the endpoint's weight, because an endpoint that fails fast looks idle.
 func (b *Balancer) updateHealth(e *endpoint, result Result) {
 	h := &e.health
 	failure := 1.0
@@ -176,10 +181,10 @@
 	h.failureRate += outcomeWeight * (failure - h.failureRate)
 	switch h.state {
 	case healthy:
-		// With ExternalAdmission the owner sheds by rejections. If they also ejected, the owner might then admit
-		// no request that could test the endpoint.
-		shedOutside := b.settings.ExternalAdmission && result == Rejected
-		if h.failureRate > ejectionFailureRate && !shedOutside {
+		// With ExternalAdmission the owner sheds load based on rejections. If rejections also ejected
+		// endpoints, the owner might admit no request that could test them.
+		shedExternally := b.settings.ExternalAdmission && result == Rejected
+		if h.failureRate > ejectionFailureRate && !shedExternally {
 			b.eject(e)
 		}
 	case halfOpen:
@@ -197,31 +202,31 @@
 	}
 }
 
-// neverExecutedThereBefore reports whether an earlier attempt of the request at the same endpoint had no
-// effect: a further rejection there says nothing new.
-func (a *attempt) neverExecutedThereBefore() bool {
+// hasUnexecutedAttemptAtSameEndpoint reports whether another ended attempt of the request at the same
+// endpoint was never executed. A further rejection there adds no information.
+func (a *attempt) hasUnexecutedAttemptAtSameEndpoint() bool {
 	return slices.ContainsFunc(a.request.attempts, func(other *attempt) bool {
 		return other != a && other.endpoint == a.endpoint && !other.inFlight && other.neverExecuted
 	})
 }
 
-// ejectSilentEndpoints ejects endpoints that take requests and answer none.
-func (b *Balancer) ejectSilentEndpoints() {
+// ejectUnresponsiveEndpoints ejects endpoints that accept requests without responding.
+func (b *Balancer) ejectUnresponsiveEndpoints() {
 	for _, e := range b.endpoints.listed {
 		undecided := e.health.state == healthy || e.health.state == halfOpen
-		if undecided && b.missedAnswers(e) > maxMissedAnswers {
+		if undecided && b.missedResponses(e) > maxMissedResponses {
 			b.eject(e)
 		}
 	}
 }
 
-// missedAnswers is the number of answers that the endpoint would usually have given since it was last seen:
-// the time that each attempt in flight waits, over the baseline latency of its class. The sum over all that
-// is in flight tells a silent endpoint from one costly request.
-func (b *Balancer) missedAnswers(e *endpoint) (n float64) {
+// missedResponses estimates the number of responses that the endpoint should have given since it was last
+// seen: for each attempt in flight, the time that it has waited divided by the baseline latency of its
+// class. The sum distinguishes an unresponsive endpoint from a single costly request.
+func (b *Balancer) missedResponses(e *endpoint) (n float64) {
 	for _, a := range e.inFlight {
-		if a.awaitsAnswer() {
-			n += float64(b.now-max(a.answerDueFrom, e.lastSeen)) / b.baseline[a.request.Class]
+		if a.awaitsResponse() {
+			n += float64(b.now-max(a.responseDueFrom, e.lastSeen)) / b.baseline[a.request.Class]
 		}
 	}
 	return n
--- a/logic/outlier_test.go
+++ b/logic/outlier_test.go
@@ -8,7 +8,7 @@
 
 // One endpoint takes requests and answers none, while the others answer. It must be ejected; later one
 // idempotent request tests it, and its answer readmits it.
-func TestSilentEndpointIsEjectedAndReadmitted(t *testing.T) {
+func TestUnresponsiveEndpointIsEjectedAndReadmitted(t *testing.T) {
 	h := newHarness(t, testSettings(), 1, 1, 1, 1)
 	silent := h.endpoint("s0")
 	for silent.health.state == healthy {
@@ -53,14 +53,14 @@
 		want    healthState
 		waiting bool // for a half-open request
 	}{
-		{"eject", endpointHealth{}, func(h *endpointHealth) { h.eject(until) }, ejectedOnOwnEvidence, true},
+		{"eject", endpointHealth{}, func(h *endpointHealth) { h.eject(until) }, ejectedLocally, true},
 		{"eject by gossip", endpointHealth{}, func(h *endpointHealth) { h.ejectByGossip(until) }, ejectedByGossip, true},
 		{"own evidence after gossip", endpointHealth{state: ejectedByGossip},
-			func(h *endpointHealth) { h.eject(until) }, ejectedOnOwnEvidence, true},
-		{"readmit", endpointHealth{state: ejectedOnOwnEvidence, ejectedUntil: until}, (*endpointHealth).readmit, healthy, false},
-		{"begin half-open", endpointHealth{state: ejectedOnOwnEvidence}, (*endpointHealth).beginHalfOpen, halfOpen, false},
+			func(h *endpointHealth) { h.eject(until) }, ejectedLocally, true},
+		{"readmit", endpointHealth{state: ejectedLocally, ejectedUntil: until}, (*endpointHealth).readmit, healthy, false},
+		{"begin half-open", endpointHealth{state: ejectedLocally}, (*endpointHealth).beginHalfOpen, halfOpen, false},
 		{"fail half-open", endpointHealth{state: halfOpen, beforeHalfOpen: ejectedByGossip},
-			func(h *endpointHealth) { h.eject(until) }, ejectedOnOwnEvidence, true},
+			func(h *endpointHealth) { h.eject(until) }, ejectedLocally, true},
 		{"abandon half-open", endpointHealth{state: halfOpen, beforeHalfOpen: ejectedByGossip},
 			(*endpointHealth).abandonHalfOpen, ejectedByGossip, true},
 		{"abandon nothing", endpointHealth{}, (*endpointHealth).abandonHalfOpen, healthy, false},
@@ -98,7 +98,7 @@
 
 // At a balancer with few requests one costly request waits for long. Its endpoint is not silent, and must
 // not be ejected.
-func TestOneLateAnswerEjectsNone(t *testing.T) {
+func TestOneLateResponseDoesNotEject(t *testing.T) {
 	h := newHarness(t, testSettings(), 1, 1)
 	_, to := h.sendRequest(nonIdempotentClass)
 	h.advance(h.horizon)
@@ -164,10 +164,10 @@
 // A client waits for less time than an answer may take, and does so often. Its timeouts say nothing of an
 // endpoint: they must eject none, change no estimate, decide no half-open test and show no overload.
 // Timeouts after the latency objective do count.
-func TestTimeoutBeforeObjectiveBlamesNone(t *testing.T) {
+func TestTimeoutBeforeObjectiveIsIgnored(t *testing.T) {
 	for _, c := range []struct {
 		waited time.Duration
-		blames bool
+		counts bool
 	}{{time.Millisecond, false}, {599 * time.Millisecond, false}, {601 * time.Millisecond, true}} {
 		h := newHarness(t, testSettings(), 1, 1)
 		h.advance(h.horizon)
@@ -178,19 +178,19 @@
 			h.endAttempt(id, to, 0, TimedOut, NoLoadReport)
 		}
 		// Nor may they hide that endpoints reject other requests.
-		blamed := h.overload.latencyRatio > 0 || h.overload.rejections.fraction != 0.1
+		counted := h.overload.latencyRatio > 0 || h.overload.rejections.fraction != 0.1
 		for _, e := range h.endpoints.listed {
-			blamed = blamed || e.health.failureRate > 0 || e.health.state != healthy
+			counted = counted || e.health.failureRate > 0 || e.health.state != healthy
 		}
-		if blamed != c.blames {
-			t.Errorf("after %v: latency ratio %.2f, blamed: %v", c.waited, h.overload.latencyRatio, blamed)
+		if counted != c.counts {
+			t.Errorf("after %v: latency ratio %.2f, counted: %v", c.waited, h.overload.latencyRatio, counted)
 		}
 	}
 }
 
 // The same client's request tests an ejected endpoint. Its timeout before the objective must leave the test
 // to the next request at once; one after it must eject the endpoint again.
-func TestHalfOpenTimeoutBeforeObjectiveProvesNothing(t *testing.T) {
+func TestHalfOpenTimeoutBeforeObjectiveIsInconclusive(t *testing.T) {
 	for _, c := range []struct {
 		waited time.Duration
 		ejects bool
@@ -217,7 +217,7 @@
 
 // An endpoint restarts, and attempts on its earlier incarnation end with resets. They say nothing of the
 // present one.
-func TestRestartedEndpointIsNotBlamedForEarlierAttempts(t *testing.T) {
+func TestOutcomesOfEarlierIncarnationAreIgnored(t *testing.T) {
 	h := newHarness(t, testSettings(), 1)
 	var ids []string
 	for range 6 {
--- a/logic/overload_test.go
+++ b/logic/overload_test.go
@@ -5,7 +5,7 @@
 // Traffic rises at once, as when a client returns after a shutdown elsewhere. What is in flight is much for
 // the rate of answers so far, but young: that is no overload. The same attempts are one when they stay
 // without an answer.
-func TestRisingTrafficIsNoOverload(t *testing.T) {
+func TestRisingTrafficIsNotOverload(t *testing.T) {
 	h := newHarness(t, testSettings(), 1, 1, 1, 1)
 	for range 100 { // little traffic, answered at once
 		id, to := h.sendRequest(cheapClass)
@@ -25,7 +25,7 @@
 
 // In an overload no endpoint answers in time. Ejecting them all would leave the load to nobody, or to the
 // last few. None is ejected; load is shed.
-func TestOverloadShedsAndEjectsNone(t *testing.T) {
+func TestOverloadShedsWithoutEjecting(t *testing.T) {
 	h := newHarness(t, testSettings(), 1, 1, 1, 1)
 	for range 200 { // an ordinary start
 		id, to := h.sendRequest(nonIdempotentClass)
@@ -58,7 +58,7 @@
 
 // A balancer with next to nothing in flight shed a part of its requests, as the few of them clustered by
 // chance. Where the endpoints are not busy it must shed none.
-func TestQuietBalancerShedsNone(t *testing.T) {
+func TestBalancerWithLittleTrafficShedsNothing(t *testing.T) {
 	set := testSettings()
 	set.Balancers = 500
 	h := newHarness(t, set, 1, 1, 1, 1)
@@ -73,7 +73,7 @@
 		}
 		h.advance(h.horizon / 2)
 		for k := range ids {
-			h.answer(ids[k], endpoints[k], h.horizon/2, loadReport(0.35, 35))
+			h.respond(ids[k], endpoints[k], h.horizon/2, loadReport(0.35, 35))
 		}
 		h.advance(h.horizon)
 	}
@@ -102,7 +102,7 @@
 
 // Some requests hang for a reason of their own, while endpoints report low utilization. To shed others
 // would not help those that hang, so it must not happen.
-func TestHangingAttemptsAreNoOverloadAtLowUtilization(t *testing.T) {
+func TestHangingAttemptsAtLowUtilizationAreNotOverload(t *testing.T) {
 	h := newHarness(t, testSettings(), 1, 1, 1, 1)
 	for range 200 {
 		id, to := h.sendRequest(nonIdempotentClass)
@@ -120,7 +120,7 @@
 
 // A few attempts are older than their objective while busy endpoints answer all others. They hang, and are
 // no sign of an overload: by then late answers would show one.
-func TestAttemptsOlderThanObjectiveAreNoOverload(t *testing.T) {
+func TestAttemptsOlderThanObjectiveAreNotOverload(t *testing.T) {
 	h := newHarness(t, testSettings(), 1, 1, 1, 1)
 	for range 12 {
 		h.sendRequest(nonIdempotentClass)
--- a/logic/quota_test.go
+++ b/logic/quota_test.go
@@ -48,7 +48,7 @@
 	h := newHarness(t, set, 1, 1)
 	for _, tenant := range []int{7, -1} {
 		h.Handle(h.clock, Request{ID: fmt.Sprint(tenant), Tenant: tenant, Deadline: h.clock + 2*time.Second})
-		if factor := h.quotas.factor(tenant); factor != 1 {
+		if factor := h.quotas.priorityFactor(tenant); factor != 1 {
 			t.Errorf("tenant %d has the factor %v, want 1", tenant, factor)
 		}
 	}
--- a/logic/retry.go
+++ b/logic/retry.go
@@ -2,45 +2,45 @@
 
 import "slices"
 
-// Retries: what follows the outcome of an attempt, and the budget that bounds retries and hedged requests.
-// The budget guards against a retry storm: endpoints that fail under load would get a multiple of that
-// load.
+// This file decides what follows the outcome of an attempt, and holds the budget that limits retries and
+// hedged requests. The budget prevents a retry storm, in which endpoints that fail under load get a
+// multiple of that load.
 
 const (
 	// retriesPerRequest is the number of retries that each request adds to the budget.
 	retriesPerRequest = 0.2
-	// maxSavedRetries is the most retries in the budget of one balancer of a small fleet.
-	maxSavedRetries = 10
+	// maxRetryBudget is the maximum budget of one balancer in a small fleet, in retries.
+	maxRetryBudget = 10
 )
 
-// retryBudget is a token bucket, filled by requests and not by time.
+// retryBudget is a token bucket that is refilled by requests, not by time.
 type retryBudget struct {
 	available float64 // retries that may be sent now
-	capacity  float64 // most that may be saved
+	capacity  float64 // maximum of available
 }
 
-// newRetryBudget returns a full budget. What all balancers have saved comes at once when something breaks for
-// all of them, so that in a large fleet each saves less.
+// newRetryBudget returns a full budget. When a failure affects all balancers, they spend their budgets at
+// the same time, so the capacity is smaller in a large fleet.
 func newRetryBudget(balancers int) retryBudget {
-	capacity := max(1, min(maxSavedRetries, maxSavedRetries*referenceFleetSize/float64(balancers)))
+	capacity := max(1, min(maxRetryBudget, maxRetryBudget*referenceFleetSize/float64(balancers)))
 	return retryBudget{available: capacity, capacity: capacity}
 }
 
-// earn adds what one request allows.
-func (budget *retryBudget) earn() {
+// refill adds the retries allowed by one request.
+func (budget *retryBudget) refill() {
 	budget.available = min(budget.available+retriesPerRequest, budget.capacity)
 }
 
 // allowsRetry reports whether a retry may be sent.
 func (budget *retryBudget) allowsRetry() bool { return budget.available >= 1 }
 
-// allowsHedge reports whether a hedged request may be sent: half of the budget is reserved for retries.
+// allowsHedge reports whether a hedged request may be sent. Half of the budget is reserved for retries.
 func (budget *retryBudget) allowsHedge() bool { return budget.available >= budget.capacity/2 }
 
-// spend takes one retry or hedged request that was sent.
+// spend takes one retry or hedged request from the budget.
 func (budget *retryBudget) spend() { budget.available-- }
 
-// handleOutcome ends an attempt, learns from it and decides what follows.
+// handleOutcome ends an attempt, updates the estimates with its outcome, and retries or ends the request.
 func (b *Balancer) handleOutcome(o Outcome) {
 	a := b.endAttempt(o)
 	if a == nil {
@@ -55,8 +55,8 @@
 	b.continueRequest(a.request)
 }
 
-// endAttempt records that an attempt is not in flight any more and returns it, nil where it is not known or
-// has ended before.
+// endAttempt records that an attempt is no longer in flight and returns it. It returns nil if the attempt
+// is unknown or has already ended.
 func (b *Balancer) endAttempt(o Outcome) *attempt {
 	r := b.requests[o.Request]
 	if r == nil || o.Attempt < 0 || o.Attempt >= len(r.attempts) || !r.attempts[o.Attempt].inFlight {
@@ -70,8 +70,8 @@
 	return a
 }
 
-// continueRequest retries or ends a request of which an attempt has ended without an answer. A request that
-// is not sent again costs nothing of the budget.
+// continueRequest retries or ends a request after an attempt has ended without a successful response. A
+// request that is not sent again does not spend the budget.
 func (b *Balancer) continueRequest(r *request) {
 	switch {
 	case r.closed:
@@ -79,11 +79,11 @@
 	case r.inFlight > 0: // the other attempt goes on
 	case r.notReplayable:
 		b.finish(r, NotRetryable)
-	case !b.retries.allowsRetry():
+	case !b.retryBudget.allowsRetry():
 		b.finish(r, RetryBudgetExhausted)
 	default:
 		if b.dispatch(r) {
-			b.retries.spend()
+			b.retryBudget.spend()
 		}
 	}
 }
--- a/logic/retry_test.go
+++ b/logic/retry_test.go
@@ -37,7 +37,7 @@
 
 // The agent could not send an attempt, as a limit of its own was reached. It must go to another endpoint,
 // and count against none.
-func TestNotSentIsRetriedElsewhereWithoutBlame(t *testing.T) {
+func TestNotSentIsRetriedElsewhereAndIsNoFailure(t *testing.T) {
 	h := newHarness(t, testSettings(), 1, 1, 1, 1)
 	id, to := h.sendRequest(nonIdempotentClass)
 	actions := h.endAttempt(id, to, 0, NotSent, NoLoadReport)
@@ -67,8 +67,8 @@
 			}
 		}
 	}
-	most := requests*(1+retriesPerRequest) + maxSavedRetries
-	if float64(sends) > most || float64(sends) < most-2*maxSavedRetries {
+	most := requests*(1+retriesPerRequest) + maxRetryBudget
+	if float64(sends) > most || float64(sends) < most-2*maxRetryBudget {
 		t.Errorf("%d attempts for %d requests, want about %.0f", sends, requests, most)
 	}
 }
@@ -110,14 +110,14 @@
 }
 
 // Many requests fail that must not be sent again. They must not use up the budget of those that may.
-func TestUnsentRetryCostsNoBudget(t *testing.T) {
+func TestUnsentRetryDoesNotSpendBudget(t *testing.T) {
 	h := newHarness(t, testSettings(), 1, 1)
-	before := h.retries.available
+	before := h.retryBudget.available
 	for range 100 {
 		id, to := h.sendRequest(nonIdempotentClass)
 		h.endAttempt(id, to, 0, Reset, NoLoadReport)
 	}
-	if h.retries.available != before {
-		t.Errorf("%v of %v retries are left after 100 failures without a retry", h.retries.available, before)
+	if h.retryBudget.available != before {
+		t.Errorf("%v of %v retries are left after 100 failures without a retry", h.retryBudget.available, before)
 	}
 }
--- a/logic/selection.go
+++ b/logic/selection.go
@@ -2,23 +2,26 @@
 
 import "math"
 
-// Selection: Algorithm 1 of "Balls into non-uniform bins", a power of d choices for endpoints of different
-// capacity. It draws endpoints with probability capacity over total capacity, and takes the one with the
-// lowest load after the request; of several the one with the largest weight; of several at random.
+// Selection implements Algorithm 1 of "Balls into non-uniform bins", a power of d choices for endpoints of
+// different capacities. It draws d endpoints, each with a probability proportional to its capacity, and
+// takes the one that has the lowest load after the request is added. Ties go to the endpoint with the
+// largest weight, and further ties to a random one.
 
 const (
-	// endpointsDrawn is the number of draws for a request, the paper's d.
+	// endpointsDrawn is the number of endpoints drawn for a request, the d of the paper.
 	endpointsDrawn = 16
-	// loadTolerance is the relative difference up to which loads count as equal.
+	// loadTolerance is the relative difference up to which two loads count as equal.
 	loadTolerance = 0.01
 )
 
-// candidateSet is the endpoints that may get a request. Its slices are reused from one selection to the next.
+// candidateSet is the set of endpoints that may get the current request. Its slices are reused by the next
+// selection.
 type candidateSet struct {
 	ready       []*endpoint // at full capacity
-	readyWeight float64     // sum of their weights
+	readyWeight float64     // sum of the weights of ready
 	warming     []*endpoint // in slow start
-	// visitedCapacity is the capacity after slow start of all Ready endpoints that were visited, ejected too.
+	// visitedCapacity is the sum of the capacities after slow start of all Ready endpoints that
+	// collectCandidates visited, including ejected ones.
 	visitedCapacity float64
 }
 
@@ -26,8 +29,9 @@
 	*c = candidateSet{ready: c.ready[:0], warming: c.warming[:0]}
 }
 
-// selectEndpoint returns the endpoint for the next attempt of a request, nil where none may get it. A
-// half-open request goes first, then an endpoint in slow start that is due, then Algorithm 1.
+// selectEndpoint returns the endpoint for the next attempt of a request, or nil if no endpoint may get it.
+// It prefers an ejected endpoint that is due for a half-open request, then a warming endpoint that was
+// drawn and is idle, then the result of Algorithm 1.
 func (b *Balancer) selectEndpoint(r *request) *endpoint {
 	b.updateWeights()
 	if e := b.halfOpenCandidate(r); e != nil {
@@ -46,19 +50,19 @@
 	}
 	switch {
 	case warming != nil && len(warming.inFlight) == 0:
-		return warming // by load it would lose to any ready endpoint that is idle
+		return warming // by load it would lose to every idle ready endpoint
 	case warming != nil:
 		drawn[0] = warming
-	case b.usesAffinity(r):
+	case b.drawAffinity(r):
 		drawn[0] = affinityEndpoint(candidates.ready, r.Key)
 		drawn[0].weight *= affinityWeightFactor
 	}
 	return b.leastLoaded(drawn[:])
 }
 
-// drawCandidates collects the endpoints that may get the request in b.candidates, and returns one that is
-// in slow start and drawn for it, or nil. Healthy endpoints that the request was not sent to go first; where
-// there are none, any that the guard allows.
+// drawCandidates collects the endpoints that may get the request in b.candidates, and returns the warming
+// endpoint that was drawn for it, or nil. It first considers healthy endpoints without an earlier attempt
+// of the request; if there are none, all endpoints that maySend allows.
 func (b *Balancer) drawCandidates(r *request) (warming *endpoint) {
 	chance := b.random.Float64()
 	for _, preferred := range []bool{true, false} {
@@ -71,33 +75,34 @@
 	return warming
 }
 
-// collectCandidates visits the endpoints in this balancer's order until it has as many as the subset is
-// large. With preferred it leaves out ejected endpoints and those that the request has met.
+// collectCandidates visits the endpoints in this balancer's order until it has as many candidates as the
+// subset has endpoints. If preferred is true, it skips ejected endpoints and those with an earlier attempt
+// of the request.
 func (b *Balancer) collectCandidates(r *request, preferred bool) {
-	found := &b.candidates
-	found.reset()
+	candidates := &b.candidates
+	candidates.reset()
 	count, limit := 0, b.endpoints.subset.size()
 	for _, e := range b.endpoints.listed {
 		if count >= limit {
 			break
 		}
 		if e.State == Ready {
-			found.visitedCapacity += e.capacity
+			candidates.visitedCapacity += e.capacity
 		}
 		if !b.maySend(r, e) || preferred && (b.isEjected(e) || r.attemptedAt(e)) {
 			continue
 		}
 		count++
 		if b.slowStartFraction(e) == 1 {
-			found.ready = append(found.ready, e)
-			found.readyWeight += e.weight
+			candidates.ready = append(candidates.ready, e)
+			candidates.readyWeight += e.weight
 		} else {
-			found.warming = append(found.warming, e)
+			candidates.warming = append(candidates.warming, e)
 		}
 	}
 }
 
-// drawByWeight returns the endpoint at the point x of the sum of weights.
+// drawByWeight returns the endpoint at position x on the line of cumulative weights.
 func drawByWeight(from []*endpoint, x float64) *endpoint {
 	for _, e := range from {
 		if x -= e.weight; x < 0 {
@@ -107,8 +112,8 @@
 	return from[len(from)-1]
 }
 
-// leastLoaded returns the drawn endpoint with the lowest load; of those within the tolerance the one with the
-// largest weight; of equal ones one at random.
+// leastLoaded returns the drawn endpoint with the lowest load. Among endpoints within the tolerance it
+// takes the one with the largest weight, and among equal weights a random one.
 func (b *Balancer) leastLoaded(drawn []*endpoint) *endpoint {
 	lowest := math.Inf(1)
 	for _, e := range drawn {
--- a/logic/settings.go
+++ b/logic/settings.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// Idempotency says what executing a request of a class more than once would do.
+// Idempotency is the effect of executing a request of a class more than once.
 type Idempotency int
 
-// The kinds of idempotency, from the least harmful on.
+// The kinds of idempotency, in order of increasing harm of a repeated execution.
 const (
 	Idempotent        Idempotency = iota // may be executed any number of times
-	IdempotentWithKey                    // repeats of its key are dropped, within a scope and for a time
+	IdempotentWithKey                    // repeats of the same key are dropped, within a scope and a time window
 	NonIdempotent                        // must not be executed twice
 )
 
-// DedupScope names the endpoints that drop repeats of a request with an idempotency key among themselves.
+// DedupScope is the set of endpoints that share deduplication of requests with an idempotency key.
 type DedupScope int
 
 // The deduplication scopes.
@@ -29,69 +29,72 @@
 type Class struct {
 	Name              string
 	Idempotency       Idempotency
-	DedupScope        DedupScope    // of IdempotentWithKey
-	IdempotencyWindow time.Duration // of IdempotentWithKey: repeats are dropped for so long after the first send
-	LatencyObjective  time.Duration // an answer within this time counts in full
-	Timeout           time.Duration // how long a client waits over all attempts
-	PriorityWeight    float64       // value of an answer in time, relative to other classes
+	DedupScope        DedupScope    // only for IdempotentWithKey
+	IdempotencyWindow time.Duration // IdempotentWithKey only: how long after the first send repeats are dropped
+	LatencyObjective  time.Duration // a response within this time has its full value
+	Timeout           time.Duration // how long a client waits, over all attempts
+	PriorityWeight    float64       // value of a timely response, relative to other classes
 }
 
-// Settings configure a Balancer. They do not change while it lives.
+// Settings configure a Balancer. They do not change during its lifetime.
 type Settings struct {
-	// Balancers is the number of balancers in front of the same endpoints, and BalancerIndex the number of
-	// this one among them, the same after a restart.
+	// Balancers is the number of balancers that share the endpoints. BalancerIndex is the index of this one
+	// among them; it stays the same after a restart.
 	Balancers     int
 	BalancerIndex int
-	// TimerResolution is the most by which a timer may be late.
+	// TimerResolution is the maximum time by which a timer may fire late.
 	TimerResolution time.Duration
-	// Classes are the classes of requests. A Request names its class by the index here.
+	// Classes are the classes of requests. Request.Class is an index into this slice.
 	Classes []Class
-	// MaxAttempts bounds the attempts for one request.
+	// MaxAttempts is the maximum number of attempts per request.
 	MaxAttempts int
-	// HedgingAllowed says that a request may have two attempts in flight.
+	// HedgingAllowed is whether a request may have two attempts in flight.
 	HedgingAllowed bool
-	// MaxRetryAfter is the longest Retry-After that clients respect; 0: none is given.
+	// MaxRetryAfter is the longest Retry-After that clients respect; 0: no Retry-After is sent.
 	MaxRetryAfter time.Duration
 
 	// Zone is the zone of this balancer.
 	Zone int
-	// CrossZoneCost is the cost of an attempt in another zone, as a fraction of a request; 0: none.
+	// CrossZoneCost is the cost of sending an attempt to another zone, as a fraction of the cost of a
+	// request; 0: no cost.
 	CrossZoneCost float64
-	// UseListedWeights says that Endpoint.Weight is proportional to capacity.
+	// UseListedWeights is whether Endpoint.Weight is proportional to the endpoint's capacity.
 	UseListedWeights bool
-	// KeyAffinity says that an endpoint which has served a key lately does less work for it.
+	// KeyAffinity is whether a request is cheaper for an endpoint that has recently served the same key.
 	KeyAffinity bool
 
-	// SubscriptionRequired says that the owner subscribes to the endpoint list, or polls it, on Subscribe.
+	// SubscriptionRequired is whether the owner subscribes to the endpoint list, or polls it, on Subscribe.
 	SubscriptionRequired bool
-	// MaxPollInterval is the time within which the list must be polled; 0: no limit.
+	// MaxPollInterval is the longest allowed interval between polls of the endpoint list; 0: no limit.
 	MaxPollInterval time.Duration
-	// MaxPollRetryInterval is the time within which the list must be polled after a failed poll; 0: no limit.
+	// MaxPollRetryInterval is the longest allowed time from a failed poll to the next poll; 0: no limit.
 	MaxPollRetryInterval time.Duration
 
-	// SlowStartInitialFraction is the fraction of its capacity that an endpoint has at its start, at least.
+	// SlowStartInitialFraction is the minimum fraction of its capacity that an endpoint has when it starts.
 	SlowStartInitialFraction float64
-	// SlowStartWindow is the time from its start until an endpoint has its full capacity.
+	// SlowStartWindow is the time from an endpoint's start until it has its full capacity.
 	SlowStartWindow time.Duration
-	// SlowStartOverloadFactor is the multiple of its present capacity that overloads a warming endpoint; 0:
-	// not known.
+	// SlowStartOverloadFactor is the multiple of its current capacity at which a warming endpoint is
+	// overloaded; 0: unknown.
 	SlowStartOverloadFactor float64
 
-	// TenantQuotas are fractions of all requests, one for each tenant; may be empty.
+	// TenantQuotas are fractions of all requests, by tenant index; may be empty.
 	TenantQuotas []float64
-	// OverQuotaWeight is the factor, from 0 to 1, of the priority of a request over its tenant's quota.
+	// OverQuotaWeight is the factor, from 0 to 1, applied to the priority of requests over their tenant's
+	// quota.
 	OverQuotaWeight float64
-	// ExternalAdmission says that the owner sheds load, by OverloadLevel. The Balancer then sheds none.
+	// ExternalAdmission is whether the owner sheds load itself, based on OverloadLevel. The Balancer then
+	// sheds nothing.
 	ExternalAdmission bool
 
-	// HealthChecksPerRequest is the number of health checks allowed for each request; 0: none.
+	// HealthChecksPerRequest is the number of health checks allowed per request; 0: no health checks.
 	HealthChecksPerRequest float64
-	// EndpointHealthCheckRate is the most health checks that an endpoint gets from all balancers together,
-	// per second; 0: none.
+	// EndpointHealthCheckRate is the maximum number of health checks per second that all balancers together
+	// send to one endpoint; 0: no health checks.
 	EndpointHealthCheckRate float64
 }
 
-// SettingsError is the error of New for a setting that it does not accept.
+// SettingsError is the error that New returns for an invalid setting.
 type SettingsError struct {
 	Setting string // path of the field in Settings
 	Problem string
@@ -102,7 +105,7 @@
 	return fmt.Sprintf("logic: setting %s %s", e.Setting, e.Problem)
 }
 
-// validate returns a *SettingsError for the first setting that is not acceptable.
+// validate returns a *SettingsError for the first invalid setting.
 func (set *Settings) validate() error {
 	if len(set.Classes) == 0 {
 		return &SettingsError{"Classes", "must not be empty"}
--- a/logic/settings_test.go
+++ b/logic/settings_test.go
@@ -8,8 +8,8 @@
 // Each setting that is out of its range must be named by the error of New.
 func TestInvalidSettingsGiveSettingsError(t *testing.T) {
 	for _, c := range []struct {
-		setting string
-		spoil   func(*Settings)
+		setting    string
+		invalidate func(*Settings)
 	}{
 		{"Classes", func(s *Settings) { s.Classes = nil }},
 		{`Classes["cheap"].LatencyObjective`, func(s *Settings) { s.Classes[cheapClass].LatencyObjective = 0 }},
@@ -25,7 +25,7 @@
 		{"SlowStartOverloadFactor", func(s *Settings) { s.SlowStartOverloadFactor = -1 }},
 	} {
 		set := testSettings()
-		c.spoil(&set)
+		c.invalidate(&set)
 		_, err := New(set, 1)
 		var invalid *SettingsError
 		if !errors.As(err, &invalid) || invalid.Setting != c.setting {
--- a/logic/simulation_test.go
+++ b/logic/simulation_test.go
@@ -21,16 +21,16 @@
 	open      []string // requests without a final answer, or with attempts in flight
 	timers    []simulatedTimer
 
-	violations []string
-	arrived    int // requests so far
-	sends      int
-	rejects    int
-	fails      int
+	violations   []string
+	requestCount int // requests so far
+	sends        int
+	rejects      int
+	fails        int
 }
 
 type simulatedEndpoint struct {
 	Endpoint
-	downAt time.Duration // when the balancer was notified that it drains or is removed; 0 while ready
+	unavailableSince time.Duration // when the balancer was notified that it drains or is removed; 0 while ready
 }
 
 type simulatedRequest struct {
@@ -66,11 +66,11 @@
 }
 
 // tamper may change the actions before they are carried out.
-type tamper func([]Action) []Action
+type actionMutator func([]Action) []Action
 
 // run plays a number of steps of the timer resolution at a load, in requests a step, and then lets all
 // requests end.
-func (s *simulation) run(t *testing.T, steps int, load float64, tamper tamper) *Balancer {
+func (s *simulation) run(t *testing.T, steps int, load float64, mutate actionMutator) *Balancer {
 	t.Helper()
 	b, err := New(s.set, 1)
 	if err != nil {
@@ -83,8 +83,8 @@
 		}
 		for _, event := range s.step(load) {
 			actions := b.Handle(s.now, event())
-			if tamper != nil {
-				actions = tamper(actions)
+			if mutate != nil {
+				actions = mutate(actions)
 			}
 			s.carryOut(actions)
 		}
@@ -179,11 +179,11 @@
 }
 
 func (s *simulation) newRequest() func() Event {
-	s.arrived++
+	s.requestCount++
 	class := s.random.IntN(len(s.set.Classes))
-	request := Request{ID: fmt.Sprint("r", s.arrived), Class: class, Key: fmt.Sprint("k", s.random.IntN(20))}
-	patience := float64(s.set.Classes[class].Timeout) * (0.3 + 0.7*s.random.Float64())
-	request.Deadline = s.now + time.Duration(patience)
+	request := Request{ID: fmt.Sprint("r", s.requestCount), Class: class, Key: fmt.Sprint("k", s.random.IntN(20))}
+	timeout := float64(s.set.Classes[class].Timeout) * (0.3 + 0.7*s.random.Float64())
+	request.Deadline = s.now + time.Duration(timeout)
 	s.requests[request.ID] = &simulatedRequest{Request: request}
 	s.open = append(s.open, request.ID)
 	return func() Event { return request }
@@ -204,9 +204,9 @@
 	e.State = []EndpointState{Ready, Ready, Draining, Removed}[s.random.IntN(4)]
 	switch {
 	case e.State == Ready:
-		e.StartedAt, e.downAt = s.now, 0
-	case e.downAt == 0:
-		e.downAt = s.now
+		e.StartedAt, e.unavailableSince = s.now, 0
+	case e.unavailableSince == 0:
+		e.unavailableSince = s.now
 	}
 	return EndpointList{Endpoints: []Endpoint{e.Endpoint}}
 }
@@ -225,7 +225,7 @@
 	for _, id := range s.ids {
 		e := s.endpoints[id]
 		if e.State == Removed || s.random.Float64() < 0.05 {
-			e.State, e.downAt = Removed, s.now
+			e.State, e.unavailableSince = Removed, s.now
 			continue
 		}
 		list.Endpoints = append(list.Endpoints, e.Endpoint)
@@ -287,7 +287,7 @@
 	if r.closed {
 		s.violation("send for the closed request %s", r.ID)
 	}
-	if e.downAt != 0 {
+	if e.unavailableSince != 0 {
 		s.violation("send to %s, which drains or is removed", e.ID)
 	}
 	if len(r.attempts) >= s.set.MaxAttempts {
--- a/logic/size_test.go
+++ b/logic/size_test.go
@@ -12,18 +12,18 @@
 // maxLineLength bounds the lines of the module, in characters.
 const maxLineLength = 110
 
-// filesWithoutDecisions are the files of the module that the deploy file does not name as its policy.
-var filesWithoutDecisions = map[string]bool{
+// nonPolicyFiles are the files of the module that the deploy file does not name as its policy.
+var nonPolicyFiles = map[string]bool{
 	"doc.go": true, "settings.go": true, "event.go": true, "action.go": true,
 }
 
 // The deploy file names the files that hold decisions, for those who review a change of policy. A file that
 // it does not name would be changed unseen, and a name that is left over after a file has moved would hide
 // that.
-func TestPolicyNamesAllFilesOfDecisions(t *testing.T) {
+func TestPolicyListsAllDecisionFiles(t *testing.T) {
 	policy := policyFiles(t)
 	for _, name := range moduleFiles(t) {
-		if !filesWithoutDecisions[name] && !policy["logic/"+name] {
+		if !nonPolicyFiles[name] && !policy["logic/"+name] {
 			t.Errorf("%s holds decisions and is not named in policy", name)
 		}
 	}
@@ -32,7 +32,7 @@
 			t.Errorf("policy names %s: %v", name, err)
 		}
 	}
-	for name := range filesWithoutDecisions {
+	for name := range nonPolicyFiles {
 		if _, err := os.Stat(name); err != nil {
 			t.Errorf("listed as a file without decisions: %v", err)
 		}
--- a/logic/slowstart.go
+++ b/logic/slowstart.go
@@ -1,15 +1,16 @@
 package logic
 
-// Slow start: an endpoint that has just started has a fraction of its capacity, and the load of a warm one
-// overloads it. It gets requests by a draw of its own. By load alone an idle endpoint in slow start would get
-// most requests while the others are busy, and none while they are idle.
+// Slow start: an endpoint that has just started has only a fraction of its capacity, and the load of a warm
+// endpoint would overload it. Warming endpoints are therefore selected by a separate draw (drawWarming).
+// Selection by load alone would send an idle warming endpoint most requests while the other endpoints are
+// busy, and none while they are idle.
 
-// slowStartLoadFraction is the load of a warming endpoint, as a fraction of the load that overloads it,
-// which is Settings.SlowStartOverloadFactor times its present capacity.
+// slowStartLoadFraction is the load that a warming endpoint gets, as a fraction of the load that overloads
+// it. The latter is Settings.SlowStartOverloadFactor times its current capacity.
 const slowStartLoadFraction = 0.5
 
-// slowStartFraction returns the fraction of its capacity that an endpoint has at least: it rises linearly
-// from SlowStartInitialFraction at its start to 1 at the end of SlowStartWindow.
+// slowStartFraction returns the minimum fraction of its capacity that an endpoint has now. It rises
+// linearly from SlowStartInitialFraction at the endpoint's start to 1 at the end of SlowStartWindow.
 func (b *Balancer) slowStartFraction(e *endpoint) float64 {
 	age := b.now - e.StartedAt
 	if e.StartedAt == 0 || age >= b.settings.SlowStartWindow {
@@ -19,12 +20,15 @@
 	return initial + (1-initial)*max(0, float64(age)/float64(b.settings.SlowStartWindow))
 }
 
-// drawWarming draws one of the warming endpoints, or none. The probability of each is its present capacity
-// over the capacity after slow start of all endpoints that were visited, times slowStartLoadFraction of
-// what overloads it. The endpoints that were visited are about the subset. Each endpoint is in the subsets
-// of about as many balancers, so that together they send it that fraction of their requests. With the
-// capacity of the whole list it would be drawn the more rarely the larger the fleet, and be idle after a
-// release. The chance is drawn by the caller, from 0 to 1.
+// drawWarming draws one of the warming endpoints, or nil. An endpoint's probability is its current capacity
+// divided by visitedCapacity, times the product of SlowStartOverloadFactor and slowStartLoadFraction, which
+// counts as at least 1.
+//
+// The visited endpoints are about the subset. Each endpoint is in the subset of about the same number of
+// balancers, so together they send it that share of their requests. If visitedCapacity covered the whole
+// list, an endpoint would be drawn more rarely the larger the fleet is, and would be idle after a release.
+//
+// The caller draws chance from 0 to 1.
 func (b *Balancer) drawWarming(candidates *candidateSet, chance float64) *endpoint {
 	factor := max(1, b.settings.SlowStartOverloadFactor*slowStartLoadFraction)
 	remaining := chance * candidates.visitedCapacity / factor
--- a/logic/slowstart_test.go
+++ b/logic/slowstart_test.go
@@ -103,7 +103,7 @@
 
 // The draw for a warming endpoint does not look at its load. One that has a request of this balancer in
 // flight must not get another by that draw while ready endpoints are idle.
-func TestBusyWarmingEndpointGetsNoMore(t *testing.T) {
+func TestBusyWarmingEndpointGetsNoFurtherRequests(t *testing.T) {
 	h := newHarness(t, testSettings(), 1, 1, 1, 1, 1, 1)
 	h.list(Endpoint{ID: "warming", StartedAt: h.clock})
 	inFlight := 0
--- a/logic/subset_test.go
+++ b/logic/subset_test.go
@@ -6,7 +6,7 @@
 )
 
 // endpointsUsed returns the endpoints to which one of several balancers sends 60 requests.
-func endpointsUsed(t *testing.T, index, balancers, endpoints int, answered bool) map[string]int {
+func endpointsUsed(t *testing.T, index, balancers, endpoints int, completed bool) map[string]int {
 	t.Helper()
 	set := testSettings()
 	set.BalancerIndex, set.Balancers = index, balancers
@@ -15,8 +15,8 @@
 	for range 60 {
 		id, to := h.sendRequest(nonIdempotentClass)
 		used[to]++
-		if answered {
-			h.answer(id, to, time.Duration(5+h.random.IntN(10))*time.Millisecond, NoLoadReport)
+		if completed {
+			h.respond(id, to, time.Duration(5+h.random.IntN(10))*time.Millisecond, NoLoadReport)
 		}
 	}
 	return used
