--- a/logic/admission_test.go
+++ b/logic/admission_test.go
@@ -9,9 +9,9 @@
 // be shed twice. Endpoints that reject requests in an overload must not be ejected, because the requests
 // that would test them may never arrive.
 func TestExternalAdmissionShedsNothingHere(t *testing.T) {
-	set := testSettings()
-	set.ExternalAdmission = true
-	h := newHarness(t, set, 1, 1, 1, 1)
+	settings := testSettings()
+	settings.ExternalAdmission = true
+	h := newHarness(t, settings, 1, 1, 1, 1)
 	h.setSheddingLevel(1e6)
 	h.advance(h.horizon)
 	if h.OverloadLevel() < 1 {
@@ -36,9 +36,9 @@
 
 // With external admission, a failing endpoint must still be ejected.
 func TestExternalAdmissionEjectsFailingEndpoint(t *testing.T) {
-	set := testSettings()
-	set.ExternalAdmission = true
-	h := newHarness(t, set, 1, 1, 1, 1)
+	settings := testSettings()
+	settings.ExternalAdmission = true
+	h := newHarness(t, settings, 1, 1, 1, 1)
 	for range 20 {
 		sentTo := map[string]string{}
 		for range 16 {
@@ -80,9 +80,9 @@
 // In an overload, long requests must not displace short ones of the same weight, because a long request
 // uses the capacity of several short ones.
 func TestLongRequestsAreShedFirst(t *testing.T) {
-	set := testSettings()
-	set.Classes[1].PriorityWeight = set.Classes[0].PriorityWeight
-	h := newHarness(t, set, 1, 1)
+	settings := testSettings()
+	settings.Classes[1].PriorityWeight = settings.Classes[0].PriorityWeight
+	h := newHarness(t, settings, 1, 1)
 	rejected := [2]int{}
 	for i := range 4000 {
 		h.setSheddingLevel(0.3)
--- a/logic/affinity_test.go
+++ b/logic/affinity_test.go
@@ -9,9 +9,9 @@
 
 // Keys must be assigned to affinity endpoints in proportion to capacity, and identically at all balancers.
 func TestAffinityEndpointIsSharedAndProportionalToCapacity(t *testing.T) {
-	set := testSettings()
-	set.UseListedWeights, set.KeyAffinity = true, true
-	h, other := newHarness(t, set, 1, 2, 3, 4), newHarness(t, set, 1, 2, 3, 4)
+	settings := testSettings()
+	settings.UseListedWeights, settings.KeyAffinity = true, true
+	h, other := newHarness(t, settings, 1, 2, 3, 4), newHarness(t, settings, 1, 2, 3, 4)
 	other.random.Uint64() // advances its random source
 	h.updateWeights()
 	other.updateWeights()
@@ -36,9 +36,9 @@
 // All requests have the same key and no attempt ends. As the key's endpoint fills up, the other endpoints
 // must get the remaining requests.
 func TestHotKeySpreadsUnderLoad(t *testing.T) {
-	set := testSettings()
-	set.UseListedWeights, set.KeyAffinity = true, true
-	h := newHarness(t, set, 1, 2, 3, 4)
+	settings := testSettings()
+	settings.UseListedWeights, settings.KeyAffinity = true, true
+	h := newHarness(t, settings, 1, 2, 3, 4)
 	sent := map[string]int{}
 	for i := range 40 {
 		r := Request{ID: fmt.Sprint("r", i), Key: "hot", Class: nonIdempotentClass, Deadline: h.clock + time.Second}
--- a/logic/attempt_test.go
+++ b/logic/attempt_test.go
@@ -9,9 +9,9 @@
 // the endpoint must not be ejected as unresponsive, and the request must have no deadline and no second
 // attempt. Afterwards the response is due.
 func TestNoResponseIsDueWhileBodyIsPending(t *testing.T) {
-	set := testSettings()
-	set.HedgingAllowed = true
-	h := newHarness(t, set, 1, 1)
+	settings := testSettings()
+	settings.HedgingAllowed = true
+	h := newHarness(t, settings, 1, 1)
 	var to string
 	for _, a := range h.Handle(h.clock, Request{ID: "upload", Class: cheapClass, BodyPending: true}) {
 		switch a.Kind {
@@ -76,13 +76,13 @@
 // A connection breaks shortly before the end of the idempotency window. A retry that arrives after the
 // window is executed again. No retry may therefore be sent within one timer resolution of the window's end.
 func TestRetryStaysWithinIdempotencyWindow(t *testing.T) {
-	set := testSettings()
-	window := set.Classes[keyedClass].IdempotencyWindow
+	settings := testSettings()
+	window := settings.Classes[keyedClass].IdempotencyWindow
 	for _, c := range []struct {
 		after time.Duration
 		want  ActionKind
-	}{{window - 2*set.TimerResolution, Send}, {window - set.TimerResolution, Fail}, {window, Fail}} {
-		h := newHarness(t, set, 1, 1) // both in one cell
+	}{{window - 2*settings.TimerResolution, Send}, {window - settings.TimerResolution, Fail}, {window, Fail}} {
+		h := newHarness(t, settings, 1, 1) // both in one cell
 		id, to := h.sendRequest(keyedClass)
 		h.clock += c.after
 		if next := h.endAttempt(id, to, 0, Reset, NoLoadReport); len(next) != 1 || next[0].Kind != c.want {
--- a/logic/balancer.go
+++ b/logic/balancer.go
@@ -61,22 +61,22 @@
 
 // New returns a Balancer that derives its random numbers from the seed alone. If a setting is invalid, the
 // error is a *SettingsError.
-func New(set Settings, seed uint64) (*Balancer, error) {
-	if err := set.validate(); err != nil {
+func New(settings Settings, seed uint64) (*Balancer, error) {
+	if err := settings.validate(); err != nil {
 		return nil, err
 	}
 	b := &Balancer{
-		settings:            set,
+		settings:            settings,
 		random:              rand.New(rand.NewPCG(seed, 0)),
 		requests:            map[string]*request{},
 		endpoints:           endpointSet{byID: map[string]*endpoint{}},
 		remembered:          rememberedEndpoints{},
-		retryBudget:         newRetryBudget(set.Balancers),
+		retryBudget:         newRetryBudget(settings.Balancers),
 		healthCheckBudget:   healthCheckBudget{available: initialHealthCheckBudget},
-		quotas:              newTenantQuotas(set.TenantQuotas, set.OverQuotaWeight),
+		quotas:              newTenantQuotas(settings.TenantQuotas, settings.OverQuotaWeight),
 		halfOpenIdempotency: NonIdempotent,
 	}
-	for _, c := range set.Classes {
+	for _, c := range settings.Classes {
 		b.baseline = append(b.baseline, initialBaseline(c))
 		b.horizon = max(b.horizon, c.LatencyObjective)
 		b.halfOpenIdempotency = min(b.halfOpenIdempotency, c.Idempotency)
--- a/logic/balancer_test.go
+++ b/logic/balancer_test.go
@@ -29,9 +29,9 @@
 // owner may deliver timers late. If it were idle with a poll scheduled, the poll could be late and leave
 // the balancer without an endpoint list.
 func TestIdleWithoutRequestsAndPolls(t *testing.T) {
-	set := testSettings()
-	set.SubscriptionRequired = true
-	h := newHarness(t, set, 1)
+	settings := testSettings()
+	settings.SubscriptionRequired = true
+	h := newHarness(t, settings, 1)
 	if !h.Idle() {
 		t.Error("not idle, but there are no requests")
 	}
--- a/logic/capacity_test.go
+++ b/logic/capacity_test.go
@@ -50,9 +50,9 @@
 // An attempt in another zone has an extra cost. An endpoint in the balancer's own zone must be preferred
 // only while it is idle.
 func TestOwnZoneIsPreferredWhileIdle(t *testing.T) {
-	set := testSettings()
-	set.CrossZoneCost = 0.1
-	h := newHarness(t, set, 1, 1)
+	settings := testSettings()
+	settings.CrossZoneCost = 0.1
+	h := newHarness(t, settings, 1, 1)
 	h.list(Endpoint{ID: "s1", Zone: 1})
 	own, other := h.endpoint("s0"), h.endpoint("s1")
 	h.updateWeights()
--- a/logic/endpoint.go
+++ b/logic/endpoint.go
@@ -25,14 +25,14 @@
 // endpoint is the state that the Balancer keeps of one endpoint.
 type endpoint struct {
 	Endpoint
-	rank        uint64        // position in this balancer's order of the endpoints; see subset.go
-	restartedAt time.Duration // when the list reported its latest restart; 0: never
-	lastSeen    time.Duration // latest response or, if later, the first send that waits for one
-	inFlight    []*attempt    // oldest first
-	health      endpointHealth
-	estimate    capacityEstimate
-	utilization healthCheckUtilization
-	check       checkSchedule
+	rank                   uint64        // position in this balancer's order of the endpoints; see subset.go
+	restartedAt            time.Duration // when the list reported its latest restart; 0: never
+	lastSeen               time.Duration // latest response or, if later, the first send that waits for one
+	inFlight               []*attempt    // oldest first
+	health                 endpointHealth
+	estimate               capacityEstimate
+	healthCheckUtilization healthCheckUtilization
+	check                  checkSchedule
 
 	// Set by updateWeights for the current event.
 	capacity float64 // estimated requests per second after slow start
--- a/logic/endpoints_test.go
+++ b/logic/endpoints_test.go
@@ -9,11 +9,11 @@
 // After an outage of discovery, the polls of a large fleet must not overload it again: the more balancers
 // there are, the longer each backs off, within the limits of the settings.
 func TestPollBackoffGrowsWithFleet(t *testing.T) {
-	set := testSettings()
-	set.SubscriptionRequired, set.MaxPollInterval = true, 10*time.Second
+	settings := testSettings()
+	settings.SubscriptionRequired, settings.MaxPollInterval = true, 10*time.Second
 	meanBackoff := func(balancers int) (mean time.Duration) {
-		set.Balancers = balancers
-		b, err := New(set, 1)
+		settings.Balancers = balancers
+		b, err := New(settings, 1)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -25,7 +25,7 @@
 		return mean
 	}
 	few, reference, many := meanBackoff(2), meanBackoff(referenceFleetSize), meanBackoff(4*referenceFleetSize)
-	if few != reference || many < 2*reference || many > 4*set.MaxPollInterval {
+	if few != reference || many < 2*reference || many > 4*settings.MaxPollInterval {
 		t.Errorf("mean backoff %v with 2 balancers, %v at the reference size, %v at four times that size", few, reference, many)
 	}
 }
@@ -39,11 +39,11 @@
 // Balancers that lose discovery at the same time must not poll at the same time: each draws its backoff,
 // which grows with each failed poll. At most one timer is set, however many polls have failed.
 func TestPollBackoffGrowsWithJitterWithinBounds(t *testing.T) {
-	set := testSettings()
-	set.SubscriptionRequired = true
+	settings := testSettings()
+	settings.SubscriptionRequired = true
 	var firstDelays []time.Duration
 	for seed := range uint64(5) {
-		b, err := New(set, seed)
+		b, err := New(settings, seed)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -71,19 +71,19 @@
 // A balancer that polls too late is treated as if it knew of changes that it has not received. The backoff
 // must stay within MaxPollInterval and MaxPollRetryInterval, however large the fleet is.
 func TestPollBackoffStaysWithinSettings(t *testing.T) {
-	set := testSettings()
-	set.SubscriptionRequired, set.MaxPollInterval = true, time.Second
+	settings := testSettings()
+	settings.SubscriptionRequired, settings.MaxPollInterval = true, time.Second
 	for seed := range uint64(5) {
-		b, err := New(set, seed)
+		b, err := New(settings, seed)
 		if err != nil {
 			t.Fatal(err)
 		}
 		for range 2 * maxBackoffDoublings {
-			if a := failPoll(b); a.Delay > set.MaxPollInterval {
-				t.Errorf("seed %d: poll after %v, want at most %v", seed, a.Delay, set.MaxPollInterval)
+			if a := failPoll(b); a.Delay > settings.MaxPollInterval {
+				t.Errorf("seed %d: poll after %v, want at most %v", seed, a.Delay, settings.MaxPollInterval)
 			}
 		}
-		large := set
+		large := settings
 		large.MaxPollRetryInterval, large.Balancers = 400*time.Millisecond, 300
 		b, err = New(large, seed)
 		if err != nil {
--- a/logic/harness_test.go
+++ b/logic/harness_test.go
@@ -37,18 +37,18 @@
 // healthCheckSettings returns settings that allow one health check per ten requests, and four per second
 // and endpoint.
 func healthCheckSettings() Settings {
-	set := testSettings()
-	set.HealthChecksPerRequest, set.EndpointHealthCheckRate = 0.1, 4
-	return set
+	settings := testSettings()
+	settings.HealthChecksPerRequest, settings.EndpointHealthCheckRate = 0.1, 4
+	return settings
 }
 
 // largeFleetSettings returns the settings of one of 300 balancers.
 func largeFleetSettings(index int) Settings {
-	set := testSettings()
-	set.Balancers, set.BalancerIndex = 300, index
-	set.SlowStartOverloadFactor, set.SlowStartInitialFraction = 2.5, 0.2
-	set.HealthChecksPerRequest, set.EndpointHealthCheckRate = 0.5, 4
-	return set
+	settings := testSettings()
+	settings.Balancers, settings.BalancerIndex = 300, index
+	settings.SlowStartOverloadFactor, settings.SlowStartInitialFraction = 2.5, 0.2
+	settings.HealthChecksPerRequest, settings.EndpointHealthCheckRate = 0.5, 4
+	return settings
 }
 
 // harness drives one Balancer with a manual clock.
@@ -60,9 +60,9 @@
 
 // newHarness returns a started Balancer with endpoints "s0", "s1" and so on that have the given weights,
 // two endpoints per cell.
-func newHarness(t *testing.T, set Settings, weights ...float64) *harness {
+func newHarness(t *testing.T, settings Settings, weights ...float64) *harness {
 	t.Helper()
-	b, err := New(set, 1)
+	b, err := New(settings, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/logic/healthcheck.go
+++ b/logic/healthcheck.go
@@ -172,7 +172,7 @@
 	if r.Utilization < 0 || r.RequestRate < 0 || b.slowStartFraction(e) < 1 {
 		return
 	}
-	e.utilization.add(r.Utilization, b.now, b.horizon)
+	e.healthCheckUtilization.add(r.Utilization, b.now, b.horizon)
 	e.estimate.healthChecks.add(r, b.now)
 }
 
@@ -202,5 +202,5 @@
 }
 
 func (b *Balancer) utilizationCertainty(e *endpoint) float64 {
-	return e.utilization.certainty(b.now, b.horizon)
+	return e.healthCheckUtilization.certainty(b.now, b.horizon)
 }
--- a/logic/healthcheck_test.go
+++ b/logic/healthcheck_test.go
@@ -34,7 +34,7 @@
 		t.Errorf("only %d checks of %d endpoints in 37 s, at an interval of %.0f s", checks, len(subset), h.checkInterval())
 	}
 	for id := range subset {
-		h.endpoint(id).utilization = healthCheckUtilization{value: 0.1, at: h.clock}
+		h.endpoint(id).healthCheckUtilization = healthCheckUtilization{value: 0.1, at: h.clock}
 	}
 	h.now = h.clock
 	if u := h.healthCheckFleetUtilization(); u > 0.2 {
@@ -47,9 +47,9 @@
 // Later, further health checks that time out must extend the ejection, without the cost of a half-open
 // request.
 func TestUnresponsiveEndpointIsCheckedAndEjected(t *testing.T) {
-	set := healthCheckSettings()
-	set.EndpointHealthCheckRate = 100
-	h := newHarness(t, set, 1, 1, 1)
+	settings := healthCheckSettings()
+	settings.EndpointHealthCheckRate = 100
+	h := newHarness(t, settings, 1, 1, 1)
 	h.healthCheckBudget.available = maxHealthCheckBudget
 	dead := h.endpoint("s0")
 	for range 40 {
@@ -114,12 +114,12 @@
 // would arrive together. The checks must stay near the rate that the settings allow for an endpoint.
 func TestNewEndpointIsNotCheckedByAllAtOnce(t *testing.T) {
 	const balancers, seconds = 400, 5
-	set := healthCheckSettings()
-	set.Balancers = balancers
+	settings := healthCheckSettings()
+	settings.Balancers = balancers
 	checks := 0
 	for index := range balancers {
-		set.BalancerIndex = index
-		b, err := New(set, uint64(index)+1)
+		settings.BalancerIndex = index
+		b, err := New(settings, uint64(index)+1)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -135,9 +135,9 @@
 			}
 		}
 	}
-	most := set.EndpointHealthCheckRate * seconds * (1 + checkIntervalSpread)
-	if float64(checks) > 1.3*most || checks == 0 {
-		t.Errorf("%d checks in %d s, want about %.0f at most", checks, seconds, most)
+	limit := settings.EndpointHealthCheckRate * seconds * (1 + checkIntervalSpread)
+	if float64(checks) > 1.3*limit || checks == 0 {
+		t.Errorf("%d checks in %d s, want about %.0f at most", checks, seconds, limit)
 	}
 }
 
@@ -155,9 +155,9 @@
 			h.passHealthCheck(id, NoLoadReport)
 		}
 	}
-	most := initialHealthCheckBudget + h.settings.HealthChecksPerRequest*requests
-	if checks == 0 || float64(checks) > most {
-		t.Errorf("%d checks, want 1 to %.0f", checks, most)
+	limit := initialHealthCheckBudget + h.settings.HealthChecksPerRequest*requests
+	if checks == 0 || float64(checks) > limit {
+		t.Errorf("%d checks, want 1 to %.0f", checks, limit)
 	}
 	h.advance(20 * h.horizon)
 	if late := healthChecksIn(h.advance(100 * h.horizon)); len(late) > 0 {
--- a/logic/hedge_test.go
+++ b/logic/hedge_test.go
@@ -14,9 +14,9 @@
 		return Class{Idempotency: idempotency, IdempotencyWindow: 3 * time.Second, LatencyObjective: time.Second,
 			Timeout: 3 * time.Second, PriorityWeight: 1}
 	}
-	set := testSettings()
-	set.HedgingAllowed = true
-	set.Classes = []Class{class(Idempotent), class(IdempotentWithKey), class(NonIdempotent)}
+	settings := testSettings()
+	settings.HedgingAllowed = true
+	settings.Classes = []Class{class(Idempotent), class(IdempotentWithKey), class(NonIdempotent)}
 	for name, c := range map[string]struct {
 		class, hedges int
 		utilization   float64
@@ -26,7 +26,7 @@
 		"non-idempotent": {nonIdempotent, 0, 0.3},
 		"busy endpoints": {idempotent, 0, 0.9},
 	} {
-		h := newHarness(t, set, 1, 1, 1, 1)
+		h := newHarness(t, settings, 1, 1, 1, 1)
 		for range 100 {
 			id, to := h.sendRequest(idempotent)
 			h.endAttempt(id, to, 0, OK, loadReport(c.utilization, 50))
--- a/logic/invariants_test.go
+++ b/logic/invariants_test.go
@@ -75,15 +75,15 @@
 		{"is rejected", rejectInsteadOfFail},
 		{"attempts in flight", repeatSend},
 	} {
-		set := randomSettings(rand.New(rand.NewPCG(2, 1)))
-		set.HedgingAllowed, set.MaxAttempts = false, 3
+		settings := randomSettings(rand.New(rand.NewPCG(2, 1)))
+		settings.HedgingAllowed, settings.MaxAttempts = false, 3
 		const objective, timeout = 200 * time.Millisecond, 600 * time.Millisecond
-		set.Classes = []Class{
+		settings.Classes = []Class{
 			{Idempotency: NonIdempotent, LatencyObjective: objective, Timeout: timeout, PriorityWeight: 1},
 			{Idempotency: IdempotentWithKey, DedupScope: DedupCell, IdempotencyWindow: objective,
 				LatencyObjective: objective, Timeout: timeout, PriorityWeight: 1},
 		}
-		s := newSimulation(set, 5)
+		s := newSimulation(settings, 5)
 		s.run(t, 3000, 0.5, func(actions []Action) []Action { return c.inject(s, slices.Clone(actions)) })
 		if !slices.ContainsFunc(s.violations, func(v string) bool { return strings.Contains(v, c.violation) }) {
 			t.Errorf("an injected violation is not reported: %s; number of reported violations: %d", c.violation, len(s.violations))
--- a/logic/outlier.go
+++ b/logic/outlier.go
@@ -42,7 +42,7 @@
 
 const (
 	healthy         healthState = iota
-	ejectedLocally              // because of outcomes at this balancer
+	ejectedLocally              // because of this balancer's own observations
 	ejectedByGossip             // because of reports of peers alone
 	halfOpen                    // still ejected, while one request tests it
 )
--- a/logic/overload.go
+++ b/logic/overload.go
@@ -227,7 +227,7 @@
 	used, capacity := 0.0, 0.0
 	for _, e := range b.endpoints.listed {
 		if e.inSubset && !b.isEjected(e) {
-			used += (1 - b.utilizationCertainty(e)*(1-e.utilization.value)) * e.capacity
+			used += (1 - b.utilizationCertainty(e)*(1-e.healthCheckUtilization.value)) * e.capacity
 			capacity += e.capacity
 		}
 	}
--- a/logic/overload_test.go
+++ b/logic/overload_test.go
@@ -59,9 +59,9 @@
 // A balancer with almost nothing in flight shed some of its requests, because they clustered randomly. If
 // the endpoints are not busy, it must shed none.
 func TestBalancerWithLittleTrafficShedsNothing(t *testing.T) {
-	set := testSettings()
-	set.Balancers = 500
-	h := newHarness(t, set, 1, 1, 1, 1)
+	settings := testSettings()
+	settings.Balancers = 500
+	h := newHarness(t, settings, 1, 1, 1, 1)
 	for i := range 300 {
 		var ids, endpoints []string
 		for range 1 + 3*(i%2) { // alternately one request and a cluster of four
--- a/logic/quota_test.go
+++ b/logic/quota_test.go
@@ -11,10 +11,10 @@
 // within their quotas are served as before. If all tenants stay within their quotas, all must be shed
 // equally.
 func TestTenantOverQuotaIsShedFirst(t *testing.T) {
-	set := testSettings()
-	set.TenantQuotas, set.OverQuotaWeight = []float64{0.5, 0.25, 0.25}, 0.2
+	settings := testSettings()
+	settings.TenantQuotas, settings.OverQuotaWeight = []float64{0.5, 0.25, 0.25}, 0.2
 	for _, burst := range []bool{false, true} {
-		h := newHarness(t, set, 1, 1)
+		h := newHarness(t, settings, 1, 1)
 		requests, rejected := [3]float64{}, [3]float64{}
 		for i := range 6000 {
 			tenant := []int{0, 0, 1, 2}[i%4]
@@ -44,9 +44,9 @@
 
 // A request may name a tenant that the settings do not define. It must have no quota.
 func TestUnknownTenantHasNoQuota(t *testing.T) {
-	set := testSettings()
-	set.TenantQuotas = []float64{0.5}
-	h := newHarness(t, set, 1, 1)
+	settings := testSettings()
+	settings.TenantQuotas = []float64{0.5}
+	h := newHarness(t, settings, 1, 1)
 	for _, tenant := range []int{7, -1} {
 		h.Handle(h.clock, Request{ID: fmt.Sprint(tenant), Tenant: tenant, Deadline: h.clock + 2*time.Second})
 		if factor := h.quotas.priorityFactor(tenant); factor != 1 {
--- a/logic/retry.go
+++ b/logic/retry.go
@@ -75,8 +75,8 @@
 func (b *Balancer) continueRequest(r *request) {
 	switch {
 	case r.closed:
-		b.closeRequest(r) // this may have been its last attempt
-	case r.inFlight > 0: // the other attempt goes on
+		b.closeRequest(r) // deletes it if this was its last attempt in flight
+	case r.inFlight > 0: // the other attempt continues
 	case r.notReplayable:
 		b.finish(r, NotRetryable)
 	case !b.retryBudget.allowsRetry():
--- a/logic/retry_test.go
+++ b/logic/retry_test.go
@@ -68,9 +68,9 @@
 			}
 		}
 	}
-	most := requests*(1+retriesPerRequest) + maxRetryBudget
-	if float64(sends) > most || float64(sends) < most-2*maxRetryBudget {
-		t.Errorf("%d attempts for %d requests, want about %.0f", sends, requests, most)
+	limit := requests*(1+retriesPerRequest) + maxRetryBudget
+	if float64(sends) > limit || float64(sends) < limit-2*maxRetryBudget {
+		t.Errorf("%d attempts for %d requests, want about %.0f", sends, requests, limit)
 	}
 }
 
@@ -95,17 +95,17 @@
 // A Reject must state when the client may try again, limited to the longest Retry-After that clients
 // respect.
 func TestRejectCarriesRetryAfter(t *testing.T) {
-	set := testSettings()
-	set.MaxRetryAfter = 200 * time.Millisecond
+	settings := testSettings()
+	settings.MaxRetryAfter = 200 * time.Millisecond
 	for _, class := range []int{cheapClass, nonIdempotentClass} {
-		h := newHarness(t, set) // no endpoints
+		h := newHarness(t, settings) // no endpoints
 		var reject Action
 		for _, a := range h.Handle(h.clock, Request{ID: "r", Class: class, Deadline: h.clock + time.Second}) {
 			if a.Kind == Reject {
 				reject = a
 			}
 		}
-		if reject.Request != "r" || reject.Delay != set.MaxRetryAfter {
+		if reject.Request != "r" || reject.Delay != settings.MaxRetryAfter {
 			t.Errorf("class %d: Reject is %+v", class, reject)
 		}
 	}
--- a/logic/selection_test.go
+++ b/logic/selection_test.go
@@ -8,11 +8,11 @@
 
 // Endpoints must be drawn with a probability proportional to their capacity.
 func TestDrawsAreProportionalToCapacity(t *testing.T) {
-	set := testSettings()
-	set.UseListedWeights = true
-	h := newHarness(t, set, 1, 2, 3, 4)
+	settings := testSettings()
+	settings.UseListedWeights = true
+	h := newHarness(t, settings, 1, 2, 3, 4)
 	h.updateWeights()
-	h.drawCandidates(&request{class: &set.Classes[cheapClass], Request: Request{Deadline: h.clock + 1}})
+	h.drawCandidates(&request{class: &settings.Classes[cheapClass], Request: Request{Deadline: h.clock + 1}})
 	const draws = 40000
 	drawn := map[string]float64{}
 	for range draws {
@@ -43,9 +43,9 @@
 // If two loads are nearly equal, the larger endpoint must be selected; if the endpoints are equal in
 // everything, a random one.
 func TestNearTieGoesToLargerEndpointAndFullTieIsRandom(t *testing.T) {
-	set := testSettings()
-	set.UseListedWeights = true
-	h := newHarness(t, set, 1, 1.99)
+	settings := testSettings()
+	settings.UseListedWeights = true
+	h := newHarness(t, settings, 1, 1.99)
 	if _, to := h.sendRequest(cheapClass); to != "s1" { // stays in flight
 		t.Fatalf("request sent to %s, but s1 has the lowest load", to)
 	}
--- a/logic/settings.go
+++ b/logic/settings.go
@@ -106,34 +106,34 @@
 }
 
 // validate returns a *SettingsError for the first invalid setting.
-func (set *Settings) validate() error {
-	if len(set.Classes) == 0 {
+func (s *Settings) validate() error {
+	if len(s.Classes) == 0 {
 		return &SettingsError{"Classes", "must not be empty"}
 	}
-	for i := range set.Classes {
-		if err := set.Classes[i].validate(); err != nil {
+	for i := range s.Classes {
+		if err := s.Classes[i].validate(); err != nil {
 			return err
 		}
 	}
-	for i, quota := range set.TenantQuotas {
+	for i, quota := range s.TenantQuotas {
 		if quota <= 0 || quota > 1 {
 			return &SettingsError{fmt.Sprintf("TenantQuotas[%d]", i), "must be above 0 and at most 1"}
 		}
 	}
 	switch {
-	case set.OverQuotaWeight < 0 || set.OverQuotaWeight > 1:
+	case s.OverQuotaWeight < 0 || s.OverQuotaWeight > 1:
 		return &SettingsError{"OverQuotaWeight", "must be from 0 to 1"}
-	case set.MaxPollInterval < 0:
+	case s.MaxPollInterval < 0:
 		return &SettingsError{"MaxPollInterval", "must not be below 0"}
-	case set.MaxPollRetryInterval < 0:
+	case s.MaxPollRetryInterval < 0:
 		return &SettingsError{"MaxPollRetryInterval", "must not be below 0"}
-	case set.Balancers < 1:
+	case s.Balancers < 1:
 		return &SettingsError{"Balancers", "must be at least 1"}
-	case set.MaxAttempts < 1:
+	case s.MaxAttempts < 1:
 		return &SettingsError{"MaxAttempts", "must be at least 1"}
-	case set.SlowStartWindow > 0 && (set.SlowStartInitialFraction <= 0 || set.SlowStartInitialFraction > 1):
+	case s.SlowStartWindow > 0 && (s.SlowStartInitialFraction <= 0 || s.SlowStartInitialFraction > 1):
 		return &SettingsError{"SlowStartInitialFraction", "must be above 0 and at most 1"}
-	case set.SlowStartOverloadFactor < 0:
+	case s.SlowStartOverloadFactor < 0:
 		return &SettingsError{"SlowStartOverloadFactor", "must not be below 0"}
 	}
 	return nil
--- a/logic/settings_test.go
+++ b/logic/settings_test.go
@@ -24,9 +24,9 @@
 		{"MaxPollRetryInterval", func(s *Settings) { s.MaxPollRetryInterval = -1 }},
 		{"SlowStartOverloadFactor", func(s *Settings) { s.SlowStartOverloadFactor = -1 }},
 	} {
-		set := testSettings()
-		c.invalidate(&set)
-		_, err := New(set, 1)
+		settings := testSettings()
+		c.invalidate(&settings)
+		_, err := New(settings, 1)
 		var invalid *SettingsError
 		if !errors.As(err, &invalid) || invalid.Setting != c.setting {
 			t.Errorf("error for the setting %s: %v", c.setting, err)
--- a/logic/simulation_test.go
+++ b/logic/simulation_test.go
@@ -12,7 +12,7 @@
 // action against the rules. It shares no code with the package: it tracks the state itself, from events and
 // actions alone.
 type simulation struct {
-	set       Settings
+	settings  Settings
 	random    *rand.Rand
 	now       time.Duration
 	endpoints map[string]*simulatedEndpoint
@@ -55,9 +55,9 @@
 	token uint64
 }
 
-func newSimulation(set Settings, seed uint64) *simulation {
+func newSimulation(settings Settings, seed uint64) *simulation {
 	return &simulation{
-		set:       set,
+		settings:  settings,
 		random:    rand.New(rand.NewPCG(seed, 7)),
 		now:       time.Hour,
 		endpoints: map[string]*simulatedEndpoint{},
@@ -72,12 +72,12 @@
 // end. load is the probability by which each further request arrives in a step.
 func (s *simulation) run(t *testing.T, steps int, load float64, mutate actionMutator) *Balancer {
 	t.Helper()
-	b, err := New(s.set, 1)
+	b, err := New(s.settings, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	s.carryOut(b.Start(s.now))
-	for i := range steps + int(s.longestTimeout()/s.set.TimerResolution) + 4 {
+	for i := range steps + int(s.longestTimeout()/s.settings.TimerResolution) + 4 {
 		if i >= steps {
 			load = 0
 		}
@@ -93,7 +93,7 @@
 }
 
 func (s *simulation) longestTimeout() (longest time.Duration) {
-	for _, c := range s.set.Classes {
+	for _, c := range s.settings.Classes {
 		longest = max(longest, c.Timeout)
 	}
 	return longest
@@ -102,7 +102,7 @@
 // step advances the clock and returns the events that are due, in order. Each event changes the
 // simulation's state only when it is called, because the balancer does not yet know about later events.
 func (s *simulation) step(load float64) (events []func() Event) {
-	s.now += s.set.TimerResolution
+	s.now += s.settings.TimerResolution
 	events = s.dueTimers()
 	if s.random.Float64() < 0.02 {
 		events = append(events, s.changeEndpoints)
@@ -151,7 +151,7 @@
 			return ClientDisconnected{id}
 		})
 	}
-	if !r.closed && s.now > r.Deadline+2*s.set.TimerResolution {
+	if !r.closed && s.now > r.Deadline+2*s.settings.TimerResolution {
 		s.violation("no final response for %s", id)
 		r.closed = true
 	}
@@ -181,9 +181,9 @@
 
 func (s *simulation) newRequest() func() Event {
 	s.requestCount++
-	class := s.random.IntN(len(s.set.Classes))
+	class := s.random.IntN(len(s.settings.Classes))
 	request := Request{ID: fmt.Sprint("r", s.requestCount), Class: class, Key: fmt.Sprint("k", s.random.IntN(20))}
-	timeout := float64(s.set.Classes[class].Timeout) * (0.3 + 0.7*s.random.Float64())
+	timeout := float64(s.settings.Classes[class].Timeout) * (0.3 + 0.7*s.random.Float64())
 	request.Deadline = s.now + time.Duration(timeout)
 	s.requests[request.ID] = &simulatedRequest{Request: request}
 	s.open = append(s.open, request.ID)
@@ -275,7 +275,7 @@
 	results := []Result{OK, OK, OK, OK, OK, Failed, Rejected, TimedOut, ConnectFailed, Reset}
 	a := simulatedAttempt{endpoint: e, zone: e.Zone, cell: e.Cell, sentAt: s.now, inFlight: true,
 		result: results[s.random.IntN(len(results))]}
-	mean := float64(s.set.Classes[r.Class].LatencyObjective) / 3
+	mean := float64(s.settings.Classes[r.Class].LatencyObjective) / 3
 	a.endsAt = s.now + time.Duration(s.random.ExpFloat64()*mean) + time.Millisecond
 	if a.endsAt > r.Deadline {
 		a.endsAt, a.result = r.Deadline, TimedOut
@@ -291,8 +291,8 @@
 	if e.unavailableSince != 0 {
 		s.violation("send to %s, which is draining or removed", e.ID)
 	}
-	if len(r.attempts) >= s.set.MaxAttempts {
-		s.violation("attempt %d exceeds the maximum of %d", len(r.attempts)+1, s.set.MaxAttempts)
+	if len(r.attempts) >= s.settings.MaxAttempts {
+		s.violation("attempt %d exceeds the maximum of %d", len(r.attempts)+1, s.settings.MaxAttempts)
 	}
 	inFlight := 0
 	for _, a := range r.attempts {
@@ -300,14 +300,14 @@
 			inFlight++
 		}
 	}
-	if inFlight > 1 || inFlight == 1 && !s.set.HedgingAllowed {
+	if inFlight > 1 || inFlight == 1 && !s.settings.HedgingAllowed {
 		s.violation("send with %d attempts in flight already", inFlight)
 	}
 }
 
 // checkRepeat checks the rules for an attempt that follows one that may have been executed.
 func (s *simulation) checkRepeat(r *simulatedRequest, e *simulatedEndpoint) {
-	class := s.set.Classes[r.Class]
+	class := s.settings.Classes[r.Class]
 	var first *simulatedAttempt
 	for i := range r.attempts {
 		a := &r.attempts[i]
@@ -332,7 +332,7 @@
 
 // checkReject checks that the client can safely try again after a Reject.
 func (s *simulation) checkReject(r *simulatedRequest) {
-	class := s.set.Classes[r.Class]
+	class := s.settings.Classes[r.Class]
 	harmful := class.Idempotency == NonIdempotent ||
 		class.Idempotency == IdempotentWithKey && class.DedupScope != DedupFleet
 	for _, a := range r.attempts {
@@ -347,7 +347,7 @@
 	if r.closed {
 		s.violation("a second final response for %s", r.ID)
 	}
-	if s.now > r.Deadline+2*s.set.TimerResolution {
+	if s.now > r.Deadline+2*s.settings.TimerResolution {
 		s.violation("a final response %v after the deadline", s.now-r.Deadline)
 	}
 	r.closed = true
@@ -355,7 +355,7 @@
 
 // randomSettings returns random settings that cover all options.
 func randomSettings(random *rand.Rand) Settings {
-	set := Settings{
+	settings := Settings{
 		Balancers:                1 + random.IntN(5),
 		TimerResolution:          5 * time.Millisecond,
 		Zone:                     random.IntN(2),
@@ -371,7 +371,7 @@
 	}
 	for i := range 1 + random.IntN(3) {
 		objective := time.Duration(100+random.IntN(900)) * time.Millisecond
-		set.Classes = append(set.Classes, Class{
+		settings.Classes = append(settings.Classes, Class{
 			Name:              fmt.Sprint("c", i),
 			Idempotency:       Idempotency(random.IntN(3)),
 			DedupScope:        DedupScope(random.IntN(3)),
@@ -381,5 +381,5 @@
 			PriorityWeight:    1 + 9*random.Float64(),
 		})
 	}
-	return set
+	return settings
 }
--- a/logic/slowstart_test.go
+++ b/logic/slowstart_test.go
@@ -22,8 +22,8 @@
 			warming++
 		}
 	}
-	if most := n*0.3/10 + 8; float64(warming) > most || warming == 0 {
-		t.Errorf("a warming endpoint got %d of %d requests, want 1 to %.1f", warming, n, most)
+	if limit := n*0.3/10 + 8; float64(warming) > limit || warming == 0 {
+		t.Errorf("a warming endpoint got %d of %d requests, want 1 to %.1f", warming, n, limit)
 	}
 }
 
@@ -32,9 +32,9 @@
 // left. More requests would overload it.
 func TestWarmingFleetGetsItsPresentCapacity(t *testing.T) {
 	for _, warm := range []int{0, 1} {
-		set := testSettings()
-		set.SlowStartOverloadFactor = 3
-		h := newHarness(t, set)
+		settings := testSettings()
+		settings.SlowStartOverloadFactor = 3
+		h := newHarness(t, settings)
 		list := EndpointList{Full: true}
 		for i := range 10 {
 			entry := Endpoint{ID: fmt.Sprint("s", i), StartedAt: h.clock}
@@ -52,10 +52,10 @@
 				warming++
 			}
 		}
-		most := 1.5*0.3*n*float64(10-warm)/10 + 50
-		if float64(warming) > most || float64(warming) < most/2 {
+		limit := 1.5*0.3*n*float64(10-warm)/10 + 50
+		if float64(warming) > limit || float64(warming) < limit/2 {
 			t.Errorf("with %d warm endpoints the others got %d of %d requests, want %.0f to %.0f",
-				warm, warming, n, most/2, most)
+				warm, warming, n, limit/2, limit)
 		}
 	}
 }
@@ -85,18 +85,18 @@
 				}
 			}
 		}
-		most, total := 0, 0
+		highest, total := 0, 0
 		for i := 100; i < 200; i++ {
 			n := sent[fmt.Sprint("s", i)]
-			total, most = total+n, max(most, n)
+			total, highest = total+n, max(highest, n)
 		}
 		fair := balancers * requestsEach * c.fraction / 200
 		mean := float64(total) / 100
 		if mean < fair || mean > 1.5*fair {
 			t.Errorf("%s: a warming endpoint got %.1f requests on average, with a current capacity of %.1f", name, mean, fair)
 		}
-		if float64(most) > 2.5*fair+2*mean {
-			t.Errorf("%s: one warming endpoint got %d requests, with a current capacity of %.1f", name, most, fair)
+		if float64(highest) > 2.5*fair+2*mean {
+			t.Errorf("%s: one warming endpoint got %d requests, with a current capacity of %.1f", name, highest, fair)
 		}
 	}
 }
--- a/logic/subset_test.go
+++ b/logic/subset_test.go
@@ -9,9 +9,9 @@
 // requests.
 func endpointsUsed(t *testing.T, index, balancers, endpoints int, completed bool) map[string]int {
 	t.Helper()
-	set := testSettings()
-	set.BalancerIndex, set.Balancers = index, balancers
-	h := newHarness(t, set, make([]float64, endpoints)...)
+	settings := testSettings()
+	settings.BalancerIndex, settings.Balancers = index, balancers
+	h := newHarness(t, settings, make([]float64, endpoints)...)
 	used := map[string]int{}
 	for range 60 {
 		id, to := h.sendRequest(nonIdempotentClass)
@@ -49,9 +49,9 @@
 // A balancer with many requests in flight overloaded the few endpoints of its subset. The subset must grow
 // with the number of attempts in flight.
 func TestSubsetGrowsWithConcurrency(t *testing.T) {
-	set := testSettings()
-	set.Balancers = 200
-	h := newHarness(t, set, make([]float64, 40)...)
+	settings := testSettings()
+	settings.Balancers = 200
+	h := newHarness(t, settings, make([]float64, 40)...)
 	used := map[string]bool{}
 	for i := range 80 {
 		if _, to := h.sendRequest(nonIdempotentClass); i >= 40 {
