--- a/internal/agent/accept_test.go
+++ b/internal/agent/accept_test.go
@@ -89,7 +89,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	cfg.AcceptFor = 0
+	cfg.AcceptWindow = 0
 	return launchAgent(t, cfg, Environment{Clients: l}, slog.DiscardHandler)
 }
 
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -160,8 +160,8 @@
 			t.Errorf("of %d: two processes may hold %+v", limit, both)
 		}
 	}
-	if ends := platform.AcceptOn + fronthttp.DrainMargin; platform.AcceptOn <= 400*time.Millisecond || ends >= 700*time.Millisecond {
-		t.Errorf("accepts for %v, ends %v past the deadline", platform.AcceptOn, ends)
+	if ends := platform.DefaultAcceptWindow + fronthttp.DrainMargin; platform.DefaultAcceptWindow <= 400*time.Millisecond || ends >= 700*time.Millisecond {
+		t.Errorf("accepts for %v, ends %v past the deadline", platform.DefaultAcceptWindow, ends)
 	}
 }
 
--- a/internal/agent/build.go
+++ b/internal/agent/build.go
@@ -39,7 +39,7 @@
 		events:      event.NewRecorder(log),
 		monitor:     invariant.NewMonitor(log),
 		metrics:     metrics.New(classNames(cfg)),
-		connections: limitConnections(cfg.Sockets, env),
+		connections: limitConnections(cfg.MaxDescriptors, env),
 		bodies:      bodybuffer.NewBudget(bodyMemory(cfg, env)),
 	}
 	stages := []func() error{
@@ -168,7 +168,7 @@
 		Agents:               a.config.Site.Logic.Balancers,
 		SubscriptionRequired: a.config.Site.Logic.SubscriptionRequired,
 		Zones:                a.config.Site.Zones,
-		CachedList:           a.config.Known,
+		CachedList:           a.config.CachedEndpoints,
 		Seed:                 a.config.Seed,
 		Clock:                a.clock,
 		Dial:                 a.env.Dial,
@@ -188,7 +188,7 @@
 		Metrics:           a.metrics,
 		BodyBudget:        a.bodies,
 		MaxConnections:    a.connections.fromClients,
-		AcceptWindow:      a.config.AcceptFor,
+		AcceptWindow:      a.config.AcceptWindow,
 		DrainTimeout:      a.operators.Drain.MaxDuration.D(),
 		SocketBufferBytes: a.operators.Connections.SocketBufferBytes,
 		Log:               a.log,
--- a/internal/agent/clients_test.go
+++ b/internal/agent/clients_test.go
@@ -42,7 +42,7 @@
 func TestIdleConnectionsAreEvictedAtTheLimit(t *testing.T) {
 	b := testkit.NewBackend(t, testkit.Says(testkit.ServedText))
 	a := startAgentWith(t, testkit.NewDiscovery(t, 1, testkit.EntryText("s-1", b.Addr().String(), "Ready", 0)), 0, func(cfg *platform.Config) {
-		cfg.Sockets = minDescriptors
+		cfg.MaxDescriptors = minDescriptors
 	})
 	maxConnections := limitConnections(minDescriptors, Environment{}).fromClients
 	for i := range 4 * maxConnections {
@@ -65,7 +65,7 @@
 func TestAnswersCloseConnectionsNearTheLimit(t *testing.T) {
 	b := testkit.NewBackend(t, testkit.Says(testkit.ServedText))
 	a := startAgentWith(t, testkit.NewDiscovery(t, 1, testkit.EntryText("s-1", b.Addr().String(), "Ready", 0)), 0, func(cfg *platform.Config) {
-		cfg.Sockets = minDescriptors
+		cfg.MaxDescriptors = minDescriptors
 	})
 	if got := send(t, a.newRequest(t, http.MethodGet, "/form-check", "")); got.close {
 		t.Error("closed with hardly any open")
--- a/internal/agent/doc.go
+++ b/internal/agent/doc.go
@@ -19,7 +19,7 @@
 // Two contexts order the end of a process:
 //
 //  1. The context of Run ends (SIGTERM). The front drains: it reports that it is not ready, goes on accepting for
-//     platform.Config.AcceptFor, closes the client listener, and answers what is pending. The snapshot is saved once more, at
+//     platform.Config.AcceptWindow, closes the client listener, and answers what is pending. The snapshot is saved once more, at
 //     the signal: what is learned during the drain is not kept.
 //  2. When the front returns, the background context ends. It is not derived from the cancellation of the first, because
 //     pending calls still need the core, the pool and discovery while the front drains.
--- a/internal/agent/harness_test.go
+++ b/internal/agent/harness_test.go
@@ -47,7 +47,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	cfg.AcceptFor = acceptFor
+	cfg.AcceptWindow = acceptFor
 	change(&cfg)
 	return launchAgent(t, cfg, Environment{Clients: testkit.Listen(t), Control: testkit.Listen(t)}, log)
 }
--- a/internal/config/platform/platform.go
+++ b/internal/config/platform/platform.go
@@ -21,18 +21,18 @@
 
 // Config is what the platform tells an agent.
 type Config struct {
-	Name      string
-	Listen    string // where clients connect
-	Discovery string // host and port
-	Control   string // where operators connect; empty for nowhere
-	Seed      uint64 // for random numbers
-	Cores     float64
-	MemoryMB  int
-	Sockets   int // file descriptors that the process may hold
-	Site      wire.Site
+	Name           string
+	Listen         string // where clients connect
+	Discovery      string // host and port
+	Control        string // where operators connect; empty for nowhere
+	Seed           uint64 // for random numbers
+	Cores          float64
+	MemoryMB       int
+	MaxDescriptors int // file descriptors that the process may hold
+	Site           wire.Site
 
-	Known     discovery.EndpointList // the servers that an earlier life of the agent knew
-	AcceptFor time.Duration          // new clients are accepted for so long after the signal to end
+	CachedEndpoints discovery.EndpointList // the servers that an earlier life of the agent knew
+	AcceptWindow    time.Duration          // new clients are accepted for so long after the signal to end
 }
 
 // configFile is the form of the file that PROXY_CONFIG names.
@@ -51,9 +51,9 @@
 	Settings json.RawMessage `json:"settings"`
 }
 
-// AcceptOn is how long clients are accepted after the signal to end: new connections come for up to 0.4 s after it, and the
+// DefaultAcceptWindow is how long clients are accepted after the signal to end: new connections come for up to 0.4 s after it, and the
 // platform kills 0.7 s after the longest deadline at the soonest.
-const AcceptOn = 550 * time.Millisecond
+const DefaultAcceptWindow = 550 * time.Millisecond
 
 // Limits that hold where the configuration states none.
 const (
@@ -103,9 +103,9 @@
 	}
 	cfg = Config{Name: prefer("PROXY_NAME", f.Name), Listen: prefer("PROXY_LISTEN", f.Listen),
 		Discovery: prefer("PROXY_DISCOVERY", f.Discovery), Control: prefer("PROXY_CONTROL", f.Control), Cores: f.Limits.Cores, MemoryMB: f.Limits.MemoryMB,
-		Sockets: f.Limits.Sockets, AcceptFor: AcceptOn}
-	if cfg.Sockets <= 0 {
-		cfg.Sockets = defaultSockets
+		MaxDescriptors: f.Limits.Sockets, AcceptWindow: DefaultAcceptWindow}
+	if cfg.MaxDescriptors <= 0 {
+		cfg.MaxDescriptors = defaultSockets
 	}
 	if cfg.MemoryMB <= 0 {
 		cfg.MemoryMB = defaultMemoryMB
@@ -128,7 +128,7 @@
 		return cfg, fmt.Errorf("settings: %w", err)
 	}
 	if len(f.Known) > 0 {
-		if cfg.Known, err = discovery.ParseEndpointList(f.Known); err != nil {
+		if cfg.CachedEndpoints, err = discovery.ParseEndpointList(f.Known); err != nil {
 			return cfg, fmt.Errorf("known: %w", err)
 		}
 	}
@@ -180,8 +180,8 @@
 		control = "nowhere"
 	}
 	fmt.Fprintf(w, "agent %s: clients at %s, operators at %s, discovery at %s\n", cfg.Name, cfg.Listen, control, cfg.Discovery)
-	fmt.Fprintf(w, "limits: %g cores, %d MB, %d descriptors\n", cfg.Cores, cfg.MemoryMB, cfg.Sockets)
-	fmt.Fprintf(w, "fleet: agent %d of %d; %d backends known from before\n", cfg.Site.Logic.BalancerIndex, cfg.Site.Logic.Balancers, len(cfg.Known.Endpoints))
+	fmt.Fprintf(w, "limits: %g cores, %d MB, %d descriptors\n", cfg.Cores, cfg.MemoryMB, cfg.MaxDescriptors)
+	fmt.Fprintf(w, "fleet: agent %d of %d; %d backends known from before\n", cfg.Site.Logic.BalancerIndex, cfg.Site.Logic.Balancers, len(cfg.CachedEndpoints.Endpoints))
 	effects := map[logic.Idempotency]string{logic.Idempotent: "safe to repeat", logic.IdempotentWithKey: "carries a key", logic.NonIdempotent: "must never run twice"}
 	for _, c := range cfg.Site.Logic.Classes {
 		fmt.Fprintf(w, "class %s: %s, wanted within %v, deadline %v, worth %g\n", c.Name, effects[c.Idempotency], c.LatencyObjective, c.Timeout, c.PriorityWeight)
--- a/internal/config/platform/platform_test.go
+++ b/internal/config/platform/platform_test.go
@@ -14,7 +14,7 @@
 		t.Fatal(err)
 	}
 	if cfg.Name != "n0" || cfg.Listen != "127.0.0.1:0" || cfg.Discovery != "127.0.0.1:8500" || cfg.Seed != 0x8c1f30d27a5be964 ||
-		cfg.Cores != 1 || cfg.MemoryMB != 192 || cfg.Sockets != 1024 || cfg.Known.Version != 41 || len(cfg.Known.Endpoints) != 1 {
+		cfg.Cores != 1 || cfg.MemoryMB != 192 || cfg.MaxDescriptors != 1024 || cfg.CachedEndpoints.Version != 41 || len(cfg.CachedEndpoints.Endpoints) != 1 {
 		t.Errorf("%+v", cfg)
 	}
 	if s := cfg.Site; s.IdleTimeout != 15*time.Second || s.ConnectTimeout != 5*time.Second || s.MaxOpenRequests != 1000 ||
--- a/internal/upstream/http/loadreport.go
+++ b/internal/upstream/http/loadreport.go
@@ -38,7 +38,7 @@
 		}
 		for _, field := range fields {
 			if field == name {
-				wire.SetFigure(&report, name, figure)
+				wire.SetLoadReportField(&report, name, figure)
 			}
 		}
 	}
--- a/internal/wire/events.go
+++ b/internal/wire/events.go
@@ -122,13 +122,13 @@
 		if i >= len(fields) {
 			break
 		}
-		SetFigure(&report, fields[i], figure)
+		SetLoadReportField(&report, fields[i], figure)
 	}
 	return report
 }
 
-// SetFigure sets the figure of a load report that has this name in the settings. The module has no use for others.
-func SetFigure(report *logic.LoadReport, name string, value float64) {
+// SetLoadReportField sets the figure of a load report that has this name in the settings. The module has no use for others.
+func SetLoadReportField(report *logic.LoadReport, name string, value float64) {
 	switch name {
 	case "util":
 		report.Utilization = value
