--- a/cmd/ryeweir/log_test.go
+++ b/cmd/ryeweir/log_test.go
@@ -77,8 +77,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			b := testkit.NewBackend(t, testkit.Says(testkit.ServedText))
-			d := testkit.NewDiscovery(t, 1, testkit.EntryText("b", b.Addr().String(), "Ready", 0))
+			b := testkit.NewBackend(t, testkit.RespondWith(testkit.OKResponse))
+			d := testkit.NewDiscovery(t, 1, testkit.EndpointJSON("b", b.Addr().String(), "Ready", 0))
 			program, log, addr := startProgram(t, d, "debug")
 			lose(log)
 			for n := range 400 { // some hundred KB of log, more than a pipe holds
@@ -94,7 +94,7 @@
 				if err != nil {
 					t.Error(err)
 				}
-			case <-time.After(testkit.Patience):
+			case <-time.After(testkit.WaitTimeout):
 				t.Error("it does not end")
 			}
 		})
--- a/internal/agent/accept_test.go
+++ b/internal/agent/accept_test.go
@@ -50,9 +50,9 @@
 			t.Parallel()
 			b := testkit.NewBackend(t, func(c net.Conn, r *http.Request, n int) bool {
 				time.Sleep(300 * time.Millisecond)
-				return testkit.Says(testkit.ServedText)(c, r, n)
+				return testkit.RespondWith(testkit.OKResponse)(c, r, n)
 			})
-			d := testkit.NewDiscovery(t, 1, testkit.EntryText("b", b.Addr().String(), "Ready", 0))
+			d := testkit.NewDiscovery(t, 1, testkit.EndpointJSON("b", b.Addr().String(), "Ready", 0))
 			l := &failingListener{Listener: testkit.Listen(t)}
 			a := startAgentOn(t, d, l)
 			answers := make(chan int, 1)
@@ -110,8 +110,8 @@
 // A connection waits in the accept queue when the time for new ones ends. It is accepted and its request answered: closing the
 // listener would reset it, and the client would have lost a request that was sent.
 func TestConnectionInAcceptQueueIsServedDuringDrain(t *testing.T) {
-	b := testkit.NewBackend(t, testkit.Says(testkit.ServedText))
-	d := testkit.NewDiscovery(t, 1, testkit.EntryText("b", b.Addr().String(), "Ready", 0))
+	b := testkit.NewBackend(t, testkit.RespondWith(testkit.OKResponse))
+	d := testkit.NewDiscovery(t, 1, testkit.EndpointJSON("b", b.Addr().String(), "Ready", 0))
 	l := &stalledListener{Listener: testkit.Listen(t)}
 	a := startAgentOn(t, d, l)
 	goOn := make(chan struct{})
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -21,8 +21,8 @@
 
 // A request's target and body reach the endpoint byte for byte, and its answer the client.
 func TestRequestAndAnswerPassUnchanged(t *testing.T) {
-	b := testkit.NewBackend(t, testkit.Says(testkit.ServedText))
-	a := startAgent(t, testkit.NewDiscovery(t, 1, testkit.EntryText("s-1", b.Addr().String(), "Ready", 0)), 0)
+	b := testkit.NewBackend(t, testkit.RespondWith(testkit.OKResponse))
+	a := startAgent(t, testkit.NewDiscovery(t, 1, testkit.EndpointJSON("s-1", b.Addr().String(), "Ready", 0)), 0)
 	got := send(t, a.newRequest(t, http.MethodPost, "/refund-record/a%2Fb?x=1&y=%20", "the form"))
 	if got.status != http.StatusOK || got.body != "fine" || got.close {
 		t.Errorf("answer %+v", got)
@@ -40,8 +40,8 @@
 // Retry-After only where sending the request again does no harm, else a failure.
 func TestSilentEndpointEndsAtDeadline(t *testing.T) {
 	t.Parallel()
-	b := testkit.NewBackend(t, testkit.Silent)
-	a := startAgent(t, testkit.NewDiscovery(t, 1, testkit.EntryText("s-1", b.Addr().String(), "Ready", 0)), 0)
+	b := testkit.NewBackend(t, testkit.NeverRespond)
+	a := startAgent(t, testkit.NewDiscovery(t, 1, testkit.EndpointJSON("s-1", b.Addr().String(), "Ready", 0)), 0)
 	for method, want := range map[string]struct {
 		path   string
 		status int
@@ -60,7 +60,7 @@
 // The only endpoint refuses connections. Nothing can have run, so that the client is rejected at once, although it would wait for
 // long.
 func TestNoReachableEndpointRejectsAtOnce(t *testing.T) {
-	a := startAgent(t, testkit.NewDiscovery(t, 1, testkit.EntryText("s-1", testkit.Refusing(t), "Ready", 0)), 0)
+	a := startAgent(t, testkit.NewDiscovery(t, 1, testkit.EndpointJSON("s-1", testkit.RefusingAddr(t), "Ready", 0)), 0)
 	r := a.newRequest(t, http.MethodPost, "/refund-record", "")
 	r.Header.Set("X-Timeout", "3000000m")
 	if got := send(t, r); got.status != http.StatusServiceUnavailable || got.header.Get("Retry-After") == "" {
@@ -71,9 +71,9 @@
 // An endpoint reads a request that must not run twice and closes the connection. The request may have run: it goes to no other
 // endpoint, and the answer does not invite the client to send it again.
 func TestNonIdempotentRequestIsSentOnce(t *testing.T) {
-	b := testkit.NewBackend(t, testkit.Closes)
+	b := testkit.NewBackend(t, testkit.CloseConnection)
 	addr := b.Addr().String()
-	a := startAgent(t, testkit.NewDiscovery(t, 1, testkit.EntryText("s-1", addr, "Ready", 0), testkit.EntryText("s-2", addr, "Ready", 0)), 0)
+	a := startAgent(t, testkit.NewDiscovery(t, 1, testkit.EndpointJSON("s-1", addr, "Ready", 0), testkit.EndpointJSON("s-2", addr, "Ready", 0)), 0)
 	r := a.newRequest(t, http.MethodPost, "/pay", "x")
 	r.Header.Del("Idempotency-Key")
 	if got := send(t, r); got.status != http.StatusBadGateway || b.Requests() != 1 {
@@ -84,10 +84,10 @@
 // An endpoint reads an idempotent request and closes the connection. It is retried, and the client sees nothing of it.
 func TestIdempotentRequestIsRetried(t *testing.T) {
 	b := testkit.NewBackend(t, func(c net.Conn, r *http.Request, n int) bool {
-		return n > 1 && testkit.Says(testkit.ServedText)(c, r, n)
+		return n > 1 && testkit.RespondWith(testkit.OKResponse)(c, r, n)
 	})
 	addr := b.Addr().String()
-	a := startAgent(t, testkit.NewDiscovery(t, 1, testkit.EntryText("s-1", addr, "Ready", 0), testkit.EntryText("s-2", addr, "Ready", 0)), 0)
+	a := startAgent(t, testkit.NewDiscovery(t, 1, testkit.EndpointJSON("s-1", addr, "Ready", 0), testkit.EndpointJSON("s-2", addr, "Ready", 0)), 0)
 	if got := send(t, a.newRequest(t, http.MethodGet, "/form-check", "")); got.status != http.StatusOK || b.Requests() != 2 {
 		t.Errorf("%d attempts, %+v", b.Requests(), got)
 	}
@@ -97,8 +97,8 @@
 // endpoint.
 func TestInvalidRequestIsAnsweredAndNotForwarded(t *testing.T) {
 	t.Parallel()
-	b := testkit.NewBackend(t, testkit.Says(testkit.ServedText))
-	a := startAgent(t, testkit.NewDiscovery(t, 1, testkit.EntryText("s-1", b.Addr().String(), "Ready", 0)), 0)
+	b := testkit.NewBackend(t, testkit.RespondWith(testkit.OKResponse))
+	a := startAgent(t, testkit.NewDiscovery(t, 1, testkit.EndpointJSON("s-1", b.Addr().String(), "Ready", 0)), 0)
 	with := func(name, value string) func(*http.Request) {
 		return func(r *http.Request) { r.Header.Set(name, value) }
 	}
@@ -171,9 +171,9 @@
 	release := make(chan struct{})
 	b := testkit.NewBackend(t, func(c net.Conn, r *http.Request, n int) bool {
 		<-release
-		return testkit.Says(testkit.ServedText)(c, r, n)
+		return testkit.RespondWith(testkit.OKResponse)(c, r, n)
 	})
-	a := startAgent(t, testkit.NewDiscovery(t, 1, testkit.EntryText("s-1", b.Addr().String(), "Ready", 0)), 0)
+	a := startAgent(t, testkit.NewDiscovery(t, 1, testkit.EndpointJSON("s-1", b.Addr().String(), "Ready", 0)), 0)
 	first := a.newRequest(t, http.MethodPost, "/refund-record", "")
 	first.Header.Set("X-Timeout", "60000m")
 	second := first.Clone(context.Background())
@@ -195,9 +195,9 @@
 	release := make(chan struct{})
 	b := testkit.NewBackend(t, func(c net.Conn, r *http.Request, n int) bool {
 		<-release
-		return testkit.Says(testkit.ServedText)(c, r, n)
+		return testkit.RespondWith(testkit.OKResponse)(c, r, n)
 	})
-	a := startAgent(t, testkit.NewDiscovery(t, 1, testkit.EntryText("s-1", b.Addr().String(), "Ready", 0)), 0)
+	a := startAgent(t, testkit.NewDiscovery(t, 1, testkit.EndpointJSON("s-1", b.Addr().String(), "Ready", 0)), 0)
 	r := a.newRequest(t, http.MethodPost, "/refund-record", "")
 	r.Header.Set("X-Timeout", "60000m")
 	ctx, leave := context.WithCancel(context.Background())
@@ -224,10 +224,10 @@
 		if n == 1 {
 			<-release
 		}
-		return testkit.Says(testkit.ServedText)(c, r, n)
+		return testkit.RespondWith(testkit.OKResponse)(c, r, n)
 	})
 	addr := b.Addr().String()
-	a := startAgent(t, testkit.NewDiscovery(t, 1, testkit.EntryText("s-1", addr, "Ready", 0)), 3*time.Second)
+	a := startAgent(t, testkit.NewDiscovery(t, 1, testkit.EndpointJSON("s-1", addr, "Ready", 0)), 3*time.Second)
 	got := make(chan reply)
 	go func() { got <- send(t, a.newRequest(t, http.MethodGet, "/form-check", "")) }()
 	testkit.Eventually(t, "the first is at the endpoint", func() bool { return b.Requests() == 1 })
@@ -245,7 +245,7 @@
 		if err != nil {
 			t.Error(err)
 		}
-	case <-time.After(testkit.Patience):
+	case <-time.After(testkit.WaitTimeout):
 		t.Fatal("the agent did not end")
 	}
 	if c, err := net.Dial("tcp", a.addr); err == nil {
@@ -258,14 +258,14 @@
 // client opens another, but every request is answered.
 func TestDrainAnswersEveryRequest(t *testing.T) {
 	t.Parallel()
-	b := testkit.NewBackend(t, testkit.Says(testkit.ServedText))
-	a := startAgent(t, testkit.NewDiscovery(t, 1, testkit.EntryText("s-1", b.Addr().String(), "Ready", 0)), 3*time.Second)
+	b := testkit.NewBackend(t, testkit.RespondWith(testkit.OKResponse))
+	a := startAgent(t, testkit.NewDiscovery(t, 1, testkit.EndpointJSON("s-1", b.Addr().String(), "Ready", 0)), 3*time.Second)
 	ctx, enough := context.WithTimeout(context.Background(), 400*time.Millisecond)
 	defer enough()
 	var clients sync.WaitGroup
 	for range 8 {
 		clients.Go(func() {
-			client := http.Client{Transport: &http.Transport{}, Timeout: testkit.Patience}
+			client := http.Client{Transport: &http.Transport{}, Timeout: testkit.WaitTimeout}
 			defer client.CloseIdleConnections()
 			for n := 0; ctx.Err() == nil; n++ {
 				if n == 20 {
@@ -295,12 +295,12 @@
 // the process before it left counts as one.
 func TestReadyOnlyWithEndpointList(t *testing.T) {
 	t.Parallel()
-	b := testkit.NewBackend(t, testkit.Says(testkit.ServedText))
+	b := testkit.NewBackend(t, testkit.RespondWith(testkit.OKResponse))
 	for known, want := range map[string]int{
 		"null": http.StatusServiceUnavailable,
-		testkit.ListText(4, true, testkit.EntryText("s-1", b.Addr().String(), "Ready", 0)): http.StatusOK,
+		testkit.EndpointListJSON(4, true, testkit.EndpointJSON("s-1", b.Addr().String(), "Ready", 0)): http.StatusOK,
 	} {
-		cfg, err := platform.Parse(testkit.ConfigText(testkit.Refusing(t), known), testkit.NoEnv)
+		cfg, err := platform.Parse(testkit.ConfigText(testkit.RefusingAddr(t), known), testkit.NoEnv)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -321,8 +321,8 @@
 
 // Requests on one connection are all answered on it, in order.
 func TestClientConnectionIsReused(t *testing.T) {
-	b := testkit.NewBackend(t, testkit.Says(testkit.ServedText))
-	a := startAgent(t, testkit.NewDiscovery(t, 1, testkit.EntryText("s-1", b.Addr().String(), "Ready", 0)), 0)
+	b := testkit.NewBackend(t, testkit.RespondWith(testkit.OKResponse))
+	a := startAgent(t, testkit.NewDiscovery(t, 1, testkit.EndpointJSON("s-1", b.Addr().String(), "Ready", 0)), 0)
 	c, err := net.Dial("tcp", a.addr)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/agent/clients_test.go
+++ b/internal/agent/clients_test.go
@@ -29,7 +29,7 @@
 // readUntilClosed waits until the other side closes the connection, and returns what was read.
 func readUntilClosed(t *testing.T, c net.Conn) string {
 	t.Helper()
-	c.SetReadDeadline(time.Now().Add(testkit.Patience))
+	c.SetReadDeadline(time.Now().Add(testkit.WaitTimeout))
 	text, err := io.ReadAll(c)
 	if err, ok := err.(net.Error); ok && err.Timeout() {
 		t.Fatalf("still open, after %q", text)
@@ -40,8 +40,8 @@
 // Clients connect and send nothing, or send one request and stay, until all connections are taken. Idle connections are evicted
 // long before their timeout, so that another client is served.
 func TestIdleConnectionsAreEvictedAtTheLimit(t *testing.T) {
-	b := testkit.NewBackend(t, testkit.Says(testkit.ServedText))
-	a := startAgentWith(t, testkit.NewDiscovery(t, 1, testkit.EntryText("s-1", b.Addr().String(), "Ready", 0)), 0, func(cfg *platform.Config) {
+	b := testkit.NewBackend(t, testkit.RespondWith(testkit.OKResponse))
+	a := startAgentWith(t, testkit.NewDiscovery(t, 1, testkit.EndpointJSON("s-1", b.Addr().String(), "Ready", 0)), 0, func(cfg *platform.Config) {
 		cfg.Sockets = minDescriptors
 	})
 	maxConnections := limitConnections(minDescriptors, Environment{}).fromClients
@@ -63,8 +63,8 @@
 // Many connections are open. Answers then close theirs, so that clients that send one request and stay do not hold every
 // connection for the whole idle timeout. With few open they stay.
 func TestAnswersCloseConnectionsNearTheLimit(t *testing.T) {
-	b := testkit.NewBackend(t, testkit.Says(testkit.ServedText))
-	a := startAgentWith(t, testkit.NewDiscovery(t, 1, testkit.EntryText("s-1", b.Addr().String(), "Ready", 0)), 0, func(cfg *platform.Config) {
+	b := testkit.NewBackend(t, testkit.RespondWith(testkit.OKResponse))
+	a := startAgentWith(t, testkit.NewDiscovery(t, 1, testkit.EndpointJSON("s-1", b.Addr().String(), "Ready", 0)), 0, func(cfg *platform.Config) {
 		cfg.Sockets = minDescriptors
 	})
 	if got := send(t, a.newRequest(t, http.MethodGet, "/form-check", "")); got.close {
@@ -83,8 +83,8 @@
 // reaches an endpoint.
 func TestIncompleteRequestsAreClosedInTime(t *testing.T) {
 	t.Parallel()
-	b := testkit.NewBackend(t, testkit.Says(testkit.ServedText))
-	a := startAgent(t, testkit.NewDiscovery(t, 1, testkit.EntryText("s-1", b.Addr().String(), "Ready", 0)), 0)
+	b := testkit.NewBackend(t, testkit.RespondWith(testkit.OKResponse))
+	a := startAgent(t, testkit.NewDiscovery(t, 1, testkit.EndpointJSON("s-1", b.Addr().String(), "Ready", 0)), 0)
 	head := "POST /refund-record HTTP/1.1\r\nHost: origin.svc\r\nX-Request-ID: 1\r\nX-Tenant-Id: lerwick-port\r\nIdempotency-Key: 1\r\n"
 	for name, text := range map[string]string{
 		"nothing":   "",
@@ -106,8 +106,8 @@
 // the length it is a part of the body. Forwarded as it is, an endpoint may read it the other way. It is rejected. After chunks
 // without a length another request is valid.
 func TestRequestSmugglingIsRejected(t *testing.T) {
-	b := testkit.NewBackend(t, testkit.Says(testkit.ServedText))
-	a := startAgent(t, testkit.NewDiscovery(t, 1, testkit.EntryText("s-1", b.Addr().String(), "Ready", 0)), 0)
+	b := testkit.NewBackend(t, testkit.RespondWith(testkit.OKResponse))
+	a := startAgent(t, testkit.NewDiscovery(t, 1, testkit.EndpointJSON("s-1", b.Addr().String(), "Ready", 0)), 0)
 	inner := "GET /form-check HTTP/1.1\r\nHost: origin.svc\r\nX-Request-ID: 2\r\nX-Tenant-Id: lerwick-port\r\nX-Timeout: 999m\r\n\r\n"
 	for length, want := range map[string]string{fmt.Sprintf("Content-Length: %d\r\n", len(inner)+5): "HTTP/1.1 400 ", "": "HTTP/1.1 200 "} {
 		answers := 1
@@ -133,9 +133,9 @@
 	release := make(chan struct{})
 	b := testkit.NewBackend(t, func(c net.Conn, r *http.Request, n int) bool {
 		<-release
-		return testkit.Says(testkit.ServedText)(c, r, n)
+		return testkit.RespondWith(testkit.OKResponse)(c, r, n)
 	})
-	a := startAgent(t, testkit.NewDiscovery(t, 1, testkit.EntryText("s-1", b.Addr().String(), "Ready", 0)), 0)
+	a := startAgent(t, testkit.NewDiscovery(t, 1, testkit.EndpointJSON("s-1", b.Addr().String(), "Ready", 0)), 0)
 	c := a.dial(t)
 	r := a.newRequest(t, http.MethodGet, "/form-check", "")
 	if err := r.Write(c); err != nil {
@@ -152,8 +152,8 @@
 // A connection without a pending request is closed after a while, and not before, so that abandoned ones do not pile up.
 func TestIdleConnectionsAreClosedAfterTheirTimeout(t *testing.T) {
 	t.Parallel()
-	b := testkit.NewBackend(t, testkit.Says(testkit.ServedText))
-	a := startAgent(t, testkit.NewDiscovery(t, 1, testkit.EntryText("s-1", b.Addr().String(), "Ready", 0)), 0)
+	b := testkit.NewBackend(t, testkit.RespondWith(testkit.OKResponse))
+	a := startAgent(t, testkit.NewDiscovery(t, 1, testkit.EndpointJSON("s-1", b.Addr().String(), "Ready", 0)), 0)
 	c := a.dial(t)
 	r := a.newRequest(t, http.MethodGet, "/form-check", "")
 	if err := r.Write(c); err != nil {
@@ -173,8 +173,8 @@
 
 // A header that the agent does not know could change how an endpoint reads the message. Only known ones are forwarded.
 func TestOnlyKnownHeadersAreForwarded(t *testing.T) {
-	b := testkit.NewBackend(t, testkit.Says(testkit.ServedText))
-	a := startAgent(t, testkit.NewDiscovery(t, 1, testkit.EntryText("s-1", b.Addr().String(), "Ready", 0)), 0)
+	b := testkit.NewBackend(t, testkit.RespondWith(testkit.OKResponse))
+	a := startAgent(t, testkit.NewDiscovery(t, 1, testkit.EndpointJSON("s-1", b.Addr().String(), "Ready", 0)), 0)
 	r := a.newRequest(t, http.MethodPost, "/refund-record", "x")
 	for _, name := range []string{"Te", "Upgrade", "Trailer", "Keep-Alive", "X-Not-Processed", "Cookie", "X-Server-Load"} {
 		r.Header.Set(name, "x")
@@ -198,14 +198,14 @@
 // A rejection sets a write deadline on its connection. If it stayed, a later answer on the connection would be cut off. It holds
 // for the rejection alone.
 func TestWriteDeadlineOfRejectionEndsWithIt(t *testing.T) {
-	d := testkit.NewDiscovery(t, 1, testkit.EntryText("b", testkit.Refusing(t), "Ready", 0))
+	d := testkit.NewDiscovery(t, 1, testkit.EndpointJSON("b", testkit.RefusingAddr(t), "Ready", 0))
 	a := startAgent(t, d, 0)
 	conn, err := net.Dial("tcp", a.addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	conn.SetDeadline(time.Now().Add(testkit.Patience))
+	conn.SetDeadline(time.Now().Add(testkit.WaitTimeout))
 	in := bufio.NewReader(conn)
 	exchange := func(head string) int {
 		io.WriteString(conn, head+"\r\n")
--- a/internal/agent/drain_test.go
+++ b/internal/agent/drain_test.go
@@ -12,8 +12,8 @@
 // clients that come all the same, and takes up its work again when it is activated.
 func TestOperatorsDrainAndActivate(t *testing.T) {
 	t.Parallel()
-	b := testkit.NewBackend(t, testkit.Says(testkit.ServedText))
-	a := startAgent(t, testkit.NewDiscovery(t, 1, testkit.EntryText("s-1", b.Addr().String(), "Ready", 0)), 0)
+	b := testkit.NewBackend(t, testkit.RespondWith(testkit.OKResponse))
+	a := startAgent(t, testkit.NewDiscovery(t, 1, testkit.EndpointJSON("s-1", b.Addr().String(), "Ready", 0)), 0)
 	idle := a.dial(t)
 	r := a.newRequest(t, http.MethodGet, "/form-check", "")
 	r.Write(idle)
--- a/internal/agent/events_test.go
+++ b/internal/agent/events_test.go
@@ -55,23 +55,23 @@
 		close  bool // the client requests the close
 		want   []string
 	}{
-		"served": {testkit.Says(testkit.ServedText), true, []string{"connection_accepted", "request_read", "attempt_decided first",
+		"served": {testkit.RespondWith(testkit.OKResponse), true, []string{"connection_accepted", "request_read", "attempt_decided first",
 			"attempt_written", "attempt_ended ok", "request_answered served", "request_written", "connection_closed after_answer"}},
 		"retried": {func(c net.Conn, r *http.Request, n int) bool {
 			if n == 1 {
-				return testkit.Says("HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n")(c, r, n)
+				return testkit.RespondWith("HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n")(c, r, n)
 			}
-			return testkit.Says(testkit.ServedText)(c, r, n)
+			return testkit.RespondWith(testkit.OKResponse)(c, r, n)
 		}, true, []string{"connection_accepted", "request_read", "attempt_decided first", "attempt_written", "attempt_ended server_error",
 			"attempt_decided retry", "attempt_written", "attempt_ended ok", "request_answered served", "request_written",
 			"connection_closed after_answer"}},
-		"a client that stays": {testkit.Says(testkit.ServedText), false, []string{"connection_accepted", "request_read", "attempt_decided first",
+		"a client that stays": {testkit.RespondWith(testkit.OKResponse), false, []string{"connection_accepted", "request_read", "attempt_decided first",
 			"attempt_written", "attempt_ended ok", "request_answered served", "request_written", "connection_closed idle_timeout"}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			b := testkit.NewBackend(t, c.script)
-			d := testkit.NewDiscovery(t, 1, testkit.EntryText("b", b.Addr().String(), "Ready", 0))
+			d := testkit.NewDiscovery(t, 1, testkit.EndpointJSON("b", b.Addr().String(), "Ready", 0))
 			var log testkit.LockedBuffer
 			a := startAgentWithLog(t, d, 0, func(*platform.Config) {}, slog.NewTextHandler(&log, &slog.HandlerOptions{Level: slog.LevelDebug}))
 			conn, err := net.Dial("tcp", a.addr)
@@ -84,7 +84,7 @@
 				closes = "Connection: close\r\n"
 			}
 			fmt.Fprintf(conn, "GET /form-check HTTP/1.1\r\nHost: o\r\nX-Request-ID: 4f2a\r\nX-Tenant-Id: glasgow-airport\r\nX-Timeout: 2000m\r\n%s\r\n", closes)
-			conn.SetReadDeadline(time.Now().Add(testkit.Patience))
+			conn.SetReadDeadline(time.Now().Add(testkit.WaitTimeout))
 			io.Copy(io.Discard, conn)
 			testkit.Eventually(t, "the close is in the log", func() bool {
 				got := eventsOfRequest(&log, "4f2a")
@@ -99,7 +99,7 @@
 
 // The log says why a request was rejected.
 func TestRejectionLogsItsReason(t *testing.T) {
-	d := testkit.NewDiscovery(t, 1, testkit.EntryText("b", testkit.Refusing(t), "Ready", 0))
+	d := testkit.NewDiscovery(t, 1, testkit.EndpointJSON("b", testkit.RefusingAddr(t), "Ready", 0))
 	var log testkit.LockedBuffer
 	a := startAgentWithLog(t, d, 0, func(*platform.Config) {}, slog.NewTextHandler(&log, &slog.HandlerOptions{Level: slog.LevelDebug}))
 	r := a.newRequest(t, http.MethodGet, "/form-check", "")
--- a/internal/agent/harness_test.go
+++ b/internal/agent/harness_test.go
@@ -121,7 +121,7 @@
 // send sends a request on a connection of its own and reads the whole answer.
 func send(t *testing.T, r *http.Request) reply {
 	t.Helper()
-	client := http.Client{Transport: &http.Transport{}, Timeout: testkit.Patience}
+	client := http.Client{Transport: &http.Transport{}, Timeout: testkit.WaitTimeout}
 	defer client.CloseIdleConnections()
 	resp, err := client.Do(r)
 	if err != nil {
--- a/internal/agent/metrics_keys_test.go
+++ b/internal/agent/metrics_keys_test.go
@@ -26,8 +26,8 @@
 		t.Fatal(err)
 	}
 	operators.Snapshot.Dir = t.TempDir()
-	b := testkit.NewBackend(t, testkit.Says(testkit.ServedText))
-	d := testkit.NewDiscovery(t, 1, testkit.EntryText("s-1", b.Addr().String(), "Ready", 0))
+	b := testkit.NewBackend(t, testkit.RespondWith(testkit.OKResponse))
+	d := testkit.NewDiscovery(t, 1, testkit.EndpointJSON("s-1", b.Addr().String(), "Ready", 0))
 	clientURL, controlURL := startWithOperators(t, d, operators)
 	a := &testAgent{url: clientURL}
 	testkit.Eventually(t, "the agent is ready", func() bool { return a.status(t, "/ready") == http.StatusOK })
--- a/internal/agent/metrics_test.go
+++ b/internal/agent/metrics_test.go
@@ -40,15 +40,15 @@
 	b := testkit.NewBackend(t, func(c net.Conn, r *http.Request, n int) bool {
 		switch r.URL.Path {
 		case "/form-check/refused":
-			return testkit.Says("HTTP/1.1 503 Busy\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n")(c, r, n)
+			return testkit.RespondWith("HTTP/1.1 503 Busy\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n")(c, r, n)
 		case "/pay/failed":
-			return testkit.Says("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n")(c, r, n)
+			return testkit.RespondWith("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n")(c, r, n)
 		case "/pay/held":
 			<-hold
 		}
-		return testkit.Says(testkit.ServedText)(c, r, n)
+		return testkit.RespondWith(testkit.OKResponse)(c, r, n)
 	})
-	d := testkit.NewDiscovery(t, 1, testkit.EntryText("s-1", b.Addr().String(), "Ready", 0), testkit.EntryText("s-2", b.Addr().String(), "Terminating", 0))
+	d := testkit.NewDiscovery(t, 1, testkit.EndpointJSON("s-1", b.Addr().String(), "Ready", 0), testkit.EndpointJSON("s-2", b.Addr().String(), "Terminating", 0))
 	a := startAgent(t, d, 0)
 	if f := a.readCounters(t); len(f.Downstream) != 3 || f.Members != 2 || f.Unavailable != 1 {
 		t.Errorf("at the start %+v", f)
--- a/internal/agent/peers_test.go
+++ b/internal/agent/peers_test.go
@@ -62,8 +62,8 @@
 // An agent over its own memory limit can't carry what it admits. It lowers the fleet's admission level; an agent within its limits
 // does not.
 func TestOverloadedAgentLowersTheAdmissionLevel(t *testing.T) {
-	b := testkit.NewBackend(t, testkit.Says("here"))
-	d := testkit.NewDiscovery(t, 1, testkit.EntryText("s-1", b.Addr().String(), "Ready", 0))
+	b := testkit.NewBackend(t, testkit.RespondWith("here"))
+	d := testkit.NewDiscovery(t, 1, testkit.EndpointJSON("s-1", b.Addr().String(), "Ready", 0))
 	pressed := func(controlURL string) int64 {
 		t.Helper()
 		var overload struct{ Pressed int64 }
--- a/internal/agent/reload_test.go
+++ b/internal/agent/reload_test.go
@@ -82,13 +82,13 @@
 // one's lists are lower. The old discovery has gone silent, and its open watch must not delay the move.
 func TestReloadFollowsNewDiscoveryAddress(t *testing.T) {
 	t.Parallel()
-	first := testkit.NewBackend(t, testkit.Says("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nold!"))
-	second := testkit.NewBackend(t, testkit.Says("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nnew!"))
-	old := testkit.NewDiscovery(t, 41, testkit.EntryText("s-1", first.Addr().String(), "Ready", 0))
+	first := testkit.NewBackend(t, testkit.RespondWith("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nold!"))
+	second := testkit.NewBackend(t, testkit.RespondWith("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nnew!"))
+	old := testkit.NewDiscovery(t, 41, testkit.EndpointJSON("s-1", first.Addr().String(), "Ready", 0))
 	a := startReloadableAgent(t, old.Addr().String())
 	a.awaitAnswer("old!")
-	old.Silence(true)
-	fresh := testkit.NewDiscovery(t, 3, testkit.EntryText("s-2", second.Addr().String(), "Ready", 0))
+	old.SetSilent(true)
+	fresh := testkit.NewDiscovery(t, 3, testkit.EndpointJSON("s-2", second.Addr().String(), "Ready", 0))
 	began := time.Now()
 	a.reload(testkit.ConfigText(fresh.Addr().String(), "null"))
 	a.awaitAnswer("new!")
@@ -103,15 +103,15 @@
 // A reload finds a file that can't be used. It is logged in one line, and the agent goes on with the configuration it has.
 func TestInvalidReloadChangesNothing(t *testing.T) {
 	t.Parallel()
-	b := testkit.NewBackend(t, testkit.Says(testkit.ServedText))
-	d := testkit.NewDiscovery(t, 1, testkit.EntryText("s-1", b.Addr().String(), "Ready", 0))
+	b := testkit.NewBackend(t, testkit.RespondWith(testkit.OKResponse))
+	d := testkit.NewDiscovery(t, 1, testkit.EndpointJSON("s-1", b.Addr().String(), "Ready", 0))
 	a := startReloadableAgent(t, d.Addr().String())
 	for i, text := range []string{"", "{", strings.Replace(string(testkit.ConfigText("127.0.0.1:1", "null")), "by_key", "by_luck", 1)} {
 		a.reload([]byte(text))
 		testkit.Eventually(t, "it is in the log", func() bool { return a.log.Count("not reloaded") == i+1 })
 	}
 	a.awaitAnswer("fine")
-	d.Set(2, true, testkit.EntryText("s-1", b.Addr().String(), "Ready", 0), testkit.EntryText("s-2", b.Addr().String(), "Ready", 0))
+	d.Set(2, true, testkit.EndpointJSON("s-1", b.Addr().String(), "Ready", 0), testkit.EndpointJSON("s-2", b.Addr().String(), "Ready", 0))
 	testkit.Eventually(t, "the old discovery is still followed", func() bool { return a.log.Count("version=2") == 1 })
 }
 
@@ -128,7 +128,7 @@
 	stop()
 	select {
 	case <-done:
-	case <-time.After(testkit.Patience):
+	case <-time.After(testkit.WaitTimeout):
 		t.Fatal("the reloader has not ended")
 	}
 }
--- a/internal/agent/streaming_test.go
+++ b/internal/agent/streaming_test.go
@@ -53,7 +53,7 @@
 				return out.Flush() == nil
 			}
 			b := testkit.NewBackend(t, script)
-			a := startAgentWith(t, testkit.NewDiscovery(t, 1, testkit.EntryText("s-1", b.Addr().String(), "Ready", 0)), 0,
+			a := startAgentWith(t, testkit.NewDiscovery(t, 1, testkit.EndpointJSON("s-1", b.Addr().String(), "Ready", 0)), 0,
 				func(cfg *platform.Config) { cfg.MemoryMB = 1 })
 			r := a.pay(t, text)
 			if chunked {
@@ -74,12 +74,12 @@
 // A body over the limit is an error, whether its length states it or its chunks show it at the end.
 func TestBodyOverLimitIsRejected(t *testing.T) {
 	t.Parallel()
-	b := testkit.NewBackend(t, testkit.Says(testkit.ServedText))
-	a := startAgent(t, testkit.NewDiscovery(t, 1, testkit.EntryText("s-1", b.Addr().String(), "Ready", 0)), 0)
+	b := testkit.NewBackend(t, testkit.RespondWith(testkit.OKResponse))
+	a := startAgent(t, testkit.NewDiscovery(t, 1, testkit.EndpointJSON("s-1", b.Addr().String(), "Ready", 0)), 0)
 	for _, length := range []int64{httpmsg.MaxBodyBytes + 1, -1} { // chunks show it only at the end
 		r := a.pay(t, "")
 		r.Body, r.ContentLength = io.NopCloser(io.LimitReader(endless{}, httpmsg.MaxBodyBytes+1)), length
-		client := http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: testkit.Patience}
+		client := http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: testkit.WaitTimeout}
 		if resp, err := client.Do(r); err == nil && resp.StatusCode != http.StatusRequestEntityTooLarge {
 			t.Errorf("%d: %s", length, resp.Status)
 		}
@@ -104,7 +104,7 @@
 		_, err := io.WriteString(c, "4\r\nlast\r\n0\r\nX-Sum: 1\r\n\r\n")
 		return err == nil
 	})
-	a := startAgent(t, testkit.NewDiscovery(t, 1, testkit.EntryText("s-1", b.Addr().String(), "Ready", 0)), 0)
+	a := startAgent(t, testkit.NewDiscovery(t, 1, testkit.EndpointJSON("s-1", b.Addr().String(), "Ready", 0)), 0)
 	resp, err := http.DefaultClient.Do(a.pay(t, "x"))
 	if err != nil {
 		t.Fatal(err)
@@ -132,7 +132,7 @@
 			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n%s\r\n\r\n186a0\r\n%s", head, longText(100000))
 			return false
 		})
-		a := startAgent(t, testkit.NewDiscovery(t, 1, testkit.EntryText("s-1", b.Addr().String(), "Ready", 0)), 0)
+		a := startAgent(t, testkit.NewDiscovery(t, 1, testkit.EndpointJSON("s-1", b.Addr().String(), "Ready", 0)), 0)
 		resp, err := http.DefaultClient.Do(a.pay(t, "x"))
 		if err == nil {
 			_, err = io.Copy(io.Discard, resp.Body)
@@ -159,7 +159,7 @@
 			}
 		}
 	})
-	a := startAgent(t, testkit.NewDiscovery(t, 1, testkit.EntryText("s-1", b.Addr().String(), "Ready", 0)), 0)
+	a := startAgent(t, testkit.NewDiscovery(t, 1, testkit.EndpointJSON("s-1", b.Addr().String(), "Ready", 0)), 0)
 	resp, err := http.DefaultClient.Do(a.pay(t, "x"))
 	if err != nil {
 		t.Fatal(err)
@@ -192,8 +192,8 @@
 // its body is buffered or streamed.
 func TestTimeoutRunsFromLastByteOfRequest(t *testing.T) {
 	t.Parallel()
-	b := testkit.NewBackend(t, testkit.Says(testkit.ServedText))
-	a := startAgent(t, testkit.NewDiscovery(t, 1, testkit.EntryText("s-1", b.Addr().String(), "Ready", 0)), 0)
+	b := testkit.NewBackend(t, testkit.RespondWith(testkit.OKResponse))
+	a := startAgent(t, testkit.NewDiscovery(t, 1, testkit.EndpointJSON("s-1", b.Addr().String(), "Ready", 0)), 0)
 	for _, piece := range []int{100, httpmsg.MaxBufferedBytes} {
 		r := a.pay(t, "")
 		text := longText(piece)
@@ -209,8 +209,8 @@
 // an endpoint.
 func TestStalledUploadIsNotForwarded(t *testing.T) {
 	t.Parallel()
-	b := testkit.NewBackend(t, testkit.Says(testkit.ServedText))
-	a := startAgent(t, testkit.NewDiscovery(t, 1, testkit.EntryText("s-1", b.Addr().String(), "Ready", 0)), 0)
+	b := testkit.NewBackend(t, testkit.RespondWith(testkit.OKResponse))
+	a := startAgent(t, testkit.NewDiscovery(t, 1, testkit.EndpointJSON("s-1", b.Addr().String(), "Ready", 0)), 0)
 	c := a.dial(t)
 	r := a.pay(t, strings.Repeat("x", 10*httpmsg.MaxBufferedBytes))
 	var text bytes.Buffer
@@ -243,10 +243,10 @@
 			c.Close()
 		}
 	}()
-	working := testkit.NewBackend(t, testkit.Says(testkit.ServedText))
-	d := testkit.NewDiscovery(t, 1, testkit.EntryText("s-1", l.Addr().String(), "Ready", 0))
+	working := testkit.NewBackend(t, testkit.RespondWith(testkit.OKResponse))
+	d := testkit.NewDiscovery(t, 1, testkit.EndpointJSON("s-1", l.Addr().String(), "Ready", 0))
 	a := startAgent(t, d, 0)
-	d.Set(2, true, testkit.EntryText("s-1", l.Addr().String(), "Ready", 0), testkit.EntryText("s-2", working.Addr().String(), "Ready", 0))
+	d.Set(2, true, testkit.EndpointJSON("s-1", l.Addr().String(), "Ready", 0), testkit.EndpointJSON("s-2", working.Addr().String(), "Ready", 0))
 	testkit.Eventually(t, "both are listed", func() bool { return a.readCounters(t).Members == 2 })
 	// More than the kernel holds on the way: else all may have been written before the connection broke, and may have run.
 	longBody := longText(24 << 20)
@@ -272,10 +272,10 @@
 
 // A client waits for 100 Continue before it sends its body, and gets it.
 func TestExpectContinueIsHonoured(t *testing.T) {
-	b := testkit.NewBackend(t, testkit.Says("HTTP/1.1 103 Early Hints\r\n\r\n"+testkit.ServedText))
-	a := startAgent(t, testkit.NewDiscovery(t, 1, testkit.EntryText("s-1", b.Addr().String(), "Ready", 0)), 0)
+	b := testkit.NewBackend(t, testkit.RespondWith("HTTP/1.1 103 Early Hints\r\n\r\n"+testkit.OKResponse))
+	a := startAgent(t, testkit.NewDiscovery(t, 1, testkit.EndpointJSON("s-1", b.Addr().String(), "Ready", 0)), 0)
 	c := a.dial(t)
-	c.SetDeadline(time.Now().Add(testkit.Patience))
+	c.SetDeadline(time.Now().Add(testkit.WaitTimeout))
 	io.WriteString(c, "POST /pay HTTP/1.1\r\nHost: origin.svc\r\nX-Request-ID: 77\r\nX-Tenant-Id: lerwick-port\r\n"+
 		"X-Timeout: 2000m\r\nExpect: 100-continue\r\nContent-Length: 4\r\n\r\n")
 	in := bufio.NewReader(c)
@@ -297,7 +297,7 @@
 		_, err := io.Copy(c, io.LimitReader(endless{}, 30000000))
 		return err == nil
 	})
-	a := startAgent(t, testkit.NewDiscovery(t, 1, testkit.EntryText("s-1", b.Addr().String(), "Ready", 0)), 0)
+	a := startAgent(t, testkit.NewDiscovery(t, 1, testkit.EndpointJSON("s-1", b.Addr().String(), "Ready", 0)), 0)
 	c := a.dial(t)
 	a.pay(t, "x").Write(c)
 	if _, err := io.ReadFull(c, make([]byte, 1000)); err != nil {
@@ -309,7 +309,7 @@
 		if err != nil && !errors.Is(err, net.ErrClosed) {
 			t.Error(err)
 		}
-	case <-time.After(testkit.Patience):
+	case <-time.After(testkit.WaitTimeout):
 		t.Fatal("the agent does not end")
 	}
 }
@@ -339,7 +339,7 @@
 				}()
 			}
 		}()
-		a := startAgent(t, testkit.NewDiscovery(t, 1, testkit.EntryText("s-1", l.Addr().String(), "Ready", 0)), 0)
+		a := startAgent(t, testkit.NewDiscovery(t, 1, testkit.EndpointJSON("s-1", l.Addr().String(), "Ready", 0)), 0)
 		c := a.dial(t)
 		head := "POST /pay HTTP/1.1\r\nHost: origin.svc\r\nX-Request-ID: 77\r\nX-Tenant-Id: lerwick-port\r\nX-Timeout: 1999m\r\nContent-Length: 9000000\r\n\r\n"
 		go io.WriteString(c, head+longText(200000)) // and then nothing for a while
@@ -358,8 +358,8 @@
 
 // Requests in chunks leave their client connection in order for the next.
 func TestChunkedRequestsReuseTheConnection(t *testing.T) {
-	b := testkit.NewBackend(t, testkit.Says(testkit.ServedText))
-	a := startAgent(t, testkit.NewDiscovery(t, 1, testkit.EntryText("s-1", b.Addr().String(), "Ready", 0)), 0)
+	b := testkit.NewBackend(t, testkit.RespondWith(testkit.OKResponse))
+	a := startAgent(t, testkit.NewDiscovery(t, 1, testkit.EndpointJSON("s-1", b.Addr().String(), "Ready", 0)), 0)
 	c := a.dial(t)
 	in := bufio.NewReader(c)
 	for i := range 3 {
@@ -383,7 +383,7 @@
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n186a0\r\n%s", longText(90000))
 		return false
 	})
-	a := startAgent(t, testkit.NewDiscovery(t, 1, testkit.EntryText("s-1", b.Addr().String(), "Ready", 0)), 0)
+	a := startAgent(t, testkit.NewDiscovery(t, 1, testkit.EndpointJSON("s-1", b.Addr().String(), "Ready", 0)), 0)
 	c := a.dial(t)
 	io.WriteString(c, "POST /pay HTTP/1.0\r\nX-Request-ID: 77\r\nX-Tenant-Id: lerwick-port\r\nX-Timeout: 1999m\r\nContent-Length: 0\r\n\r\n")
 	if _, err := io.Copy(io.Discard, c); !errors.Is(err, syscall.ECONNRESET) {
@@ -403,7 +403,7 @@
 			t.Parallel()
 			breaks := func(c net.Conn, r *http.Request, n int) bool {
 				if r.Method == http.MethodGet && n > 1 {
-					return testkit.Says(testkit.ServedText)(c, r, n)
+					return testkit.RespondWith(testkit.OKResponse)(c, r, n)
 				}
 				io.WriteString(c, "HTTP/1.1 200 OK\r\n"+head+"\r\n")
 				time.Sleep(wait)
@@ -415,7 +415,7 @@
 				want         int
 			}{{http.MethodGet, "/form-check", http.StatusOK}, {http.MethodPost, "/pay", http.StatusBadGateway}} {
 				b := testkit.NewBackend(t, breaks)
-				d := testkit.NewDiscovery(t, 1, testkit.EntryText("b", b.Addr().String(), "Ready", 0))
+				d := testkit.NewDiscovery(t, 1, testkit.EndpointJSON("b", b.Addr().String(), "Ready", 0))
 				a := startAgent(t, d, 0)
 				if got := requestStatus(a.newRequest(t, class.method, class.path, "")); got != class.want {
 					t.Errorf("%s: status %d, want %d", class.method, got, class.want)
@@ -447,12 +447,12 @@
 				io.WriteString(c2, strings.Repeat("x", 25000))
 				return true
 			})
-			d := testkit.NewDiscovery(t, 1, testkit.EntryText("b", b.Addr().String(), "Ready", 0))
+			d := testkit.NewDiscovery(t, 1, testkit.EndpointJSON("b", b.Addr().String(), "Ready", 0))
 			a := startAgent(t, d, 0)
 			r := a.newRequest(t, http.MethodPost, "/pay", "")
 			r.Header.Set("X-Timeout", "500m")
 			began := time.Now()
-			client := http.Client{Transport: &http.Transport{}, Timeout: testkit.Patience}
+			client := http.Client{Transport: &http.Transport{}, Timeout: testkit.WaitTimeout}
 			defer client.CloseIdleConnections()
 			resp, err := client.Do(r)
 			if err != nil {
@@ -485,7 +485,7 @@
 				io.WriteString(c, body)
 				return true
 			})
-			d := testkit.NewDiscovery(t, 1, testkit.EntryText("b", b.Addr().String(), "Ready", 0))
+			d := testkit.NewDiscovery(t, 1, testkit.EndpointJSON("b", b.Addr().String(), "Ready", 0))
 			a := startAgent(t, d, 0)
 			if got := send(t, a.newRequest(t, http.MethodPost, "/pay", "")); got.status != http.StatusOK || len(got.body) < 10 {
 				t.Errorf("%d with %d bytes", got.status, len(got.body))
--- a/internal/config/platform/platform_test.go
+++ b/internal/config/platform/platform_test.go
@@ -9,7 +9,7 @@
 )
 
 func TestConfig(t *testing.T) {
-	cfg, err := Parse(testkit.ConfigText("127.0.0.1:8500", testkit.ListText(41, true, testkit.EntryText("s-1", "127.0.0.1:1", "Ready", 0))), testkit.NoEnv)
+	cfg, err := Parse(testkit.ConfigText("127.0.0.1:8500", testkit.EndpointListJSON(41, true, testkit.EndpointJSON("s-1", "127.0.0.1:1", "Ready", 0))), testkit.NoEnv)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/discovery/apply_test.go
+++ b/internal/discovery/apply_test.go
@@ -15,20 +15,20 @@
 
 // A list arrives that is older than the known one, as a late answer or after a restore from a newer one. It changes nothing.
 func TestOlderListsAreIgnored(t *testing.T) {
-	client, sink := newClient(t, testkit.Refusing(t), 1, noCache, io.Discard)
-	ready := testkit.EntryText("s-1", "127.0.0.1:1", "Ready", 0)
+	client, sink := newClient(t, testkit.RefusingAddr(t), 1, noCache, io.Discard)
+	ready := testkit.EndpointJSON("s-1", "127.0.0.1:1", "Ready", 0)
 	for _, step := range []struct {
 		text     string
 		wantFull bool
 		fails    bool
 		updates  int
 	}{
-		{testkit.ListText(7, true, ready), true, false, 1},
-		{testkit.ListText(6, true, ready), true, false, 0},
-		{testkit.ListText(7, false, ready), false, false, 0},
-		{testkit.ListText(6, false, ready), false, true, 0},
-		{testkit.ListText(9, false, ready), true, true, 0},
-		{testkit.ListText(9, false, ready), false, false, 1},
+		{testkit.EndpointListJSON(7, true, ready), true, false, 1},
+		{testkit.EndpointListJSON(6, true, ready), true, false, 0},
+		{testkit.EndpointListJSON(7, false, ready), false, false, 0},
+		{testkit.EndpointListJSON(6, false, ready), false, true, 0},
+		{testkit.EndpointListJSON(9, false, ready), true, true, 0},
+		{testkit.EndpointListJSON(9, false, ready), false, false, 1},
 	} {
 		if err := client.apply(parseList(t, step.text), step.wantFull); (err != nil) != step.fails {
 			t.Errorf("%s: %v", step.text, err)
@@ -48,7 +48,7 @@
 // Discovery restarts and counts its versions anew. A full snapshot is requested: what has changed since a version of the old count says
 // nothing.
 func TestLowerVersionNeedsAFullSnapshot(t *testing.T) {
-	cached := testkit.ListText(41, true, testkit.EntryText("s-1", "127.0.0.1:1", "Ready", 0))
+	cached := testkit.EndpointListJSON(41, true, testkit.EndpointJSON("s-1", "127.0.0.1:1", "Ready", 0))
 	client, sink := newSubscribedClient(t, "127.0.0.1:1", 12, cached)
 	err := client.apply(EndpointList{Version: 7}, false)
 	var lower *versionError
@@ -68,12 +68,12 @@
 		since := r.URL.Query().Get("since")
 		switch {
 		case !restarted.Load() && since == "":
-			io.WriteString(w, testkit.ListText(41, true, testkit.EntryText("s-1", "127.0.0.1:1", "Ready", 0)))
+			io.WriteString(w, testkit.EndpointListJSON(41, true, testkit.EndpointJSON("s-1", "127.0.0.1:1", "Ready", 0)))
 		case restarted.Load() && since != "3":
-			io.WriteString(w, testkit.ListText(3, true, testkit.EntryText("s-2", "127.0.0.1:2", "Ready", 0)))
+			io.WriteString(w, testkit.EndpointListJSON(3, true, testkit.EndpointJSON("s-2", "127.0.0.1:2", "Ready", 0)))
 		default:
 			time.Sleep(20 * time.Millisecond)
-			io.WriteString(w, testkit.ListText(41, false))
+			io.WriteString(w, testkit.EndpointListJSON(41, false))
 		}
 	}))
 	t.Cleanup(server.Close)
@@ -106,13 +106,13 @@
 // Discovery sends malformed entries in a full snapshot. They spoil neither the list nor remove their endpoints, and are logged once.
 func TestMalformedEntryKeepsTheLastKnownState(t *testing.T) {
 	var log testkit.LockedBuffer
-	client, sink := newClient(t, testkit.Refusing(t), 1, noCache, &log)
+	client, sink := newClient(t, testkit.RefusingAddr(t), 1, noCache, &log)
 	for version, entries := range [][]string{
-		{testkit.EntryText("s-1", "127.0.0.1:1", "Ready", 0), testkit.EntryText("s-2", "127.0.0.1:2", "Ready", 0)},
-		{testkit.EntryText("s-1", "127.0.0.1:1", "Asleep", 0), testkit.EntryText("s-3", "no address", "Ready", 0), `{"id":9}`, `"x"`,
-			testkit.EntryText("s-4", "127.0.0.1:4", "Ready", 0)},
+		{testkit.EndpointJSON("s-1", "127.0.0.1:1", "Ready", 0), testkit.EndpointJSON("s-2", "127.0.0.1:2", "Ready", 0)},
+		{testkit.EndpointJSON("s-1", "127.0.0.1:1", "Asleep", 0), testkit.EndpointJSON("s-3", "no address", "Ready", 0), `{"id":9}`, `"x"`,
+			testkit.EndpointJSON("s-4", "127.0.0.1:4", "Ready", 0)},
 	} {
-		if err := client.apply(parseList(t, testkit.ListText(version, true, entries...)), true); err != nil {
+		if err := client.apply(parseList(t, testkit.EndpointListJSON(version, true, entries...)), true); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -131,13 +131,13 @@
 
 // Discovery sends a list that is too long to be read. The error says so, the last list stays in force, and a shorter one is applied.
 func TestListOverTheLimitIsAnError(t *testing.T) {
-	server := testkit.NewDiscovery(t, 1, testkit.EntryText("s-1", "127.0.0.1:1", "Ready", 0))
+	server := testkit.NewDiscovery(t, 1, testkit.EndpointJSON("s-1", "127.0.0.1:1", "Ready", 0))
 	var log testkit.LockedBuffer
 	client, sink := newClient(t, server.Addr().String(), 1, noCache, &log)
 	run(t, client)
 	nextList(t, sink)
-	entry := testkit.EntryText("s-2", "127.0.0.1:2", "Ready", 0)
-	server.Set(2, true, entry, testkit.EntryText(strings.Repeat("s", maxListBytes), "127.0.0.1:3", "Ready", 0))
+	entry := testkit.EndpointJSON("s-2", "127.0.0.1:2", "Ready", 0)
+	server.Set(2, true, entry, testkit.EndpointJSON(strings.Repeat("s", maxListBytes), "127.0.0.1:3", "Ready", 0))
 	testkit.Eventually(t, "the log says why", func() bool { return log.Count("is over") > 0 })
 	server.Set(3, true, entry)
 	if list := nextList(t, sink); len(list.Endpoints) != 1 || list.Endpoints[0].ID != "s-2" {
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -10,18 +10,18 @@
 )
 
 func TestClientFollowsWatchEvents(t *testing.T) {
-	server := testkit.NewDiscovery(t, 41, testkit.EntryText("s-1", "127.0.0.1:1", "Ready", 0), testkit.EntryText("s-2", "127.0.0.1:2", "Ready", 5))
+	server := testkit.NewDiscovery(t, 41, testkit.EndpointJSON("s-1", "127.0.0.1:1", "Ready", 0), testkit.EndpointJSON("s-2", "127.0.0.1:2", "Ready", 5))
 	client, sink := newClient(t, server.Addr().String(), 1, noCache, io.Discard)
 	run(t, client)
 	if list := nextList(t, sink); !list.Full || len(list.Endpoints) != 2 || list.Endpoints[0].Addr != "127.0.0.1:1" ||
 		list.Endpoints[1].StartedAt == 0 || list.Endpoints[0].StartedAt != 0 {
 		t.Errorf("%+v", list)
 	}
-	server.Set(43, false, testkit.EntryText("s-1", "127.0.0.1:1", "Terminating", 0))
+	server.Set(43, false, testkit.EndpointJSON("s-1", "127.0.0.1:1", "Terminating", 0))
 	if list := nextList(t, sink); list.Full || len(list.Endpoints) != 1 || list.Endpoints[0].State != logic.Draining {
 		t.Errorf("%+v", list)
 	}
-	server.Set(44, false, testkit.EntryText("s-1", "", "Gone", 0))
+	server.Set(44, false, testkit.EndpointJSON("s-1", "", "Gone", 0))
 	if list := nextList(t, sink); list.Full || len(list.Endpoints) != 1 || list.Endpoints[0].State != logic.Removed {
 		t.Errorf("%+v", list)
 	}
@@ -33,7 +33,7 @@
 // A watch ends without a change. The next one follows at once: what changes between two watches might be missed.
 func TestWatchesFollowEachOther(t *testing.T) {
 	t.Parallel()
-	server := testkit.NewDiscovery(t, 1, testkit.EntryText("s-1", "127.0.0.1:1", "Ready", 0))
+	server := testkit.NewDiscovery(t, 1, testkit.EndpointJSON("s-1", "127.0.0.1:1", "Ready", 0))
 	client, sink := newClient(t, server.Addr().String(), 1, noCache, io.Discard)
 	run(t, client)
 	nextList(t, sink)
@@ -47,18 +47,18 @@
 // first list after it is a full snapshot.
 func TestOutageKeepsTheLastListUntilAFullSnapshot(t *testing.T) {
 	t.Parallel()
-	server := testkit.NewDiscovery(t, 1, testkit.EntryText("s-1", "127.0.0.1:1", "Ready", 0))
+	server := testkit.NewDiscovery(t, 1, testkit.EndpointJSON("s-1", "127.0.0.1:1", "Ready", 0))
 	var log testkit.LockedBuffer
 	client, sink := newClient(t, server.Addr().String(), 1, noCache, &log)
 	run(t, client)
 	nextList(t, sink)
-	server.Silence(true)
+	server.SetSilent(true)
 	testkit.Eventually(t, "the outage is logged", func() bool { return log.Count("discovery unavailable") == 1 })
 	if len(sink) > 0 {
 		t.Errorf("the outage changed the list: %+v", <-sink)
 	}
-	server.Set(5, true, testkit.EntryText("s-2", "127.0.0.1:2", "Ready", 0))
-	server.Silence(false)
+	server.Set(5, true, testkit.EndpointJSON("s-2", "127.0.0.1:2", "Ready", 0))
+	server.SetSilent(false)
 	if list := nextList(t, sink); !list.Full || len(list.Endpoints) != 1 || list.Endpoints[0].ID != "s-2" {
 		t.Errorf("%+v", list)
 	}
@@ -71,25 +71,25 @@
 // and any list from discovery is newer then, whatever its version.
 func TestCachedListIsUsedOnlyIfDiscoveryIsSilent(t *testing.T) {
 	t.Parallel()
-	server := testkit.NewDiscovery(t, 3, testkit.EntryText("s-new", "127.0.0.1:1", "Ready", 0))
-	cached := parseList(t, testkit.ListText(41, true, testkit.EntryText("s-old", "127.0.0.1:2", "Ready", 0)))
+	server := testkit.NewDiscovery(t, 3, testkit.EndpointJSON("s-new", "127.0.0.1:1", "Ready", 0))
+	cached := parseList(t, testkit.EndpointListJSON(41, true, testkit.EndpointJSON("s-old", "127.0.0.1:2", "Ready", 0)))
 	for name, ids := range map[string][]string{"answers": {"s-new"}, "is silent at first": {"s-old", "s-new"}} {
 		client, sink := newClient(t, server.Addr().String(), 1, noCache, io.Discard)
 		client.cfg.CachedList = cached
-		server.Silence(len(ids) > 1)
+		server.SetSilent(len(ids) > 1)
 		run(t, client)
 		for _, want := range ids {
 			if list := nextList(t, sink); len(list.Endpoints) != 1 || list.Endpoints[0].ID != want {
 				t.Errorf("%s: %+v, want %s", name, list, want)
 			}
-			server.Silence(false)
+			server.SetSilent(false)
 		}
 	}
 }
 
 // A subscription fails. The sink is notified, since the balancer decides when to poll again.
 func TestSinkIsNotifiedOfAFailedSubscription(t *testing.T) {
-	client, sink := newClient(t, testkit.Refusing(t), 1, noCache, io.Discard)
+	client, sink := newClient(t, testkit.RefusingAddr(t), 1, noCache, io.Discard)
 	client.cfg.SubscriptionRequired = true
 	run(t, client)
 	client.Subscribe()
@@ -98,7 +98,7 @@
 		if !got.unavailable {
 			t.Errorf("%+v", got)
 		}
-	case <-time.After(testkit.Patience):
+	case <-time.After(testkit.WaitTimeout):
 		t.Fatal("the sink was not notified")
 	}
 }
@@ -106,9 +106,9 @@
 // An agent of a large fleet starts with a cached list. It serves from that and requests watch events since its version, not a full
 // snapshot; its watches follow each other at once, so that no change is late.
 func TestLargeFleetStartsFromTheCachedVersion(t *testing.T) {
-	server := testkit.NewDiscovery(t, 41, testkit.EntryText("s-1", "127.0.0.1:1", "Ready", 0))
-	server.Set(42, false, testkit.EntryText("s-2", "127.0.0.1:2", "Ready", 0))
-	cached := testkit.ListText(41, true, testkit.EntryText("s-1", "127.0.0.1:1", "Ready", 0))
+	server := testkit.NewDiscovery(t, 41, testkit.EndpointJSON("s-1", "127.0.0.1:1", "Ready", 0))
+	server.Set(42, false, testkit.EndpointJSON("s-2", "127.0.0.1:2", "Ready", 0))
+	cached := testkit.EndpointListJSON(41, true, testkit.EndpointJSON("s-1", "127.0.0.1:1", "Ready", 0))
 	client, sink := newSubscribedClient(t, server.Addr().String(), 12, cached)
 	client.timing.StartSpread = 0
 	run(t, client)
@@ -119,7 +119,7 @@
 		if list := nextList(t, sink); list.Full || list.Endpoints[0].ID != "s-2" {
 			t.Errorf("change %d: %+v", i, list)
 		}
-		server.Set(43+i, false, testkit.EntryText("s-2", "127.0.0.1:2", "Ready", int64(i)))
+		server.Set(43+i, false, testkit.EndpointJSON("s-2", "127.0.0.1:2", "Ready", int64(i)))
 	}
 	if snapshots, watches := server.Calls(); snapshots != 0 || watches < 3 {
 		t.Errorf("%d requests for a full snapshot, %d watches", snapshots, watches)
@@ -129,8 +129,8 @@
 // The agent is pointed to another discovery while the balancer waits in its backoff for the old one. The new one is polled without a new
 // subscription.
 func TestNewAddressIsPolledWithoutASubscription(t *testing.T) {
-	server := testkit.NewDiscovery(t, 1, testkit.EntryText("s-1", "127.0.0.1:1", "Ready", 0))
-	client, sink := newClient(t, testkit.Refusing(t), 1, noCache, io.Discard)
+	server := testkit.NewDiscovery(t, 1, testkit.EndpointJSON("s-1", "127.0.0.1:1", "Ready", 0))
+	client, sink := newClient(t, testkit.RefusingAddr(t), 1, noCache, io.Discard)
 	client.cfg.SubscriptionRequired = true
 	run(t, client)
 	client.SetAddress(server.Addr().String())
@@ -156,14 +156,14 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			server := testkit.NewDiscovery(t, 1, testkit.EntryText("s-1", "127.0.0.1:1", "Ready", 0))
+			server := testkit.NewDiscovery(t, 1, testkit.EndpointJSON("s-1", "127.0.0.1:1", "Ready", 0))
 			client, sink := newSubscribedClient(t, server.Addr().String(), 1, noCache)
 			run(t, client)
 			nextList(t, sink)
 			testkit.Eventually(t, "a watch is open", func() bool { _, watches := server.Calls(); return watches > 0 })
 			reload(client, server.Addr().String())
 			time.Sleep(50 * time.Millisecond) // the old session has ended
-			server.Set(2, false, testkit.EntryText("s-1", "127.0.0.1:1", "Terminating", 0))
+			server.Set(2, false, testkit.EndpointJSON("s-1", "127.0.0.1:1", "Terminating", 0))
 			select {
 			case <-sink:
 			case <-time.After(notificationDeadline):
--- a/internal/discovery/fixture_test.go
+++ b/internal/discovery/fixture_test.go
@@ -75,7 +75,7 @@
 			t.Fatal("discovery is unavailable where a list was expected")
 		}
 		return got.list
-	case <-time.After(testkit.Patience):
+	case <-time.After(testkit.WaitTimeout):
 		t.Fatal("no list came")
 	}
 	return core.EndpointList{}
--- a/internal/discovery/starttime_test.go
+++ b/internal/discovery/starttime_test.go
@@ -22,13 +22,13 @@
 			t.Parallel()
 			var wall steppedClock
 			clock := core.NewClockWith(wall.now)
-			server := testkit.NewDiscovery(t, 1, testkit.EntryText("s-1", "127.0.0.1:1", "Ready", 0))
+			server := testkit.NewDiscovery(t, 1, testkit.EndpointJSON("s-1", "127.0.0.1:1", "Ready", 0))
 			client, sink := newClientWith(t, Config{Addr: server.Addr().String(), Agents: 1, Clock: clock, Log: discardLog()}, noCache)
 			run(t, client)
 			nextList(t, sink)
 			wall.step.Store(int64(step))
 			before := clock.Now()
-			entry := testkit.EntryText("s-2", "127.0.0.1:2", "Ready", wall.now().UnixMilli())
+			entry := testkit.EndpointJSON("s-2", "127.0.0.1:2", "Ready", wall.now().UnixMilli())
 			server.Set(2, false, entry)
 			startedAt := nextList(t, sink).Endpoints[0].StartedAt
 			if after := clock.Now(); startedAt < before-10*time.Millisecond || startedAt > after {
@@ -45,11 +45,11 @@
 	// answered, and not an hour.
 	t.Run("own clock ahead", func(t *testing.T) {
 		clock := core.NewClockWith(func() time.Time { return time.Now().Add(time.Hour) })
-		server := testkit.NewDiscovery(t, 1, testkit.EntryText("s-1", "127.0.0.1:1", "Ready", 0))
+		server := testkit.NewDiscovery(t, 1, testkit.EndpointJSON("s-1", "127.0.0.1:1", "Ready", 0))
 		client, sink := newClientWith(t, Config{Addr: server.Addr().String(), Agents: 1, Clock: clock, Log: discardLog()}, noCache)
 		run(t, client)
 		nextList(t, sink)
-		server.Set(2, false, testkit.EntryText("s-2", "127.0.0.1:2", "Ready", time.Now().UnixMilli()))
+		server.Set(2, false, testkit.EndpointJSON("s-2", "127.0.0.1:2", "Ready", time.Now().UnixMilli()))
 		if age := clock.Now() - nextList(t, sink).Endpoints[0].StartedAt; age > maxListingDelay+notificationDeadline/2 {
 			t.Errorf("it is %v old", age)
 		}
@@ -57,7 +57,7 @@
 	// The endpoint's clock is ahead. A start in the future counts as now, so that its slow start is no longer than any other.
 	t.Run("in the future", func(t *testing.T) {
 		clock := core.NewClock()
-		server := testkit.NewDiscovery(t, 1, testkit.EntryText("s-1", "127.0.0.1:1", "Ready", time.Now().Add(time.Hour).UnixMilli()))
+		server := testkit.NewDiscovery(t, 1, testkit.EndpointJSON("s-1", "127.0.0.1:1", "Ready", time.Now().Add(time.Hour).UnixMilli()))
 		client, sink := newClientWith(t, Config{Addr: server.Addr().String(), Agents: 1, Clock: clock, Log: discardLog()}, noCache)
 		run(t, client)
 		if startedAt, now := nextList(t, sink).Endpoints[0].StartedAt, clock.Now(); startedAt > now {
--- a/internal/discovery/timing_test.go
+++ b/internal/discovery/timing_test.go
@@ -9,7 +9,7 @@
 // All agents of a fleet start, or lose discovery, at once. In a fleet of any size their requests are spread over less than half of the
 // notification deadline, and no watch is longer than that unless discovery is overloaded. A small fleet is not spread.
 func TestRequestsAreSpreadWithinTheNotificationDeadline(t *testing.T) {
-	cached := testkit.ListText(41, true, testkit.EntryText("s-1", "127.0.0.1:1", "Ready", 0))
+	cached := testkit.EndpointListJSON(41, true, testkit.EndpointJSON("s-1", "127.0.0.1:1", "Ready", 0))
 	for _, agents := range []int{1, smallFleet, 20, 48, 300, 2000, 100000} {
 		client, _ := newSubscribedClient(t, "127.0.0.1:1", agents, cached)
 		large, timing := agents > smallFleet, client.timing
--- a/internal/front/http/readiness_test.go
+++ b/internal/front/http/readiness_test.go
@@ -36,7 +36,7 @@
 				t.Fatal(err)
 			}
 			defer client.Close()
-			client.SetDeadline(time.Now().Add(testkit.Patience))
+			client.SetDeadline(time.Now().Add(testkit.WaitTimeout))
 			io.WriteString(client, c.request)
 			resp, err := http.ReadResponse(bufio.NewReader(client), nil)
 			if err != nil {
--- a/internal/testkit/testkit.go
+++ b/internal/testkit/testkit.go
@@ -15,8 +15,8 @@
 	"time"
 )
 
-// Patience is how long a test waits for what must come; machines are noisy.
-const Patience = 20 * time.Second
+// WaitTimeout is how long a test waits for what must come; machines are noisy.
+const WaitTimeout = 20 * time.Second
 
 // SettingsText is a settings object.
 const SettingsText = `{"Balancers":2,"Me":0,"TickNs":5000000,"WeightKind":"silent","Discovery":"automatic",
@@ -48,8 +48,8 @@
 	return l
 }
 
-// Refusing is an address at which nothing listens.
-func Refusing(t *testing.T) string {
+// RefusingAddr is an address at which nothing listens.
+func RefusingAddr(t *testing.T) string {
 	l := Listen(t)
 	l.Close()
 	return l.Addr().String()
@@ -58,12 +58,12 @@
 // Eventually waits until ok holds.
 func Eventually(t *testing.T, what string, ok func() bool) {
 	t.Helper()
-	for end := time.Now().Add(Patience); time.Now().Before(end); time.Sleep(2 * time.Millisecond) {
+	for end := time.Now().Add(WaitTimeout); time.Now().Before(end); time.Sleep(2 * time.Millisecond) {
 		if ok() {
 			return
 		}
 	}
-	t.Fatalf("waited %v in vain: %s", Patience, what)
+	t.Fatalf("waited %v in vain: %s", WaitTimeout, what)
 }
 
 // Backend reads requests whole and lets a script answer. The script returns false to close the connection.
@@ -132,34 +132,34 @@
 	return b.conns
 }
 
-// Says is a script that always gives the same answer.
-func Says(text string) func(net.Conn, *http.Request, int) bool {
+// RespondWith is a script that always gives the same answer.
+func RespondWith(text string) func(net.Conn, *http.Request, int) bool {
 	return func(c net.Conn, _ *http.Request, _ int) bool {
 		_, err := io.WriteString(c, text)
 		return err == nil
 	}
 }
 
-// Closes is a script that closes the connection instead of an answer.
-func Closes(net.Conn, *http.Request, int) bool { return false }
+// CloseConnection is a script that closes the connection instead of an answer.
+func CloseConnection(net.Conn, *http.Request, int) bool { return false }
 
-// Silent is a script that takes a request and never answers.
-func Silent(c net.Conn, _ *http.Request, _ int) bool {
+// NeverRespond is a script that takes a request and never answers.
+func NeverRespond(c net.Conn, _ *http.Request, _ int) bool {
 	io.Copy(io.Discard, c)
 	return false
 }
 
-// ServedText is a whole answer with a load report.
-const ServedText = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\nX-Server-Load: util=0.5,qps=10,eps=0\r\n\r\nfine"
+// OKResponse is a whole answer with a load report.
+const OKResponse = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\nX-Server-Load: util=0.5,qps=10,eps=0\r\n\r\nfine"
 
-// EntryText is a list entry in discovery's form.
-func EntryText(id, addr, state string, started int64) string {
+// EndpointJSON is a list entry in discovery's form.
+func EndpointJSON(id, addr, state string, started int64) string {
 	return fmt.Sprintf(`{"id":%q,"addr":%q,"zone":"edinburgh-dc","kind":"twin-core","cell":1,"state":%q,"weight":1,"started_ms":%d}`,
 		id, addr, state, started)
 }
 
-// ListText is a list in discovery's form.
-func ListText(version int, full bool, entries ...string) string {
+// EndpointListJSON is a list in discovery's form.
+func EndpointListJSON(version int, full bool, entries ...string) string {
 	text := "["
 	for i, e := range entries {
 		if i > 0 {
@@ -177,7 +177,7 @@
 	version int
 	text    string // for watches
 	whole   string
-	mute    bool // be Silent, as in an outage
+	mute    bool // never respond, as in an outage
 	wholes  int  // calls for the whole list
 	watches int
 }
@@ -197,14 +197,14 @@
 func (d *Discovery) Set(version int, full bool, entries ...string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.version, d.text = version, ListText(version, full, entries...)
+	d.version, d.text = version, EndpointListJSON(version, full, entries...)
 	if full {
 		d.whole = d.text
 	}
 }
 
-// Silence makes it say nothing, as in an outage, or ends that.
-func (d *Discovery) Silence(on bool) {
+// SetSilent makes it say nothing, as in an outage, or ends that.
+func (d *Discovery) SetSilent(on bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.mute = on
@@ -242,7 +242,7 @@
 			io.WriteString(w, text)
 			return
 		case time.Now().After(end):
-			io.WriteString(w, ListText(since, false))
+			io.WriteString(w, EndpointListJSON(since, false))
 			return
 		}
 		time.Sleep(2 * time.Millisecond)
--- a/internal/upstream/http/connection_test.go
+++ b/internal/upstream/http/connection_test.go
@@ -21,20 +21,23 @@
 
 // An endpoint closes an idle connection. The close is found before a request is lost on it.
 func TestClosedIdleConnectionIsNotUsed(t *testing.T) {
-	backend := testkit.NewBackend(t, func(c net.Conn, r *http.Request, n int) bool { testkit.Says(testkit.ServedText)(c, r, n); return n > 1 })
+	backend := testkit.NewBackend(t, func(c net.Conn, r *http.Request, n int) bool {
+		testkit.RespondWith(testkit.OKResponse)(c, r, n)
+		return n > 1
+	})
 	f := newFixture(t, backend.Addr().String(), 100)
-	f.execute(f.attempt(testkit.Patience))
+	f.execute(f.attempt(testkit.WaitTimeout))
 	testkit.Eventually(t, "the close has arrived", func() bool { f.Pool.Maintain(); return f.idleConnections() == 0 })
-	if out := f.execute(f.attempt(testkit.Patience)); out.Result != logic.OK || backend.Connections() != 2 {
+	if out := f.execute(f.attempt(testkit.WaitTimeout)); out.Result != logic.OK || backend.Connections() != 2 {
 		t.Errorf("result %v on %d connections", out.Result, backend.Connections())
 	}
 }
 
 func TestConnectionsAreReused(t *testing.T) {
-	backend := testkit.NewBackend(t, testkit.Says(testkit.ServedText))
+	backend := testkit.NewBackend(t, testkit.RespondWith(testkit.OKResponse))
 	f := newFixture(t, backend.Addr().String(), 100)
 	for range 3 {
-		f.execute(f.attempt(testkit.Patience))
+		f.execute(f.attempt(testkit.WaitTimeout))
 	}
 	if backend.Connections() != 1 {
 		t.Errorf("%d connections for requests one after another", backend.Connections())
@@ -43,7 +46,7 @@
 
 // An endpoint drains, restarts or is removed: its idle connections close with the update.
 func TestEndpointUpdatesCloseConnections(t *testing.T) {
-	backend := testkit.NewBackend(t, testkit.Says(testkit.ServedText))
+	backend := testkit.NewBackend(t, testkit.RespondWith(testkit.OKResponse))
 	addr := backend.Addr().String()
 	f := newFixture(t, addr, 100)
 	for i, change := range []func(){
@@ -54,7 +57,7 @@
 		},
 	} {
 		f.listEndpoint(addr, logic.Ready, 0)
-		f.execute(f.attempt(testkit.Patience))
+		f.execute(f.attempt(testkit.WaitTimeout))
 		if f.idleConnections() != 1 {
 			t.Fatalf("%d: no connection is idle", i)
 		}
@@ -68,10 +71,10 @@
 // An endpoint accepts connections and never answers. It uses up its own places only, and idle connections make place for those that
 // are needed.
 func TestSilentEndpointKeepsToItsConnections(t *testing.T) {
-	silent, healthy := testkit.NewBackend(t, testkit.Silent), testkit.NewBackend(t, testkit.Says(testkit.ServedText))
+	silent, healthy := testkit.NewBackend(t, testkit.NeverRespond), testkit.NewBackend(t, testkit.RespondWith(testkit.OKResponse))
 	f := newFixture(t, silent.Addr().String(), 8)
 	endpoint := f.Pool.Endpoint(endpointID)
-	soon := time.Now().Add(testkit.Patience)
+	soon := time.Now().Add(testkit.WaitTimeout)
 	for i := range 2 {
 		if _, err := f.Pool.Get(context.Background(), pool.Request{Endpoint: endpoint, Deadline: soon}); err != nil {
 			t.Fatalf("connection %d: %v", i, err)
@@ -81,7 +84,7 @@
 		t.Errorf("a third of at most 8/4: %v", err)
 	}
 	// The agent's own limit is no evidence: as a failure of the endpoint it would make the balancer eject a healthy one.
-	if out := f.execute(f.attempt(testkit.Patience)); out.Result != logic.NotSent {
+	if out := f.execute(f.attempt(testkit.WaitTimeout)); out.Result != logic.NotSent {
 		t.Errorf("an attempt without a place: %v", out.Result)
 	}
 	var others []core.Endpoint
@@ -90,7 +93,7 @@
 	}
 	f.UpdateEndpoints(core.EndpointList{Endpoints: others})
 	for i := range 9 {
-		attempt := f.attemptOn(fmt.Sprint(i), testkit.Patience, testkit.Patience)
+		attempt := f.attemptOn(fmt.Sprint(i), testkit.WaitTimeout, testkit.WaitTimeout)
 		if out := f.execute(attempt); out.Result != logic.OK {
 			t.Errorf("backend %d: %v", i, out.Result)
 		}
@@ -103,14 +106,14 @@
 // A connect to one endpoint never completes. It fails at the connect timeout and holds up no other endpoint meanwhile.
 func TestBlockedDialHoldsUpNoOtherEndpoint(t *testing.T) {
 	t.Parallel()
-	blocked, healthy := testkit.NewBackend(t, testkit.Says(testkit.ServedText)), testkit.NewBackend(t, testkit.Says(testkit.ServedText))
+	blocked, healthy := testkit.NewBackend(t, testkit.RespondWith(testkit.OKResponse)), testkit.NewBackend(t, testkit.RespondWith(testkit.OKResponse))
 	dial, began := dialBlockedUntil(blocked.Addr().String(), nil)
 	f := newFixtureWithDial(t, blocked.Addr().String(), 100, time.Second, dial)
 	f.UpdateEndpoints(core.EndpointList{Endpoints: []core.Endpoint{{Endpoint: logic.Endpoint{ID: "other"}, Addr: healthy.Addr().String()}}})
 	done := make(chan outcome)
-	go func() { done <- f.execute(f.attempt(testkit.Patience)) }()
+	go func() { done <- f.execute(f.attempt(testkit.WaitTimeout)) }()
 	<-began
-	if out := f.execute(f.attemptOn("other", testkit.Patience, testkit.Patience)); out.Result != logic.OK {
+	if out := f.execute(f.attemptOn("other", testkit.WaitTimeout, testkit.WaitTimeout)); out.Result != logic.OK {
 		t.Errorf("to another backend meanwhile: %v", out.Result)
 	}
 	if out := <-done; out.Result != logic.ConnectFailed || blocked.Requests() != 0 {
@@ -139,7 +142,7 @@
 				c.Read(buf[:])
 				arrived.Done()
 				arrived.Wait() // so that each request has a connection of its own
-				io.WriteString(c, testkit.ServedText)
+				io.WriteString(c, testkit.OKResponse)
 			}()
 		}
 	}()
@@ -154,7 +157,7 @@
 	before := heap()
 	var all sync.WaitGroup
 	for range n {
-		all.Go(func() { f.execute(f.attempt(testkit.Patience)).text(t) })
+		all.Go(func() { f.execute(f.attempt(testkit.WaitTimeout)).text(t) })
 	}
 	all.Wait()
 	t.Logf("%d idle connections, %d bytes of heap each with the stand-in's end", f.idleConnections(), (heap()-before)/n)
--- a/internal/upstream/http/healthcheck_test.go
+++ b/internal/upstream/http/healthcheck_test.go
@@ -23,17 +23,17 @@
 		unsupported bool
 		idle        int
 	}{
-		"a report":         {testkit.Says("HTTP/1.1 200 OK\r\nContent-Length: 17\r\n\r\nutil=0.5,qps=40.\n"), healthcheck.LoadRequest, logic.OK, 0.5, false, 1},
-		"a malformed one":  {testkit.Says("HTTP/1.1 200 OK\r\nContent-Length: 8\r\n\r\nutil=abc"), healthcheck.LoadRequest, logic.OK, -1, false, 1},
-		"health":           {testkit.Says("HTTP/1.1 200 OK\r\nContent-Length: 8\r\n\r\nutil=0.5"), healthcheck.HealthRequest, logic.OK, -1, false, 1},
-		"too long":         {testkit.Says("HTTP/1.1 200 OK\r\nContent-Length: 9000\r\n\r\n" + string(make([]byte, 9000))), healthcheck.LoadRequest, logic.OK, -1, false, 0},
-		"unhealthy":        {testkit.Says("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"), healthcheck.LoadRequest, logic.Rejected, -1, false, 1},
-		"an error":         {testkit.Says("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"), healthcheck.LoadRequest, logic.Failed, -1, false, 1},
-		"not found":        {testkit.Says("HTTP/1.1 404 No\r\nContent-Length: 0\r\n\r\n"), healthcheck.LoadRequest, logic.Failed, -1, true, 1},
-		"noise":            {testkit.Says("what is this"), healthcheck.LoadRequest, logic.Reset, -1, false, 0},
+		"a report":         {testkit.RespondWith("HTTP/1.1 200 OK\r\nContent-Length: 17\r\n\r\nutil=0.5,qps=40.\n"), healthcheck.LoadRequest, logic.OK, 0.5, false, 1},
+		"a malformed one":  {testkit.RespondWith("HTTP/1.1 200 OK\r\nContent-Length: 8\r\n\r\nutil=abc"), healthcheck.LoadRequest, logic.OK, -1, false, 1},
+		"health":           {testkit.RespondWith("HTTP/1.1 200 OK\r\nContent-Length: 8\r\n\r\nutil=0.5"), healthcheck.HealthRequest, logic.OK, -1, false, 1},
+		"too long":         {testkit.RespondWith("HTTP/1.1 200 OK\r\nContent-Length: 9000\r\n\r\n" + string(make([]byte, 9000))), healthcheck.LoadRequest, logic.OK, -1, false, 0},
+		"unhealthy":        {testkit.RespondWith("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"), healthcheck.LoadRequest, logic.Rejected, -1, false, 1},
+		"an error":         {testkit.RespondWith("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"), healthcheck.LoadRequest, logic.Failed, -1, false, 1},
+		"not found":        {testkit.RespondWith("HTTP/1.1 404 No\r\nContent-Length: 0\r\n\r\n"), healthcheck.LoadRequest, logic.Failed, -1, true, 1},
+		"noise":            {testkit.RespondWith("what is this"), healthcheck.LoadRequest, logic.Reset, -1, false, 0},
 		"a reset":          {resetsConnection, healthcheck.LoadRequest, logic.Reset, -1, false, 0},
-		"half a response":  {testkit.Says("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nutil"), healthcheck.LoadRequest, logic.TimedOut, -1, false, 0},
-		"a close after it": {testkit.Says("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 8\r\n\r\nutil=0.5"), healthcheck.LoadRequest, logic.OK, 0.5, false, 0},
+		"half a response":  {testkit.RespondWith("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nutil"), healthcheck.LoadRequest, logic.TimedOut, -1, false, 0},
+		"a close after it": {testkit.RespondWith("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 8\r\n\r\nutil=0.5"), healthcheck.LoadRequest, logic.OK, 0.5, false, 0},
 		"nothing":          {func(c net.Conn, _ *http.Request, _ int) bool { c.Read(make([]byte, 1)); return false }, healthcheck.LoadRequest, logic.TimedOut, -1, false, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -55,10 +55,10 @@
 		if n == 2 {
 			return false // closes the first connection at its second request
 		}
-		return testkit.Says("HTTP/1.1 200 OK\r\nContent-Length: 8\r\n\r\nutil=0.5")(c, r, n)
+		return testkit.RespondWith("HTTP/1.1 200 OK\r\nContent-Length: 8\r\n\r\nutil=0.5")(c, r, n)
 	})
 	f := newFixture(t, crossed.Addr().String(), 1)
-	soon := func() time.Time { return time.Now().Add(testkit.Patience) }
+	soon := func() time.Time { return time.Now().Add(testkit.WaitTimeout) }
 	for range 2 {
 		if got := f.HealthCheck(context.Background(), f.Bind(endpointID), healthcheck.LoadRequest, soon()); got.Result != logic.OK {
 			t.Errorf("%+v", got)
--- a/internal/upstream/http/loadreport_test.go
+++ b/internal/upstream/http/loadreport_test.go
@@ -22,9 +22,9 @@
 
 // An endpoint sends a malformed load report. It spoils neither the response that brought it nor the balancer's averages.
 func TestMalformedLoadReportIsIgnored(t *testing.T) {
-	backend := testkit.NewBackend(t, testkit.Says("HTTP/1.1 200 OK\r\nX-Server-Load: util=NaN,qps=3\r\nContent-Length: 4\r\n\r\nfine"))
+	backend := testkit.NewBackend(t, testkit.RespondWith("HTTP/1.1 200 OK\r\nX-Server-Load: util=NaN,qps=3\r\nContent-Length: 4\r\n\r\nfine"))
 	f := newFixture(t, backend.Addr().String(), 100)
-	out := f.execute(f.attempt(testkit.Patience))
+	out := f.execute(f.attempt(testkit.WaitTimeout))
 	if out.Result != logic.OK || out.LoadReport != logic.NoLoadReport || len(f.malformedReports) != 1 {
 		t.Errorf("%v %+v %v", out.Result, out.LoadReport, f.malformedReports)
 	}
@@ -32,9 +32,9 @@
 
 // A response has two load reports, the first of them malformed. The second one counts.
 func TestLoadReportAfterAMalformedOneCounts(t *testing.T) {
-	backend := testkit.NewBackend(t, testkit.Says("HTTP/1.1 200 OK\r\nX-Server-Load: %%%\r\nX-Server-Load: util=0.5\r\nContent-Length: 4\r\n\r\nfine"))
+	backend := testkit.NewBackend(t, testkit.RespondWith("HTTP/1.1 200 OK\r\nX-Server-Load: %%%\r\nX-Server-Load: util=0.5\r\nContent-Length: 4\r\n\r\nfine"))
 	f := newFixture(t, backend.Addr().String(), 100)
-	if out := f.execute(f.attempt(testkit.Patience)); out.Result != logic.OK || out.LoadReport.Utilization != 0.5 {
+	if out := f.execute(f.attempt(testkit.WaitTimeout)); out.Result != logic.OK || out.LoadReport.Utilization != 0.5 {
 		t.Errorf("%v %+v", out.Result, out.LoadReport)
 	}
 }
--- a/internal/upstream/http/outcome_test.go
+++ b/internal/upstream/http/outcome_test.go
@@ -25,35 +25,35 @@
 		want   logic.Result
 		idle   int
 	}{
-		"served":                     {testkit.Says(testkit.ServedText), logic.OK, 1},
-		"served, then closed":        {testkit.Says("HTTP/1.1 200 OK\r\nContent-Length: 4\r\nConnection: close\r\n\r\nfine"), logic.OK, 0},
-		"chunked":                    {testkit.Says("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nfine\r\n0\r\n\r\n"), logic.OK, 1},
-		"after an interim response":  {testkit.Says("HTTP/1.1 103 Early Hints\r\n\r\n" + testkit.ServedText), logic.OK, 1},
-		"more than one response":     {testkit.Says(testkit.ServedText + testkit.ServedText), logic.OK, 0},
-		"error":                      {testkit.Says("HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n"), logic.Failed, 1},
-		"503 that may have run":      {testkit.Says("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"), logic.Failed, 1},
-		"503 not processed":          {testkit.Says("HTTP/1.1 503 Busy\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"), logic.Rejected, 1},
-		"504 not processed":          {testkit.Says("HTTP/1.1 504 Late\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"), logic.Rejected, 1},
-		"500 that claims not to run": {testkit.Says("HTTP/1.1 500 Oops\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"), logic.Failed, 1},
-		"closed":                     {testkit.Closes, logic.Reset, 0},
+		"served":                     {testkit.RespondWith(testkit.OKResponse), logic.OK, 1},
+		"served, then closed":        {testkit.RespondWith("HTTP/1.1 200 OK\r\nContent-Length: 4\r\nConnection: close\r\n\r\nfine"), logic.OK, 0},
+		"chunked":                    {testkit.RespondWith("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nfine\r\n0\r\n\r\n"), logic.OK, 1},
+		"after an interim response":  {testkit.RespondWith("HTTP/1.1 103 Early Hints\r\n\r\n" + testkit.OKResponse), logic.OK, 1},
+		"more than one response":     {testkit.RespondWith(testkit.OKResponse + testkit.OKResponse), logic.OK, 0},
+		"error":                      {testkit.RespondWith("HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n"), logic.Failed, 1},
+		"503 that may have run":      {testkit.RespondWith("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"), logic.Failed, 1},
+		"503 not processed":          {testkit.RespondWith("HTTP/1.1 503 Busy\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"), logic.Rejected, 1},
+		"504 not processed":          {testkit.RespondWith("HTTP/1.1 504 Late\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"), logic.Rejected, 1},
+		"500 that claims not to run": {testkit.RespondWith("HTTP/1.1 500 Oops\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"), logic.Failed, 1},
+		"closed":                     {testkit.CloseConnection, logic.Reset, 0},
 		"reset":                      {resetsConnection, logic.Reset, 0},
-		"garbage":                    {testkit.Says("no HTTP at all\r\n\r\n"), logic.Reset, 0},
-		"endless head":               {testkit.Says("HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 8*maxHeadBytes)), logic.Reset, 0},
-		"switching protocols":        {testkit.Says("HTTP/1.1 101 Other\r\n\r\nsomething else\r\n\r\n"), logic.Reset, 0},
-		"error longer than the buffer": {testkit.Says("HTTP/1.1 500 Oops\r\nContent-Length: 70000\r\n\r\n" + strings.Repeat("x", 70000)),
+		"garbage":                    {testkit.RespondWith("no HTTP at all\r\n\r\n"), logic.Reset, 0},
+		"endless head":               {testkit.RespondWith("HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 8*maxHeadBytes)), logic.Reset, 0},
+		"switching protocols":        {testkit.RespondWith("HTTP/1.1 101 Other\r\n\r\nsomething else\r\n\r\n"), logic.Reset, 0},
+		"error longer than the buffer": {testkit.RespondWith("HTTP/1.1 500 Oops\r\nContent-Length: 70000\r\n\r\n" + strings.Repeat("x", 70000)),
 			logic.Failed, 0},
 		// These leave the connection open and silent, which must not hold the attempt until its deadline.
-		"noise with no line":        {testkit.Says("\x16\x03\x01noise"), logic.Reset, 0},
-		"noise like a response":     {testkit.Says("HTTPS"), logic.Reset, 0},
-		"half a head":               {testkit.Says("HTTP/1.1 200 OK\r\nContent-Le"), logic.Reset, 0},
-		"half a body":               {testkit.Says("HTTP/1.1 200 OK\r\nContent-Length: 400\r\n\r\nfine"), logic.Reset, 0},
-		"a chunk with no size":      {testkit.Says("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nfine\r\nzz\r\nfine\r\n"), logic.Reset, 0},
-		"a length of 3 GB":          {testkit.Says("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nfine"), logic.Reset, 0},
-		"two lengths":               {testkit.Says("HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\nfine"), logic.Reset, 0},
-		"negative length":           {testkit.Says("HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\nfine"), logic.Reset, 0},
-		"no length, left open":      {testkit.Says("HTTP/1.1 200 OK\r\n\r\nfine"), logic.Reset, 0},
-		"endless interim responses": {testkit.Says(strings.Repeat("HTTP/1.1 103 Early Hints\r\n\r\n", 2*maxInterimResponses)), logic.Reset, 0},
-		"complete, then noise":      {testkit.Says(testkit.ServedText + "\x00noise"), logic.OK, 0},
+		"noise with no line":        {testkit.RespondWith("\x16\x03\x01noise"), logic.Reset, 0},
+		"noise like a response":     {testkit.RespondWith("HTTPS"), logic.Reset, 0},
+		"half a head":               {testkit.RespondWith("HTTP/1.1 200 OK\r\nContent-Le"), logic.Reset, 0},
+		"half a body":               {testkit.RespondWith("HTTP/1.1 200 OK\r\nContent-Length: 400\r\n\r\nfine"), logic.Reset, 0},
+		"a chunk with no size":      {testkit.RespondWith("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nfine\r\nzz\r\nfine\r\n"), logic.Reset, 0},
+		"a length of 3 GB":          {testkit.RespondWith("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nfine"), logic.Reset, 0},
+		"two lengths":               {testkit.RespondWith("HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\nfine"), logic.Reset, 0},
+		"negative length":           {testkit.RespondWith("HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\nfine"), logic.Reset, 0},
+		"no length, left open":      {testkit.RespondWith("HTTP/1.1 200 OK\r\n\r\nfine"), logic.Reset, 0},
+		"endless interim responses": {testkit.RespondWith(strings.Repeat("HTTP/1.1 103 Early Hints\r\n\r\n", 2*maxInterimResponses)), logic.Reset, 0},
+		"complete, then noise":      {testkit.RespondWith(testkit.OKResponse + "\x00noise"), logic.OK, 0},
 		// Such a body ends with the connection; an endpoint that dies in the middle of one resets it.
 		"no length, then closed": {func(c net.Conn, r *http.Request, n int) bool {
 			io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\nfine")
@@ -71,7 +71,7 @@
 		t.Run(name, func(t *testing.T) {
 			backend := testkit.NewBackend(t, test.script)
 			f := newFixture(t, backend.Addr().String(), 100)
-			attempt := f.attempt(testkit.Patience)
+			attempt := f.attempt(testkit.WaitTimeout)
 			out := f.execute(attempt)
 			if out.Result != test.want {
 				t.Errorf("result %v, want %v", out.Result, test.want)
@@ -79,7 +79,7 @@
 			if body := out.text(t); (out.Result == logic.OK) != (body == "fine") {
 				t.Errorf("body %q", body)
 			}
-			if latency := f.Clock.Now() - attempt.SentAt; latency > testkit.Patience/2 {
+			if latency := f.Clock.Now() - attempt.SentAt; latency > testkit.WaitTimeout/2 {
 				t.Errorf("it took %v", latency)
 			}
 			if backend.Requests() != 1 {
@@ -93,15 +93,15 @@
 }
 
 func TestRefusedConnectionIsConnectFailed(t *testing.T) {
-	f := newFixture(t, testkit.Refusing(t), 100)
-	if out := f.execute(f.attempt(testkit.Patience)); out.Result != logic.ConnectFailed {
+	f := newFixture(t, testkit.RefusingAddr(t), 100)
+	if out := f.execute(f.attempt(testkit.WaitTimeout)); out.Result != logic.ConnectFailed {
 		t.Errorf("result %v", out.Result)
 	}
 }
 
 func TestSilentEndpointTimesOut(t *testing.T) {
 	t.Parallel()
-	backend := testkit.NewBackend(t, testkit.Silent)
+	backend := testkit.NewBackend(t, testkit.NeverRespond)
 	f := newFixture(t, backend.Addr().String(), 100)
 	if out := f.execute(f.attempt(time.Second)); out.Result != logic.TimedOut {
 		t.Errorf("result %v", out.Result)
@@ -115,13 +115,13 @@
 // itself, which may repeat an effect.
 func TestBrokenConnectionIsNotRetriedByTheUpstream(t *testing.T) {
 	backend := testkit.NewBackend(t, func(c net.Conn, r *http.Request, n int) bool {
-		return n == 1 && testkit.Says(testkit.ServedText)(c, r, n)
+		return n == 1 && testkit.RespondWith(testkit.OKResponse)(c, r, n)
 	})
 	f := newFixture(t, backend.Addr().String(), 100)
-	if out := f.execute(f.attempt(testkit.Patience)); out.Result != logic.OK {
+	if out := f.execute(f.attempt(testkit.WaitTimeout)); out.Result != logic.OK {
 		t.Fatalf("first: %v", out.Result)
 	}
-	if out := f.execute(f.attempt(testkit.Patience)); out.Result != logic.Reset {
+	if out := f.execute(f.attempt(testkit.WaitTimeout)); out.Result != logic.Reset {
 		t.Errorf("second: %v", out.Result)
 	}
 	if backend.Requests() != 2 || backend.Connections() != 1 {
@@ -143,17 +143,17 @@
 		if n <= idle {
 			together.Done()
 			together.Wait()
-			return testkit.Says(testkit.ServedText)(c, r, n)
+			return testkit.RespondWith(testkit.OKResponse)(c, r, n)
 		}
 		if n == idle+1 {
 			io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nfi")
 		}
-		return testkit.Silent(c, r, n)
+		return testkit.NeverRespond(c, r, n)
 	})
 	f := newFixture(t, backend.Addr().String(), 40)
 	var all sync.WaitGroup
 	for range idle {
-		all.Go(func() { f.execute(f.attempt(testkit.Patience)).Content.Discard() })
+		all.Go(func() { f.execute(f.attempt(testkit.WaitTimeout)).Content.Discard() })
 	}
 	all.Wait()
 	if f.idleConnections() != idle {
--- a/internal/upstream/http/send_test.go
+++ b/internal/upstream/http/send_test.go
@@ -20,23 +20,23 @@
 // A dial takes long, and meanwhile the endpoint drains, is removed, restarts or moves, the deadline passes, or the endpoints may have
 // forgotten the idempotency key. Nothing is written.
 func TestNothingIsWrittenOnceTheSendIsForbidden(t *testing.T) {
-	backend := testkit.NewBackend(t, testkit.Says(testkit.ServedText))
+	backend := testkit.NewBackend(t, testkit.RespondWith(testkit.OKResponse))
 	addr := backend.Addr().String()
 	for name, change := range map[string]func(f *fixture, attempt *testAttempt){
 		"draining":  func(f *fixture, attempt *testAttempt) { f.listEndpoint(addr, logic.Draining, 0) },
 		"removed":   func(f *fixture, attempt *testAttempt) { f.UpdateEndpoints(core.EndpointList{Full: true}) },
 		"restarted": func(f *fixture, attempt *testAttempt) { f.listEndpoint(addr, logic.Ready, 7) },
-		"moved":     func(f *fixture, attempt *testAttempt) { f.listEndpoint(testkit.Refusing(t), logic.Ready, 0) },
+		"moved":     func(f *fixture, attempt *testAttempt) { f.listEndpoint(testkit.RefusingAddr(t), logic.Ready, 0) },
 		"late":      func(f *fixture, attempt *testAttempt) { *attempt = f.attemptOn(endpointID, 0, 0) },
-		"forgotten": func(f *fixture, attempt *testAttempt) { *attempt = f.attemptOn(endpointID, testkit.Patience, 0) },
+		"forgotten": func(f *fixture, attempt *testAttempt) { *attempt = f.attemptOn(endpointID, testkit.WaitTimeout, 0) },
 		"unknown": func(f *fixture, attempt *testAttempt) {
-			*attempt = f.attemptOn("unknown", testkit.Patience, testkit.Patience)
+			*attempt = f.attemptOn("unknown", testkit.WaitTimeout, testkit.WaitTimeout)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			before := backend.Requests()
 			f := newFixture(t, addr, 100)
-			attempt := f.attempt(testkit.Patience)
+			attempt := f.attempt(testkit.WaitTimeout)
 			change(f, &attempt)
 			if out := f.execute(attempt); out.Result != logic.NotSent {
 				t.Errorf("result %v", out.Result)
@@ -49,7 +49,7 @@
 }
 
 func TestRequestIsForwardedUnchanged(t *testing.T) {
-	backend := testkit.NewBackend(t, testkit.Says(testkit.ServedText))
+	backend := testkit.NewBackend(t, testkit.RespondWith(testkit.OKResponse))
 	f := newFixture(t, backend.Addr().String(), 100)
 	f.execute(f.attempt(1500 * time.Millisecond))
 	if backend.Requests() != 1 {
@@ -68,13 +68,13 @@
 
 // An endpoint begins to drain during the dial. Nothing is written, though the connection opens.
 func TestNothingIsWrittenAfterADrainDuringTheDial(t *testing.T) {
-	backend := testkit.NewBackend(t, testkit.Says(testkit.ServedText))
+	backend := testkit.NewBackend(t, testkit.RespondWith(testkit.OKResponse))
 	addr := backend.Addr().String()
 	unblock := make(chan struct{})
 	dial, began := dialBlockedUntil(addr, unblock)
-	f := newFixtureWithDial(t, addr, 100, testkit.Patience, dial)
+	f := newFixtureWithDial(t, addr, 100, testkit.WaitTimeout, dial)
 	done := make(chan outcome)
-	go func() { done <- f.execute(f.attempt(testkit.Patience)) }()
+	go func() { done <- f.execute(f.attempt(testkit.WaitTimeout)) }()
 	<-began
 	f.listEndpoint(addr, logic.Draining, 0)
 	close(unblock)
@@ -98,11 +98,11 @@
 // A client leaves between the balancer's decision and the write. Nothing is written, though a connection is idle.
 func TestNothingIsWrittenAfterTheClientHasLeft(t *testing.T) {
 	t.Parallel()
-	backend := testkit.NewBackend(t, testkit.Says(testkit.ServedText))
+	backend := testkit.NewBackend(t, testkit.RespondWith(testkit.OKResponse))
 	f := newFixture(t, backend.Addr().String(), 4)
-	f.execute(f.attempt(testkit.Patience)).Content.Discard() // leaves an idle connection
+	f.execute(f.attempt(testkit.WaitTimeout)).Content.Discard() // leaves an idle connection
 	balancer, err := logic.New(logic.Settings{Balancers: 1, MaxAttempts: 1,
-		Classes: []logic.Class{{Name: "pay", Idempotency: logic.NonIdempotent, LatencyObjective: time.Second, Timeout: testkit.Patience, PriorityWeight: 1}}}, 1)
+		Classes: []logic.Class{{Name: "pay", Idempotency: logic.NonIdempotent, LatencyObjective: time.Second, Timeout: testkit.WaitTimeout, PriorityWeight: 1}}}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -113,8 +113,8 @@
 	go func() { c.Run(ctx); close(ended) }()
 	c.UpdateEndpoints(core.EndpointList{Full: true, Endpoints: []core.Endpoint{{Endpoint: logic.Endpoint{ID: endpointID}, Addr: backend.Addr().String()}}})
 	for _, leaves := range []bool{false, true} {
-		call := f.attempt(testkit.Patience).Call
-		call.ID, call.Deadline, call.Tenant = fmt.Sprint(leaves), f.Clock.Now()+testkit.Patience, -1
+		call := f.attempt(testkit.WaitTimeout).Call
+		call.ID, call.Deadline, call.Tenant = fmt.Sprint(leaves), f.Clock.Now()+testkit.WaitTimeout, -1
 		answer := c.Submit(call)
 		<-upstream.started
 		if leaves {
@@ -137,10 +137,10 @@
 // against the endpoint.
 func TestClientAbortDuringUploadEndsTheAttempt(t *testing.T) {
 	t.Parallel()
-	backend := testkit.NewBackend(t, testkit.Silent)
+	backend := testkit.NewBackend(t, testkit.NeverRespond)
 	f := newFixture(t, backend.Addr().String(), 4)
 	errClientLeft := errors.New("the client broke off")
-	attempt := f.attempt(testkit.Patience)
+	attempt := f.attempt(testkit.WaitTimeout)
 	attempt.Call.BodyPending = true
 	attempt.Call.Message = &httpmsg.Message{
 		Head: []byte("POST /pay HTTP/1.1\r\nHost: origin.svc\r\nX-Request-Id: 9b1f03aa5c7e2d41\r\nContent-Length: 100000\r\n"),
@@ -152,7 +152,7 @@
 		if out.Result != logic.NotSent {
 			t.Errorf("%+v", out)
 		}
-	case <-time.After(testkit.Patience):
+	case <-time.After(testkit.WaitTimeout):
 		t.Fatal("the attempt does not end")
 	}
 	if n := f.Pool.Stats().Closed[pool.CloseBroken]; n != 1 {
