--- a/internal/emulator/link_faults.go
+++ b/internal/emulator/link_faults.go
@@ -64,11 +64,11 @@
 	for i, agent := range w.Scenario.Agents {
 		zone := w.Scenario.AgentZone(i)
 		for _, node := range w.Scenario.Nodes {
-			apply(agent, node.ID, w.Scenario.LinkTo(zone, node.Zone))
+			apply(agent, node.ID, w.Scenario.PathConditions(zone, node.Zone))
 		}
 		apply(agent, Discovery, link.Conditions{})
 		for j, other := range w.Scenario.Agents[:i] {
-			apply(agent, other, w.Scenario.LinkTo(zone, w.Scenario.AgentZone(j)))
+			apply(agent, other, w.Scenario.PathConditions(zone, w.Scenario.AgentZone(j)))
 		}
 	}
 }
--- a/internal/emulator/scenario.go
+++ b/internal/emulator/scenario.go
@@ -33,8 +33,8 @@
 	Capacity float64 // work a second that all nodes can do when none is in slow start; work is in seconds on a core of speed 1
 }
 
-// LinkTo returns the conditions of the path between two zones.
-func (scenario *Scenario) LinkTo(a, b string) link.Conditions {
+// PathConditions returns the conditions of the path between two zones.
+func (scenario *Scenario) PathConditions(a, b string) link.Conditions {
 	network := scenario.Spec.Network
 	conditions := link.Conditions{Delay: network.Cross.D(), Jitter: network.Jitter.D(), Loss: network.Loss}
 	if a == b {
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -116,7 +116,7 @@
 	w.backends = append(w.backends, b)
 	w.nodeAddrs[i] = b.Addr()
 	for a, agent := range w.Scenario.Agents {
-		addr, err := w.Network.AddPath(agent, spec.ID, b.Addr(), w.Scenario.LinkTo(w.Scenario.AgentZone(a), spec.Zone))
+		addr, err := w.Network.AddPath(agent, spec.ID, b.Addr(), w.Scenario.PathConditions(w.Scenario.AgentZone(a), spec.Zone))
 		if err != nil {
 			return fmt.Errorf("the path from %s to %s: %w", agent, spec.ID, err)
 		}
--- a/internal/experiment/choosers.go
+++ b/internal/experiment/choosers.go
@@ -99,7 +99,7 @@
 	c.addrs, c.nodes, c.viewedAt = c.addrs[:0], c.nodes[:0], time.Now()
 	for _, e := range c.run.world.EndpointList(c.agent).Servers {
 		if t := truth[e.ID]; t != nil {
-			t.OneWayDelay = c.run.world.Scenario.LinkTo(c.run.world.Scenario.AgentZone(c.agent), e.Zone).Delay
+			t.OneWayDelay = c.run.world.Scenario.PathConditions(c.run.world.Scenario.AgentZone(c.agent), e.Zone).Delay
 		}
 		if e.State == discovery.Ready {
 			c.addrs = append(c.addrs, e.Addr)
--- a/internal/experiment/simulation_callers.go
+++ b/internal/experiment/simulation_callers.go
@@ -124,7 +124,7 @@
 		if candidate.up && !s.day.Partitioned(agent.zone, candidate.Zone, s.now) {
 			truths = append(truths, s.visibleState(candidate))
 			view.Truth = &truths[len(truths)-1]
-			view.Truth.OneWayDelay = s.day.LinkTo(agent.zone, candidate.Zone).Delay
+			view.Truth.OneWayDelay = s.day.PathConditions(agent.zone, candidate.Zone).Delay
 		}
 		views, candidates = append(views, view), append(candidates, candidate)
 	}
--- a/internal/experiment/simulation_nodes.go
+++ b/internal/experiment/simulation_nodes.go
@@ -153,7 +153,7 @@
 
 // oneWay draws a one-way network delay between an agent and a node.
 func (s *simulation) oneWay(agent *simAgent, n *simNode) time.Duration {
-	conditions := s.day.LinkTo(agent.zone, n.Zone)
+	conditions := s.day.PathConditions(agent.zone, n.Zone)
 	delay := conditions.Delay
 	if conditions.Jitter > 0 {
 		delay += time.Duration(s.rng.Int64N(int64(conditions.Jitter)))
