--- a/internal/upstream/http/connection_test.go
+++ b/internal/upstream/http/connection_test.go
@@ -21,7 +21,10 @@
 
 // An endpoint closes an idle connection. The close must be detected before a request is lost on that connection.
 func TestClosedIdleConnectionIsNotUsed(t *testing.T) {
-	backend := testkit.NewBackend(t, func(c net.Conn, r *http.Request, n int) bool { testkit.RespondWith(testkit.OKResponse)(c, r, n); return n > 1 })
+	backend := testkit.NewBackend(t, func(c net.Conn, r *http.Request, n int) bool {
+		testkit.RespondWith(testkit.OKResponse)(c, r, n)
+		return n > 1
+	})
 	f := newFixture(t, backend.Addr().String(), 100)
 	f.execute(f.attempt(testkit.WaitTimeout))
 	testkit.Eventually(t, "the close has arrived", func() bool { f.Pool.Maintain(); return f.idleConnections() == 0 })
