--- a/internal/agent/harness_test.go
+++ b/internal/agent/harness_test.go
@@ -47,7 +47,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	cfg.AcceptFor = acceptFor
+	cfg.AcceptWindow = acceptFor
 	change(&cfg)
 	return launchAgent(t, cfg, Environment{Clients: testkit.Listen(t), Control: testkit.Listen(t)}, log)
 }
@@ -121,7 +121,7 @@
 // send sends a request on a connection of its own and reads the whole answer.
 func send(t *testing.T, r *http.Request) reply {
 	t.Helper()
-	client := http.Client{Transport: &http.Transport{}, Timeout: testkit.Patience}
+	client := http.Client{Transport: &http.Transport{}, Timeout: testkit.WaitTimeout}
 	defer client.CloseIdleConnections()
 	resp, err := client.Do(r)
 	if err != nil {
--- a/logic/simulation_test.go
+++ b/logic/simulation_test.go
@@ -8,29 +8,29 @@
 	"time"
 )
 
-// simulation plays clients, endpoints and discovery against a Balancer with random events, and checks each
-// action against the rules. It shares no code with the module: it keeps its own account, from events and
+// simulation drives a Balancer with random events of clients, endpoints and discovery, and checks each
+// action against the rules. It shares no code with the package: it tracks the state itself, from events and
 // actions alone.
 type simulation struct {
-	set       Settings
+	settings  Settings
 	random    *rand.Rand
 	now       time.Duration
 	endpoints map[string]*simulatedEndpoint
-	ids       []string // of endpoints ever listed, in order
+	ids       []string // of all endpoints ever listed, in order
 	requests  map[string]*simulatedRequest
-	open      []string // requests without a final answer, or with attempts in flight
+	open      []string // requests without a final response, or with attempts in flight
 	timers    []simulatedTimer
 
-	violations []string
-	arrived    int // requests so far
-	sends      int
-	rejects    int
-	fails      int
+	violations   []string
+	requestCount int // requests so far
+	sends        int
+	rejects      int
+	fails        int
 }
 
 type simulatedEndpoint struct {
 	Endpoint
-	downAt time.Duration // when the balancer was notified that it drains or is removed; 0 while ready
+	unavailableSince time.Duration // when the balancer was told that it is draining or removed; 0 while ready
 }
 
 type simulatedRequest struct {
@@ -55,9 +55,9 @@
 	token uint64
 }
 
-func newSimulation(set Settings, seed uint64) *simulation {
+func newSimulation(settings Settings, seed uint64) *simulation {
 	return &simulation{
-		set:       set,
+		settings:  settings,
 		random:    rand.New(rand.NewPCG(seed, 7)),
 		now:       time.Hour,
 		endpoints: map[string]*simulatedEndpoint{},
@@ -65,26 +65,26 @@
 	}
 }
 
-// tamper may change the actions before they are carried out.
-type tamper func([]Action) []Action
+// actionMutator modifies the actions before they are carried out.
+type actionMutator func([]Action) []Action
 
-// run plays a number of steps of the timer resolution at a load, in requests a step, and then lets all
-// requests end.
-func (s *simulation) run(t *testing.T, steps int, load float64, tamper tamper) *Balancer {
+// run simulates the given number of steps, each as long as the timer resolution, and then lets all requests
+// end. load is the probability by which each further request arrives in a step.
+func (s *simulation) run(t *testing.T, steps int, load float64, mutate actionMutator) *Balancer {
 	t.Helper()
-	b, err := New(s.set, 1)
+	b, err := New(s.settings, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	s.carryOut(b.Start(s.now))
-	for i := range steps + int(s.longestTimeout()/s.set.TimerResolution) + 4 {
+	for i := range steps + int(s.longestTimeout()/s.settings.TimerResolution) + 4 {
 		if i >= steps {
 			load = 0
 		}
 		for _, event := range s.step(load) {
 			actions := b.Handle(s.now, event())
-			if tamper != nil {
-				actions = tamper(actions)
+			if mutate != nil {
+				actions = mutate(actions)
 			}
 			s.carryOut(actions)
 		}
@@ -93,16 +93,16 @@
 }
 
 func (s *simulation) longestTimeout() (longest time.Duration) {
-	for _, c := range s.set.Classes {
+	for _, c := range s.settings.Classes {
 		longest = max(longest, c.Timeout)
 	}
 	return longest
 }
 
-// step moves the clock and returns the events that are due, in order. Each enters the account only when it
-// is taken: the balancer does not know of those after it.
+// step advances the clock and returns the events that are due, in order. Each event changes the
+// simulation's state only when it is called, because the balancer does not yet know about later events.
 func (s *simulation) step(load float64) (events []func() Event) {
-	s.now += s.set.TimerResolution
+	s.now += s.settings.TimerResolution
 	events = s.dueTimers()
 	if s.random.Float64() < 0.02 {
 		events = append(events, s.changeEndpoints)
@@ -151,8 +151,8 @@
 			return ClientDisconnected{id}
 		})
 	}
-	if !r.closed && s.now > r.Deadline+2*s.set.TimerResolution {
-		s.violation("no final answer for %s", id)
+	if !r.closed && s.now > r.Deadline+2*s.settings.TimerResolution {
+		s.violation("no final response for %s", id)
 		r.closed = true
 	}
 	return events, !r.closed || inFlight
@@ -166,7 +166,8 @@
 		Latency: s.now - a.sentAt, Closed: r.closed, LoadReport: s.loadReport()}
 }
 
-// provesNoExecution states again, apart from the module, which results prove that a request was not executed.
+// provesNoExecution states which results prove that a request was not executed. It deliberately does not
+// use the package's own function.
 func provesNoExecution(result Result) bool {
 	return slices.Contains([]Result{Rejected, ConnectFailed, NotSent}, result)
 }
@@ -179,18 +180,18 @@
 }
 
 func (s *simulation) newRequest() func() Event {
-	s.arrived++
-	class := s.random.IntN(len(s.set.Classes))
-	request := Request{ID: fmt.Sprint("r", s.arrived), Class: class, Key: fmt.Sprint("k", s.random.IntN(20))}
-	patience := float64(s.set.Classes[class].Timeout) * (0.3 + 0.7*s.random.Float64())
-	request.Deadline = s.now + time.Duration(patience)
+	s.requestCount++
+	class := s.random.IntN(len(s.settings.Classes))
+	request := Request{ID: fmt.Sprint("r", s.requestCount), Class: class, Key: fmt.Sprint("k", s.random.IntN(20))}
+	timeout := float64(s.settings.Classes[class].Timeout) * (0.3 + 0.7*s.random.Float64())
+	request.Deadline = s.now + time.Duration(timeout)
 	s.requests[request.ID] = &simulatedRequest{Request: request}
 	s.open = append(s.open, request.ID)
 	return func() Event { return request }
 }
 
 // changeEndpoints adds, restarts, drains or removes an endpoint, repeats the full list, or fails a poll of
-// it.
+// the list.
 func (s *simulation) changeEndpoints() Event {
 	switch {
 	case s.random.Float64() < 0.1:
@@ -204,9 +205,9 @@
 	e.State = []EndpointState{Ready, Ready, Draining, Removed}[s.random.IntN(4)]
 	switch {
 	case e.State == Ready:
-		e.StartedAt, e.downAt = s.now, 0
-	case e.downAt == 0:
-		e.downAt = s.now
+		e.StartedAt, e.unavailableSince = s.now, 0
+	case e.unavailableSince == 0:
+		e.unavailableSince = s.now
 	}
 	return EndpointList{Endpoints: []Endpoint{e.Endpoint}}
 }
@@ -219,13 +220,13 @@
 	return EndpointList{Endpoints: []Endpoint{e.Endpoint}}
 }
 
-// fullList returns a full snapshot that may leave out endpoints: those are removed.
+// fullList returns a full snapshot. Endpoints that it leaves out are removed.
 func (s *simulation) fullList() Event {
 	list := EndpointList{Full: true}
 	for _, id := range s.ids {
 		e := s.endpoints[id]
 		if e.State == Removed || s.random.Float64() < 0.05 {
-			e.State, e.downAt = Removed, s.now
+			e.State, e.unavailableSince = Removed, s.now
 			continue
 		}
 		list.Endpoints = append(list.Endpoints, e.Endpoint)
@@ -242,7 +243,7 @@
 	for _, a := range slices.Clone(actions) {
 		r := s.requests[a.Request]
 		if r == nil && (a.Kind == Send || a.Kind == Reject || a.Kind == Fail) {
-			s.violation("action for the unknown request %q", a.Request)
+			s.violation("action for unknown request %q", a.Request)
 			continue
 		}
 		switch a.Kind {
@@ -265,16 +266,16 @@
 	s.sends++
 	e := s.endpoints[id]
 	if e == nil {
-		s.violation("send to the unknown endpoint %q", id)
+		s.violation("send to unknown endpoint %q", id)
 		return
 	}
 	s.checkSend(r, e)
 	s.checkRepeat(r, e)
-	// Outcomes come soon, late or not before the deadline, and are of every kind.
+	// An attempt ends early, late or at the deadline, with a random result.
 	results := []Result{OK, OK, OK, OK, OK, Failed, Rejected, TimedOut, ConnectFailed, Reset}
 	a := simulatedAttempt{endpoint: e, zone: e.Zone, cell: e.Cell, sentAt: s.now, inFlight: true,
 		result: results[s.random.IntN(len(results))]}
-	mean := float64(s.set.Classes[r.Class].LatencyObjective) / 3
+	mean := float64(s.settings.Classes[r.Class].LatencyObjective) / 3
 	a.endsAt = s.now + time.Duration(s.random.ExpFloat64()*mean) + time.Millisecond
 	if a.endsAt > r.Deadline {
 		a.endsAt, a.result = r.Deadline, TimedOut
@@ -282,16 +283,16 @@
 	r.attempts = append(r.attempts, a)
 }
 
-// checkSend checks the rules of any attempt.
+// checkSend checks the rules for all attempts.
 func (s *simulation) checkSend(r *simulatedRequest, e *simulatedEndpoint) {
 	if r.closed {
-		s.violation("send for the closed request %s", r.ID)
+		s.violation("send for closed request %s", r.ID)
 	}
-	if e.downAt != 0 {
-		s.violation("send to %s, which drains or is removed", e.ID)
+	if e.unavailableSince != 0 {
+		s.violation("send to %s, which is draining or removed", e.ID)
 	}
-	if len(r.attempts) >= s.set.MaxAttempts {
-		s.violation("attempt %d of %d allowed", len(r.attempts)+1, s.set.MaxAttempts)
+	if len(r.attempts) >= s.settings.MaxAttempts {
+		s.violation("attempt %d exceeds the maximum of %d", len(r.attempts)+1, s.settings.MaxAttempts)
 	}
 	inFlight := 0
 	for _, a := range r.attempts {
@@ -299,14 +300,14 @@
 			inFlight++
 		}
 	}
-	if inFlight > 1 || inFlight == 1 && !s.set.HedgingAllowed {
-		s.violation("%d attempts in flight already", inFlight)
+	if inFlight > 1 || inFlight == 1 && !s.settings.HedgingAllowed {
+		s.violation("send with %d attempts in flight already", inFlight)
 	}
 }
 
-// checkRepeat checks the rules of an attempt after one that may have been executed.
+// checkRepeat checks the rules for an attempt that follows one that may have been executed.
 func (s *simulation) checkRepeat(r *simulatedRequest, e *simulatedEndpoint) {
-	class := s.set.Classes[r.Class]
+	class := s.settings.Classes[r.Class]
 	var first *simulatedAttempt
 	for i := range r.attempts {
 		a := &r.attempts[i]
@@ -321,17 +322,17 @@
 			s.violation("a non-idempotent request is repeated")
 		case class.Idempotency == IdempotentWithKey && class.DedupScope == DedupZone && a.zone != e.Zone,
 			class.Idempotency == IdempotentWithKey && class.DedupScope == DedupCell && a.cell != e.Cell:
-			s.violation("a request with a key leaves its deduplication scope")
+			s.violation("a keyed request leaves its deduplication scope")
 		}
 	}
 	if class.Idempotency == IdempotentWithKey && first != nil && s.now-first.sentAt >= class.IdempotencyWindow {
-		s.violation("a request with a key is repeated after its window")
+		s.violation("a keyed request is repeated after its idempotency window")
 	}
 }
 
-// checkReject checks that the promise of a Reject holds.
+// checkReject checks that the client can safely try again after a Reject.
 func (s *simulation) checkReject(r *simulatedRequest) {
-	class := s.set.Classes[r.Class]
+	class := s.settings.Classes[r.Class]
 	harmful := class.Idempotency == NonIdempotent ||
 		class.Idempotency == IdempotentWithKey && class.DedupScope != DedupFleet
 	for _, a := range r.attempts {
@@ -344,17 +345,17 @@
 
 func (s *simulation) finish(r *simulatedRequest) {
 	if r.closed {
-		s.violation("a second final answer for %s", r.ID)
+		s.violation("a second final response for %s", r.ID)
 	}
-	if s.now > r.Deadline+2*s.set.TimerResolution {
-		s.violation("a final answer %v after the deadline", s.now-r.Deadline)
+	if s.now > r.Deadline+2*s.settings.TimerResolution {
+		s.violation("a final response %v after the deadline", s.now-r.Deadline)
 	}
 	r.closed = true
 }
 
-// randomSettings draws settings of every sort.
+// randomSettings returns random settings that cover all options.
 func randomSettings(random *rand.Rand) Settings {
-	set := Settings{
+	settings := Settings{
 		Balancers:                1 + random.IntN(5),
 		TimerResolution:          5 * time.Millisecond,
 		Zone:                     random.IntN(2),
@@ -370,7 +371,7 @@
 	}
 	for i := range 1 + random.IntN(3) {
 		objective := time.Duration(100+random.IntN(900)) * time.Millisecond
-		set.Classes = append(set.Classes, Class{
+		settings.Classes = append(settings.Classes, Class{
 			Name:              fmt.Sprint("c", i),
 			Idempotency:       Idempotency(random.IntN(3)),
 			DedupScope:        DedupScope(random.IntN(3)),
@@ -380,5 +381,5 @@
 			PriorityWeight:    1 + 9*random.Float64(),
 		})
 	}
-	return set
+	return settings
 }
