--- a/cmd/ryeweir/describe.go
+++ b/cmd/ryeweir/describe.go
@@ -24,7 +24,7 @@
 		if err := config.TOML(file, data, &s); err != nil {
 			return "", err
 		}
-		return fmt.Sprintf("experiment %s: %d days with %d arms, %d repeats", s.Name, len(s.Days), len(s.Variants), s.Repeats), nil
+		return fmt.Sprintf("experiment %s: %d days with %d variants, %d repeats", s.Name, len(s.Days), len(s.Variants), s.Repeats), nil
 	case "drill":
 		var s experiment.DrillSpec
 		if err := config.TOML(file, data, &s); err != nil {
@@ -36,7 +36,7 @@
 		if err := config.TOML(file, data, &s); err != nil {
 			return "", err
 		}
-		return fmt.Sprintf("model %s: %d agents and %d servers with %d arms, %d repeats", s.Name, s.Agents, s.Servers, len(s.Variants), s.Repeats), nil
+		return fmt.Sprintf("fleet model %s: %d agents and %d servers with %d variants, %d repeats", s.Name, s.Agents, s.Servers, len(s.Variants), s.Repeats), nil
 	case "operator":
 		f, err := operator.Parse(file, data)
 		if err != nil {
--- a/cmd/ryeweir/main_test.go
+++ b/cmd/ryeweir/main_test.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// TestMain runs the program instead of the tests if RYEWEIR_AS_PROGRAM is set. Tests so start the test binary as an agent in a process of its
-// own, which gets real signals.
+// TestMain runs the program instead of the tests if RYEWEIR_AS_PROGRAM is set. Tests start the test binary in this way, to have
+// the program in a process of its own that gets real signals.
 func TestMain(m *testing.M) {
 	if os.Getenv("RYEWEIR_AS_PROGRAM") != "" {
 		main()
--- a/internal/processrig/process.go
+++ b/internal/processrig/process.go
@@ -162,7 +162,7 @@
 	return resp.StatusCode == http.StatusOK, nil
 }
 
-// Alive reports whether the present process is still running. A paused process is.
+// Alive reports whether the present process is still running. A paused process counts as running.
 func (p *Process) Alive() bool {
 	_, exited := p.current()
 	return !isClosed(exited)
--- a/internal/processrig/signals.go
+++ b/internal/processrig/signals.go
@@ -13,7 +13,7 @@
 var (
 	// ErrRunning says that Restart was called before the present process had ended.
 	ErrRunning = errors.New("the present process has not ended")
-	// ErrExited says that a signal was to be sent to a process that had ended.
+	// ErrExited says that a signal could not be sent because the process has ended.
 	ErrExited = errors.New("the process has ended")
 	// ErrKilled says that the agent did not end within StopTimeout after SIGTERM, and was killed.
 	ErrKilled = fmt.Errorf("the agent did not end within %v after SIGTERM and was killed", StopTimeout)
