--- a/cmd/ryeweir/main_test.go
+++ b/cmd/ryeweir/main_test.go
@@ -103,7 +103,7 @@
 		{"check " + write("effect.json", strings.Replace(platformJSON, "repeatable", "maybe", 1)), 1, "effect.json:2: settings"},
 		{"check " + write("balancer.toml", "build = \"x\"\nrnu = \"y\"\n"), 1, "balancer.toml:2: rnu: no such key"},
 		{"check ../../deploy/balancer.toml", 0, "ryeweir agent"},
-		{"check ../../deploy/operator.toml", 0, "used again: newest first"},
+		{"check ../../deploy/operator.toml", 0, "connection reuse: newest first"},
 		{"check ../../deploy/experiments/fleet-start.toml", 0, "2000 agents and 20 servers"},
 		{"check " + write("mine.toml", "[connections]\nreuse = \"best\"\n"), 1, "mine.toml:2: connections.reuse"},
 		{"agent --operator " + write("bad.toml", "[connections]\nplace = 3\n"), 1, "bad.toml:2: connections.place: no such key"},
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,5 +1,6 @@
-// Command simhost runs balancers on the simulator's wire (internal/wire): events on standard input, actions on standard output. It
-// hosts many instances, which share nothing. It exits with 1 at the first line that it can't read.
+// Command simhost runs balancers for the simulator. It reads events from standard input and writes actions to standard output, in the
+// protocol of internal/wire. One process hosts many balancer instances, which share no state. It exits with status 1 at the first invalid
+// line.
 package main
 
 import (
@@ -21,14 +22,14 @@
 	}
 }
 
-// outputBuffer is how many bytes of a reply are gathered before they are written.
-const outputBuffer = 1 << 16
+// outputBufferBytes is the size of the buffer for replies.
+const outputBufferBytes = 1 << 16
 
-// run answers every batch of events with one flushed reply until the input ends. The error names the line at fault.
+// run reads batches of events until the input ends, and flushes one reply after each batch. Its errors name the invalid line.
 func run(in io.Reader, out io.Writer) error {
 	h := host{
 		decoder:   wire.NewDecoder(in),
-		out:       bufio.NewWriterSize(out, outputBuffer),
+		out:       bufio.NewWriterSize(out, outputBufferBytes),
 		balancers: map[string]*logic.Balancer{},
 	}
 	for {
@@ -45,16 +46,16 @@
 	}
 }
 
-// host holds the balancers of one simulation, one for each instance.
+// host holds the balancers of a simulation, by instance.
 type host struct {
 	decoder   *wire.Decoder
 	out       *bufio.Writer
-	now       time.Duration // of the batch at hand
+	now       time.Duration // time of the current batch
 	balancers map[string]*logic.Balancer
-	line      []byte // of the reply; kept to save an allocation for each action
+	line      []byte // buffer for one line of the reply, reused to avoid an allocation per action
 }
 
-// handle carries out one message, and writes what the balancer wants done.
+// handle processes one message and writes the actions that the balancer returns.
 func (h *host) handle(message wire.Message) error {
 	switch message.Kind {
 	case wire.BatchStart:
@@ -77,7 +78,7 @@
 	return nil
 }
 
-// write adds actions to the reply. A write that fails is reported by the flush at the end of the batch.
+// write appends actions to the reply. The flush at the end of the batch returns any write error.
 func (h *host) write(instance string, actions []logic.Action) {
 	for _, action := range actions {
 		h.line = wire.AppendAction(h.line[:0], instance, action)
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,4 +1,4 @@
-// Package config decodes configuration files into structs and validates them. Its errors name the file, the line and the key.
+// Package config decodes configuration files into structs and validates them. Its errors contain the file, the line and the key.
 package config
 
 import (
@@ -18,8 +18,8 @@
 // Error is an error in a configuration file, with its position.
 type Error struct {
 	File string
-	Line int    // from 1; 0 if unknown
-	Key  string // dotted path, with the index of a table in an array in brackets, from 0; empty if no key is concerned
+	Line int    // starts at 1; 0 if unknown
+	Key  string // dotted path, with array indexes in brackets, starting at 0; empty if the error concerns no key
 	Err  error
 }
 
@@ -38,7 +38,7 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
 
-// KeyError is an invalid value of one key, as Checker.Check returns it. At adds the position in the file.
+// KeyError reports an invalid value of a key. Checker.Check returns it, and At adds the position in the file.
 type KeyError struct {
 	Key string // as in Error.Key
 	Err error
@@ -50,7 +50,7 @@
 // Unwrap returns the cause.
 func (e *KeyError) Unwrap() error { return e.Err }
 
-// Wrong returns a KeyError with a formatted message.
+// Wrong returns a KeyError for a key with a formatted message.
 func Wrong(key, format string, args ...any) error {
 	return &KeyError{Key: key, Err: fmt.Errorf(format, args...)}
 }
@@ -69,7 +69,7 @@
 		return nil, &Error{File: file, Err: err}
 	}
 	if info.IsDir() || info.Size() > maxFileSize {
-		return nil, &Error{File: file, Err: fmt.Errorf("is a folder, or holds more than %d bytes", maxFileSize)}
+		return nil, &Error{File: file, Err: fmt.Errorf("is a directory or larger than %d bytes", maxFileSize)}
 	}
 	data, err := os.ReadFile(file)
 	if err != nil {
@@ -78,11 +78,12 @@
 	return data, nil
 }
 
-// Checker is a decoded struct that validates its values. Check returns a KeyError for an invalid key; several errors are joined.
+// Checker is implemented by structs that validate their decoded values. Check returns a KeyError for each invalid value, joined by
+// errors.Join.
 type Checker interface{ Check() error }
 
-// TOML decodes a file's text into a struct that already holds the defaults, and validates it. Unknown keys are errors. Several errors
-// are joined by errors.Join.
+// TOML decodes the text of a file into a struct that already holds the defaults, and validates the result. Unknown keys are errors.
+// Multiple errors are joined by errors.Join.
 func TOML(file string, data []byte, into Checker) error {
 	dec := toml.NewDecoder(bytes.NewReader(data)).DisallowUnknownFields()
 	if err := dec.Decode(into); err != nil {
@@ -101,36 +102,36 @@
 		}
 		return errors.Join(all...)
 	}
-	if bad, ok := errors.AsType[*toml.DecodeError](err); ok {
-		row, _ := bad.Position()
-		text := strings.TrimPrefix(bad.Error(), "toml: ")
-		return &Error{File: file, Line: row, Key: strings.Join(bad.Key(), "."), Err: errors.New(text)}
+	if decodeErr, ok := errors.AsType[*toml.DecodeError](err); ok {
+		row, _ := decodeErr.Position()
+		text := strings.TrimPrefix(decodeErr.Error(), "toml: ")
+		return &Error{File: file, Line: row, Key: strings.Join(decodeErr.Key(), "."), Err: errors.New(text)}
 	}
 	return &Error{File: file, Err: err}
 }
 
-// At converts the KeyErrors of a Check to Errors with their positions in the file.
+// At converts each KeyError that a Check has returned to an Error with its position in the file.
 func At(file string, data []byte, err error) error {
 	if err == nil {
 		return nil
 	}
-	if many, ok := err.(interface{ Unwrap() []error }); ok {
+	if joined, ok := err.(interface{ Unwrap() []error }); ok {
 		var all []error
-		for _, one := range many.Unwrap() {
-			all = append(all, At(file, data, one))
+		for _, err := range joined.Unwrap() {
+			all = append(all, At(file, data, err))
 		}
 		return errors.Join(all...)
 	}
-	if key, ok := errors.AsType[*KeyError](err); ok {
-		return &Error{File: file, Line: locate(data, key.Key), Key: key.Key, Err: key.Err}
+	if keyErr, ok := errors.AsType[*KeyError](err); ok {
+		return &Error{File: file, Line: locate(data, keyErr.Key), Key: keyErr.Key, Err: keyErr.Err}
 	}
 	return &Error{File: file, Err: err}
 }
 
-// locate returns the line of a key in the text of a TOML file, or of the nearest enclosing table; 0 without either. A key is a
-// dotted path, with [N] after the name of an array of tables.
+// locate returns the line of a key in the text of a TOML file. If the key is missing it returns the line of the nearest enclosing table, or
+// 0 if there is none. A key is a dotted path with [N] after the name of an array of tables.
 func locate(data []byte, key string) int {
-	found, best, table := 0, 0, ""
+	found, enclosing, table := 0, 0, ""
 	seen := map[string]int{}
 	for i, line := range strings.Split(string(data), "\n") {
 		line = strings.TrimSpace(line)
@@ -138,12 +139,12 @@
 		switch {
 		case strings.HasPrefix(line, "[["):
 			name = strings.TrimSpace(strings.SplitN(strings.TrimPrefix(line, "[["), "]]", 2)[0])
-			name = indexed(name, seen)
+			name = withIndexes(name, seen)
 			at := fmt.Sprintf("%s[%d]", name, seen[name])
 			seen[name]++
 			table, name = at, at
 		case strings.HasPrefix(line, "["):
-			table = indexed(strings.TrimSpace(strings.SplitN(line[1:], "]", 2)[0]), seen)
+			table = withIndexes(strings.TrimSpace(strings.SplitN(line[1:], "]", 2)[0]), seen)
 			name = table
 		default:
 			before, _, ok := strings.Cut(line, "=")
@@ -158,17 +159,17 @@
 			found = i + 1
 		}
 		if strings.HasPrefix(key, name+".") || strings.HasPrefix(key, name+"[") {
-			best = i + 1
+			enclosing = i + 1
 		}
 	}
 	if found > 0 {
 		return found
 	}
-	return best
+	return enclosing
 }
 
-// indexed adds to a table's name the indexes of the enclosing arrays' current elements. seen counts the elements by array.
-func indexed(name string, seen map[string]int) string {
+// withIndexes adds the current index of each enclosing array to the name of a table. seen holds the number of elements of each array so far.
+func withIndexes(name string, seen map[string]int) string {
 	parts := strings.Split(name, ".")
 	path := ""
 	for i, part := range parts {
@@ -183,31 +184,31 @@
 	return path
 }
 
-// JSON decodes a file's text into a struct. Unknown keys are ignored, as the platform may add some.
+// JSON decodes the text of a file into a struct. Unknown keys are ignored, because the platform may add keys.
 func JSON(file string, data []byte, into any) error {
 	return JSONError(file, data, json.Unmarshal(data, into))
 }
 
-// JSONError converts an error of encoding/json to an Error with its position in the text.
+// JSONError converts an error of encoding/json to an Error with its position in the file.
 func JSONError(file string, data []byte, err error) error {
 	if err == nil {
 		return nil
 	}
-	if syntax, ok := errors.AsType[*json.SyntaxError](err); ok {
-		return &Error{File: file, Line: lineAt(data, syntax.Offset), Err: syntax}
+	if syntaxErr, ok := errors.AsType[*json.SyntaxError](err); ok {
+		return &Error{File: file, Line: lineAt(data, syntaxErr.Offset), Err: syntaxErr}
 	}
-	if kind, ok := errors.AsType[*json.UnmarshalTypeError](err); ok {
-		return &Error{File: file, Line: lineAt(data, kind.Offset), Key: kind.Field, Err: fmt.Errorf("a %s can't be a %s", kind.Value, kind.Type)}
+	if typeErr, ok := errors.AsType[*json.UnmarshalTypeError](err); ok {
+		return &Error{File: file, Line: lineAt(data, typeErr.Offset), Key: typeErr.Field, Err: fmt.Errorf("cannot decode %s as %s", typeErr.Value, typeErr.Type)}
 	}
 	return &Error{File: file, Err: err}
 }
 
-// lineAt returns the line of a byte offset, from 1.
+// lineAt returns the line number of a byte offset, starting at 1.
 func lineAt(data []byte, offset int64) int {
 	return 1 + bytes.Count(data[:min(offset, int64(len(data)))], []byte("\n"))
 }
 
-// Duration is a time.Duration that is written as a string in a file, such as "250ms".
+// Duration is a time.Duration that files contain as a string, such as "250ms".
 type Duration time.Duration
 
 var _ encoding.TextUnmarshaler = (*Duration)(nil)
@@ -216,7 +217,7 @@
 func (d *Duration) UnmarshalText(text []byte) error {
 	v, err := time.ParseDuration(string(text))
 	if err != nil {
-		return fmt.Errorf("%q is no time such as 250ms, 1.5s or 2m", text)
+		return fmt.Errorf("%q is not a duration such as 250ms, 1.5s or 2m", text)
 	}
 	*d = Duration(v)
 	return nil
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -31,7 +31,7 @@
 func TestErrorsNameTheirPlace(t *testing.T) {
 	for text, want := range map[string][]string{
 		"name = \"x\"\nwiat = \"1s\"\n":     {"f.toml:2: wiat: no such key"},
-		"name = \"x\"\n\nwait = \"soon\"\n": {"f.toml:3", "wait", "is no time such as"},
+		"name = \"x\"\n\nwait = \"soon\"\n": {"f.toml:3", "wait", "is not a duration such as"},
 		"name = 3\n":                        {"f.toml:1", "name"},
 		"name = \n":                         {"f.toml:1"},
 		"[[day]]\nrate = 1\n[[day]]\nname = \"b\"\nrate = -2\n[[day]]\nrate = -3.5\n":  {"f.toml:5: day[1].rate: must not", "f.toml:7: day[2].rate"},
@@ -57,7 +57,7 @@
 		Limits struct{ Cores float64 }
 	}
 	for text, want := range map[string]string{
-		"{\n\"limits\": {\n\"cores\": \"one\"}}": "f.json:3: limits.cores: a string can't be a float64",
+		"{\n\"limits\": {\n\"cores\": \"one\"}}": "f.json:3: limits.cores: cannot decode string as float64",
 		"{\n\"limits\": }":                       "f.json:2: invalid character",
 	} {
 		if err := JSON("f.json", []byte(text), &into); err == nil || !strings.HasPrefix(strings.ToLower(err.Error()), want) {
--- a/internal/config/operator/check.go
+++ b/internal/config/operator/check.go
@@ -7,17 +7,17 @@
 	"ryeweir/internal/config"
 )
 
-// Bounds that several tables share.
+// Bounds that several tables use.
 const (
 	maxDuration         = 24 * time.Hour
 	maxPerSecond        = 1e6
 	minSnapshotInterval = 100 * time.Millisecond
 )
 
-// problems collects what is wrong with a file.
+// problems collects the validation errors of a file.
 type problems struct{ errs []error }
 
-// require adds a problem of a key unless a condition holds.
+// require adds an error for a key unless the condition holds.
 func (p *problems) require(holds bool, key, format string, args ...any) {
 	if !holds {
 		p.errs = append(p.errs, config.Wrong(key, format, args...))
@@ -28,7 +28,7 @@
 	p.require(value >= 0 && value.D() <= maxDuration, key, "must be from 0s to %v", maxDuration)
 }
 
-// requireRatio holds for no NaN, and neither does requireRate.
+// requireRatio rejects NaN, as does requireRate.
 func (p *problems) requireRatio(key string, value float64) {
 	p.require(value >= 0 && value <= 1, key, "must be from 0 to 1")
 }
@@ -37,7 +37,7 @@
 	p.require(value >= 0 && value <= maxPerSecond, key, "must be from 0 to 1000000")
 }
 
-// Check returns an error of type config.KeyError for each value that is out of bounds, joined.
+// Check returns a config.KeyError for each invalid value, joined by errors.Join.
 func (f *File) Check() error {
 	var p problems
 	f.Connections.check(&p)
--- a/internal/config/operator/connections.go
+++ b/internal/config/operator/connections.go
@@ -7,35 +7,35 @@
 	"ryeweir/internal/pool"
 )
 
-// Connections is how connections to endpoints are opened, reused and closed. A limit of 0 is one that the agent derives from its own.
+// Connections configures how connections to endpoints are opened, reused and closed. The agent derives a limit of 0 from its own limits.
 type Connections struct {
-	MaxConnections            int             `toml:"places"`                // takes effect at the next start
-	MaxPerEndpoint            int             `toml:"per_server"`            //
-	MaxHandshakes             int             `toml:"handshakes"`            // at a time
-	MaxHandshakesPerEndpoint  int             `toml:"handshakes_per_server"` // at a time
+	MaxConnections            int             `toml:"places"` // takes effect at the next start
+	MaxPerEndpoint            int             `toml:"per_server"`
+	MaxHandshakes             int             `toml:"handshakes"`            // concurrent
+	MaxHandshakesPerEndpoint  int             `toml:"handshakes_per_server"` // concurrent
 	MaxWaiters                int             `toml:"waiting"`               // attempts that wait for a connection
-	AcquireTimeout            config.Duration `toml:"wait"`                  // of such an attempt; 0 for the platform's connect time-out
+	AcquireTimeout            config.Duration `toml:"wait"`                  // for such an attempt; 0 uses the platform's connect timeout
 	ReuseOrder                string          `toml:"reuse"`                 // a key of reuseOrders
-	MaxAge                    config.Duration `toml:"max_age"`               // of a connection; 0 for any
-	AgeJitter                 float64         `toml:"age_jitter"`            // part of MaxAge by which ages are spread
-	MaxRequests               int             `toml:"max_uses"`              // on one connection; 0 for any
-	IdleFraction              float64         `toml:"idle_part"`             // of the endpoints' idle limit, after which a connection isn't reused
-	MinIdleLimit              config.Duration `toml:"idle_least"`            // that a learnt idle limit never falls below
-	IdleLimitDoublingTime     config.Duration `toml:"idle_heal"`             // in which a learnt idle limit recovers
-	NonIdempotentIdleFraction float64         `toml:"sure_part"`             // of that limit, for requests that must not be repeated
-	SuspectAfterFailures      int             `toml:"suspect_after"`         // broken exchanges in a row; 0 for never
-	SuspectWindow             config.Duration `toml:"suspect_within"`        // in which these must come
+	MaxAge                    config.Duration `toml:"max_age"`               // of a connection; 0 means no limit
+	AgeJitter                 float64         `toml:"age_jitter"`            // fraction of MaxAge by which the maximum ages are spread
+	MaxRequests               int             `toml:"max_uses"`              // on one connection; 0 means no limit
+	IdleFraction              float64         `toml:"idle_part"`             // fraction of the endpoints' idle timeout after which a connection is not reused
+	MinIdleLimit              config.Duration `toml:"idle_least"`            // lower bound of a learned idle limit
+	IdleLimitDoublingTime     config.Duration `toml:"idle_heal"`             // time in which a lowered idle limit doubles
+	NonIdempotentIdleFraction float64         `toml:"sure_part"`             // fraction of the idle limit for requests that must not be repeated
+	SuspectAfterFailures      int             `toml:"suspect_after"`         // consecutive failed exchanges; 0 disables
+	SuspectWindow             config.Duration `toml:"suspect_within"`        // within which these failures must occur
 	SuspectAction             string          `toml:"suspect"`               // suspectTry or suspectClose
-	PreopenRate               float64         `toml:"ahead_per_second"`      // connections a second to one endpoint, by all agents; 0 for none
-	PreopenMaxIdle            int             `toml:"ahead_most"`            // of one agent to one endpoint
-	PreopenMinIdle            int             `toml:"ahead_keep"`            // of one agent to one endpoint
-	SocketBufferBytes         int             `toml:"socket_buffer_bytes"`   // each way; 0 for the kernel's; takes effect at the next start
+	PreopenRate               float64         `toml:"ahead_per_second"`      // connections per second to one endpoint by all agents; 0 disables
+	PreopenMaxIdle            int             `toml:"ahead_most"`            // maximum of idle connections per agent and endpoint up to which it preopens
+	PreopenMinIdle            int             `toml:"ahead_keep"`            // minimum of idle connections per agent and endpoint, at any request rate
+	SocketBufferBytes         int             `toml:"socket_buffer_bytes"`   // per direction; 0 uses the kernel's default; takes effect at the next start
 }
 
-// What is done with the older connections of an endpoint after broken exchanges.
+// Actions for the older connections of an endpoint after failed exchanges.
 const (
-	suspectTry   = "try"   // they are tried first with requests that may be repeated
-	suspectClose = "close" // they are closed
+	suspectTry   = "try"   // use them only for requests that may be repeated
+	suspectClose = "close" // close them
 )
 
 var reuseOrders = map[string]pool.ReuseOrder{"newest": pool.MostRecentlyUsed, "oldest": pool.LeastRecentlyUsed, "fewest": pool.FewestRequests}
@@ -98,7 +98,7 @@
 	p.require(c.SuspectAction == suspectTry || c.SuspectAction == suspectClose, "connections.suspect", "%q is not try or close", c.SuspectAction)
 }
 
-// Settings returns the pool's settings: those that the agent has derived, with what the file sets over them.
+// Settings returns the settings of the pool: the derived ones, overridden by those that the file sets.
 func (c *Connections) Settings(derived pool.Settings) pool.Settings {
 	settings := derived
 	if c.MaxConnections > 0 {
@@ -132,7 +132,7 @@
 	return settings
 }
 
-// override sets a limit where the file has one.
+// override replaces a limit if the file sets one.
 func override(limit *int, fromFile int) {
 	if fromFile > 0 {
 		*limit = fromFile
--- a/internal/config/operator/describe.go
+++ b/internal/config/operator/describe.go
@@ -5,40 +5,40 @@
 	"io"
 )
 
-// Describe prints in a few lines what the file means, for `ryeweir check`.
+// Describe prints a summary of the file for `ryeweir check`.
 func (f *File) Describe(w io.Writer) {
 	f.Connections.describe(w)
 	f.Overload.describe(w)
 	if f.Peers.Enabled {
-		fmt.Fprintf(w, "peers: on, at %s, seeds %v, encrypted %v; facts of servers %v, one level for the fleet's budgets %v\n",
+		fmt.Fprintf(w, "peers: on, at %s, seeds %v, encrypted %v; endpoint facts shared %v, overload budget shared %v\n",
 			f.Peers.Bind, f.Peers.Seeds, f.Peers.KeyFile != "", f.Peers.ShareFacts, f.Peers.ShareBudget && f.Overload.Enabled)
 	}
 	if c := f.Connections; c.PreopenRate > 0 {
-		fmt.Fprintf(w, "opened ahead of need: %g a second on one server by all agents, %d idle ones each at the most\n", c.PreopenRate, c.PreopenMaxIdle)
+		fmt.Fprintf(w, "preopened connections: %g per second to one endpoint by all agents, at most %d idle per agent\n", c.PreopenRate, c.PreopenMaxIdle)
 	}
 }
 
 func (c *Connections) describe(w io.Writer) {
-	fmt.Fprintf(w, "connections: places %s, per server %s, handshakes %s (per server %s), waiting %s\n",
+	fmt.Fprintf(w, "connections: maximum %s, per endpoint %s; concurrent handshakes %s, per endpoint %s; waiting attempts %s\n",
 		limitText(c.MaxConnections), limitText(c.MaxPerEndpoint), limitText(c.MaxHandshakes), limitText(c.MaxHandshakesPerEndpoint), limitText(c.MaxWaiters))
-	fmt.Fprintf(w, "used again: %s first, for %g of the servers' idle limit, %g of that for what must not repeat\n",
+	fmt.Fprintf(w, "connection reuse: %s first, up to %g of the endpoints' idle timeout, %g of that for non-idempotent requests\n",
 		c.ReuseOrder, c.IdleFraction, c.NonIdempotentIdleFraction)
-	fmt.Fprintf(w, "suspect after %d broken exchanges in a row within %v: %s\n", c.SuspectAfterFailures, c.SuspectWindow.D(), c.SuspectAction)
+	fmt.Fprintf(w, "suspect connections: after %d consecutive failed exchanges within %v; action: %s\n", c.SuspectAfterFailures, c.SuspectWindow.D(), c.SuspectAction)
 }
 
-// limitText prints a limit, of which 0 is one that the agent derives.
+// limitText formats a limit. The agent derives a limit of 0 from its other limits.
 func limitText(limit int) string {
 	if limit == 0 {
-		return "worked out"
+		return "derived"
 	}
 	return fmt.Sprint(limit)
 }
 
 func (o *Overload) describe(w io.Writer) {
 	if !o.Enabled {
-		fmt.Fprintln(w, "fleet's budgets: off")
+		fmt.Fprintln(w, "overload budgets: off")
 		return
 	}
-	fmt.Fprintf(w, "fleet's budgets: on; the rate holds still where %g of attempts meet overload (the more the less of the demand is taken), at most %g times what was sent; retries %g of first tries and %g a second for the fleet, probes %g\n",
+	fmt.Fprintf(w, "overload budgets: on; target overload ratio %g (higher when less of the demand is admitted), rate at most %g times the sent rate; retries %g per admitted request plus %g per second for the fleet, health checks %g per admitted request\n",
 		o.TargetOverloadRatio, o.HeadroomFactor, o.RetryRatio, o.FleetRetryRate, o.HealthCheckRatio)
 }
--- a/internal/config/operator/doc.go
+++ b/internal/config/operator/doc.go
@@ -1,10 +1,9 @@
-// Package operator reads the operators' file, a TOML file that says how an agent does what the platform asks of it. Without one an agent
-// behaves as [Default] says.
+// Package operator reads the operators' file, a TOML file with which operators tune an agent. Without one an agent uses [Default].
 //
-// The file's keys are an interface of their own: they stay as they were shipped, and the struct tags map them to the terms that the
-// code uses. testdata/operator-keys.txt lists them. docs/operating.md has the meaning of each key for operators, deploy/operator.toml
-// all defaults.
+// The keys of the file are a public interface and must not change. The struct tags map them to the names that the code uses, and
+// testdata/operator-keys.txt lists them. docs/operating.md documents each key for operators, and deploy/operator.toml contains all
+// defaults.
 //
-// Each table has a file here: its struct, its defaults, its check, and the settings of other packages that are made of it. [Load] and
-// [Parse] return errors of type [ryeweir/internal/config.Error], joined, that name file, line and key.
+// Most tables of the file have a source file of their own, with the struct, its defaults, its validation, and its conversion to the
+// settings of other packages. [Load] and [Parse] return errors of type [ryeweir/internal/config.Error], joined, with file, line and key.
 package operator
--- a/internal/config/operator/healthchecks.go
+++ b/internal/config/operator/healthchecks.go
@@ -9,12 +9,12 @@
 	"ryeweir/logic"
 )
 
-// HealthChecks is what health checks may cost, where the platform allows any.
+// HealthChecks limits the cost of health checks, if the platform allows them.
 type HealthChecks struct {
-	PerRequest      float64         `toml:"per_request"`           // that an agent earns with a request
-	PerEndpointRate float64         `toml:"per_server_per_second"` // to one endpoint, by all agents
+	PerRequest      float64         `toml:"per_request"`           // health checks allowed per request of an agent
+	PerEndpointRate float64         `toml:"per_server_per_second"` // health checks per second to one endpoint by all agents
 	MaxConcurrent   int             `toml:"concurrent"`
-	Timeout         config.Duration `toml:"timeout"` // of an answer, with the connection
+	Timeout         config.Duration `toml:"timeout"` // including connection setup
 }
 
 const (
@@ -41,12 +41,12 @@
 		"probes.timeout", "must be from 1ms to %v", maxHealthCheckTimeout)
 }
 
-// Settings returns the limits of the health checker.
+// Settings returns the settings of the health checker.
 func (h *HealthChecks) Settings() healthcheck.Settings {
 	return healthcheck.Settings{MaxConcurrent: h.MaxConcurrent, Timeout: h.Timeout.D()}
 }
 
-// Apply sets the decision module's budget of health checks, unless the platform allows none.
+// Apply sets the health check budget in the settings of the balancer, unless the platform forbids health checks.
 func (h *HealthChecks) Apply(settings *logic.Settings) {
 	if settings.HealthChecksPerRequest <= 0 {
 		return
--- a/internal/config/operator/operator.go
+++ b/internal/config/operator/operator.go
@@ -6,7 +6,7 @@
 	"ryeweir/internal/config"
 )
 
-// File is the operators' file.
+// File is the decoded operators' file.
 type File struct {
 	Connections  Connections  `toml:"connections"`
 	HealthChecks HealthChecks `toml:"probes"`
@@ -16,19 +16,19 @@
 	Peers        Peers        `toml:"peers"`
 }
 
-// Snapshot is how what an agent has learnt is persisted for the next process.
+// Snapshot configures how the knowledge of an agent is saved for the next process.
 type Snapshot struct {
-	Interval config.Duration `toml:"every"`  // between writes; 0 for none
-	MaxAge   config.Duration `toml:"oldest"` // of a snapshot that is restored
-	Dir      string          `toml:"dir"`    // empty for TMPDIR, and none without one
+	Interval config.Duration `toml:"every"`  // between writes; 0 writes none
+	MaxAge   config.Duration `toml:"oldest"` // older snapshots are not loaded
+	Dir      string          `toml:"dir"`    // empty uses TMPDIR; without TMPDIR there are no snapshots
 }
 
-// Drain is how an agent shuts down.
+// Drain configures how an agent shuts down.
 type Drain struct {
-	MaxDuration config.Duration `toml:"longest"` // of answers that still flow; 0 for the platform's
+	MaxDuration config.Duration `toml:"longest"` // for answers still being sent; 0 uses the platform's limit
 }
 
-// Default returns the file in which nothing is set.
+// Default returns the defaults of all keys.
 func Default() File {
 	return File{
 		Connections:  defaultConnections(),
@@ -39,7 +39,7 @@
 	}
 }
 
-// Load reads and checks a file; an empty name gives the defaults.
+// Load reads and validates a file. An empty name returns the defaults.
 func Load(name string) (File, error) {
 	if name == "" {
 		return Default(), nil
@@ -51,7 +51,7 @@
 	return Parse(name, data)
 }
 
-// Parse reads and checks the text of a file. Keys that it doesn't have keep their defaults; unknown keys are errors.
+// Parse decodes and validates the text of a file. Missing keys keep their defaults; unknown keys are errors.
 func Parse(name string, data []byte) (File, error) {
 	file := Default()
 	err := config.TOML(name, data, &file)
--- a/internal/config/operator/overload.go
+++ b/internal/config/operator/overload.go
@@ -8,8 +8,8 @@
 	"ryeweir/logic"
 )
 
-// Overload is the fleet's budgets; see budget.Settings for all but Enabled and SelfLimits. Without it an agent sheds only what the decision module
-// sheds.
+// Overload configures the overload budgets of the fleet. budget.Settings documents all fields but Enabled and SelfLimits. If it is not
+// enabled, only package logic sheds requests.
 type Overload struct {
 	Enabled             bool            `toml:"fleet"`
 	TargetOverloadRatio float64         `toml:"target"`
@@ -29,7 +29,7 @@
 	SelfLimits          SelfLimits      `toml:"own"`
 }
 
-// SelfLimits is the load from which on the agent itself is overloaded; see budget.SelfLimits. A limit of 0 is none.
+// SelfLimits is the load above which the agent itself counts as overloaded; see budget.SelfLimits. A limit of 0 disables that limit.
 type SelfLimits struct {
 	QueueDelay config.Duration `toml:"wait"`
 	CPU        float64         `toml:"cpu"`
@@ -66,7 +66,7 @@
 	}
 }
 
-// BudgetSettings returns the budget's settings in a fleet of a number of agents, with the longest Retry-After that clients heed.
+// BudgetSettings returns the budget settings for a fleet with this number of agents and for the longest Retry-After that clients respect.
 func (o *Overload) BudgetSettings(agents int, maxRetryAfter time.Duration) budget.Settings {
 	return budget.Settings{
 		TargetOverloadRatio: o.TargetOverloadRatio,
@@ -88,11 +88,11 @@
 	}
 }
 
-// prioritySeed sets the draws of the priority order apart from others of the same seed.
+// prioritySeed makes the random numbers of the priority order independent of others that are derived from the agent's seed.
 const prioritySeed = 0x6f7665726c6f6164
 
-// Budget returns an agent's budget and the order by which it sheds, with the decision module's settings and the longest Retry-After
-// that clients heed; nil, nil where the file does not enable them.
+// Budget returns the budget of an agent and the priority order by which it sheds requests. maxRetryAfter is the longest Retry-After that
+// clients respect. Both results are nil if the file does not enable overload budgets.
 func (o *Overload) Budget(settings logic.Settings, maxRetryAfter time.Duration, seed uint64) (*budget.Budget, *budget.PriorityOrder, error) {
 	if !o.Enabled {
 		return nil, nil, nil
--- a/internal/config/operator/reload.go
+++ b/internal/config/operator/reload.go
@@ -2,7 +2,7 @@
 
 import "reflect"
 
-// RestartRequired returns the keys, or tables, of a reloaded file that differ and take effect at the next start only.
+// RestartRequired returns the keys or tables that differ in a reloaded file and that take effect only after a restart.
 func (f *File) RestartRequired(reloaded File) (keys []string) {
 	differences := []struct {
 		differs bool
--- a/internal/config/platform/platform.go
+++ b/internal/config/platform/platform.go
@@ -1,4 +1,5 @@
-// Package platform reads what the platform tells an agent: the file that PROXY_CONFIG names, and the environment.
+// Package platform reads the configuration that the platform gives to an agent: a JSON file, whose path is in the environment variable
+// PROXY_CONFIG, and other environment variables, which override the file.
 package platform
 
 import (
@@ -19,23 +20,23 @@
 	"ryeweir/logic"
 )
 
-// Config is what the platform tells an agent.
+// Config is the configuration that the platform gives to an agent.
 type Config struct {
 	Name           string
-	Listen         string // where clients connect
-	Discovery      string // host and port
-	Control        string // where operators connect; empty for nowhere
-	Seed           uint64 // for random numbers
+	Listen         string // address for clients
+	Discovery      string // address of the discovery service, host and port
+	Control        string // address for operators; empty if there is none
+	Seed           uint64 // for random number generators
 	Cores          float64
 	MemoryMB       int
-	MaxDescriptors int // file descriptors that the process may hold
+	MaxDescriptors int // maximum number of file descriptors of the process
 	Site           wire.Site
 
-	CachedEndpoints discovery.EndpointList // the servers that an earlier life of the agent knew
-	AcceptWindow    time.Duration          // new clients are accepted for so long after the signal to end
+	CachedEndpoints discovery.EndpointList // endpoint list that an earlier process of the agent received
+	AcceptWindow    time.Duration          // how long new clients are accepted after the termination signal
 }
 
-// configFile is the form of the file that PROXY_CONFIG names.
+// configFile is the JSON form of the file. Its keys are the platform's; Parse maps them to Config.
 type configFile struct {
 	Name      string `json:"name"`
 	Listen    string `json:"listen"`
@@ -51,17 +52,17 @@
 	Settings json.RawMessage `json:"settings"`
 }
 
-// DefaultAcceptWindow is how long clients are accepted after the signal to end: new connections come for up to 0.4 s after it, and the
-// platform kills 0.7 s after the longest deadline at the soonest.
+// DefaultAcceptWindow is how long clients are accepted after the termination signal. New connections arrive for up to 0.4 s after it, and
+// the platform kills the process no earlier than 0.7 s after the longest deadline.
 const DefaultAcceptWindow = 550 * time.Millisecond
 
-// Limits that hold where the configuration states none.
+// Limits that apply if the configuration has none.
 const (
-	defaultSockets  = 1024
-	defaultMemoryMB = 192
+	defaultMaxDescriptors = 1024
+	defaultMemoryMB       = 192
 )
 
-// Load reads the configuration that the environment points to.
+// Load reads the configuration file that PROXY_CONFIG names, and applies the other environment variables.
 func Load(getenv func(string) string) (Config, error) {
 	path := getenv("PROXY_CONFIG")
 	if path == "" {
@@ -69,7 +70,7 @@
 	}
 	data, err := os.ReadFile(path)
 	if err != nil {
-		return Config{}, fmt.Errorf("reading the configuration: %w", err)
+		return Config{}, fmt.Errorf("read configuration: %w", err)
 	}
 	cfg, err := Parse(data, getenv)
 	if err != nil {
@@ -78,8 +79,8 @@
 	return cfg, nil
 }
 
-// Reload reads the file again. It has been replaced since the process started and the environment has not, so
-// that the file's address of discovery goes first.
+// Reload reads the file again. It ignores PROXY_DISCOVERY: the file may have been replaced since the process started but the environment
+// has not, so the discovery address in the file is the current one.
 func Reload(getenv func(string) string) (Config, error) {
 	return Load(func(variable string) string {
 		if variable == "PROXY_DISCOVERY" {
@@ -89,23 +90,23 @@
 	})
 }
 
-// Parse decodes and checks the file's text. Variables that are set go before it.
+// Parse decodes and validates the text of the file. Environment variables that are set override it.
 func Parse(data []byte, getenv func(string) string) (cfg Config, err error) {
 	var f configFile
 	if err := json.Unmarshal(data, &f); err != nil {
 		return cfg, err
 	}
-	prefer := func(variable, text string) string {
+	envOr := func(variable, fromFile string) string {
 		if v := getenv(variable); v != "" {
 			return v
 		}
-		return text
+		return fromFile
 	}
-	cfg = Config{Name: prefer("PROXY_NAME", f.Name), Listen: prefer("PROXY_LISTEN", f.Listen),
-		Discovery: prefer("PROXY_DISCOVERY", f.Discovery), Control: prefer("PROXY_CONTROL", f.Control), Cores: f.Limits.Cores, MemoryMB: f.Limits.MemoryMB,
+	cfg = Config{Name: envOr("PROXY_NAME", f.Name), Listen: envOr("PROXY_LISTEN", f.Listen),
+		Discovery: envOr("PROXY_DISCOVERY", f.Discovery), Control: envOr("PROXY_CONTROL", f.Control), Cores: f.Limits.Cores, MemoryMB: f.Limits.MemoryMB,
 		MaxDescriptors: f.Limits.Sockets, AcceptWindow: DefaultAcceptWindow}
 	if cfg.MaxDescriptors <= 0 {
-		cfg.MaxDescriptors = defaultSockets
+		cfg.MaxDescriptors = defaultMaxDescriptors
 	}
 	if cfg.MemoryMB <= 0 {
 		cfg.MemoryMB = defaultMemoryMB
@@ -135,7 +136,7 @@
 	return cfg, nil
 }
 
-// decodeSite reads the settings and checks what the agent, rather than the module, needs of them.
+// decodeSite decodes the settings and validates those that the agent uses. Package logic validates its own.
 func decodeSite(data []byte) (wire.Site, error) {
 	if len(data) == 0 {
 		return wire.Site{}, errors.New("missing")
@@ -145,17 +146,18 @@
 		return site, err
 	}
 	if site.ConnectTimeout <= 0 || site.IdleTimeout <= 0 {
-		return site, errors.New("the connect time-out and the idle limit must be above 0")
+		return site, errors.New("the connect timeout and the idle timeout must be above 0")
 	}
-	// On sockets any refusal may carry Retry-After, also where the simulator's clients are given none.
+	// Over HTTP any rejection may carry Retry-After, even if the settings forbid it for clients in the simulator.
 	site.Logic.MaxRetryAfter = site.MaxRetryAfter
-	// Nor is anybody there allowed four times the usual time after a call that failed.
+	// The simulator allows four times the usual poll interval after a failed poll. The platform does not, so the retry interval of the
+	// discovery client is the limit.
 	site.Logic.MaxPollRetryInterval = discovery.MaxRetryInterval
 	return site, nil
 }
 
-// Check checks the text of a configuration file as the agent would read it without an environment. Errors name file,
-// line and key as far as they have them.
+// Check validates the text of a configuration file as an agent without environment variables would read it. Errors are of type
+// config.Error and contain the file, and the line and key if they are known.
 func Check(file string, data []byte) (Config, error) {
 	var f configFile
 	if err := config.JSON(file, data, &f); err != nil {
@@ -173,17 +175,17 @@
 	return cfg, nil
 }
 
-// Describe prints in words what a configuration means.
+// Describe prints a summary of the configuration.
 func (cfg Config) Describe(w io.Writer) {
 	control := cfg.Control
 	if control == "" {
 		control = "nowhere"
 	}
 	fmt.Fprintf(w, "agent %s: clients at %s, operators at %s, discovery at %s\n", cfg.Name, cfg.Listen, control, cfg.Discovery)
-	fmt.Fprintf(w, "limits: %g cores, %d MB, %d descriptors\n", cfg.Cores, cfg.MemoryMB, cfg.MaxDescriptors)
-	fmt.Fprintf(w, "fleet: agent %d of %d; %d backends known from before\n", cfg.Site.Logic.BalancerIndex, cfg.Site.Logic.Balancers, len(cfg.CachedEndpoints.Endpoints))
-	effects := map[logic.Idempotency]string{logic.Idempotent: "safe to repeat", logic.IdempotentWithKey: "carries a key", logic.NonIdempotent: "must never run twice"}
+	fmt.Fprintf(w, "limits: %g cores, %d MB, %d file descriptors\n", cfg.Cores, cfg.MemoryMB, cfg.MaxDescriptors)
+	fmt.Fprintf(w, "fleet: agent %d of %d; %d endpoints in the cached list\n", cfg.Site.Logic.BalancerIndex, cfg.Site.Logic.Balancers, len(cfg.CachedEndpoints.Endpoints))
+	idempotency := map[logic.Idempotency]string{logic.Idempotent: "safe to repeat", logic.IdempotentWithKey: "safe to repeat with its key", logic.NonIdempotent: "must not be repeated"}
 	for _, c := range cfg.Site.Logic.Classes {
-		fmt.Fprintf(w, "class %s: %s, wanted within %v, deadline %v, worth %g\n", c.Name, effects[c.Idempotency], c.LatencyObjective, c.Timeout, c.PriorityWeight)
+		fmt.Fprintf(w, "class %s: %s, latency objective %v, timeout %v, priority weight %g\n", c.Name, idempotency[c.Idempotency], c.LatencyObjective, c.Timeout, c.PriorityWeight)
 	}
 }
--- a/internal/control/handler.go
+++ b/internal/control/handler.go
@@ -6,20 +6,20 @@
 	"net/http"
 )
 
-// Agent is what operators ask for and steer. Its methods return at once, and may be called by any goroutine.
+// Agent is the agent that operators control. Its methods must not block and must be safe for concurrent use.
 type Agent interface {
-	// Ready reports whether the agent takes clients.
+	// Ready reports whether the agent accepts clients.
 	Ready() bool
-	// Drain sends clients away until Activate. Both fail on an agent that shuts down.
+	// Drain turns clients away until Activate is called. Both return an error while the agent is shutting down.
 	Drain() error
 	Activate() error
 }
 
-// newHandler returns the handler of the operators' calls.
-func newHandler(agent Agent, figures json.Marshaler) http.Handler {
+// newHandler returns the HTTP handler for operators. GET /v1/metrics returns the JSON that metrics marshals to.
+func newHandler(agent Agent, metrics json.Marshaler) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/readyz", readiness(agent))
-	mux.HandleFunc("GET /v1/metrics", metrics(figures))
+	mux.HandleFunc("GET /v1/metrics", serveMetrics(metrics))
 	mux.HandleFunc("POST /v1/agent/drain", phaseChange(agent.Drain))
 	mux.HandleFunc("POST /v1/agent/activate", phaseChange(agent.Activate))
 	return mux
@@ -35,9 +35,9 @@
 	}
 }
 
-func metrics(figures json.Marshaler) http.HandlerFunc {
+func serveMetrics(metrics json.Marshaler) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
-		data, err := figures.MarshalJSON()
+		data, err := metrics.MarshalJSON()
 		if err != nil {
 			http.Error(w, err.Error(), http.StatusInternalServerError)
 			return
@@ -47,7 +47,7 @@
 	}
 }
 
-// phaseChange answers a change of the agent's phase, and 409 where that is not possible any more.
+// phaseChange returns a handler that changes the phase of the agent. It responds with 409 if the phase can no longer be changed.
 func phaseChange(change func() error) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		if err := change(); err != nil {
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -1,7 +1,7 @@
-// Package control serves the operators on an address of their own: readiness, figures, and the drain of an agent.
+// Package control serves operators on a separate address: readiness, metrics, and draining the agent.
 //
-// No answer waits for what the agent is busy with, and callers that hold a connection can't lock others out: connections are
-// bounded by connlimit, which evicts the silent ones, and each carries one call of bounded duration.
+// Responses do not wait for other work of the agent. Callers that hold connections open cannot lock others out: connlimit limits the
+// number of connections and evicts silent ones, and each connection carries a single call of limited duration.
 package control
 
 import (
@@ -18,22 +18,22 @@
 	"ryeweir/internal/connlimit"
 )
 
-// MaxDescriptors is how many descriptors the server may hold: its listener and its connections.
+// MaxDescriptors is the maximum number of file descriptors of the server: its listener and its connections.
 const MaxDescriptors = 1 + maxConnections
 
 const (
 	maxConnections = 24
-	headerTimeout  = 2 * time.Second // for the head of a call
-	callTimeout    = 3 * time.Second // for the call and its answer
+	headerTimeout  = 2 * time.Second // to read the request line and headers
+	callTimeout    = 3 * time.Second // for the whole call, including its response
 	maxHeaderBytes = 8 << 10
 )
 
-// Serve answers calls until the context ends. It closes the listener. figures are answered to GET /v1/metrics as JSON. The error
-// says why operators could not be served any more.
-func Serve(ctx context.Context, l net.Listener, agent Agent, figures json.Marshaler, log *slog.Logger) error {
+// Serve serves operators until the context is done, and closes the listener. GET /v1/metrics returns the JSON that metrics marshals to.
+// A non-nil error means that serving has failed before the context was done.
+func Serve(ctx context.Context, l net.Listener, agent Agent, metrics json.Marshaler, log *slog.Logger) error {
 	connections := connlimit.New(acceptretry.New(l, log, nil), maxConnections)
 	server := &http.Server{
-		Handler:           newHandler(agent, figures),
+		Handler:           newHandler(agent, metrics),
 		ReadHeaderTimeout: headerTimeout,
 		ReadTimeout:       callTimeout,
 		WriteTimeout:      callTimeout,
@@ -42,11 +42,11 @@
 		ConnState:         connlimit.ConnState,
 		ConnContext:       connlimit.ConnContext,
 	}
-	server.SetKeepAlivesEnabled(false) // one call a connection
+	server.SetKeepAlivesEnabled(false) // one call per connection
 	stopClosing := context.AfterFunc(ctx, func() { server.Close() })
 	defer stopClosing()
 	if err := server.Serve(connections); !errors.Is(err, http.ErrServerClosed) {
-		return fmt.Errorf("serving operators: %w", err)
+		return fmt.Errorf("serve operators: %w", err)
 	}
 	return nil
 }
--- a/internal/discovery/apply.go
+++ b/internal/discovery/apply.go
@@ -12,14 +12,14 @@
 	"ryeweir/logic"
 )
 
-// noVersion says that no version is known, so that a full snapshot is needed.
+// noVersion means that no version is known and a full snapshot is needed.
 const noVersion = -1
 
-// endpointSet is the last known list.
+// endpointSet is the last known endpoint list.
 type endpointSet struct {
 	version    int64 // or noVersion
 	endpoints  map[string]core.Endpoint
-	receivedAt time.Duration // when discovery last answered, on the agent's clock; 0: not yet
+	receivedAt time.Duration // time of the last response, on the agent's clock; 0 if there was none
 }
 
 func newEndpointSet() endpointSet {
@@ -28,12 +28,12 @@
 
 func (s *endpointSet) hasVersion() bool { return s.version >= 0 }
 
-// forgetVersion makes the set older than whatever is received next.
+// forgetVersion makes the set older than any list that is received next.
 func (s *endpointSet) forgetVersion() {
 	s.version, s.receivedAt = noVersion, 0
 }
 
-// store takes over decoded endpoints.
+// store replaces the set with the endpoints of a full snapshot, or applies those of a watch event to it.
 func (s *endpointSet) store(endpoints []core.Endpoint, full bool) {
 	if full {
 		clear(s.endpoints)
@@ -46,19 +46,19 @@
 	}
 }
 
-// errNotFull says that discovery answered the request for a full snapshot with a watch event.
-var errNotFull = errors.New("discovery answered the request for a full snapshot with a watch event")
+// errNotFull is returned if discovery responds with a watch event to a request for a full snapshot.
+var errNotFull = errors.New("discovery returned a watch event instead of a full snapshot")
 
-// versionError says that discovery has restarted its version count. A watch since a version of the old count is meaningless.
+// versionError is returned if discovery has restarted its version numbering. A watch since a version of the old numbering is meaningless.
 type versionError struct {
 	known, received int64
 }
 
 func (e *versionError) Error() string {
-	return fmt.Sprintf("discovery went back from version %d to %d", e.known, e.received)
+	return fmt.Sprintf("discovery went back from version %d to version %d", e.known, e.received)
 }
 
-// apply passes a received list to the sink unless a newer one is known. wantFull says that a full snapshot was requested.
+// apply passes a received list to the sink unless a newer one is known. wantFull is set if a full snapshot was requested.
 func (c *Client) apply(list EndpointList, wantFull bool) error {
 	if wantFull && !list.Full {
 		return errNotFull
@@ -82,8 +82,8 @@
 	return nil
 }
 
-// endOutage notifies the sink if discovery was unavailable and is back without a change: the balancer counts failed polls and must
-// know that the list is followed again.
+// endOutage records that discovery is available again. If the list has not changed it sends an empty watch event to the sink: the
+// balancer counts failed polls and must know that the list is being watched again.
 func (c *Client) endOutage(list EndpointList) {
 	if !c.unavailable {
 		return
@@ -95,8 +95,8 @@
 	}
 }
 
-// applyCached passes the cached list to the sink as a full snapshot. Whatever discovery says next is newer, also where it counts from a
-// lower version by then.
+// applyCached passes the cached list to the sink as a full snapshot. Any list that discovery returns later counts as newer, even one with
+// a lower version.
 func (c *Client) applyCached() {
 	list := c.cfg.CachedList
 	list.Full = true
@@ -113,7 +113,7 @@
 	c.cfg.Log.Info("endpoint list updated", "version", list.Version, "full", list.Full, "entries", len(list.Endpoints))
 }
 
-// summary names the endpoints that are not ready and counts the others.
+// summary lists the endpoints that are not ready and the number of those that are.
 func summary(endpoints []core.Endpoint) string {
 	ready := 0
 	var notReady strings.Builder
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -14,54 +14,54 @@
 	"ryeweir/internal/pool"
 )
 
-// Sink receives what discovery says. Its methods are called by the goroutine of Run and may block for a moment.
+// Sink receives endpoint lists and notice of outages. The goroutine of Run calls its methods, which may block briefly.
 type Sink interface {
-	// UpdateEndpoints applies a full snapshot or a watch event. An empty watch event says that discovery is available again.
+	// UpdateEndpoints applies a full snapshot or a watch event. An empty watch event means that discovery is available again.
 	UpdateEndpoints(core.EndpointList)
-	// DiscoveryUnavailable says that a subscription has ended or could not begin.
+	// DiscoveryUnavailable reports that a subscription has ended or could not be established.
 	DiscoveryUnavailable()
 }
 
-// Config is what a Client works with.
+// Config is the configuration of a Client.
 type Config struct {
 	Addr                 string       // host and port of discovery
-	Agents               int          // in the fleet that shares it
-	SubscriptionRequired bool         // follow the list only after Subscribe
-	Zones                []string     // names of zones; an endpoint's zone is an index into them
-	CachedList           EndpointList // of an earlier process; empty for none
+	Agents               int          // number of agents that share this discovery service
+	SubscriptionRequired bool         // watch the list only after a call of Subscribe
+	Zones                []string     // zone names; an endpoint's zone is an index into this list
+	CachedList           EndpointList // saved by an earlier process; empty if there is none
 	Seed                 uint64
 	Clock                core.Clock
-	Dial                 pool.DialFunc // nil: the machine's network
+	Dial                 pool.DialFunc // nil uses the machine's network
 	Sink                 Sink
 	Log                  *slog.Logger
-	Events               *event.Recorder // nil: none are recorded
+	Events               *event.Recorder // nil records none
 }
 
-// Client follows the endpoint list.
+// Client watches the endpoint list.
 type Client struct {
 	cfg       Config
 	http      *http.Client
 	timing    FleetTiming
-	subscribe chan struct{} // holds one subscription
+	subscribe chan struct{} // holds at most one pending call of Subscribe
 
-	mu            sync.Mutex // guards what follows
-	addr          string     // as last set
+	mu            sync.Mutex // guards addr and cancelSession
+	addr          string     // as set by the latest SetAddress
 	cancelSession context.CancelFunc
 
-	// Owned by the goroutine of Run:
+	// The fields below are owned by the goroutine of Run.
 	rng         *rand.Rand
 	backoff     backoff
 	pacing      watchPacing
 	sessionAddr string
 	known       endpointSet
 	unavailable bool // the last request failed
-	// subscribed says that a subscription is in force: Subscribe was called, and the sink was not notified of an end since. It
-	// outlives a session that ends for another address.
+	// subscribed reports that a subscription is active: Subscribe was called, and the sink has not been notified since that the
+	// subscription ended. It stays set when a session ends because the address changed.
 	subscribed      bool
 	malformedLogged bool
 }
 
-// New returns a client that makes no request before Run.
+// New returns a client. It makes no requests until Run is called.
 func New(cfg Config) *Client {
 	if cfg.Dial == nil {
 		cfg.Dial = (&net.Dialer{Timeout: requestTimeout}).DialContext
@@ -84,12 +84,12 @@
 	return c
 }
 
-// startsFromCache reports whether watch events since the cached version are enough, without a full snapshot.
+// startsFromCache reports whether the client watches from the cached version on instead of requesting a full snapshot first.
 func (c *Client) startsFromCache() bool {
 	return len(c.cfg.CachedList.Endpoints) > 0 && (c.cfg.SubscriptionRequired || c.cfg.Agents > smallFleet)
 }
 
-// Subscribe begins to follow the list, if Config.SubscriptionRequired. It has no effect while an earlier call waits to be served. It
+// Subscribe starts watching the list if Config.SubscriptionRequired is set. It has no effect while an earlier call is still pending. It
 // does not block and is safe for concurrent use.
 func (c *Client) Subscribe() {
 	select {
@@ -98,7 +98,7 @@
 	}
 }
 
-// SetAddress points to another discovery. Requests to the old one end at once. It is safe for concurrent use.
+// SetAddress switches to the discovery service at another address and cancels requests to the old one. It is safe for concurrent use.
 func (c *Client) SetAddress(addr string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -109,7 +109,7 @@
 	c.cancelSession()
 }
 
-// Run follows the list until the context ends. It must be called once.
+// Run watches the list until the context is done. It must be called at most once.
 func (c *Client) Run(ctx context.Context) {
 	defer c.http.CloseIdleConnections()
 	c.start(ctx)
@@ -118,13 +118,14 @@
 	}
 }
 
-// start gets a first list if one is cached: from discovery, or else the cached one. The cached list may name endpoints that have been
-// removed or drain by now, and the agent becomes ready with any list: hence it is the second choice.
+// start obtains the first list when a cached one exists: from discovery if it responds at once, otherwise from the cache. The cached
+// list is the second choice because the agent becomes ready with any list, and the cached one may contain endpoints that have since been
+// removed or started to drain.
 func (c *Client) start(ctx context.Context) {
 	if len(c.cfg.CachedList.Endpoints) == 0 {
 		return
 	}
-	if !c.cfg.SubscriptionRequired { // else the balancer decides when to poll
+	if !c.cfg.SubscriptionRequired { // otherwise the balancer decides when to poll
 		first, cancel := context.WithTimeout(ctx, firstListTimeout)
 		defer cancel()
 		if c.request(first, fullSnapshot, requestTimeout) == nil {
@@ -135,12 +136,12 @@
 	c.sleepRandom(ctx, c.timing.StartSpread)
 }
 
-// sleepRandom waits for a random time up to longest.
+// sleepRandom sleeps for a random time between 0 and longest, or until the context is done.
 func (c *Client) sleepRandom(ctx context.Context, longest time.Duration) {
 	sleep(ctx, time.Duration(c.rng.Float64()*float64(longest)))
 }
 
-// sleep waits for a time or until the context ends.
+// sleep returns after duration, or when the context is done.
 func sleep(ctx context.Context, duration time.Duration) {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
--- a/internal/discovery/decode.go
+++ b/internal/discovery/decode.go
@@ -12,8 +12,8 @@
 
 // decode decodes the entries of a list and stores them as the last known ones.
 //
-// Failure: discovery sends a malformed entry, and leaving it out of a full snapshot would remove a healthy endpoint. The guard holds
-// because its last known state takes its place, as far as its ID can be read.
+// A malformed entry is replaced with the last known state of its endpoint if its ID can be read. Without the entry, a full snapshot would
+// remove a healthy endpoint.
 func (c *Client) decode(list EndpointList) []core.Endpoint {
 	endpoints := make([]core.Endpoint, 0, len(list.Endpoints))
 	for _, raw := range list.Endpoints {
@@ -31,7 +31,7 @@
 	return endpoints
 }
 
-// decodeEntry decodes an entry. It returns the entry's ID also with an error, if that could be read.
+// decodeEntry decodes an entry. With an error it still returns the ID of the entry, if that could be read.
 func (c *Client) decodeEntry(raw json.RawMessage) (endpoint core.Endpoint, id string, err error) {
 	var decoded entry
 	if err := json.Unmarshal(raw, &decoded); err != nil {
@@ -39,7 +39,7 @@
 	}
 	state, ok := endpointState(decoded.State)
 	if decoded.ID == "" || !ok {
-		return endpoint, decoded.ID, fmt.Errorf("id %q with state %q", decoded.ID, decoded.State)
+		return endpoint, decoded.ID, fmt.Errorf("missing id or unknown state: id %q, state %q", decoded.ID, decoded.State)
 	}
 	if _, _, err := net.SplitHostPort(decoded.Addr); err != nil && state != logic.Removed {
 		return endpoint, decoded.ID, err
@@ -59,7 +59,7 @@
 	return endpoint, decoded.ID, nil
 }
 
-// logMalformed logs the first malformed entry of the process.
+// logMalformed logs a malformed entry, but only the first one of the process.
 func (c *Client) logMalformed(id string, err error) {
 	if !c.malformedLogged {
 		c.malformedLogged = true
--- a/internal/discovery/doc.go
+++ b/internal/discovery/doc.go
@@ -1,17 +1,18 @@
-// Package discovery follows the endpoint list of the platform's discovery service and passes its changes to a [Sink].
+// Package discovery watches the endpoint list of the platform's discovery service and passes its changes to a [Sink].
 //
 // A [Client] polls GET /v1/endpoints. A request without a query returns a full snapshot. A request with since=VERSION&timeout_ms=T is a
-// watch: it returns a watch event with what has changed since that version, at the latest after T milliseconds. Versions grow; a
-// lower one means that discovery has lost its state and restarted the count, and a full snapshot is needed.
+// watch, a long poll: it returns a watch event with the changes since that version, after T milliseconds at the latest. Versions only
+// increase. A lower version means that the discovery service has lost its state and restarted its numbering; the client then requests a
+// full snapshot.
 //
-// Run goes through these stages, a file each:
+// Run consists of these stages:
 //
-//	start     the cached list of an earlier process, if discovery does not answer at once   client.go
-//	session   all requests to one address; SetAddress begins another                        session.go
-//	watch     one watch after the other, and recovery from one that got no answer           watch.go
-//	request   one HTTP request                                                              request.go
-//	apply     a received list against the last known one                                    apply.go, decode.go, starttime.go
+//	start     falls back to the list cached by an earlier process if discovery does not respond at once   client.go
+//	session   all requests to one address; SetAddress starts another session                              session.go
+//	watch     consecutive watches, and recovery from a watch that got no response                         watch.go
+//	request   a single HTTP request                                                                       request.go
+//	apply     comparison of a received list with the last known one                                       apply.go, decode.go, starttime.go
 //
-// timing.go has the rules for when requests are made: the notification deadline, the backoff after failures, and how the requests of
-// a large fleet are spread. While discovery is unavailable the last list stays in force.
+// timing.go defines when requests are made: the notification deadline, the backoff after failures, and how the requests of a large
+// fleet are spread over time. While discovery is unavailable the last list stays in effect.
 package discovery
--- a/internal/discovery/endpointlist.go
+++ b/internal/discovery/endpointlist.go
@@ -6,21 +6,21 @@
 	"ryeweir/logic"
 )
 
-// EndpointList is a full snapshot or a watch event, in discovery's form. The entries are decoded one by one, so that a malformed one
-// does not spoil the list.
+// EndpointList is a full snapshot or a watch event in the JSON format of discovery. Its entries are decoded separately, so that a
+// malformed entry does not make the whole list unusable.
 type EndpointList struct {
 	Version   int64             `json:"version"`
 	Full      bool              `json:"full"`
 	Endpoints []json.RawMessage `json:"servers"`
 }
 
-// ParseEndpointList parses a list without its entries. The error is that of encoding/json.
+// ParseEndpointList decodes a list but not its entries. Its errors come from encoding/json.
 func ParseEndpointList(data []byte) (list EndpointList, err error) {
 	err = json.Unmarshal(data, &list)
 	return list, err
 }
 
-// entry is an endpoint of the list, in discovery's form.
+// entry is one endpoint of a list in the JSON format of discovery.
 type entry struct {
 	ID        string  `json:"id"`
 	Addr      string  `json:"addr"`
@@ -28,10 +28,10 @@
 	Cell      int     `json:"cell"`
 	State     string  `json:"state"`
 	Weight    float64 `json:"weight"`
-	StartedMS int64   `json:"started_ms"` // Unix time; 0: long ago
+	StartedMS int64   `json:"started_ms"` // Unix time in milliseconds; 0 if the endpoint started long ago
 }
 
-// endpointState maps discovery's names of the states; false says that the name is unknown.
+// endpointState converts a state name that discovery uses. It returns false for an unknown name.
 func endpointState(name string) (state logic.EndpointState, ok bool) {
 	switch name {
 	case "Ready":
--- a/internal/discovery/request.go
+++ b/internal/discovery/request.go
@@ -9,23 +9,23 @@
 	"time"
 )
 
-// maxListBytes is the longest list that is read.
+// maxListBytes limits the size of a response body.
 const maxListBytes = 1 << 20
 
-// statusError is a response of discovery that is no 200.
+// statusError is a response with a status other than 200.
 type statusError struct {
 	status string
 }
 
-func (e *statusError) Error() string { return "discovery answered " + e.status }
+func (e *statusError) Error() string { return "discovery returned status " + e.status }
 
-// errListTooLong says that a list is longer than maxListBytes.
-var errListTooLong = fmt.Errorf("discovery's list is over %d bytes", maxListBytes)
+// errListTooLong is returned for a response body of more than maxListBytes.
+var errListTooLong = fmt.Errorf("endpoint list exceeds %d bytes", maxListBytes)
 
-// request makes a request and applies the list that it returns. The error is context.DeadlineExceeded if there was no answer in time.
+// request makes a request and applies the list that it returns. The error is context.DeadlineExceeded if no response arrived in time.
 //
-// Failure: the process was paused for longer than the timeout, and its timers fire before what has arrived meanwhile is read: an answer
-// that was in time would be lost. The guard holds because a timer that is late gives the reader a moment first.
+// If the process is paused for longer than the timeout, its timers fire before it has read what arrived during the pause, and a response
+// that was in time would be lost. A timer that fires late therefore waits for processStallTolerance before it cancels the request.
 func (c *Client) request(ctx context.Context, query string, timeout time.Duration) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -47,7 +47,7 @@
 	return err
 }
 
-// fetch gets a list from the session's address.
+// fetch requests a list from the address of the session.
 func (c *Client) fetch(ctx context.Context, query string) (EndpointList, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+c.sessionAddr+"/v1/endpoints"+query, nil)
 	if err != nil {
@@ -70,7 +70,7 @@
 	}
 	list, err := ParseEndpointList(body)
 	if err != nil {
-		return EndpointList{}, fmt.Errorf("discovery's list: %w", err)
+		return EndpointList{}, fmt.Errorf("decode endpoint list: %w", err)
 	}
 	return list, nil
 }
--- a/internal/discovery/session.go
+++ b/internal/discovery/session.go
@@ -6,7 +6,7 @@
 	"ryeweir/internal/event"
 )
 
-// runSession follows the list at the present address until that changes or the context ends.
+// runSession watches the list at the current address until the address changes or the context is done.
 func (c *Client) runSession(ctx context.Context) {
 	session, cancel := c.beginSession(ctx)
 	defer cancel()
@@ -14,7 +14,7 @@
 		if !c.awaitSubscription(session) {
 			return
 		}
-		err := c.follow(session)
+		err := c.watchAll(session)
 		if session.Err() != nil {
 			c.cfg.Events.Record(event.Event{Kind: event.WatchEnded, Reason: event.WatchMoved, Detail: "the session has ended"})
 			return
@@ -29,8 +29,8 @@
 	}
 }
 
-// beginSession returns a context that ends with the session. Another discovery counts versions of its own, which may be lower: nothing
-// known from the one before may be compared with them.
+// beginSession returns a context that is canceled at the end of the session. If the address has changed, it forgets the known version:
+// another discovery service numbers its versions independently, possibly lower, so versions of the two must not be compared.
 func (c *Client) beginSession(ctx context.Context) (context.Context, context.CancelFunc) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -44,12 +44,12 @@
 	c.unavailable = false
 	c.http.CloseIdleConnections()
 	if !c.subscribed {
-		c.Subscribe() // the balancer is in its backoff for the old address
+		c.Subscribe() // the balancer is still backing off from the old address
 	}
 	return session, cancel
 }
 
-// awaitSubscription waits until the list may be followed; false says that the context has ended.
+// awaitSubscription waits until the list may be watched. It returns false if the context is done first.
 func (c *Client) awaitSubscription(ctx context.Context) bool {
 	if !c.cfg.SubscriptionRequired || c.subscribed {
 		return true
@@ -63,7 +63,7 @@
 	}
 }
 
-// recordFailure records that the list could not be followed. It is logged once for each outage.
+// recordFailure records that a request for the list has failed. Only the first failure of an outage is logged.
 func (c *Client) recordFailure(err error) {
 	c.cfg.Events.Record(event.Event{Kind: event.WatchEnded, Reason: event.WatchFailed, Detail: err.Error()})
 	if !c.unavailable {
@@ -72,8 +72,8 @@
 	}
 }
 
-// awaitRetry waits after a failure: a quarter of the backoff for certain, and the rest at random, so that agents which lost discovery
-// together do not return together.
+// awaitRetry waits after a failure: a quarter of the backoff interval, plus a random part of the rest. The jitter keeps agents that lost
+// discovery at the same time from retrying at the same time.
 func (c *Client) awaitRetry(ctx context.Context) {
 	interval := c.backoff.interval(c.timing)
 	sleep(ctx, interval/4)
--- a/internal/discovery/timing.go
+++ b/internal/discovery/timing.go
@@ -5,53 +5,53 @@
 	"time"
 )
 
-// The platform counts an agent as notified of a change notificationDeadline after discovery had it, or watchGrace after the end of a
-// watch where that is later. By then a watch without an answer must have been given up and what it missed be here.
+// The platform assumes that an agent knows of a change notificationDeadline after discovery had it, or watchGrace after the end of a
+// watch if that is later. By then a watch that got no response must have been canceled and the missed changes received.
 const (
 	notificationDeadline = 6 * time.Second
 	watchGrace           = 2 * time.Second
 )
 
-// WatchTimeout is how long a watch waits for a change, in a fleet that discovery keeps up with.
+// WatchTimeout is how long a watch waits for a change while discovery is not overloaded.
 const WatchTimeout = notificationDeadline / 2
 
 // MaxRetryInterval is the longest time between a failed request and the next one.
 const MaxRetryInterval = notificationDeadline / 2
 
 const (
-	requestTimeout        = 1500 * time.Millisecond // of a request that is no watch
-	firstListTimeout      = 500 * time.Millisecond  // of the first request, before the cached list is used
-	minRetryInterval      = 500 * time.Millisecond  // after a first failure
-	maxRetryDoublings     = 4                       // of that, with each further failure
-	emptyWatchInterval    = 100 * time.Millisecond  // after a watch that ended early without a change
-	processStallTolerance = 100 * time.Millisecond  // by which a timer may be late before the process counts as paused
+	requestTimeout        = 1500 * time.Millisecond // for a request that is not a watch
+	firstListTimeout      = 500 * time.Millisecond  // for the first request; after that the cached list is used
+	minRetryInterval      = 500 * time.Millisecond  // backoff after the first failure
+	maxRetryDoublings     = 4                       // the backoff doubles with each further failure, up to this many times
+	emptyWatchInterval    = 100 * time.Millisecond  // pause after a watch that ended early without a change
+	processStallTolerance = 100 * time.Millisecond  // a timer that is later than this means that the process was paused
 )
 
-// All agents of a fleet share one discovery, which serves requests in turn and rejects them when too many wait.
+// All agents of a fleet share one discovery service, which serves requests in order and rejects them when its queue is full.
 const (
-	smallFleet           = 8                        // agents up to which nothing is spread
-	retrySpreadPerAgent  = 10 * time.Millisecond    // within which the requests of a fleet come, for each agent
-	maxStartSpread       = notificationDeadline / 6 // of the first requests
-	watchTimeoutPerAgent = 50 * time.Millisecond    // of the longest watch, for each agent
-	maxWatchTimeout      = time.Minute              // discovery's limit
-	watchTimeoutJitter   = 0.25                     // fraction by which a watch is shorter, at random
-	overloadDelay        = 100 * time.Millisecond   // past its timeout an answer shows that discovery is overloaded
-	watchTimeoutIncrease = 2.0                      // factor after a late answer or a failure
-	watchTimeoutDecrease = 0.985                    // factor after an answer in time
+	smallFleet           = 8                        // largest number of agents whose requests are not spread
+	retrySpreadPerAgent  = 10 * time.Millisecond    // retries of a fleet are spread over this time per agent
+	maxStartSpread       = notificationDeadline / 6 // limit of the time over which first requests are spread
+	watchTimeoutPerAgent = 50 * time.Millisecond    // the longest watch grows with the fleet by this much per agent
+	maxWatchTimeout      = time.Minute              // limit that discovery sets
+	watchTimeoutJitter   = 0.25                     // a watch is shorter by a random fraction up to this
+	overloadDelay        = 100 * time.Millisecond   // a response this long after the watch timeout shows overload of discovery
+	watchTimeoutIncrease = 2.0                      // factor after a late response or a failure
+	watchTimeoutDecrease = 0.985                    // factor after a response in time
 )
 
-// FleetTiming says how the requests of a fleet are spread.
+// FleetTiming defines how the requests of a fleet are spread over time.
 //
-// Failure: agents that start or lose discovery together also return together; discovery rejects most of them, and they return together
-// again. It shows as rejected requests at discovery after an outage. The guard holds because the requests of the fleet are spread
-// over a time that grows with its size.
+// Agents that start or lose discovery at the same time would otherwise send their requests at the same time. Discovery would reject most
+// of them, and the agents would retry together again, which shows as rejected requests at discovery after an outage. The time over which
+// requests are spread grows with the size of the fleet.
 type FleetTiming struct {
-	StartSpread     time.Duration // the first request comes within this time, if a list is cached
-	RetrySpread     time.Duration // a request after a failed one comes within this time or the backoff, whichever is longer
-	MaxWatchTimeout time.Duration // of a watch while discovery is overloaded
+	StartSpread     time.Duration // with a cached list, the first request is sent within this time
+	RetrySpread     time.Duration // lower limit of the backoff interval after a failed request
+	MaxWatchTimeout time.Duration // limit of the watch timeout while discovery is overloaded
 }
 
-// FleetTimingFor is the timing of one agent in a fleet of so many.
+// FleetTimingFor returns the timing for an agent in a fleet with this number of agents.
 func FleetTimingFor(agents int) FleetTiming {
 	if agents <= smallFleet {
 		return FleetTiming{MaxWatchTimeout: WatchTimeout}
@@ -65,29 +65,29 @@
 	}
 }
 
-// backoff is the rule for how long to wait after failed requests: exponential, at least the fleet's spread.
+// backoff determines the wait after failed requests: it is exponential, and at least as long as FleetTiming.RetrySpread.
 type backoff struct {
-	failures int // in a row
+	failures int // consecutive
 }
 
-// interval is the longest time until the next request.
+// interval returns the maximum time until the next request.
 func (b *backoff) interval(timing FleetTiming) time.Duration {
 	exponential := minRetryInterval << min(b.failures, maxRetryDoublings)
 	return min(MaxRetryInterval, max(timing.RetrySpread, exponential))
 }
 
-// watchPacing is the rule for how long watches wait. They get longer while discovery is overloaded, which lowers its request rate, and
-// slowly shorter while it answers in time. A watch that ends is followed by the next at once all the same.
+// watchPacing adapts the timeout of watches. It increases while discovery is overloaded, which lowers the request rate, and slowly
+// decreases while discovery responds in time. The next watch always follows immediately after the last one.
 type watchPacing struct {
 	timeout time.Duration
 }
 
-// next is the timeout of the next watch. It is random: watches that end together at a change would else stay together.
+// next returns the timeout of the next watch. It is randomized because watches that all end at a change would otherwise stay in step.
 func (p *watchPacing) next(rng *rand.Rand) time.Duration {
 	return time.Duration((1 - watchTimeoutJitter*rng.Float64()) * float64(p.timeout))
 }
 
-// adapt changes the timeout after a watch. overloaded says that discovery failed or answered late.
+// adapt updates the timeout after a watch. overloaded is set if the watch failed or its response was late.
 func (p *watchPacing) adapt(overloaded bool, timing FleetTiming) {
 	if overloaded {
 		p.timeout = min(timing.MaxWatchTimeout, time.Duration(watchTimeoutIncrease*float64(p.timeout)))
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -9,17 +9,17 @@
 	"ryeweir/internal/event"
 )
 
-// fullSnapshot is the query for a full snapshot.
+// fullSnapshot is the query string that requests a full snapshot.
 const fullSnapshot = ""
 
-// watchQuery is the query of a watch. With a timeout of 0 it returns at once.
+// watchQuery returns the query string of a watch. A watch with a timeout of 0 returns at once.
 func (c *Client) watchQuery(timeout time.Duration) string {
 	return fmt.Sprintf("?since=%d&timeout_ms=%d", c.known.version, timeout.Milliseconds())
 }
 
-// follow watches the list until a request fails. It begins with a full snapshot unless a version is known: then a watch returns all
-// that is missing, with half the work for discovery.
-func (c *Client) follow(ctx context.Context) error {
+// watchAll makes one watch after the other until a request fails. It starts with a full snapshot unless a version is known: a watch then
+// returns all missing changes, at half the cost for discovery.
+func (c *Client) watchAll(ctx context.Context) error {
 	if !c.known.hasVersion() {
 		if err := c.request(ctx, fullSnapshot, requestTimeout); err != nil {
 			return err
@@ -34,9 +34,9 @@
 
 // watch makes one watch.
 //
-// Failure: discovery or the network falls silent in the middle of a watch, and a change in that time goes unnoticed. The guard holds
-// because a watch is given up half way between its timeout and the notification deadline, which leaves the other half for a
-// request that returns at once with what was missed.
+// If discovery or the network stops responding during a watch, a change in that time would go unnoticed. The watch is therefore canceled
+// halfway between its timeout and the notification deadline. The other half is left for a request that returns the missed changes at
+// once.
 func (c *Client) watch(ctx context.Context) error {
 	timeout := c.pacing.next(c.rng)
 	versionBefore, start := c.known.version, time.Now()
@@ -52,14 +52,14 @@
 		return err
 	}
 	if c.known.version == versionBefore && latency < WatchTimeout/2 {
-		sleep(ctx, emptyWatchInterval) // a discovery that does not wait must not be polled in a tight loop
+		sleep(ctx, emptyWatchInterval) // prevents a tight loop if discovery responds without waiting
 	}
 	return nil
 }
 
-// recordSilence records that a watch got no answer in time.
+// recordSilence records that a watch got no response in time.
 func (c *Client) recordSilence() {
-	c.cfg.Log.Info("watch timed out without an answer", "version", c.known.version)
+	c.cfg.Log.Info("watch timed out without a response; requesting the missed changes", "version", c.known.version)
 	c.cfg.Events.Record(event.Event{
 		Kind:   event.WatchEnded,
 		Reason: event.WatchSilent,
--- a/internal/healthcheck/checker.go
+++ b/internal/healthcheck/checker.go
@@ -11,7 +11,7 @@
 	"ryeweir/logic"
 )
 
-// The defaults of the operators' file.
+// The defaults in the operators' file.
 const (
 	DefaultMaxConcurrent = 8
 	DefaultTimeout       = 120 * time.Millisecond
@@ -20,62 +20,62 @@
 // RequestKind is one of the platform's two health check requests.
 type RequestKind int
 
-// The kinds.
+// The kinds of health check requests.
 const (
 	LoadRequest   RequestKind = iota // returns a load report
-	HealthRequest                    // says only that the endpoint answers
+	HealthRequest                    // only confirms that the endpoint responds
 )
 
 // Response is the result of one health check.
 type Response struct {
-	// Result is OK, Rejected if the endpoint says that it is unhealthy, NotSent for a limit of the agent, or a failure.
+	// Result is OK, Rejected if the endpoint reports itself unhealthy, NotSent if a limit of the agent prevented the check, or a failure.
 	Result      logic.Result
-	LoadReport  logic.LoadReport // logic.NoLoadReport without one
-	Unsupported bool             // the endpoint does not know the request
+	LoadReport  logic.LoadReport // logic.NoLoadReport if there is none
+	Unsupported bool             // the endpoint does not support the request
 }
 
-// Transport sends a health check to a target, which is an incarnation of an endpoint as the upstream's Bind returned it. It returns by
-// the deadline or when the context ends, and never takes a connection that requests wait for. It must be safe for concurrent use.
+// Transport sends a health check to a target, an incarnation of an endpoint as returned by Bind of the upstream. It returns by the
+// deadline or when the context is done, and never takes a connection that a client request is waiting for. Implementations must be safe
+// for concurrent use.
 type Transport interface {
 	HealthCheck(ctx context.Context, target any, kind RequestKind, deadline time.Time) Response
 }
 
 // Settings are the limits of a Checker.
 type Settings struct {
-	MaxConcurrent int           // health checks under way at a time, over all endpoints
-	Timeout       time.Duration // of each, with the handshake that it may need
+	MaxConcurrent int           // concurrent health checks over all endpoints
+	Timeout       time.Duration // of one check, including a connection handshake if needed
 }
 
-// Config is what a Checker works with.
+// Config is the configuration of a Checker.
 type Config struct {
 	Settings    Settings
-	LoadReports bool // the platform's endpoints report their load
+	LoadReports bool // whether the platform's endpoints report their load
 	Clock       core.Clock
 	Transport   Transport
 	Log         *slog.Logger
 }
 
-// maxUnsupported is how many responses in a row may say that the request is unknown before no more are sent.
-//
-// Failure: a platform allows health checks and its endpoints know none, and each would cost them work for nothing. The guard holds
-// because any OK resets the count.
+// maxUnsupported is the number of consecutive responses that report the request as unsupported after which no more checks are sent. If a
+// platform allows health checks but its endpoints do not support them, each one would cost the endpoints work for nothing. Any OK resets
+// the count, so endpoints that do support them keep being checked.
 const maxUnsupported = 8
 
 // Checker sends health checks. It implements core.HealthChecker and is safe for concurrent use.
 type Checker struct {
 	cfg         Config
 	results     [resultCount]atomic.Int64
-	unsupported atomic.Int64 // responses in a row
+	unsupported atomic.Int64 // consecutive responses that report the request as unsupported
 	logDisabled sync.Once
 
 	mu       sync.Mutex
 	settings Settings
-	underWay map[string]bool // IDs of endpoints that are being checked
+	inFlight map[string]bool // IDs of endpoints that are being checked
 }
 
 // New returns a Checker.
 func New(cfg Config) *Checker {
-	return &Checker{cfg: cfg, settings: cfg.Settings, underWay: map[string]bool{}}
+	return &Checker{cfg: cfg, settings: cfg.Settings, inFlight: map[string]bool{}}
 }
 
 // Configure replaces the limits.
@@ -85,8 +85,8 @@
 	c.settings = settings
 }
 
-// Check checks an endpoint and returns the result within the timeout. Over a limit, or without a target, the result is NotSent, which is
-// no evidence against the endpoint.
+// Check checks an endpoint and returns the result within the timeout. The result is NotSent if a limit is reached or the target is nil;
+// this says nothing about the health of the endpoint.
 func (c *Checker) Check(ctx context.Context, endpointID string, target any) logic.HealthChecked {
 	start := c.cfg.Clock.Now()
 	timeout, ok := c.begin(endpointID, target)
@@ -98,7 +98,7 @@
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	response := c.cfg.Transport.HealthCheck(ctx, target, c.requestKind(), c.cfg.Clock.At(start+timeout))
-	c.noteSupport(response)
+	c.countUnsupported(response)
 	c.count(response.Result)
 	return logic.HealthChecked{
 		Endpoint:   endpointID,
@@ -115,29 +115,29 @@
 	return HealthRequest
 }
 
-// begin takes a place among the health checks under way, and returns their timeout.
+// begin registers a health check of an endpoint and returns its timeout. It returns false if the check must not be sent.
 func (c *Checker) begin(endpointID string, target any) (timeout time.Duration, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if target == nil || len(c.underWay) >= c.settings.MaxConcurrent || c.underWay[endpointID] || c.disabled() {
+	if target == nil || len(c.inFlight) >= c.settings.MaxConcurrent || c.inFlight[endpointID] || c.disabled() {
 		return 0, false
 	}
-	c.underWay[endpointID] = true
+	c.inFlight[endpointID] = true
 	return c.settings.Timeout, true
 }
 
-// end gives the place back.
+// end removes the registration that begin made.
 func (c *Checker) end(endpointID string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	delete(c.underWay, endpointID)
+	delete(c.inFlight, endpointID)
 }
 
-// disabled reports whether endpoints know no health checks.
+// disabled reports whether no more checks are sent because endpoints do not support them.
 func (c *Checker) disabled() bool { return c.unsupported.Load() >= maxUnsupported }
 
-// noteSupport counts responses that say that the request is unknown.
-func (c *Checker) noteSupport(response Response) {
+// countUnsupported counts consecutive responses that report the request as unsupported.
+func (c *Checker) countUnsupported(response Response) {
 	if !response.Unsupported {
 		if response.Result == logic.OK {
 			c.unsupported.Store(0)
@@ -146,7 +146,7 @@
 	}
 	if c.unsupported.Add(1) >= maxUnsupported {
 		c.logDisabled.Do(func() {
-			c.cfg.Log.Warn("endpoints do not support health checks: no more are sent", "answers", maxUnsupported)
+			c.cfg.Log.Warn("endpoints do not support health checks; sending no more", "answers", maxUnsupported)
 		})
 	}
 }
--- a/internal/healthcheck/stats.go
+++ b/internal/healthcheck/stats.go
@@ -2,23 +2,23 @@
 
 import "ryeweir/logic"
 
-// resultCount is the number of results of a health check.
+// resultCount is the number of values of logic.Result.
 const resultCount = int(logic.NotSent) + 1
 
 func (c *Checker) count(result logic.Result) { c.results[result].Add(1) }
 
-// Stats are the figures for operators: health checks by result.
+// Stats counts health checks by result, for the operators' metrics.
 type Stats struct {
 	OK            int64 `json:"ok"`
-	Unhealthy     int64 `json:"unwell"` // answered with an error, or that the endpoint is unhealthy
+	Unhealthy     int64 `json:"unwell"` // the endpoint returned an error or reported itself unhealthy
 	TimedOut      int64 `json:"timed_out"`
 	ConnectFailed int64 `json:"connect_failed"`
 	Reset         int64 `json:"reset"`
-	NotSent       int64 `json:"unmade"` // over a limit of the agent, or the endpoint takes nothing new
-	Disabled      bool  `json:"off"`    // endpoints know no health checks
+	NotSent       int64 `json:"unmade"` // a limit of the agent was reached, or the endpoint accepts no new work
+	Disabled      bool  `json:"off"`    // endpoints do not support health checks
 }
 
-// Stats returns the figures so far.
+// Stats returns the counts since the start of the process.
 func (c *Checker) Stats() Stats {
 	count := func(result logic.Result) int64 { return c.results[result].Load() }
 	return Stats{
--- a/internal/logwriter/logwriter.go
+++ b/internal/logwriter/logwriter.go
@@ -1,7 +1,8 @@
-// Package logwriter keeps the log from blocking those who write it.
+// Package logwriter provides an io.Writer for logs that never blocks.
 //
-// A log whose reader hangs blocks each write, and so the owner of all calls: the agent would stand still. A Writer queues lines for
-// one goroutine that writes them. When the queue is full it drops further lines, and says later how many.
+// If the process that reads the log hangs, each write to the log blocks. The goroutine that owns all calls writes log lines, so the whole
+// agent would stop. A Writer queues lines for a separate goroutine that writes them. While the queue is full it drops lines, and later
+// logs how many were dropped.
 package logwriter
 
 import (
@@ -12,32 +13,32 @@
 )
 
 const (
-	// maxQueuedLines is how many lines may wait to be written.
+	// maxQueuedLines is the capacity of the queue.
 	maxQueuedLines = 4096
-	// closeTimeout is how long Close waits for the queued lines.
+	// closeTimeout is how long Close waits for queued lines to be written.
 	closeTimeout = 300 * time.Millisecond
 )
 
-// Writer is an io.Writer that never blocks. Each Write is a line. It may be used by any goroutine.
+// Writer is an io.Writer that never blocks. Each call of Write is one line. It is safe for concurrent use.
 type Writer struct {
 	out   io.Writer
 	lines chan []byte
-	ended chan struct{} // closed when the goroutine has ended
+	ended chan struct{} // closed when the writing goroutine has ended
 
 	mu      sync.Mutex
 	closed  bool
-	dropped int // lines, since the last one that was queued
+	dropped int // lines dropped since a line was last queued
 }
 
-// New returns a writer to out, and starts its goroutine. It must be closed.
+// New returns a Writer to out and starts the goroutine that writes the lines. The caller must close it.
 func New(out io.Writer) *Writer {
 	w := &Writer{out: out, lines: make(chan []byte, maxQueuedLines), ended: make(chan struct{})}
 	go w.run()
 	return w
 }
 
-// run writes the queued lines. It ignores errors of the underlying writer: there is no other log for them, and the reader may come
-// back.
+// run writes the queued lines. It ignores errors of the underlying writer, because there is no other log to report them to and the reader
+// of the log may recover.
 func (w *Writer) run() {
 	defer close(w.ended)
 	for line := range w.lines {
@@ -45,7 +46,7 @@
 	}
 }
 
-// Write queues a copy of the line, or drops it when the queue is full or the writer closed. It always succeeds.
+// Write queues a copy of the line, or drops it if the queue is full or the Writer is closed. It never returns an error.
 func (w *Writer) Write(line []byte) (int, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -58,13 +59,13 @@
 	return len(line), nil
 }
 
-// reportDropped queues a line about the lines that were dropped, if there are any. It reports false when the queue is still full.
-// w.mu must be held.
+// reportDropped queues a line with the number of dropped lines, if there are any. It returns false if the queue is still full. The caller
+// must hold w.mu.
 func (w *Writer) reportDropped() bool {
 	if w.dropped == 0 {
 		return true
 	}
-	report := fmt.Appendf(nil, "level=WARN msg=\"log lines were dropped, as the log was not read\" lines=%d\n", w.dropped)
+	report := fmt.Appendf(nil, "level=WARN msg=\"log lines were dropped because the log was not read fast enough\" lines=%d\n", w.dropped)
 	if !w.enqueue(report) {
 		return false
 	}
@@ -72,7 +73,7 @@
 	return true
 }
 
-// enqueue reports whether the queue had space for a line. w.mu must be held.
+// enqueue queues a line. It returns false if the queue is full. The caller must hold w.mu.
 func (w *Writer) enqueue(line []byte) bool {
 	select {
 	case w.lines <- line:
@@ -82,8 +83,8 @@
 	}
 }
 
-// Close ends the writer, and waits up to closeTimeout until the queued lines are written. Lines that come later are dropped. It may
-// be called more than once, and returns nil.
+// Close stops the Writer and waits at most closeTimeout for the queued lines to be written. Later lines are dropped. It may be called more
+// than once and always returns nil.
 func (w *Writer) Close() error {
 	w.mu.Lock()
 	if w.closed {
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,8 +1,8 @@
-// Package metrics holds the figures that operators read at GET /v1/metrics. They are atomic counters and gauges, so that code
-// that serves requests writes them, and readers read them, without waiting for anyone.
+// Package metrics holds the metrics that operators read at GET /v1/metrics. They are atomic counters and gauges, so that the code that
+// serves requests and the readers of the metrics never block each other.
 //
-// The front and the upstream count requests and attempts here. Other subsystems register a section of their own, which is read
-// when the metrics are. The JSON keys are part of the operators' interface and must not change.
+// The front and the upstream count requests and attempts here. Other subsystems register sections, which are evaluated each time the
+// metrics are read. The JSON keys are part of the operators' interface and must not change.
 package metrics
 
 import (
@@ -10,18 +10,18 @@
 	"sync/atomic"
 )
 
-// Result is how a request ended for its client.
+// Result is the outcome of a request as its client sees it.
 type Result int
 
 // The results of a request.
 const (
-	Completed Result = iota // served
-	Rejected                // sending it again does no harm
-	Failed                  // any other answer, and one that broke off
+	Completed Result = iota // answered successfully
+	Rejected                // rejected; the client may safely send it again
+	Failed                  // any other answer, or one that was cut off
 	results   int    = iota
 )
 
-// Metrics are the figures of one process since its start.
+// Metrics holds the metrics of a process. Counters start at zero when it starts.
 type Metrics struct {
 	classes     []string
 	downstream  [][results]atomic.Int64 // final answers, by class index
@@ -32,7 +32,7 @@
 	sections    map[string]func() any
 }
 
-// New returns the figures for the classes with these names, all at zero.
+// New returns metrics for the classes with these names, all at zero.
 func New(classes []string) *Metrics {
 	return &Metrics{
 		classes:    classes,
@@ -41,36 +41,36 @@
 	}
 }
 
-// Register adds a section under a key of its own. The function is called for each read of the metrics, by any goroutine, and its
-// result is encoded as JSON. Sections must be registered before the metrics are first read.
+// Register adds a section under a key. The function is called each time the metrics are read, by any goroutine, and its result is encoded
+// as JSON. All sections must be registered before the metrics are first read.
 func (m *Metrics) Register(key string, section func() any) { m.sections[key] = section }
 
-// RequestReceived counts a request as pending from its last byte on, until RequestFinished.
+// RequestReceived counts a request as pending until RequestFinished. It is called when the last byte of the request has arrived.
 func (m *Metrics) RequestReceived() { m.pending.Add(1) }
 
-// RequestFinished ends a request that was counted by RequestReceived.
+// RequestFinished removes a request that RequestReceived counted from the pending ones.
 func (m *Metrics) RequestFinished() { m.pending.Add(-1) }
 
-// RequestAnswered counts the final answer to a request of the class with that index.
+// RequestAnswered counts the final answer to a request of the class with this index.
 func (m *Metrics) RequestAnswered(class int, result Result) { m.downstream[class][result].Add(1) }
 
-// AttemptWritten counts an attempt of which all bytes were written to an endpoint.
+// AttemptWritten counts an attempt whose request was written to an endpoint completely.
 func (m *Metrics) AttemptWritten() { m.upstream.Add(1) }
 
-// SetEndpointCounts sets how many endpoints are listed, and how many of them are avoided.
+// SetEndpointCounts sets the number of listed endpoints, and how many of them the balancer avoids.
 func (m *Metrics) SetEndpointCounts(listed, avoided int) {
 	m.endpoints.Store(int64(listed))
 	m.unavailable.Store(int64(avoided))
 }
 
-// answerCounts are the final answers to the requests of a class.
+// answerCounts holds the number of final answers of a class, by result.
 type answerCounts struct {
 	Completed int64 `json:"completed"`
 	Rejected  int64 `json:"rejected"`
 	Failed    int64 `json:"failed"`
 }
 
-// counters are the figures that are counted here.
+// counters is the JSON form of the metrics that this package counts itself.
 type counters struct {
 	Downstream  map[string]answerCounts `json:"downstream_requests"`
 	Upstream    int64                   `json:"upstream_requests"`
@@ -96,7 +96,7 @@
 	return mergeObjects(data, more), nil
 }
 
-// counters returns the present counts.
+// counters returns the current values.
 func (m *Metrics) counters() counters {
 	downstream := make(map[string]answerCounts, len(m.classes))
 	for i, name := range m.classes {
@@ -116,7 +116,7 @@
 	}
 }
 
-// mergeObjects joins the texts of two JSON objects, neither of which is empty.
+// mergeObjects merges two encoded JSON objects. Neither may be empty.
 func mergeObjects(first, second []byte) []byte {
 	merged := append(first[:len(first)-1], ',')
 	return append(merged, second[1:]...)
--- a/internal/snapshot/doc.go
+++ b/internal/snapshot/doc.go
@@ -1,9 +1,9 @@
-// Package snapshot saves what an agent has learned of its endpoints in a file, so that the process that follows it does not
-// begin without any knowledge.
+// Package snapshot saves what an agent has learned about its endpoints to a file, so that the next process does not have to learn it
+// again.
 //
-// A snapshot only ever helps. A file that is missing, too old, damaged, or of another agent or other settings is not used, and
-// [File.Load] says why with one of the errors of this package; a file that can't be written changes nothing else.
+// A snapshot is optional. [File.Load] does not use a file that is missing, too old, corrupt, or written by another agent or under other
+// settings, and returns one of the errors of this package. If a file cannot be written, the agent is not affected otherwise.
 //
-// A file is replaced atomically: a reader, which may be the next process during a handover, sees the old or the new contents. Its
-// form is a magic, the CRC-32C of what follows, and a JSON document (format.go).
+// Files are replaced atomically: a reader, such as the next process during a handover, sees either the old or the new contents. The file
+// format is a magic number, the CRC-32C of the rest of the file, and a JSON document (format.go).
 package snapshot
--- a/internal/snapshot/file.go
+++ b/internal/snapshot/file.go
@@ -14,28 +14,28 @@
 	"ryeweir/logic"
 )
 
-// Why a snapshot can't be used. Errors of File.Load wrap one of these.
+// Reasons why a snapshot cannot be used. Errors of File.Load wrap one of these.
 var (
-	ErrNotFound = errors.New("no snapshot")
-	ErrCorrupt  = errors.New("snapshot corrupt or not readable")
-	ErrMismatch = errors.New("snapshot of another agent or of other settings")
-	ErrExpired  = errors.New("snapshot too old")
+	ErrNotFound = errors.New("no snapshot found")
+	ErrCorrupt  = errors.New("snapshot is corrupt or unreadable")
+	ErrMismatch = errors.New("snapshot was saved by another agent or under other settings")
+	ErrExpired  = errors.New("snapshot is too old or from the future")
 )
 
-// maxClockStepBack is how far in the future a snapshot may have been saved: two processes read the clock a moment apart. One saved
-// later comes from before a step of the time of day, and its age is not known.
+// maxClockStepBack is how far in the future the save time of a snapshot may lie, as two processes read the clock at slightly different
+// times. A later save time means that the wall clock has since been stepped back, and the age of the snapshot is unknown.
 const maxClockStepBack = time.Second
 
-// File is the snapshot of an agent.
+// File is the snapshot file of an agent.
 type File struct {
 	Path    string
-	Agent   string   // name of the agent whose knowledge it is
-	Classes []string // of its settings: figures of other classes mean something else
-	Disk    Disk     // nil for the machine's file system
+	Agent   string   // name of the agent that saves it
+	Classes []string // class names in the settings; the values of other classes do not apply
+	Disk    Disk     // nil uses the machine's file system
 }
 
-// FileIn returns the snapshot of an agent in a directory. The name of the file is derived from the agent's, which may have any
-// characters.
+// FileIn returns the snapshot file of an agent in a directory. The file name contains a hash of the agent's name, because that name may
+// contain any characters.
 func FileIn(dir, agent string, classes []string) File {
 	hash := fnv.New64a()
 	io.WriteString(hash, agent)
@@ -43,23 +43,23 @@
 	return File{Path: filepath.Join(dir, name), Agent: agent, Classes: classes}
 }
 
-// Save replaces the file, or leaves the old one if it fails. Of more endpoints than MaxSize allows only the first are saved.
+// Save replaces the file. If it fails, the old file stays. If not all endpoints fit into MaxSize, only the first ones are saved.
 func (f File) Save(knowledge logic.Knowledge, now time.Time) error {
 	data, err := f.encodeWithin(MaxSize, knowledge, now)
 	if err != nil {
-		return fmt.Errorf("snapshot: %w", err)
+		return fmt.Errorf("save snapshot: %w", err)
 	}
 	disk := f.Disk
 	if disk == nil {
 		disk = localDisk{}
 	}
 	if err := disk.Replace(f.Path, data); err != nil {
-		return fmt.Errorf("snapshot: %w", err)
+		return fmt.Errorf("save snapshot: %w", err)
 	}
 	return nil
 }
 
-// encodeWithin returns the bytes of the file, with as many endpoints as fit.
+// encodeWithin encodes the file in at most limit bytes. It drops endpoints from the end, a quarter at a time, until the file fits.
 func (f File) encodeWithin(limit int, knowledge logic.Knowledge, now time.Time) ([]byte, error) {
 	for {
 		data, err := encode(document{Agent: f.Agent, Classes: f.Classes, SavedAt: now, Knowledge: toStored(knowledge)})
@@ -69,13 +69,13 @@
 		case len(data) <= limit:
 			return data, nil
 		case len(knowledge.Endpoints) == 0:
-			return nil, fmt.Errorf("%d bytes are more than %d", len(data), limit)
+			return nil, fmt.Errorf("%d bytes without endpoints exceed the limit of %d", len(data), limit)
 		}
 		knowledge.Endpoints = knowledge.Endpoints[:len(knowledge.Endpoints)*3/4]
 	}
 }
 
-// Load reads the file and returns how long ago it was saved, which is at most maxAge. An error wraps one of those of this
+// Load reads the file and also returns how long ago it was saved, which is at most maxAge. Its errors wrap one of the errors of this
 // package.
 func (f File) Load(now time.Time, maxAge time.Duration) (knowledge logic.Knowledge, age time.Duration, err error) {
 	data, err := f.read()
@@ -96,7 +96,7 @@
 	return doc.Knowledge.toKnowledge(), max(0, age), nil
 }
 
-// read returns the bytes of the file, up to one more than MaxSize.
+// read returns the contents of the file, up to MaxSize+1 bytes so that decode detects a larger file.
 func (f File) read() ([]byte, error) {
 	file, err := os.Open(f.Path)
 	if errors.Is(err, fs.ErrNotExist) {
--- a/internal/snapshot/format.go
+++ b/internal/snapshot/format.go
@@ -10,20 +10,20 @@
 	"ryeweir/logic"
 )
 
-// MaxSize is the largest file, in bytes: some thousands of endpoints.
+// MaxSize is the maximum size of a file in bytes, enough for several thousand endpoints.
 const MaxSize = 1 << 20
 
-// A file is the magic, the CRC-32C of the document (big-endian), and the document.
+// A file consists of the magic number, the CRC-32C of the document (big-endian), and the document.
 const (
 	magic      = "RYWK\x01\n"
 	headerSize = len(magic) + 4
 )
 
-// castagnoli is the table of CRC-32C.
+// castagnoli is the CRC-32C table.
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// document is the JSON of a file. Its keys are those of the first release that wrote snapshots and stay as they are, so that
-// each version reads the files of the others; this file maps them to the module's names.
+// document is the JSON document in a file. Its keys are those of the first release that wrote snapshots and must not change, so that every
+// version can read the files of every other. The struct tags map them to the names that package logic uses.
 type document struct {
 	Agent     string          `json:"agent"`
 	Classes   []string        `json:"classes"`
@@ -31,14 +31,14 @@
 	Knowledge storedKnowledge `json:"knowledge"`
 }
 
-// storedKnowledge is logic.Knowledge as it is stored.
+// storedKnowledge is the stored form of logic.Knowledge.
 type storedKnowledge struct {
 	Endpoints       []storedEndpoint `json:"Servers"`
-	BaselineLatency []time.Duration  `json:"Usual"` // nanoseconds, one for each class
+	BaselineLatency []time.Duration  `json:"Usual"` // nanoseconds, by class index
 	MeanPriority    float64          `json:"Worth"`
 }
 
-// storedEndpoint is logic.EndpointKnowledge as it is stored.
+// storedEndpoint is the stored form of logic.EndpointKnowledge.
 type storedEndpoint struct {
 	ID                  string        `json:"ID"`
 	Age                 time.Duration `json:"Life"` // nanoseconds
@@ -50,7 +50,7 @@
 	LogCapacityVariance float64       `json:"Error"`
 }
 
-// toStored maps the module's knowledge to its stored form.
+// toStored converts knowledge to its stored form.
 func toStored(knowledge logic.Knowledge) storedKnowledge {
 	stored := storedKnowledge{BaselineLatency: knowledge.BaselineLatency, MeanPriority: knowledge.MeanPriority}
 	for _, endpoint := range knowledge.Endpoints {
@@ -59,7 +59,7 @@
 	return stored
 }
 
-// toKnowledge maps the stored form to the module's.
+// toKnowledge converts the stored form back to logic.Knowledge.
 func (s storedKnowledge) toKnowledge() logic.Knowledge {
 	knowledge := logic.Knowledge{BaselineLatency: s.BaselineLatency, MeanPriority: s.MeanPriority}
 	for _, endpoint := range s.Endpoints {
@@ -68,7 +68,7 @@
 	return knowledge
 }
 
-// encode returns the bytes of a file.
+// encode returns the contents of a file.
 func encode(doc document) ([]byte, error) {
 	text, err := json.Marshal(doc)
 	if err != nil {
@@ -78,13 +78,13 @@
 	return append(data, text...), nil
 }
 
-// decode reads the bytes of a file. Its errors wrap ErrCorrupt.
+// decode decodes the contents of a file. Its errors wrap ErrCorrupt.
 func decode(data []byte) (doc document, err error) {
 	switch {
 	case len(data) > MaxSize:
-		return doc, fmt.Errorf("%w: over %d bytes", ErrCorrupt, MaxSize)
+		return doc, fmt.Errorf("%w: larger than %d bytes", ErrCorrupt, MaxSize)
 	case len(data) < headerSize || string(data[:len(magic)]) != magic:
-		return doc, fmt.Errorf("%w: no snapshot of this version", ErrCorrupt)
+		return doc, fmt.Errorf("%w: not a snapshot file of this format version", ErrCorrupt)
 	case binary.BigEndian.Uint32(data[len(magic):]) != crc32.Checksum(data[headerSize:], castagnoli):
 		return doc, fmt.Errorf("%w: checksum mismatch", ErrCorrupt)
 	}
--- a/internal/snapshot/persist.go
+++ b/internal/snapshot/persist.go
@@ -8,9 +8,9 @@
 	"ryeweir/logic"
 )
 
-// Persist saves what the agent knows at intervals, and once more when the context ends. The function knowledge returns false if
-// nothing has changed since it was last called; nothing is saved then. A save that fails is logged, and tried again with the
-// next; further failures are not logged until one succeeds.
+// Persist saves the agent's knowledge at intervals, and once more when the context is done. The function knowledge returns false if nothing
+// has changed since the previous call; nothing is saved then. After a failed save the next interval saves again if there are new changes.
+// Only the first of consecutive failures is logged.
 func Persist(ctx context.Context, f File, interval time.Duration, timeOfDay func() time.Time, knowledge func() (logic.Knowledge, bool), log *slog.Logger) {
 	f.removeAbandoned(timeOfDay())
 	ticker := time.NewTicker(interval)
--- a/internal/wire/decode.go
+++ b/internal/wire/decode.go
@@ -13,19 +13,19 @@
 	"ryeweir/logic"
 )
 
-// Kind says what a Message is.
+// Kind is the kind of a Message.
 type Kind int
 
 // The kinds of messages.
 const (
-	BatchStart      Kind = iota // a batch of events begins at Now
-	BatchEnd                    // a batch ends; the reply is due
-	InstanceStarted             // an instance begins, with Settings and Seed
-	InstanceKilled              // an instance has ended
-	InstanceEvent               // an instance has an Event
+	BatchStart      Kind = iota // a batch of events starts, at time Now
+	BatchEnd                    // a batch ends, and a reply is expected
+	InstanceStarted             // an instance starts, with Settings and Seed
+	InstanceKilled              // an instance was killed
+	InstanceEvent               // an Event for an instance
 )
 
-// Message is one decoded line. Fields that its kind does not name are zero.
+// Message is a decoded line. Fields that do not apply to its kind are zero.
 type Message struct {
 	Kind     Kind
 	Now      time.Duration // on the simulator's clock
@@ -35,43 +35,43 @@
 	Event    logic.Event
 }
 
-// maxLists is how many numbered endpoint lists there are at a time.
+// maxLists is the number of endpoint lists that the simulator can refer to at a time.
 const maxLists = 16
 
-// readBuffer is how many bytes are read at a time.
-const readBuffer = 1 << 20
+// readBufferBytes is the size of the input buffer. Longer lines are copied to Decoder.longLine.
+const readBufferBytes = 1 << 20
 
 // Decoder reads messages. It is not safe for concurrent use.
 type Decoder struct {
 	input        *bufio.Reader
-	longLine     []byte // a line that does not fit into the reader's buffer
-	line         int    // number of the line at hand, from 1
+	longLine     []byte // holds a line that exceeds the input buffer
+	line         int    // number of the current line, starting at 1
 	inBatch      bool
 	parser       fastjson.Parser
 	lists        [maxLists][]logic.Endpoint
-	reportFields map[string][]string // of each instance: the figures of a load report, in order
-	interned     map[string]string   // ids that recur, to keep one copy of each
-	firstFault   error               // in the line at hand
+	reportFields map[string][]string // names of the values in a load report, in order, by instance
+	interned     map[string]string   // one copy of each ID
+	err          error               // first error in the current line
 }
 
 // NewDecoder returns a Decoder that reads from r.
 func NewDecoder(r io.Reader) *Decoder {
 	return &Decoder{
-		input:        bufio.NewReaderSize(r, readBuffer),
+		input:        bufio.NewReaderSize(r, readBufferBytes),
 		reportFields: map[string][]string{},
 		interned:     map[string]string{},
 	}
 }
 
-// Line is the number of the line that the latest message ended on.
+// Line returns the line number of the latest message.
 func (d *Decoder) Line() int { return d.line }
 
-// Next returns the next message, or io.EOF at the end of the input. Other errors name the line and the fault.
+// Next returns the next message, or io.EOF at the end of the input. Other errors contain the line number.
 func (d *Decoder) Next() (Message, error) {
 	for {
 		text, err := d.read()
 		if err == io.EOF && d.inBatch {
-			return Message{}, fmt.Errorf("line %d: the input ends without YourTurn", d.line)
+			return Message{}, fmt.Errorf("line %d: the input ends inside a Turn: YourTurn is missing", d.line)
 		}
 		if err != nil {
 			return Message{}, err
@@ -89,7 +89,7 @@
 	}
 }
 
-// read returns the next line without its end, however long it is.
+// read returns the next line of any length, without the line ending.
 func (d *Decoder) read() ([]byte, error) {
 	d.longLine = d.longLine[:0]
 	for {
@@ -110,23 +110,23 @@
 	}
 }
 
-// decode decodes one line; skip says that it holds no message of its own.
+// decode decodes a line. skip is true if the line yields no message.
 func (d *Decoder) decode(text []byte) (m Message, skip bool, err error) {
 	object, err := d.parser.ParseBytes(text)
 	if err != nil {
-		return m, false, fmt.Errorf("broken JSON: %w", err)
+		return m, false, fmt.Errorf("malformed JSON: %w", err)
 	}
 	if object.Type() != fastjson.TypeObject {
-		return m, false, errors.New("not an object")
+		return m, false, errors.New("not a JSON object")
 	}
-	d.firstFault = nil
+	d.err = nil
 	kind := string(d.bytes(object, "type"))
 	switch {
 	case kind == "Turn" && d.inBatch:
 		return m, false, errors.New("a Turn inside a Turn: YourTurn is missing")
 	case kind == "Turn":
 		d.inBatch = true
-		return Message{Kind: BatchStart, Now: d.duration(object, "WallNs")}, false, d.firstFault
+		return Message{Kind: BatchStart, Now: d.duration(object, "WallNs")}, false, d.err
 	case kind == "YourTurn" && !d.inBatch:
 		return m, false, errors.New("YourTurn without a Turn")
 	case kind == "YourTurn":
@@ -135,28 +135,28 @@
 	case !d.inBatch:
 		return m, false, fmt.Errorf("%q outside a Turn", kind)
 	case kind == "Census":
-		d.endpointRows(object)
-		return m, true, d.firstFault
+		d.storeList(object)
+		return m, true, d.err
 	}
 	return d.instanceMessage(kind, object)
 }
 
-// instanceMessage decodes a line that concerns one instance.
+// instanceMessage decodes a line about an instance.
 func (d *Decoder) instanceMessage(kind string, object *fastjson.Value) (m Message, skip bool, err error) {
 	m.Instance = d.id(object, "I")
 	if kind == "Launch" {
 		m.Kind = InstanceStarted
 		m.Seed = d.uint(object, "Seed")
 		m.Settings = d.launch(m.Instance, object.Get("BootInfo"))
-		return m, false, d.firstFault
+		return m, false, d.err
 	}
 	fields, known := d.reportFields[m.Instance]
 	if !known {
-		return m, false, fmt.Errorf("instance %q was never launched", m.Instance)
+		return m, false, fmt.Errorf("instance %q was not launched or was killed", m.Instance)
 	}
 	switch kind {
 	case "Message":
-		return m, true, nil // balancers exchange no messages
+		return m, true, nil // balancers do not exchange messages
 	case "Killed":
 		m.Kind = InstanceKilled
 		delete(d.reportFields, m.Instance)
@@ -164,18 +164,18 @@
 		m.Kind = InstanceEvent
 		m.Event = d.event(kind, object, fields)
 	}
-	return m, false, d.firstFault
+	return m, false, d.err
 }
 
-// launch decodes the settings of an instance that begins.
+// launch decodes the settings of an instance that starts.
 func (d *Decoder) launch(instance string, settings *fastjson.Value) logic.Settings {
 	if settings == nil || settings.Type() != fastjson.TypeObject {
-		d.fault("Launch without BootInfo")
+		d.fail("Launch without BootInfo")
 		return logic.Settings{}
 	}
 	site, err := DecodeSettings(settings.MarshalTo(nil))
 	if err != nil {
-		d.fault("BootInfo: %v", err)
+		d.fail("BootInfo: %v", err)
 	}
 	d.reportFields[instance] = site.LoadReportFields
 	return site.Logic
--- a/internal/wire/encode.go
+++ b/internal/wire/encode.go
@@ -7,7 +7,7 @@
 	"ryeweir/logic"
 )
 
-// AppendAction appends the line of an instance's action.
+// AppendAction appends the line that encodes an action of an instance.
 func AppendAction(out []byte, instance string, action logic.Action) []byte {
 	switch action.Kind {
 	case logic.Send:
@@ -37,14 +37,14 @@
 // AppendYield appends the line that ends a reply.
 func AppendYield(out []byte) []byte { return append(out, `{"type":"Yield"}`+"\n"...) }
 
-// appendHead appends what each line begins with.
+// appendHead appends the start of a line: its type and instance.
 func appendHead(out []byte, kind, instance string) []byte {
 	out = append(out, `{"type":"`...)
 	out = append(out, kind...)
 	return appendString(out, `","I":`, instance)
 }
 
-// appendRequest appends what each line begins with that concerns a request.
+// appendRequest appends the start of a line about a request: its type, instance and request ID.
 func appendRequest(out []byte, kind, instance, request string) []byte {
 	return appendString(appendHead(out, kind, instance), `,"Tid":`, request)
 }
@@ -53,12 +53,12 @@
 	return strconv.AppendUint(append(out, key...), n, 10)
 }
 
-// appendString appends a string. Ids are printable ASCII and are copied; anything else is quoted by encoding/json.
+// appendString appends a key and a JSON string. Printable ASCII, such as IDs, is copied; any other text is quoted by encoding/json.
 func appendString(out []byte, key, text string) []byte {
 	out = append(out, key...)
 	for i := range len(text) {
 		if c := text[i]; c < ' ' || c > '~' || c == '"' || c == '\\' {
-			quoted, _ := json.Marshal(text) // a string always marshals
+			quoted, _ := json.Marshal(text) // never fails for a string
 			return append(out, quoted...)
 		}
 	}
--- a/internal/wire/events.go
+++ b/internal/wire/events.go
@@ -6,7 +6,7 @@
 	"ryeweir/logic"
 )
 
-// event decodes an event of an instance whose load reports have these fields.
+// event decodes an event. fields are the names of the values in load reports of the instance.
 func (d *Decoder) event(kind string, v *fastjson.Value, fields []string) logic.Event {
 	switch kind {
 	case "Members":
@@ -16,7 +16,7 @@
 			Key: d.str(v, "Resource"), Deadline: d.duration(v, "ExpiresNs")}
 	case "Answer":
 		return logic.Outcome{Request: d.str(v, "Tid"), Attempt: d.int(v, "RoundNo"), Endpoint: d.id(v, "Backend"),
-			Result: d.result(v), Latency: d.duration(v, "LagNs"), Closed: d.flag(v, "Last"), LoadReport: d.loadReport(v, fields)}
+			Result: d.result(v), Latency: d.duration(v, "LagNs"), Closed: d.bool(v, "Last"), LoadReport: d.loadReport(v, fields)}
 	case "Established":
 		return logic.ResponseStarted{Request: d.str(v, "Tid")}
 	case "Dropped":
@@ -27,11 +27,11 @@
 	case "TimeoutFired":
 		return logic.TimerFired{Token: d.uint(v, "Handle")}
 	}
-	d.fault("unknown type %q", kind)
+	d.fail("unknown type %q", kind)
 	return nil
 }
 
-// endpointList decodes a full snapshot or a change of the endpoint list. The endpoints are those of a numbered list that came before.
+// endpointList decodes a full snapshot or an update of the endpoint list. It refers to the endpoints by the number of an earlier list.
 func (d *Decoder) endpointList(v *fastjson.Value) logic.Event {
 	form := string(d.bytes(v, "Form"))
 	switch form {
@@ -39,22 +39,22 @@
 		return logic.DiscoveryUnavailable{}
 	case "update", "replace", "restored":
 	default:
-		d.fault("unknown Form %q", form)
+		d.fail("unknown Form %q", form)
 	}
 	number := d.int(v, "Buffer")
 	if number < 0 || number >= maxLists || d.lists[number] == nil {
-		d.fault("unknown list number %d", number)
+		d.fail("unknown list number %d", number)
 		return nil
 	}
 	return logic.EndpointList{Full: form != "update", Endpoints: d.lists[number]}
 }
 
-// endpointRows keeps a numbered list. Each gets rows of its own: events decoded before may still refer to the rows that had the
-// number.
-func (d *Decoder) endpointRows(v *fastjson.Value) {
+// storeList decodes a numbered endpoint list and stores it. It always allocates a new slice, because events that were decoded earlier may
+// still refer to the previous list with this number.
+func (d *Decoder) storeList(v *fastjson.Value) {
 	number := d.int(v, "Buffer")
 	if number < 0 || number >= maxLists {
-		d.fault("list number %d is not from 0 to %d", number, maxLists-1)
+		d.fail("list number %d is not from 0 to %d", number, maxLists-1)
 		return
 	}
 	endpoints := []logic.Endpoint{}
@@ -71,7 +71,7 @@
 	d.lists[number] = endpoints
 }
 
-// endpointState decodes what the list says of an endpoint.
+// endpointState decodes the state of an endpoint.
 func (d *Decoder) endpointState(row *fastjson.Value) logic.EndpointState {
 	switch mode := string(d.bytes(row, "Mode")); mode {
 	case "ready":
@@ -81,12 +81,12 @@
 	case "gone":
 		return logic.Removed
 	default:
-		d.fault("unknown Mode %q", mode)
+		d.fail("unknown Mode %q", mode)
 		return logic.Ready
 	}
 }
 
-// result decodes how an attempt or a health check ended.
+// result decodes the result of an attempt or a health check.
 func (d *Decoder) result(v *fastjson.Value) logic.Result {
 	switch code := d.int(v, "Result"); code {
 	case 10:
@@ -106,28 +106,28 @@
 	case 80:
 		return logic.NotSent
 	default:
-		d.fault("unknown Result %d", code)
+		d.fail("unknown Result %d", code)
 		return logic.OK
 	}
 }
 
-// loadReport decodes the figures of a load report, whose names are in fields.
+// loadReport decodes the values of a load report, whose names are in fields.
 func (d *Decoder) loadReport(v *fastjson.Value, fields []string) logic.LoadReport {
 	report := logic.NoLoadReport
 	for i, element := range d.array(v, "Usage") {
-		figure, err := element.Float64()
+		value, err := element.Float64()
 		if err != nil {
-			d.fault("Usage: %v", err)
+			d.fail("Usage: %v", err)
 		}
 		if i >= len(fields) {
 			break
 		}
-		SetLoadReportField(&report, fields[i], figure)
+		SetLoadReportField(&report, fields[i], value)
 	}
 	return report
 }
 
-// SetLoadReportField sets the figure of a load report that has this name in the settings. The module has no use for others.
+// SetLoadReportField sets the value that has this name in the settings. Names that the balancer does not use are ignored.
 func SetLoadReportField(report *logic.LoadReport, name string, value float64) {
 	switch name {
 	case "util":
--- a/internal/wire/fields.go
+++ b/internal/wire/fields.go
@@ -7,14 +7,14 @@
 	"github.com/valyala/fastjson"
 )
 
-// fault records what is wrong with the line at hand; the first fault counts.
-func (d *Decoder) fault(format string, args ...any) {
-	if d.firstFault == nil {
-		d.firstFault = fmt.Errorf(format, args...)
+// fail records an error in the current line. Only the first one is kept.
+func (d *Decoder) fail(format string, args ...any) {
+	if d.err == nil {
+		d.err = fmt.Errorf(format, args...)
 	}
 }
 
-// get returns a field, or nil when it is absent or null.
+// get returns a field, or nil if it is absent or null.
 func (d *Decoder) get(v *fastjson.Value, key string) *fastjson.Value {
 	f := v.Get(key)
 	if f == nil || f.Type() == fastjson.TypeNull {
@@ -23,12 +23,12 @@
 	return f
 }
 
-// field converts a field of v; an absent one is the zero value.
+// field returns a field of v, converted to type T. If the field is absent it returns the zero value.
 func field[T any](d *Decoder, v *fastjson.Value, key string, convert func(*fastjson.Value) (T, error)) (t T) {
 	if f := d.get(v, key); f != nil {
 		var err error
 		if t, err = convert(f); err != nil {
-			d.fault("%s: %v", key, err)
+			d.fail("%s: %v", key, err)
 		}
 	}
 	return t
@@ -54,7 +54,7 @@
 	return field(d, v, key, (*fastjson.Value).Float64)
 }
 
-func (d *Decoder) flag(v *fastjson.Value, key string) bool {
+func (d *Decoder) bool(v *fastjson.Value, key string) bool {
 	return field(d, v, key, (*fastjson.Value).Bool)
 }
 
@@ -64,7 +64,7 @@
 
 func (d *Decoder) str(v *fastjson.Value, key string) string { return string(d.bytes(v, key)) }
 
-// id is str for the ids of endpoints and instances, which recur: one copy of each is kept.
+// id is like str, but interned: IDs of endpoints and instances recur, so only one copy of each is kept.
 func (d *Decoder) id(v *fastjson.Value, key string) string {
 	text := d.bytes(v, key)
 	s, ok := d.interned[string(text)]
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -9,19 +9,19 @@
 	"ryeweir/logic"
 )
 
-// Site is what the settings of an instance say of its deployment, to the module and to the agent around it.
+// Site holds the decoded settings of an instance: those of its balancer, and those that only the agent around it uses.
 type Site struct {
 	Logic            logic.Settings
-	LoadReportFields []string      // the figures of a load report, in order
-	Tenants          []string      // names, in the order of the module's numbers
-	Zones            []string      // names, in the order of the module's numbers
-	ConnectTimeout   time.Duration // a connection that is not established by then has failed
-	IdleTimeout      time.Duration // endpoints close connections that are idle for so long
-	MaxOpenRequests  int           // requests that may be open at a time; 0: no limit
-	MaxRetryAfter    time.Duration // the longest Retry-After that clients heed
+	LoadReportFields []string      // names of the values in a load report, in order
+	Tenants          []string      // names, by tenant index
+	Zones            []string      // names, by zone index
+	ConnectTimeout   time.Duration // limit for establishing a connection
+	IdleTimeout      time.Duration // endpoints close connections that are idle for longer
+	MaxOpenRequests  int           // maximum number of concurrent requests; 0 means no limit
+	MaxRetryAfter    time.Duration // longest Retry-After that clients respect
 }
 
-// DecodeSettings reads the settings object of an instance. The error names the class that is wrong, or is one of encoding/json.
+// DecodeSettings decodes the settings object of an instance. Its errors come from encoding/json or name the invalid class.
 func DecodeSettings(data []byte) (Site, error) {
 	var object settingsObject
 	if err := json.Unmarshal(data, &object); err != nil {
@@ -43,13 +43,14 @@
 	return site, err
 }
 
-// What health checks may cost where the settings allow them at all.
+// The health check budget, if the settings allow health checks.
 const (
-	HealthChecksPerRequest  = 0.02 // for each request of a balancer
-	EndpointHealthCheckRate = 4    // a second, for each endpoint
+	HealthChecksPerRequest  = 0.02 // health checks per request of a balancer
+	EndpointHealthCheckRate = 4    // health checks per second to one endpoint
 )
 
-// settingsObject is the settings object as it comes, as far as there is a use for it. Its JSON keys are the platform's.
+// settingsObject is the JSON form of the settings, without the keys that are not used. The platform defines the keys, and the struct tags map
+// them to the names that the code uses.
 type settingsObject struct {
 	Balancers  int               `json:"Balancers"`
 	Classes    []classObject     `json:"Classes"`
@@ -68,7 +69,7 @@
 	Zone       int               `json:"Zone"`
 }
 
-// classObject is a class of requests.
+// classObject is the JSON form of a request class.
 type classObject struct {
 	Name               string  `json:"Name"`
 	Idempotency        string  `json:"Effect"`
@@ -79,7 +80,7 @@
 	PriorityWeight     float64 `json:"Worth"`
 }
 
-// limitsObject is what the platform allows an agent.
+// limitsObject contains limits and permissions that the platform sets for an agent.
 type limitsObject struct {
 	HedgingAllowed      bool  `json:"ParallelTries"`
 	RetryAfterAllowed   bool  `json:"RetryAfter"`
@@ -91,22 +92,22 @@
 	MaxOpenRequests     int   `json:"MostHeld"`
 }
 
-// workloadObject says what endpoints do with requests.
+// workloadObject describes how endpoints process requests.
 type workloadObject struct {
 	KeyAffinity bool `json:"WarmKeys"`
 }
 
-// costsObject is what attempts cost, as a share of a request.
+// costsObject contains costs of attempts, as a fraction of a request.
 type costsObject struct {
 	CrossZone float64 `json:"CrossZone"`
 }
 
-// reportObject names the figures of a load report.
+// reportObject names the values in a load report.
 type reportObject struct {
 	Fields []string `json:"Fields"`
 }
 
-// rulesObject is how slow start and polling are judged.
+// rulesObject contains the parameters of slow start and of polling the endpoint list.
 type rulesObject struct {
 	SlowStartInitialFraction float64 `json:"ColdFrom"`
 	SlowStartOverloadFactor  float64 `json:"OverloadFactor"`
@@ -114,16 +115,16 @@
 	MaxPollIntervalNs        int64   `json:"MustAskInNs"`
 }
 
-// tenantObject is a tenant and its quota, as a fraction of the service.
+// tenantObject is a tenant and its quota, as a fraction of the total service.
 type tenantObject struct {
 	Name  string  `json:"Name"`
 	Quota float64 `json:"Portion"`
 }
 
-// listedWeightsKind says what the weights in the endpoint list are worth.
+// listedWeightsKind defines how the weights in the endpoint list relate to capacity.
 type listedWeightsKind string
 
-// The kinds of listed weights that say something of capacity.
+// The kinds of listed weights that are proportional to capacity, exactly or approximately.
 const (
 	weightsNominal listedWeightsKind = "nominal"
 	weightsRough   listedWeightsKind = "rough"
@@ -132,13 +133,13 @@
 // discoverySubscribe is the mode of discovery in which the endpoint list is pushed to subscribers.
 const discoverySubscribe = "subscribe"
 
-// The settings' words for the module's enumerations, by value.
+// Names in the settings, by the value of the enumeration in package logic.
 var (
 	idempotencyNames = []string{logic.Idempotent: "repeatable", logic.IdempotentWithKey: "by_key", logic.NonIdempotent: "once"}
 	dedupScopeNames  = []string{logic.DedupFleet: "all", logic.DedupZone: "zone", logic.DedupCell: "cell"}
 )
 
-// settings maps the object to the module's settings.
+// settings converts the object to the settings of a balancer.
 func (o *settingsObject) settings() (logic.Settings, error) {
 	s := logic.Settings{
 		Balancers:                o.Balancers,
@@ -176,15 +177,15 @@
 	return s, nil
 }
 
-// class maps a class to the module's. The error names the word that is not known.
+// class converts a class. The error names the unknown Effect or Group.
 func (o *classObject) class() (logic.Class, error) {
 	idempotency := slices.Index(idempotencyNames, o.Idempotency)
 	if idempotency < 0 {
-		return logic.Class{}, fmt.Errorf("class %q has the unknown Effect %q", o.Name, o.Idempotency)
+		return logic.Class{}, fmt.Errorf("class %q has unknown Effect %q", o.Name, o.Idempotency)
 	}
 	scope := slices.Index(dedupScopeNames, o.DedupScope)
 	if scope < 0 && o.DedupScope != "" {
-		return logic.Class{}, fmt.Errorf("class %q has the unknown Group %q", o.Name, o.DedupScope)
+		return logic.Class{}, fmt.Errorf("class %q has unknown Group %q", o.Name, o.DedupScope)
 	}
 	return logic.Class{
 		Name:              o.Name,
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -118,10 +118,10 @@
 
 func TestErrorsNameTheLine(t *testing.T) {
 	for name, c := range map[string]struct{ text, want string }{
-		"broken":   {`{"type":`, "line 3: broken JSON"},
-		"array":    {`[1]`, "line 3: not an object"},
+		"broken":   {`{"type":`, "line 3: malformed JSON"},
+		"array":    {`[1]`, "line 3: not a JSON object"},
 		"unknown":  {`{"type":"Hello","I":"agent_1"}`, `line 3: unknown type "Hello"`},
-		"stranger": {`{"type":"Dropped","I":"agent_9","Tid":"x"}`, `line 3: instance "agent_9" was never launched`},
+		"stranger": {`{"type":"Dropped","I":"agent_9","Tid":"x"}`, `line 3: instance "agent_9" was not launched or was killed`},
 		"dead":     {`{"type":"Killed","I":"agent_1"}` + "\n" + `{"type":"Dropped","I":"agent_1"}`, "line 4: instance"},
 		"list":     {`{"type":"Members","I":"agent_1","Form":"update","Buffer":3}`, "line 3: unknown list number 3"},
 		"number":   {`{"type":"Census","Buffer":16,"RowsIn":[]}`, "line 3: list number 16"},
@@ -139,7 +139,7 @@
 	for text, want := range map[string]string{
 		`{"type":"YourTurn"}`:               "line 1: YourTurn without a Turn",
 		`{"type":"Dropped","I":"agent_1"}`:  `line 1: "Dropped" outside a Turn`,
-		`{"type":"Turn","WallNs":1}` + "\n": "line 1: the input ends without YourTurn",
+		`{"type":"Turn","WallNs":1}` + "\n": "line 1: the input ends inside a Turn: YourTurn is missing",
 	} {
 		d := NewDecoder(strings.NewReader(text))
 		var err error
