--- a/cmd/simhost/main_test.go
+++ b/cmd/simhost/main_test.go
@@ -12,7 +12,7 @@
 	`"DeadlineNs":1200000000,"Effect":"repeatable","Group":"all","Name":"a","Worth":1}],"Ceilings":{"MostTries":3},` +
 	`"Discovery":"automatic","Report":{"Fields":["util","qps"]},"TickNs":4000000,"WeightKind":"silent"}}`
 
-// script is a conversation of the given instances, all lines of others left out.
+// script returns the input lines for the given instances.
 func script(instances ...int) string {
 	var out strings.Builder
 	line := func(format string, args ...any) { fmt.Fprintf(&out, format+"\n", args...) }
@@ -44,7 +44,7 @@
 	return strings.Split(out.String(), "\n")
 }
 
-func TestOneYieldABatch(t *testing.T) {
+func TestEachBatchEndsWithOneYield(t *testing.T) {
 	lines := reply(t, script(1, 2))
 	yields := 0
 	for _, l := range lines {
@@ -53,15 +53,15 @@
 		}
 	}
 	if yields != 42 || lines[0] != `{"type":"Yield"}` {
-		t.Errorf("%d yields, first line %s", yields, lines[0])
+		t.Errorf("%d Yield lines, want 42; first line %s", yields, lines[0])
 	}
 	if !slices.ContainsFunc(lines, func(l string) bool { return strings.HasPrefix(l, `{"type":"Send"`) }) {
-		t.Error("nothing was sent")
+		t.Error("no Send line in the reply")
 	}
 }
 
-// Instances in one process act as each does in a process of its own.
-func TestInstancesShareNothing(t *testing.T) {
+// Each instance writes the same actions in a shared process as in a separate one.
+func TestInstancesShareNoState(t *testing.T) {
 	together := reply(t, script(1, 2))
 	for _, i := range []int{1, 2} {
 		own := fmt.Sprintf(`"I":"agent_%d"`, i)
@@ -69,25 +69,25 @@
 			return slices.DeleteFunc(slices.Clone(lines), func(l string) bool { return !strings.Contains(l, own) })
 		}
 		if alone := mine(reply(t, script(i))); len(alone) == 0 || !slices.Equal(alone, mine(together)) {
-			t.Errorf("agent_%d acts differently in company", i)
+			t.Errorf("agent_%d writes other actions when it shares the process", i)
 		}
 	}
 }
 
-func TestRelaunchInOneBatch(t *testing.T) {
+func TestInstanceIsRelaunchedWithinABatch(t *testing.T) {
 	in := strings.Replace(script(1), `{"type":"Turn","WallNs":9000}`,
 		`{"type":"Turn","WallNs":9000}`+"\n"+`{"type":"Killed","I":"agent_1"}`+"\n"+fmt.Sprintf(launch, 1), 1)
 	lines := reply(t, in)
 	if !slices.Contains(lines, `{"type":"Shed","I":"agent_1","Tid":"000000000000001f"}`) {
-		t.Error("a relaunched instance without a list does not refuse")
+		t.Error("a relaunched instance without an endpoint list does not reject the request")
 	}
 }
 
-func TestMalformedInput(t *testing.T) {
+func TestErrorsForMalformedInputContainTheLine(t *testing.T) {
 	for _, in := range []string{"{", `{"type":"Turn","WallNs":1}`, script(1) + `{"type":"Inbound","I":"agent_1"}`,
 		strings.Replace(script(1), `"MostTries":3`, `"MostTries":0`, 1)} {
 		if err := run(strings.NewReader(in), &bytes.Buffer{}); err == nil || !strings.Contains(err.Error(), "line ") {
-			t.Errorf("error %v for %.40q", err, in)
+			t.Errorf("got error %v for input %.40q, want one with a line number", err, in)
 		}
 	}
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -117,8 +117,8 @@
 	}
 	if joined, ok := err.(interface{ Unwrap() []error }); ok {
 		var all []error
-		for _, err := range joined.Unwrap() {
-			all = append(all, At(file, data, err))
+		for _, inner := range joined.Unwrap() {
+			all = append(all, At(file, data, inner))
 		}
 		return errors.Join(all...)
 	}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -27,8 +27,8 @@
 	return errors.Join(all...)
 }
 
-// What is wrong is named with its file, line and key, all of it at once.
-func TestErrorsNameTheirPlace(t *testing.T) {
+// Every error in a file is reported, each with the file, line and key.
+func TestErrorsContainTheirPosition(t *testing.T) {
 	for text, want := range map[string][]string{
 		"name = \"x\"\nwiat = \"1s\"\n":     {"f.toml:2: wiat: no such key"},
 		"name = \"x\"\n\nwait = \"soon\"\n": {"f.toml:3", "wait", "is not a duration such as"},
@@ -52,7 +52,7 @@
 	}
 }
 
-func TestJSONErrorsNameTheirPlace(t *testing.T) {
+func TestJSONErrorsContainTheirPosition(t *testing.T) {
 	var into struct {
 		Limits struct{ Cores float64 }
 	}
@@ -66,17 +66,17 @@
 	}
 }
 
-func TestReadRefusesWhatIsNoFile(t *testing.T) {
+func TestReadRejectsMissingFilesAndDirectories(t *testing.T) {
 	dir := t.TempDir()
 	if _, err := Read(filepath.Join(dir, "none")); err == nil || !errors.Is(err, os.ErrNotExist) {
 		t.Error(err)
 	}
 	if _, err := Read(dir); err == nil {
-		t.Error("a folder was read")
+		t.Error("a directory was read without an error")
 	}
 }
 
-// Whatever the text, reading it ends in a value or an error with the file's name.
+// Any text decodes to a value or returns an error that contains the file name.
 func FuzzTOML(f *testing.F) {
 	f.Add("name = \"x\"\n[[day]]\nrate = -1\n")
 	f.Add("[[day.x]]\n[day]\n")
--- a/internal/config/operator/operator_test.go
+++ b/internal/config/operator/operator_test.go
@@ -9,8 +9,8 @@
 	"ryeweir/internal/pool"
 )
 
-// The delivered file lists all defaults for operators: it must mean what holds without a file.
-func TestDeliveredFileIsTheDefault(t *testing.T) {
+// deploy/operator.toml lists all defaults for operators. It must decode to the same settings as no file.
+func TestDeliveredFileEqualsTheDefaults(t *testing.T) {
 	data, err := os.ReadFile("../../../deploy/operator.toml")
 	if err != nil {
 		t.Fatal(err)
@@ -21,15 +21,15 @@
 	}
 	base := pool.DefaultSettings(100)
 	if got := f.Connections.Settings(base); got != func() pool.Settings { s := base; s.AgeJitter = 0.2; return s }() {
-		t.Errorf("%+v, not %+v", got, base)
+		t.Errorf("connection settings %+v, want %+v", got, base)
 	}
 	if got, err := Load(""); err != nil || !reflect.DeepEqual(got, Default()) {
 		t.Errorf("no file: %+v, %v", got, err)
 	}
 }
 
-// Operators find what is wrong with a file by its line and key.
-func TestErrorsNameFileLineAndKey(t *testing.T) {
+// Errors contain the line and key, so that operators can find them in the file.
+func TestErrorsContainFileLineAndKey(t *testing.T) {
 	for text, want := range map[string]string{
 		"[connections]\nreuse = \"best\"":                  "op.toml:2: connections.reuse: \"best\" is not newest, oldest or fewest",
 		"[connections]\n\nper_server = -1":                 "op.toml:3: connections.per_server: must be from 0 to 65536",
@@ -48,7 +48,7 @@
 	}
 }
 
-// A file overrides what the agent derives, and a reload names the keys that need a restart.
+// A file overrides the settings that the agent derives, and RestartRequired returns the keys that need a restart.
 func TestFileOverridesDerivedSettings(t *testing.T) {
 	f, err := Parse("op.toml", []byte("[connections]\nplaces = 10\nhandshakes_per_server = 3\nreuse = \"oldest\"\nsuspect = \"close\"\nwait = \"40ms\""))
 	if err != nil {
@@ -60,6 +60,6 @@
 	}
 	old := Default()
 	if keys := old.RestartRequired(f); len(keys) != 1 || keys[0] != "connections.places" {
-		t.Errorf("%v take effect at the next start only", keys)
+		t.Errorf("keys that need a restart: %v, want connections.places", keys)
 	}
 }
--- a/internal/config/platform/platform_test.go
+++ b/internal/config/platform/platform_test.go
@@ -8,7 +8,7 @@
 	"ryeweir/internal/testkit"
 )
 
-func TestConfig(t *testing.T) {
+func TestParseDecodesTheConfiguration(t *testing.T) {
 	cfg, err := Parse(testkit.ConfigText("127.0.0.1:8500", testkit.ListText(41, true, testkit.EntryText("s-1", "127.0.0.1:1", "Ready", 0))), testkit.NoEnv)
 	if err != nil {
 		t.Fatal(err)
@@ -24,7 +24,7 @@
 	}
 }
 
-func TestEnvironmentGoesFirst(t *testing.T) {
+func TestEnvironmentOverridesTheFile(t *testing.T) {
 	env := map[string]string{"PROXY_NAME": "n7", "PROXY_LISTEN": "127.0.0.1:9", "PROXY_DISCOVERY": "127.0.0.1:10"}
 	cfg, err := Parse(testkit.ConfigText("127.0.0.1:8500", "null"), func(name string) string { return env[name] })
 	if err != nil || cfg.Name != "n7" || cfg.Listen != "127.0.0.1:9" || cfg.Discovery != "127.0.0.1:10" {
@@ -32,7 +32,7 @@
 	}
 }
 
-func TestBadConfigIsOnePlainLine(t *testing.T) {
+func TestErrorOfAnInvalidConfigurationIsOneLine(t *testing.T) {
 	good := string(testkit.ConfigText("127.0.0.1:8500", "null"))
 	for name, text := range map[string]string{
 		"JSON":      good[1:],
@@ -49,6 +49,6 @@
 		}
 	}
 	if _, err := Load(testkit.NoEnv); err == nil {
-		t.Error("no PROXY_CONFIG is no error")
+		t.Error("Load without PROXY_CONFIG returned no error")
 	}
 }
--- a/internal/control/server_test.go
+++ b/internal/control/server_test.go
@@ -17,7 +17,7 @@
 	"ryeweir/internal/emulator/link"
 )
 
-// fakeAgent is an agent whose phase is two flags.
+// fakeAgent is an Agent that stores its phase in two flags.
 type fakeAgent struct{ draining, shuttingDown atomic.Bool }
 
 func (a *fakeAgent) Ready() bool { return !a.draining.Load() }
@@ -34,7 +34,7 @@
 	return nil
 }
 
-// start serves a fake agent's operators until the test ends.
+// start serves a fake agent until the test ends, and returns the agent and the address.
 func start(t *testing.T) (*fakeAgent, string) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -54,7 +54,7 @@
 	return a, l.Addr().String()
 }
 
-// call makes a call on a connection of its own, which the answer must close.
+// call sends a request on a new connection and checks that the response closes the connection.
 func call(t *testing.T, addr, text string) *http.Response {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
@@ -69,12 +69,12 @@
 		t.Fatalf("%q: %v", text, err)
 	}
 	if !resp.Close {
-		t.Errorf("%q: the connection stays open", text)
+		t.Errorf("%q: the response does not close the connection", text)
 	}
 	return resp
 }
 
-// Each call has its status; readiness follows the phase, and a phase can't be changed any more at the end.
+// Each call returns the expected status. Readiness follows the phase, and the phase cannot be changed during shutdown.
 func TestCallsAndTheirStatus(t *testing.T) {
 	a, addr := start(t)
 	for _, c := range []struct {
@@ -98,7 +98,7 @@
 	}
 	resp := call(t, addr, "GET /v1/metrics HTTP/1.1\r\nHost: x\r\n\r\n")
 	if body, err := io.ReadAll(resp.Body); err != nil || string(body) != `{"pending":3}` {
-		t.Errorf("figures %q, %v", body, err)
+		t.Errorf("metrics %q, error %v", body, err)
 	}
 	a.shuttingDown.Store(true)
 	if resp := call(t, addr, "POST /v1/agent/activate HTTP/1.1\r\nHost: x\r\n\r\n"); resp.StatusCode != http.StatusConflict {
@@ -106,8 +106,8 @@
 	}
 }
 
-// Callers hold more connections than there may be, with no call or a part of one. An operator's call is answered all the same, long
-// before theirs time out.
+// Callers open more connections than the limit and send nothing, or only part of a call. An operator's call is still answered, long before
+// those connections time out.
 func TestSilentConnectionsLockNobodyOut(t *testing.T) {
 	_, addr := start(t)
 	for i := range 3 * maxConnections {
@@ -125,7 +125,7 @@
 	}
 }
 
-// A caller begins a call and does not go on. Its connection is closed, also while slots are free.
+// A caller sends only part of a call. Its connection is closed after a timeout, even while connection slots are free.
 func TestPartialCallTimesOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network := link.NewNetwork(1)
@@ -147,7 +147,7 @@
 			began := time.Now()
 			io.Copy(io.Discard, c)
 			if took := time.Since(began); took > callTimeout+time.Second {
-				t.Errorf("%q: open for %v", text, took)
+				t.Errorf("%q: connection closed after %v", text, took)
 			}
 			c.Close()
 		}
--- a/internal/discovery/apply_test.go
+++ b/internal/discovery/apply_test.go
@@ -13,7 +13,7 @@
 	"ryeweir/internal/testkit"
 )
 
-// A list arrives that is older than the known one, as a late answer or after a restore from a newer one. It changes nothing.
+// A list that is older than the known one arrives, in a late response or after a newer list was restored. It is ignored.
 func TestOlderListsAreIgnored(t *testing.T) {
 	client, sink := newClient(t, testkit.Refusing(t), 1, noCache, io.Discard)
 	ready := testkit.EntryText("s-1", "127.0.0.1:1", "Ready", 0)
@@ -45,8 +45,8 @@
 	}
 }
 
-// Discovery restarts and counts its versions anew. A full snapshot is requested: what has changed since a version of the old count says
-// nothing.
+// Discovery restarts and numbers its versions from the start. The client requests a full snapshot, because changes since a version of the
+// old numbering are meaningless.
 func TestLowerVersionNeedsAFullSnapshot(t *testing.T) {
 	cached := testkit.ListText(41, true, testkit.EntryText("s-1", "127.0.0.1:1", "Ready", 0))
 	client, sink := newSubscribedClient(t, "127.0.0.1:1", 12, cached)
@@ -60,9 +60,9 @@
 	}
 }
 
-// Discovery restarts, counts anew and answers a watch with a full snapshot of a lower version. The list is applied before long: else
-// nothing of that discovery would ever be received.
-func TestLowerVersionInAFullSnapshotIsRecovered(t *testing.T) {
+// Discovery restarts its numbering and responds to a watch with a full snapshot of a lower version. The client must apply such a list
+// eventually: if it kept ignoring lower versions, it would never receive an update from the restarted service.
+func TestLowerVersionInAFullSnapshotIsApplied(t *testing.T) {
 	var restarted atomic.Bool
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		since := r.URL.Query().Get("since")
@@ -86,8 +86,8 @@
 	}
 }
 
-// Discovery is back after an outage in which nothing changed. The sink is notified once: the balancer counts failed polls and must know
-// that they have ended.
+// Discovery is available again after an outage in which the list did not change. The sink is notified once, because the balancer counts
+// failed polls and must know that polling works again.
 func TestSinkIsNotifiedWhenDiscoveryIsBackWithoutChange(t *testing.T) {
 	client, sink := newSubscribedClient(t, "127.0.0.1:1", 1, noCache)
 	client.known.version, client.unavailable, client.backoff.failures = 41, true, 3
@@ -99,11 +99,12 @@
 	}
 	client.apply(EndpointList{Version: 41}, false)
 	if len(sink) > 0 {
-		t.Error("notified twice")
+		t.Error("sink notified twice, want once")
 	}
 }
 
-// Discovery sends malformed entries in a full snapshot. They spoil neither the list nor remove their endpoints, and are logged once.
+// A full snapshot contains malformed entries. The rest of the list is applied, known endpoints with malformed entries are kept, and only
+// one of the entries is logged.
 func TestMalformedEntryKeepsTheLastKnownState(t *testing.T) {
 	var log testkit.LockedBuffer
 	client, sink := newClient(t, testkit.Refusing(t), 1, noCache, &log)
@@ -122,14 +123,14 @@
 		ids = append(ids, endpoint.ID)
 	}
 	if got := strings.Join(ids, " "); got != "s-1 s-4" {
-		t.Errorf("the list is %q", got)
+		t.Errorf("list contains %q, want \"s-1 s-4\"", got)
 	}
 	if n := log.Count("malformed"); n != 1 {
-		t.Errorf("%d lines in the log", n)
+		t.Errorf("%d malformed entries logged, want 1", n)
 	}
 }
 
-// Discovery sends a list that is too long to be read. The error says so, the last list stays in force, and a shorter one is applied.
+// Discovery sends a list over the size limit. The client logs an error that says so, keeps the last list, and applies the next shorter one.
 func TestListOverTheLimitIsAnError(t *testing.T) {
 	server := testkit.NewDiscovery(t, 1, testkit.EntryText("s-1", "127.0.0.1:1", "Ready", 0))
 	var log testkit.LockedBuffer
@@ -138,7 +139,7 @@
 	nextList(t, sink)
 	entry := testkit.EntryText("s-2", "127.0.0.1:2", "Ready", 0)
 	server.Set(2, true, entry, testkit.EntryText(strings.Repeat("s", maxListBytes), "127.0.0.1:3", "Ready", 0))
-	testkit.Eventually(t, "the log says why", func() bool { return log.Count("endpoint list exceeds") > 0 })
+	testkit.Eventually(t, "the error is logged", func() bool { return log.Count("endpoint list exceeds") > 0 })
 	server.Set(3, true, entry)
 	if list := nextList(t, sink); len(list.Endpoints) != 1 || list.Endpoints[0].ID != "s-2" {
 		t.Errorf("%d endpoints", len(list.Endpoints))
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -14,7 +14,7 @@
 	"ryeweir/internal/pool"
 )
 
-// Sink receives endpoint lists and notice of outages. The goroutine of Run calls its methods, which may block briefly.
+// Sink receives endpoint lists and is notified of outages. The goroutine of Run calls its methods, which may block briefly.
 type Sink interface {
 	// UpdateEndpoints applies a full snapshot or a watch event. An empty watch event means that discovery is available again.
 	UpdateEndpoints(core.EndpointList)
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -9,7 +9,7 @@
 	"ryeweir/logic"
 )
 
-func TestClientFollowsWatchEvents(t *testing.T) {
+func TestClientAppliesWatchEvents(t *testing.T) {
 	server := testkit.NewDiscovery(t, 41, testkit.EntryText("s-1", "127.0.0.1:1", "Ready", 0), testkit.EntryText("s-2", "127.0.0.1:2", "Ready", 5))
 	client, sink := newClient(t, server.Addr().String(), 1, noCache, io.Discard)
 	run(t, client)
@@ -30,21 +30,21 @@
 	}
 }
 
-// A watch ends without a change. The next one follows at once: what changes between two watches might be missed.
+// A watch ends without a change. The client starts the next one immediately, so that a change between two watches is not noticed late.
 func TestWatchesFollowEachOther(t *testing.T) {
 	t.Parallel()
 	server := testkit.NewDiscovery(t, 1, testkit.EntryText("s-1", "127.0.0.1:1", "Ready", 0))
 	client, sink := newClient(t, server.Addr().String(), 1, noCache, io.Discard)
 	run(t, client)
 	nextList(t, sink)
-	testkit.Eventually(t, "a second watch", func() bool { _, n := server.Calls(); return n > 1 })
+	testkit.Eventually(t, "a second watch starts", func() bool { _, n := server.Calls(); return n > 1 })
 	if len(sink) > 0 {
-		t.Error("a watch without a change brought one")
+		t.Error("a watch without a change updated the list")
 	}
 }
 
-// Discovery falls silent and comes back. The last list stays in force meanwhile, the outage and its end are logged once each, and the
-// first list after it is a full snapshot.
+// Discovery stops responding and later recovers. The last list stays in effect during the outage, the start and the end of the outage are
+// logged once each, and the first list afterwards is a full snapshot.
 func TestOutageKeepsTheLastListUntilAFullSnapshot(t *testing.T) {
 	t.Parallel()
 	server := testkit.NewDiscovery(t, 1, testkit.EntryText("s-1", "127.0.0.1:1", "Ready", 0))
@@ -63,17 +63,17 @@
 		t.Errorf("%+v", list)
 	}
 	if log.Count("discovery available again") != 1 {
-		t.Error("its end is not in the log")
+		t.Error("the end of the outage was not logged exactly once")
 	}
 }
 
-// A process starts with a cached list, which may name endpoints that were removed. It is used only if discovery does not answer at once,
-// and any list from discovery is newer then, whatever its version.
+// A process starts with a cached list, which may contain endpoints that have been removed. The list is used only if discovery does not
+// respond at once. Any list that discovery returns later replaces it, whatever its version.
 func TestCachedListIsUsedOnlyIfDiscoveryIsSilent(t *testing.T) {
 	t.Parallel()
 	server := testkit.NewDiscovery(t, 3, testkit.EntryText("s-new", "127.0.0.1:1", "Ready", 0))
 	cached := parseList(t, testkit.ListText(41, true, testkit.EntryText("s-old", "127.0.0.1:2", "Ready", 0)))
-	for name, ids := range map[string][]string{"answers": {"s-new"}, "is silent at first": {"s-old", "s-new"}} {
+	for name, ids := range map[string][]string{"responds": {"s-new"}, "is silent at first": {"s-old", "s-new"}} {
 		client, sink := newClient(t, server.Addr().String(), 1, noCache, io.Discard)
 		client.cfg.CachedList = cached
 		server.Silence(len(ids) > 1)
@@ -87,7 +87,7 @@
 	}
 }
 
-// A subscription fails. The sink is notified, since the balancer decides when to poll again.
+// A subscription fails. The sink is notified, because the balancer decides when to poll again.
 func TestSinkIsNotifiedOfAFailedSubscription(t *testing.T) {
 	client, sink := newClient(t, testkit.Refusing(t), 1, noCache, io.Discard)
 	client.cfg.SubscriptionRequired = true
@@ -103,8 +103,8 @@
 	}
 }
 
-// An agent of a large fleet starts with a cached list. It serves from that and requests watch events since its version, not a full
-// snapshot; its watches follow each other at once, so that no change is late.
+// An agent of a large fleet starts with a cached list. It uses that list and watches from its version on instead of requesting a full
+// snapshot. Each watch starts immediately after the previous one, so that no change is received late.
 func TestLargeFleetStartsFromTheCachedVersion(t *testing.T) {
 	server := testkit.NewDiscovery(t, 41, testkit.EntryText("s-1", "127.0.0.1:1", "Ready", 0))
 	server.Set(42, false, testkit.EntryText("s-2", "127.0.0.1:2", "Ready", 0))
@@ -126,8 +126,8 @@
 	}
 }
 
-// The agent is pointed to another discovery while the balancer waits in its backoff for the old one. The new one is polled without a new
-// subscription.
+// The address of discovery changes while the balancer is backing off from the old one. The new address is polled without another call of
+// Subscribe.
 func TestNewAddressIsPolledWithoutASubscription(t *testing.T) {
 	server := testkit.NewDiscovery(t, 1, testkit.EntryText("s-1", "127.0.0.1:1", "Ready", 0))
 	client, sink := newClient(t, testkit.Refusing(t), 1, noCache, io.Discard)
@@ -139,12 +139,12 @@
 	}
 }
 
-// A new configuration leaves the address of discovery as it was, or changes it and back before anything has happened. The subscription
-// stays in force: nobody else would poll again.
+// A reload keeps the address of discovery, or changes it and changes it back immediately. The subscription must stay active, because nothing
+// else would start polling again.
 func TestReloadWithTheSameAddressKeepsTheSubscription(t *testing.T) {
 	for name, reload := range map[string]func(client *Client, addr string){
 		"the same address": func(client *Client, addr string) { client.SetAddress(addr) },
-		"there and back": func(client *Client, addr string) {
+		"changed and changed back": func(client *Client, addr string) {
 			client.SetAddress("127.0.0.1:1")
 			client.SetAddress(addr)
 		},
@@ -162,7 +162,7 @@
 			nextList(t, sink)
 			testkit.Eventually(t, "a watch is open", func() bool { _, watches := server.Calls(); return watches > 0 })
 			reload(client, server.Addr().String())
-			time.Sleep(50 * time.Millisecond) // the old session has ended
+			time.Sleep(50 * time.Millisecond) // long enough for the old session to end
 			server.Set(2, false, testkit.EntryText("s-1", "127.0.0.1:1", "Terminating", 0))
 			select {
 			case <-sink:
--- a/internal/discovery/fixture_test.go
+++ b/internal/discovery/fixture_test.go
@@ -11,28 +11,28 @@
 	"ryeweir/internal/testkit"
 )
 
-// noCache is an empty cached list.
+// noCache is the JSON of an empty cached list.
 const noCache = "null"
 
-// sinkEvent is one call of a sink: an endpoint list, or discovery is unavailable.
+// sinkEvent is a call of a Sink: an endpoint list, or a notice that discovery is unavailable.
 type sinkEvent struct {
 	list        core.EndpointList
 	unavailable bool
 }
 
-// testSink puts what it is notified of into a channel.
+// testSink is a Sink that sends each call to a channel.
 type testSink chan sinkEvent
 
 func (s testSink) UpdateEndpoints(list core.EndpointList) { s <- sinkEvent{list: list} }
 func (s testSink) DiscoveryUnavailable()                  { s <- sinkEvent{unavailable: true} }
 
-// newClient returns a client in a fleet of so many agents, and its sink.
+// newClient returns a client in a fleet with this number of agents, and its sink.
 func newClient(t *testing.T, addr string, agents int, cached string, log io.Writer) (*Client, testSink) {
 	t.Helper()
 	return newClientWith(t, Config{Addr: addr, Agents: agents, Clock: core.NewClock(), Log: slog.New(slog.NewTextHandler(log, nil))}, cached)
 }
 
-// newSubscribedClient returns a client that must subscribe and has done so.
+// newSubscribedClient returns a client with SubscriptionRequired for which Subscribe has been called.
 func newSubscribedClient(t *testing.T, addr string, agents int, cached string) (*Client, testSink) {
 	t.Helper()
 	client, sink := newClientWith(t, Config{Addr: addr, Agents: agents, SubscriptionRequired: true, Clock: core.NewClock(), Log: discardLog()}, cached)
@@ -40,7 +40,7 @@
 	return client, sink
 }
 
-// newClientWith returns a client with the rest of its configuration filled in.
+// newClientWith returns a client with cfg, completed with the cached list, the zones, a seed and a sink.
 func newClientWith(t *testing.T, cfg Config, cached string) (*Client, testSink) {
 	t.Helper()
 	sink := make(testSink, 100)
@@ -57,7 +57,7 @@
 	return list
 }
 
-// run runs the client until the test ends.
+// run runs the client in the background until the test ends.
 func run(t *testing.T, client *Client) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -66,17 +66,17 @@
 	t.Cleanup(func() { cancel(); <-done })
 }
 
-// nextList waits for the next endpoint list.
+// nextList waits for the next endpoint list and returns it.
 func nextList(t *testing.T, sink testSink) core.EndpointList {
 	t.Helper()
 	select {
 	case got := <-sink:
 		if got.unavailable {
-			t.Fatal("discovery is unavailable where a list was expected")
+			t.Fatal("got DiscoveryUnavailable, want an endpoint list")
 		}
 		return got.list
 	case <-time.After(testkit.Patience):
-		t.Fatal("no list came")
+		t.Fatal("no endpoint list received in time")
 	}
 	return core.EndpointList{}
 }
--- a/internal/discovery/fleet_test.go
+++ b/internal/discovery/fleet_test.go
@@ -16,7 +16,7 @@
 	"ryeweir/logic"
 )
 
-// notificationLog is a sink that records when it was first notified of each state of each endpoint.
+// notificationLog is a Sink that records the time of the first notification of each state of each endpoint.
 type notificationLog struct {
 	mu sync.Mutex
 	at map[string]time.Time
@@ -46,9 +46,9 @@
 	return at, ok
 }
 
-const discoveryRate = 60 // requests a second that the fleet's discovery serves
+const discoveryRate = 60 // requests per second that the discovery service of the fleet serves
 
-// testFleet is a number of clients of one emulated discovery in memory.
+// testFleet is a fleet of clients of one emulated discovery service, connected in memory.
 type testFleet struct {
 	t       *testing.T
 	server  *discovery.Server
@@ -93,7 +93,7 @@
 	f.server.Set(discovery.Entry{ID: id, Addr: "127.0.0.1:1", Zone: "a", State: state, Weight: 1}, 0)
 }
 
-// lastNotified is how long after since the last agent was notified. All must have been.
+// lastNotified returns the time from since until the last agent was notified. It fails the test if an agent was not notified.
 func (f *testFleet) lastNotified(id string, state logic.EndpointState, since time.Time) (longest time.Duration) {
 	f.t.Helper()
 	for i, client := range f.clients {
@@ -106,7 +106,7 @@
 	return longest
 }
 
-// checkQuietMinute checks that agents which multiply poll less often each, and that none is rejected.
+// checkQuietMinute checks the request rate during a minute without changes: it is bounded for any fleet size, and no request is rejected.
 func (f *testFleet) checkQuietMinute() {
 	f.t.Helper()
 	before := f.server.Figures()
@@ -114,13 +114,13 @@
 	after := f.server.Figures()
 	requests := after.FullLists + after.Watches - before.FullLists - before.Watches
 	agents := float64(len(f.clients))
-	f.t.Logf("%v agents: %.1f requests a second, %.2f a minute of each", agents, float64(requests)/60, float64(requests)/agents)
+	f.t.Logf("%v agents: %.1f requests per second, %.2f per agent and minute", agents, float64(requests)/60, float64(requests)/agents)
 	if requests > max(70, 40*60) || after.Rejected > before.Rejected {
-		f.t.Errorf("%d requests in a quiet minute, %d rejected", requests, after.Rejected-before.Rejected)
+		f.t.Errorf("%d requests in a minute without changes, %d rejected", requests, after.Rejected-before.Rejected)
 	}
 }
 
-// checkDrain checks that a drain reaches all agents at once.
+// checkDrain checks that all agents are notified of a drain within 250 ms.
 func (f *testFleet) checkDrain() {
 	f.t.Helper()
 	drainedAt := time.Now()
@@ -133,8 +133,8 @@
 	}
 }
 
-// checkOutage replaces an endpoint during an outage of a minute and checks how soon the agents are notified after it, and how many of
-// their requests are rejected on the way.
+// checkOutage replaces an endpoint during an outage of a minute. It checks how soon after the outage all agents are notified, and how many
+// of their requests are rejected until then.
 func (f *testFleet) checkOutage() {
 	f.t.Helper()
 	f.server.SetOutage(true)
@@ -147,9 +147,9 @@
 	time.Sleep(2 * time.Minute)
 	rejected := f.server.Figures().Rejected - before.Rejected
 	longest := f.lastNotified("s2-new", logic.Ready, endedAt)
-	f.t.Logf("the last agent was notified %v after the outage, %d requests were rejected in the time after it", longest, rejected)
-	// An agent that is rejected waits again, for MaxRetryInterval at most. With more agents than discovery serves in twice the
-	// notification deadline, most of its requests are of those.
+	f.t.Logf("the last agent was notified %v after the outage; %d requests were rejected after the outage", longest, rejected)
+	// A rejected agent backs off again, for at most MaxRetryInterval. If the fleet has more agents than discovery serves in twice the
+	// notification deadline, most requests are retries of rejected agents, so the limits allow for them.
 	agents := len(f.clients)
 	rounds, maxRejected := time.Duration(2), 2*agents
 	if float64(agents) > 2*discoveryRate*notificationDeadline.Seconds() {
@@ -163,11 +163,12 @@
 	}
 }
 
-// A fleet of any size shares one discovery that serves 60 requests a second. All agents are notified of a drain at once, and after an outage
-// of a minute, in which an endpoint was replaced, all are notified soon and without a rush that discovery would reject.
+// Fleets of different sizes share one discovery service that serves 60 requests per second. All agents are notified of a drain at once. After
+// an outage of a minute, in which an endpoint is replaced, all agents are notified soon, without a burst of requests that discovery would
+// reject.
 func TestFleetIsNotifiedInTimeAndSpreadsItsRequests(t *testing.T) {
 	sizes := []int{1, 100, 400}
-	if os.Getenv("RYEWEIR_LONG") != "" { // half a minute with -race
+	if os.Getenv("RYEWEIR_LONG") != "" { // takes 30 s with -race
 		sizes = append(sizes, 2000)
 	}
 	for _, agents := range sizes {
--- a/internal/discovery/notification_test.go
+++ b/internal/discovery/notification_test.go
@@ -17,19 +17,19 @@
 	"ryeweir/logic"
 )
 
-// Lists of the scripted discovery.
+// Lists that the scripted discovery service returns.
 const (
 	snapshotText = `{"version":16,"full":true,"servers":[{"id":"s0","addr":"127.0.0.1:1","zone":"a","state":"Ready","weight":1}]}`
 	drainText    = `{"version":17,"full":false,"servers":[{"id":"s0","addr":"127.0.0.1:1","zone":"a","state":"Terminating","weight":1}]}`
 	noChangeText = `{"version":16,"full":false,"servers":[]}`
 )
 
-// queueTime is how long the scripted discovery takes for an answer while its queue is full.
+// queueTime is the response time of the scripted discovery service while its queue is full.
 const queueTime = time.Second
 
-// runScripted runs a client of a discovery in memory until the test ends. answer is called for the n-th request, from 0; a status of 0 is
-// no answer.
-func runScripted(t *testing.T, subscriptionRequired bool, answer func(n int, request *http.Request) (status int, body string)) *notificationLog {
+// runScripted runs a client of a scripted discovery service, connected in memory, until the test ends. respond is called for each request
+// with its number n, starting at 0. A status of 0 means that no response is sent.
+func runScripted(t *testing.T, subscriptionRequired bool, respond func(n int, request *http.Request) (status int, body string)) *notificationLog {
 	t.Helper()
 	network := link.NewNetwork(1)
 	listener, err := network.Listen("discovery:80")
@@ -38,7 +38,7 @@
 	}
 	var requests atomic.Int64
 	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		status, body := answer(int(requests.Add(1)-1), r)
+		status, body := respond(int(requests.Add(1)-1), r)
 		if status == 0 {
 			<-r.Context().Done()
 			return
@@ -72,13 +72,13 @@
 		<-done
 		server.Close()
 		<-served
-		time.Sleep(notificationDeadline) // for the answers under way
+		time.Sleep(notificationDeadline) // until pending responses are finished
 	})
 	return notifications
 }
 
-// A watch falls silent, at any time in the life of the client, and an endpoint begins to drain meanwhile. The drain arrives within the
-// notification deadline.
+// A watch gets no response, either the first one or a later one, and an endpoint starts to drain in that time. The client is notified of
+// the drain within the notification deadline.
 func TestChangeMissedByASilentWatchArrivesInTime(t *testing.T) {
 	for _, subscriptionRequired := range []bool{false, true} {
 		for _, completeWatches := range []int{0, 1, 5} {
@@ -95,7 +95,7 @@
 	notifications := runScripted(t, subscriptionRequired, func(n int, request *http.Request) (int, string) {
 		timeout, err := strconv.Atoi(request.URL.Query().Get("timeout_ms"))
 		switch {
-		case err != nil: // no watch
+		case err != nil: // not a watch
 			return http.StatusOK, snapshotText
 		case n < completeWatches:
 			time.Sleep(time.Duration(timeout) * time.Millisecond)
@@ -112,16 +112,16 @@
 	synctest.Wait()
 	since := silentSince.Load()
 	if since == nil {
-		t.Fatal("the watch that falls silent was not reached within a minute")
+		t.Fatal("the watch without a response was not reached within a minute")
 	}
 	at, ok := notifications.when("s0", logic.Draining)
 	if delay := at.Sub(*since); !ok || delay > notificationDeadline {
-		t.Errorf("notified %v, %v after the silence began", ok, delay)
+		t.Errorf("notified %v, %v after discovery stopped responding", ok, delay)
 	}
 }
 
-// Discovery rejects all requests for a second up to ten minutes, and an endpoint begins to drain meanwhile. However long it lasted, the drain
-// arrives within the notification deadline after the end.
+// Discovery rejects all requests for a time between one second and ten minutes, and an endpoint starts to drain in that time. However long
+// the outage was, the client is notified of the drain within the notification deadline after its end.
 func TestChangeArrivesSoonAfterAnOutage(t *testing.T) {
 	for _, outage := range []time.Duration{time.Second, 8 * time.Second, 50 * time.Second, 10 * time.Minute} {
 		t.Run(outage.String(), func(t *testing.T) {
--- a/internal/discovery/timing.go
+++ b/internal/discovery/timing.go
@@ -77,7 +77,8 @@
 }
 
 // watchPacing adapts the timeout of watches. It increases while discovery is overloaded, which lowers the request rate, and slowly
-// decreases while discovery responds in time. The next watch always follows immediately after the last one.
+// decreases while discovery responds in time. The timeout does not delay the next watch, which starts when
+// the last one has ended.
 type watchPacing struct {
 	timeout time.Duration
 }
--- a/internal/discovery/timing_test.go
+++ b/internal/discovery/timing_test.go
@@ -6,8 +6,8 @@
 	"ryeweir/internal/testkit"
 )
 
-// All agents of a fleet start, or lose discovery, at once. In a fleet of any size their requests are spread over less than half of the
-// notification deadline, and no watch is longer than that unless discovery is overloaded. A small fleet is not spread.
+// All agents of a fleet start, or lose discovery, at the same time. For any fleet size their requests are spread over at most half of the
+// notification deadline, and no watch is longer than that unless discovery is overloaded. The requests of a small fleet are not spread.
 func TestRequestsAreSpreadWithinTheNotificationDeadline(t *testing.T) {
 	cached := testkit.ListText(41, true, testkit.EntryText("s-1", "127.0.0.1:1", "Ready", 0))
 	for _, agents := range []int{1, smallFleet, 20, 48, 300, 2000, 100000} {
@@ -23,10 +23,10 @@
 			t.Errorf("%d agents: %+v", agents, timing)
 		}
 		if client.known.version != 41 || client.pacing.timeout != notificationDeadline/2 {
-			t.Errorf("%d agents begin from version %d with a watch of %v", agents, client.known.version, client.pacing.timeout)
+			t.Errorf("%d agents start from version %d with a watch timeout of %v", agents, client.known.version, client.pacing.timeout)
 		}
 	}
 	if MaxRetryInterval > notificationDeadline/2 {
-		t.Errorf("a failed request is made again after %v", MaxRetryInterval)
+		t.Errorf("MaxRetryInterval is %v, over half of the notification deadline", MaxRetryInterval)
 	}
 }
--- a/internal/healthcheck/checker_test.go
+++ b/internal/healthcheck/checker_test.go
@@ -13,13 +13,13 @@
 	"ryeweir/logic"
 )
 
-// fakeTransport answers after a delay, or times out when the context ends.
+// fakeTransport responds after a delay, or reports a timeout when the context is done first.
 type fakeTransport struct {
 	delay    time.Duration
 	response healthcheck.Response
 
 	mu    sync.Mutex
-	kinds []healthcheck.RequestKind // of the requests so far
+	kinds []healthcheck.RequestKind // kinds of the requests so far
 }
 
 func (f *fakeTransport) HealthCheck(ctx context.Context, _ any, kind healthcheck.RequestKind, _ time.Time) healthcheck.Response {
@@ -44,8 +44,8 @@
 	})
 }
 
-// The balancer asks for more health checks than the limits allow, at once and two of one endpoint. Those over a limit are not sent, and
-// lower limits apply to the next ones.
+// The balancer starts more concurrent health checks than the limit, and two for the same endpoint. Checks over a limit are not sent. Limits
+// that are lowered apply to the next checks.
 func TestHealthChecksStayWithinTheLimits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		transport := &fakeTransport{delay: 50 * time.Millisecond, response: healthcheck.Response{Result: logic.OK, LoadReport: logic.NoLoadReport}}
@@ -63,14 +63,14 @@
 		}
 		running.Wait()
 		if results[logic.OK] != 3 || results[logic.NotSent] != 3 || len(transport.kinds) != 3 {
-			t.Errorf("%v, %d sent", results, len(transport.kinds))
+			t.Errorf("results %v, %d health checks sent", results, len(transport.kinds))
 		}
 		if checked := checker.Check(t.Context(), "removed", nil); checked.Result != logic.NotSent {
-			t.Errorf("an endpoint that is not listed: %v", checked.Result)
+			t.Errorf("check without a target: %v, want NotSent", checked.Result)
 		}
 		checker.Configure(healthcheck.Settings{MaxConcurrent: 1, Timeout: 20 * time.Millisecond})
 		if checked := checker.Check(t.Context(), "a", "a"); checked.Result != logic.TimedOut || checked.Latency != 20*time.Millisecond {
-			t.Errorf("%v after %v with a shorter timeout", checked.Result, checked.Latency)
+			t.Errorf("with a shorter timeout: result %v after %v", checked.Result, checked.Latency)
 		}
 		if stats := checker.Stats(); stats.OK != 3 || stats.NotSent != 4 || stats.TimedOut != 1 {
 			t.Errorf("%+v", stats)
@@ -78,8 +78,8 @@
 	})
 }
 
-// A platform allows health checks, and its endpoints answer that they know none. After a few no more are sent. Endpoints that say that
-// they are unhealthy are checked on.
+// A platform allows health checks, but its endpoints respond that they do not support them. No more are sent after a few such responses.
+// Endpoints that report themselves unhealthy are still checked.
 func TestUnsupportedHealthChecksAreTurnedOff(t *testing.T) {
 	transport := &fakeTransport{response: healthcheck.Response{Result: logic.Failed, LoadReport: logic.NoLoadReport, Unsupported: true}}
 	checker := newChecker(transport, 8, false)
@@ -87,7 +87,7 @@
 		checker.Check(t.Context(), "a", "a")
 	}
 	if n := len(transport.kinds); n > 10 || !checker.Stats().Disabled || transport.kinds[0] != healthcheck.HealthRequest {
-		t.Errorf("%d health checks, %+v", n, checker.Stats())
+		t.Errorf("%d health checks sent, stats %+v", n, checker.Stats())
 	}
 	transport = &fakeTransport{response: healthcheck.Response{Result: logic.Rejected, LoadReport: logic.NoLoadReport}}
 	checker = newChecker(transport, 8, true)
--- a/internal/logwriter/logwriter_test.go
+++ b/internal/logwriter/logwriter_test.go
@@ -10,10 +10,10 @@
 	"time"
 )
 
-// blockedLog is a log that blocks until its reader is there.
+// blockedLog is a log whose writes block until open is closed.
 type blockedLog struct {
 	mu   sync.Mutex
-	open chan struct{} // closed when the reader is there
+	open chan struct{} // closed to let writes continue
 	text bytes.Buffer
 }
 
@@ -24,7 +24,7 @@
 	return b.text.Write(p)
 }
 
-// Lines are written in order, and all that were queued are written when Close returns.
+// Lines are written in order, and all queued lines are written before Close returns.
 func TestLinesAreWrittenInOrder(t *testing.T) {
 	log := &blockedLog{open: make(chan struct{})}
 	close(log.open)
@@ -42,8 +42,8 @@
 	}
 }
 
-// Nobody reads the log for a while. Writes return at once, the queue is bounded, and a line says how many were dropped once there is
-// space for it.
+// The log is not read for a while. Writes return at once, the queue is bounded, and once it has space a line with the number of dropped
+// lines is logged.
 func TestUnreadLogDropsAndCountsLines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := &blockedLog{open: make(chan struct{})}
@@ -62,7 +62,7 @@
 		w.Close()
 		lines := strings.Split(strings.TrimSpace(log.text.String()), "\n")
 		if n := len(lines); n < maxQueuedLines || n > maxQueuedLines+3 {
-			t.Errorf("%d lines came through", n)
+			t.Errorf("%d lines written", n)
 		}
 		if note := lines[len(lines)-2]; !strings.Contains(note, "were dropped") || lines[len(lines)-1] != "the last" {
 			t.Errorf("%q", lines[len(lines)-2:])
@@ -70,7 +70,7 @@
 	})
 }
 
-// The log's reader hangs for good. Close returns after its timeout.
+// The reader of the log hangs forever. Close returns after its timeout.
 func TestCloseOfAnUnreadLogTimesOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := &blockedLog{open: make(chan struct{})}
@@ -79,7 +79,7 @@
 		began := time.Now()
 		w.Close()
 		if took := time.Since(began); took != closeTimeout {
-			t.Errorf("it took %v", took)
+			t.Errorf("Close took %v, want closeTimeout", took)
 		}
 		close(log.open)
 	})
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// marshal returns the metrics as operators read them.
+// marshal returns the JSON that operators read.
 func marshal(t *testing.T, m *Metrics) string {
 	t.Helper()
 	data, err := json.Marshal(m)
@@ -16,7 +16,7 @@
 	return string(data)
 }
 
-func TestMetricsInTheOperatorsForm(t *testing.T) {
+func TestMetricsAreEncodedForOperators(t *testing.T) {
 	m := New([]string{"read", "order"})
 	zero := `{"completed":0,"rejected":0,"failed":0}`
 	want := `{"downstream_requests":{"order":` + zero + `,"read":` + zero + `},"upstream_requests":0,"pending":0,"members":0,"members_unavailable":0}`
@@ -43,7 +43,7 @@
 	}
 }
 
-// Requests are counted while operators read: run with -race, this shows that neither disturbs the other and no count is lost.
+// Requests are counted while operators read the metrics. No count may be lost, and with -race no data race may be reported.
 func TestConcurrentCountsAreNotLost(t *testing.T) {
 	m := New([]string{"c"})
 	var clients sync.WaitGroup
--- a/internal/snapshot/file_test.go
+++ b/internal/snapshot/file_test.go
@@ -13,7 +13,7 @@
 	"ryeweir/logic"
 )
 
-// sampleKnowledge is what an agent has learned of two endpoints.
+// sampleKnowledge returns knowledge about two endpoints.
 func sampleKnowledge() logic.Knowledge {
 	return logic.Knowledge{
 		BaselineLatency: []time.Duration{30 * time.Millisecond},
@@ -25,7 +25,7 @@
 	}
 }
 
-// mustSave saves a snapshot.
+// mustSave saves a snapshot and fails the test on an error.
 func mustSave(t *testing.T, f File, knowledge logic.Knowledge, now time.Time) {
 	t.Helper()
 	if err := f.Save(knowledge, now); err != nil {
@@ -47,21 +47,21 @@
 	f := FileIn(t.TempDir(), "n3/../x", []string{"pay"})
 	now := time.Now()
 	if _, _, err := f.Load(now, time.Minute); !errors.Is(err, ErrNotFound) {
-		t.Errorf("before the first is saved: %v", err)
+		t.Errorf("before the first save: %v, want ErrNotFound", err)
 	}
 	mustSave(t, f, sampleKnowledge(), now)
 	knowledge, age, err := f.Load(now.Add(5*time.Second), time.Minute)
 	if err != nil || age.Round(time.Second) != 5*time.Second || !reflect.DeepEqual(knowledge, sampleKnowledge()) {
-		t.Errorf("%+v, %v ago, %v", knowledge, age, err)
+		t.Errorf("loaded %+v, saved %v ago, error %v", knowledge, age, err)
 	}
 	if paths := filesIn(t, filepath.Dir(f.Path)); len(paths) != 1 {
-		t.Errorf("files %v", paths)
+		t.Errorf("directory contains %v, want one file", paths)
 	}
 }
 
-// A snapshot that is too old, or was saved under other settings or by another agent, says nothing of the endpoints as they are. One
-// from the future was saved before a step of the clock, and its age is not known.
-func TestLoadRefusesSnapshotsThatDoNotApply(t *testing.T) {
+// A snapshot that is too old, or that was saved by another agent or under other settings, does not describe the current endpoints. One with
+// a save time in the future was saved before the wall clock was stepped back, so its age is unknown.
+func TestLoadRejectsSnapshotsThatDoNotApply(t *testing.T) {
 	f := FileIn(t.TempDir(), "n3/../x", []string{"pay"})
 	now := time.Now()
 	mustSave(t, f, sampleKnowledge(), now)
@@ -83,9 +83,9 @@
 	}
 }
 
-// A fleet may have more endpoints than a file may hold. A part of them is saved, so that the file is valid and bounded; a file
-// beyond the bound is not read.
-func TestFileIsBounded(t *testing.T) {
+// There may be more endpoints than fit into a file. Some of them are saved, so that the file is valid and within MaxSize. A larger file is
+// not loaded.
+func TestFileSizeIsBounded(t *testing.T) {
 	f := FileIn(t.TempDir(), "n", []string{"pay"})
 	now := time.Now()
 	large := logic.Knowledge{Endpoints: make([]logic.EndpointKnowledge, 20000)}
@@ -96,21 +96,21 @@
 	}
 	knowledge, _, err := f.Load(now, time.Minute)
 	if err != nil || info.Size() > MaxSize || len(knowledge.Endpoints) < 5000 {
-		t.Errorf("of %d endpoints %d were saved in %d bytes, %v", len(large.Endpoints), len(knowledge.Endpoints), info.Size(), err)
+		t.Errorf("%d endpoints, %d of them saved in %d bytes, error %v", len(large.Endpoints), len(knowledge.Endpoints), info.Size(), err)
 	}
 	if err := (File{Path: f.Path, Agent: strings.Repeat("n", MaxSize)}).Save(sampleKnowledge(), now); err == nil {
-		t.Error("a snapshot beyond the bound was saved")
+		t.Error("a snapshot over MaxSize was saved")
 	}
 	if err := os.WriteFile(f.Path, make([]byte, MaxSize+1), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if _, _, err := f.Load(now, time.Minute); !errors.Is(err, ErrCorrupt) {
-		t.Errorf("a file beyond the bound: %v", err)
+		t.Errorf("file over MaxSize: %v, want ErrCorrupt", err)
 	}
 }
 
-// During a handover the next process reads the file while this one writes it. The file is replaced and never written into: a reader
-// that opened the old one reads it to its end.
+// During a handover the next process reads the file while this one writes it. The file must be replaced, not overwritten: a reader that has
+// opened the old file can read all of it.
 func TestReaderOfAReplacedFileReadsTheOldOne(t *testing.T) {
 	f := FileIn(t.TempDir(), "n", nil)
 	mustSave(t, f, sampleKnowledge(), time.Now())
--- a/internal/snapshot/format_test.go
+++ b/internal/snapshot/format_test.go
@@ -13,16 +13,16 @@
 	"ryeweir/logic"
 )
 
-// releasedFile is a snapshot that the program of commit 53b3d21 wrote.
+// releasedFile is a snapshot written by the program of commit 53b3d21.
 var releasedFile = filepath.Join("testdata", "released.knowledge")
 
-// An upgrade starts the new version with the snapshot of the old one. Every figure in it is restored.
+// After an upgrade the new version loads the snapshot of the old one. Every value in it must be restored.
 func TestSnapshotOfReleasedVersionIsRestored(t *testing.T) {
 	savedAt := time.Date(2026, 1, 2, 3, 4, 5, 600_000_000, time.UTC)
 	f := File{Path: releasedFile, Agent: "agent-1", Classes: []string{"pay", "form-check"}}
 	knowledge, age, err := f.Load(savedAt.Add(3*time.Second), time.Minute)
 	if err != nil || age != 3*time.Second {
-		t.Fatalf("%v ago, %v", age, err)
+		t.Fatalf("saved %v ago, error %v", age, err)
 	}
 	want := logic.Knowledge{
 		BaselineLatency: []time.Duration{30 * time.Millisecond, 70 * time.Millisecond},
@@ -37,9 +37,9 @@
 	}
 }
 
-// A rollback starts the old version with the snapshot of the new one: a new file is byte for byte what the old version wrote of the
-// same knowledge.
-func TestSnapshotIsWrittenInTheReleasedForm(t *testing.T) {
+// After a rollback the old version loads the snapshot of the new one. A new file must therefore be byte for byte identical to the file that
+// the old version writes for the same knowledge.
+func TestSnapshotIsWrittenInTheReleasedFormat(t *testing.T) {
 	released, err := os.ReadFile(releasedFile)
 	if err != nil {
 		t.Fatal(err)
@@ -58,14 +58,14 @@
 	requireKeys(t, written[headerSize:], "agent", "classes", "knowledge", "taken")
 }
 
-// The new version finds the old one's snapshot only under its name.
+// The new version finds the snapshot of the old one only if the file name is unchanged.
 func TestFileHasTheReleasedName(t *testing.T) {
 	if got, want := filepath.Base(FileIn("/", "agent-1", nil).Path), "ryeweir-9c3f9a8a5ba8d740.knowledge"; got != want {
 		t.Errorf("file %s, want %s", got, want)
 	}
 }
 
-// requireKeys checks the keys of a JSON object.
+// requireKeys fails the test unless a JSON object has exactly these keys.
 func requireKeys(t *testing.T, text []byte, want ...string) {
 	t.Helper()
 	var object map[string]json.RawMessage
@@ -82,9 +82,8 @@
 	}
 }
 
-// A disk may return other bytes than were written, and a kill may leave a part of a file. Any byte that differs and any end that is
-// missing is noticed.
-func TestDamagedFileIsNoticed(t *testing.T) {
+// A disk may return corrupt data, and a killed process may leave a truncated file. Any changed byte and any truncation must be detected.
+func TestDamagedFileIsDetected(t *testing.T) {
 	f := FileIn(t.TempDir(), "n", nil)
 	mustSave(t, f, sampleKnowledge(), time.Now())
 	intact, err := os.ReadFile(f.Path)
@@ -98,7 +97,7 @@
 			t.Fatalf("with byte %d changed: %v", i, err)
 		}
 		if _, err := decode(intact[:i]); !errors.Is(err, ErrCorrupt) {
-			t.Fatalf("cut at %d: %v", i, err)
+			t.Fatalf("truncated to %d bytes: %v", i, err)
 		}
 	}
 }
--- a/internal/snapshot/persist_test.go
+++ b/internal/snapshot/persist_test.go
@@ -14,8 +14,8 @@
 	"ryeweir/logic"
 )
 
-// An agent saves at intervals, if there is something new, and once more as it ends. A directory that can't be written to does not
-// stop it.
+// The agent saves its knowledge at intervals if it has changed, and once more at shutdown. A directory that is not writable does not stop
+// the agent.
 func TestPersistSavesChangesAtIntervalsAndAtTheEnd(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := FileIn(t.TempDir(), "n", nil)
@@ -53,8 +53,8 @@
 	})
 }
 
-// A process was killed while it wrote, and its temporary file stays. The next start removes it, but not the snapshot, a file that
-// another process may be writing, or one of another agent.
+// A process was killed during a write and left a temporary file. The next start removes that file, but not the snapshot itself, a recent
+// temporary file that another process may still be writing, or a file of another agent.
 func TestStartRemovesTemporaryFilesOfKilledProcesses(t *testing.T) {
 	f := FileIn(t.TempDir(), "n", nil)
 	mustSave(t, f, sampleKnowledge(), time.Now())
--- a/internal/wire/decode.go
+++ b/internal/wire/decode.go
@@ -51,7 +51,7 @@
 	lists        [maxLists][]logic.Endpoint
 	reportFields map[string][]string // names of the values in a load report, in order, by instance
 	interned     map[string]string   // one copy of each ID
-	err          error               // first error in the current line
+	firstErr     error               // first error in the current line
 }
 
 // NewDecoder returns a Decoder that reads from r.
@@ -119,14 +119,14 @@
 	if object.Type() != fastjson.TypeObject {
 		return m, false, errors.New("not a JSON object")
 	}
-	d.err = nil
+	d.firstErr = nil
 	kind := string(d.bytes(object, "type"))
 	switch {
 	case kind == "Turn" && d.inBatch:
 		return m, false, errors.New("a Turn inside a Turn: YourTurn is missing")
 	case kind == "Turn":
 		d.inBatch = true
-		return Message{Kind: BatchStart, Now: d.duration(object, "WallNs")}, false, d.err
+		return Message{Kind: BatchStart, Now: d.duration(object, "WallNs")}, false, d.firstErr
 	case kind == "YourTurn" && !d.inBatch:
 		return m, false, errors.New("YourTurn without a Turn")
 	case kind == "YourTurn":
@@ -136,7 +136,7 @@
 		return m, false, fmt.Errorf("%q outside a Turn", kind)
 	case kind == "Census":
 		d.storeList(object)
-		return m, true, d.err
+		return m, true, d.firstErr
 	}
 	return d.instanceMessage(kind, object)
 }
@@ -148,7 +148,7 @@
 		m.Kind = InstanceStarted
 		m.Seed = d.uint(object, "Seed")
 		m.Settings = d.launch(m.Instance, object.Get("BootInfo"))
-		return m, false, d.err
+		return m, false, d.firstErr
 	}
 	fields, known := d.reportFields[m.Instance]
 	if !known {
@@ -164,7 +164,7 @@
 		m.Kind = InstanceEvent
 		m.Event = d.event(kind, object, fields)
 	}
-	return m, false, d.err
+	return m, false, d.firstErr
 }
 
 // launch decodes the settings of an instance that starts.
--- a/internal/wire/events.go
+++ b/internal/wire/events.go
@@ -16,7 +16,7 @@
 			Key: d.str(v, "Resource"), Deadline: d.duration(v, "ExpiresNs")}
 	case "Answer":
 		return logic.Outcome{Request: d.str(v, "Tid"), Attempt: d.int(v, "RoundNo"), Endpoint: d.id(v, "Backend"),
-			Result: d.result(v), Latency: d.duration(v, "LagNs"), Closed: d.bool(v, "Last"), LoadReport: d.loadReport(v, fields)}
+			Result: d.result(v), Latency: d.duration(v, "LagNs"), Closed: d.flag(v, "Last"), LoadReport: d.loadReport(v, fields)}
 	case "Established":
 		return logic.ResponseStarted{Request: d.str(v, "Tid")}
 	case "Dropped":
--- a/internal/wire/fields.go
+++ b/internal/wire/fields.go
@@ -9,8 +9,8 @@
 
 // fail records an error in the current line. Only the first one is kept.
 func (d *Decoder) fail(format string, args ...any) {
-	if d.err == nil {
-		d.err = fmt.Errorf(format, args...)
+	if d.firstErr == nil {
+		d.firstErr = fmt.Errorf(format, args...)
 	}
 }
 
@@ -54,7 +54,7 @@
 	return field(d, v, key, (*fastjson.Value).Float64)
 }
 
-func (d *Decoder) bool(v *fastjson.Value, key string) bool {
+func (d *Decoder) flag(v *fastjson.Value, key string) bool {
 	return field(d, v, key, (*fastjson.Value).Bool)
 }
 
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -21,7 +21,7 @@
 
 const launch = `{"type":"Launch","I":"agent_1","Seed":9223372036854775807,"BootInfo":` + boot + `}`
 
-// read decodes lines inside a turn.
+// read decodes lines in one batch and returns their messages, without the start and the end of the batch.
 func read(t *testing.T, lines ...string) ([]Message, error) {
 	t.Helper()
 	text := "{\"type\":\"Turn\",\"WallNs\":5}\n" + strings.Join(lines, "\n") + "\n{\"type\":\"YourTurn\"}\n"
@@ -88,8 +88,8 @@
 	return string(b)
 }
 
-// A list number may be given to a new list later in the batch: each reference holds what it named then.
-func TestListNumberThatIsReusedKeepsEarlierRows(t *testing.T) {
+// A list number may be reused for another list later in the same batch. Events that were decoded before keep the earlier list.
+func TestReusedListNumberKeepsEarlierLists(t *testing.T) {
 	got, err := read(t, launch,
 		`{"type":"Census","Buffer":15,"RowsIn":[{"Backend":"a:1","Mode":"ready","Units":1.5,"CameUpNs":6,"Pack":2}]}`,
 		`{"type":"Members","I":"agent_1","Form":"restored","Revision":1,"Buffer":15}`,
@@ -116,7 +116,7 @@
 	}
 }
 
-func TestErrorsNameTheLine(t *testing.T) {
+func TestErrorsContainTheLineNumber(t *testing.T) {
 	for name, c := range map[string]struct{ text, want string }{
 		"broken":   {`{"type":`, "line 3: malformed JSON"},
 		"array":    {`[1]`, "line 3: not a JSON object"},
@@ -152,11 +152,11 @@
 	}
 }
 
-func TestLineOfMegabytesIsRead(t *testing.T) {
+func TestLineLongerThanTheBufferIsDecoded(t *testing.T) {
 	pad := strings.Repeat("x", 3<<20)
 	got, err := read(t, launch, `{"type":"Dropped","I":"agent_1","Tid":"`+pad+`"}`)
 	if err != nil || got[1].Event.(logic.ClientDisconnected).Request != pad {
-		t.Errorf("a line of megabytes: %v", err)
+		t.Errorf("a line of 3 MiB: %v", err)
 	}
 }
 
@@ -193,16 +193,16 @@
 		for {
 			m, err := d.Next()
 			if err != nil {
-				return // an error or the end, never a panic
+				return // errors and the end of the input are valid results; a panic is not
 			}
 			if m.Kind == InstanceEvent && m.Event == nil {
-				t.Fatal("an event without content and without an error")
+				t.Fatal("decoded a nil event without an error")
 			}
 		}
 	})
 }
 
-// BenchmarkDecode and BenchmarkDecodeStandard compare this decoder with encoding/json on the commonest line.
+// BenchmarkDecode and BenchmarkDecodeStandard compare Decoder with encoding/json on the most frequent kind of line.
 func BenchmarkDecode(b *testing.B) {
 	d := NewDecoder(strings.NewReader(""))
 	d.inBatch, d.reportFields["agent_1"] = true, []string{"util", "qps"}
