--- a/internal/discovery/fixture_test.go
+++ b/internal/discovery/fixture_test.go
@@ -75,7 +75,7 @@
 			t.Fatal("got DiscoveryUnavailable, want an endpoint list")
 		}
 		return got.list
-	case <-time.After(testkit.Patience):
+	case <-time.After(testkit.WaitTimeout):
 		t.Fatal("no endpoint list received in time")
 	}
 	return core.EndpointList{}
