--- a/internal/config/operator/connections.go
+++ b/internal/config/operator/connections.go
@@ -27,14 +27,14 @@
 	SuspectWindow             config.Duration `toml:"suspect_within"`        // within which these failures must occur
 	SuspectAction             string          `toml:"suspect"`               // suspectTry or suspectClose
 	PreopenRate               float64         `toml:"ahead_per_second"`      // connections per second to one endpoint by all agents; 0 disables
-	PreopenMaxIdle            int             `toml:"ahead_most"`            // maximum of idle connections per agent and endpoint up to which it preopens
-	PreopenMinIdle            int             `toml:"ahead_keep"`            // minimum of idle connections per agent and endpoint, at any request rate
+	PreopenMaxIdle            int             `toml:"ahead_most"`            // upper bound on idle connections of one agent to one endpoint that it preopens
+	PreopenMinIdle            int             `toml:"ahead_keep"`            // lower bound on them, at any request rate
 	SocketBufferBytes         int             `toml:"socket_buffer_bytes"`   // per direction; 0 uses the kernel's default; takes effect at the next start
 }
 
 // Actions for the older connections of an endpoint after failed exchanges.
 const (
-	suspectTry   = "try"   // use them only for requests that may be repeated
+	suspectTry   = "try"   // try them first, with requests that may be repeated
 	suspectClose = "close" // close them
 )
 
--- a/internal/config/operator/overload.go
+++ b/internal/config/operator/overload.go
@@ -92,7 +92,7 @@
 const prioritySeed = 0x6f7665726c6f6164
 
 // Budget returns the budget of an agent and the priority order by which it sheds requests. maxRetryAfter is the longest Retry-After that
-// clients respect. Both results are nil if the file does not enable overload budgets.
+// clients respect. The budget and the order are nil if the file does not enable overload budgets.
 func (o *Overload) Budget(settings logic.Settings, maxRetryAfter time.Duration, seed uint64) (*budget.Budget, *budget.PriorityOrder, error) {
 	if !o.Enabled {
 		return nil, nil, nil
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -73,7 +73,7 @@
 	t.Parallel()
 	server := testkit.NewDiscovery(t, 3, testkit.EndpointJSON("s-new", "127.0.0.1:1", "Ready", 0))
 	cached := parseList(t, testkit.EndpointListJSON(41, true, testkit.EndpointJSON("s-old", "127.0.0.1:2", "Ready", 0)))
-	for name, ids := range map[string][]string{"responds": {"s-new"}, "is silent at first": {"s-old", "s-new"}} {
+	for name, ids := range map[string][]string{"answers": {"s-new"}, "is silent at first": {"s-old", "s-new"}} {
 		client, sink := newClient(t, server.Addr().String(), 1, noCache, io.Discard)
 		client.cfg.CachedList = cached
 		server.SetSilent(len(ids) > 1)
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -124,7 +124,7 @@
 // listedWeightsKind defines how the weights in the endpoint list relate to capacity.
 type listedWeightsKind string
 
-// The kinds of listed weights that are proportional to capacity, exactly or approximately.
+// The kinds of listed weights that indicate the capacity of endpoints.
 const (
 	weightsNominal listedWeightsKind = "nominal"
 	weightsRough   listedWeightsKind = "rough"
