--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -25,22 +25,23 @@
 	"ryeweir/logic"
 )
 
-// poolMaintenanceInterval is how often the pool closes idle connections that reached a limit and opens those that it should.
+// poolMaintenanceInterval is how often the pool closes idle connections that must not be used again and opens connections in advance.
 const poolMaintenanceInterval = time.Second
 
-// Environment is what an agent uses of its machine. Tests replace parts of it.
+// Environment holds the listeners and the services of the machine that an agent uses. Tests replace parts of it.
 type Environment struct {
-	Clients   net.Listener // where clients connect; closed by Run
-	Inherited bool         // another process may accept on Clients too, as in a handover
-	Control   net.Listener // where operators connect; nil for nowhere
+	Clients   net.Listener // accepts the connections of clients
+	Inherited bool         // another process may accept on the same socket as Clients, as in a handover
+	Control   net.Listener // accepts the connections of operators; nil for none
 
-	Dial      pool.DialFunc    // to endpoints and discovery; nil for the machine's network
-	TimeOfDay func() time.Time // nil for the machine's clock
-	Disk      snapshot.Disk    // nil for the machine's file system
+	Dial      pool.DialFunc    // connects to endpoints and to discovery; nil selects the machine's network
+	TimeOfDay func() time.Time // returns the wall-clock time; nil selects the machine's clock
+	Disk      snapshot.Disk    // stores the snapshot; nil selects the machine's file system
 }
 
-// Run serves until the context ends, then drains, and returns when all that it started has ended. It takes over and closes the
-// listeners. It returns an error if the configuration can't be used or if the client listener fails.
+// Run builds an agent and serves clients until ctx ends. It then drains, and returns when every goroutine that it started has ended.
+// It owns the listeners from the call on and closes them. It returns an error if the configuration can't be used or if the client
+// listener fails.
 func Run(ctx context.Context, cfg platform.Config, operators operator.File, reload ReloadConfig, env Environment, log *slog.Logger) error {
 	defer env.Clients.Close()
 	a, err := newAgent(cfg, operators, env, log)
@@ -55,7 +56,7 @@
 	return a.front.Serve(ctx, env.Clients, env.Inherited)
 }
 
-// agent holds the subsystems of an agent. All fields are set by newAgent and not changed afterwards.
+// agent holds the subsystems of an agent. newAgent sets all fields, and they do not change afterwards.
 type agent struct {
 	config    platform.Config
 	operators operator.File
@@ -78,15 +79,15 @@
 	healthChecker *healthcheck.Checker
 
 	budget     *budget.Budget        // nil unless the operators' file enables it
-	priorities *budget.PriorityOrder // goes with budget
+	priorities *budget.PriorityOrder // nil if budget is nil
 	peers      *peers                // nil unless the operators' file enables them
 	core       *core.Core
 	discovery  *discovery.Client
 	front      *fronthttp.Server
 }
 
-// start starts the goroutines of all subsystems but the front. They end with the background context, except for the one that saves
-// snapshots, which ends with ctx.
+// start starts the goroutines of all subsystems but the front. They run until the background context ends. The one that saves
+// snapshots runs until ctx ends.
 func (a *agent) start(ctx, background context.Context, running *sync.WaitGroup, reload ReloadConfig) {
 	if a.budget != nil {
 		running.Go(func() { a.watchSelfLoad(background) })
@@ -108,20 +109,20 @@
 	running.Go(func() { a.newReloader(reload).run(background) })
 }
 
-// serveControl serves the operators' address. The agent goes on without it if it fails.
+// serveControl serves HTTP requests on the operators' address until ctx ends. If that fails, the agent continues without it.
 func (a *agent) serveControl(ctx context.Context) {
 	if err := control.Serve(ctx, a.env.Control, a.front, a.metrics, a.log); err != nil {
 		a.log.Error("control listener failed", "error", err)
 	}
 }
 
-// maintainPool maintains the pool until the context ends, and then closes it.
+// maintainPool maintains the pool until ctx ends, and then closes it.
 func (a *agent) maintainPool(ctx context.Context) {
 	callEvery(ctx, poolMaintenanceInterval, a.pool.Maintain)
 	a.pool.Close()
 }
 
-// callEvery calls f at intervals until the context ends.
+// callEvery calls f once per interval until ctx ends.
 func callEvery(ctx context.Context, interval time.Duration, f func()) {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
--- a/internal/agent/build.go
+++ b/internal/agent/build.go
@@ -22,10 +22,11 @@
 	"ryeweir/logic"
 )
 
-// bodyMemoryFraction is the fraction of the agent's memory that the bodies of requests and answers may fill together.
+// bodyMemoryFraction is the fraction of the agent's memory that buffers for the bodies of requests and responses may fill together.
 const bodyMemoryFraction = 0.2
 
-// newAgent builds all subsystems and starts none, except that peers begin to listen. See the package comment for the order.
+// newAgent builds all subsystems in the order that the package comment gives. It starts none of them, except that peers begin to
+// listen.
 func newAgent(cfg platform.Config, operators operator.File, env Environment, log *slog.Logger) (*agent, error) {
 	if env.TimeOfDay == nil {
 		env.TimeOfDay = time.Now
@@ -60,7 +61,7 @@
 	return a, nil
 }
 
-// buildBalancer makes the decision module, with what the process before this one learned.
+// buildBalancer builds the decision module and restores into it what the previous process learned.
 func (a *agent) buildBalancer() error {
 	settings := a.config.Site.Logic
 	a.operators.HealthChecks.Apply(&settings)
@@ -78,7 +79,7 @@
 	return nil
 }
 
-// buildUpstream makes the connection pool and what sends on its connections.
+// buildUpstream builds the connection pool, the upstream, which sends attempts on its connections, and the health checker.
 func (a *agent) buildUpstream() error {
 	var err error
 	a.pool, err = pool.New(pool.Config{
@@ -114,14 +115,14 @@
 	return nil
 }
 
-// buildBudget makes this agent's part of the fleet's budgets, if they are enabled.
+// buildBudget builds this agent's part of the fleet's budget, if the operators' file enables it.
 func (a *agent) buildBudget() error {
 	var err error
 	a.budget, a.priorities, err = a.operators.Overload.Budget(a.config.Site.Logic, a.config.Site.MaxRetryAfter, a.config.Seed)
 	return err
 }
 
-// buildPeers makes the exchange with other agents, if it is enabled. It begins to listen for them.
+// buildPeers builds the exchange with other agents, if the operators' file enables it, and begins to listen for them.
 func (a *agent) buildPeers() error {
 	if !a.operators.Peers.Enabled {
 		return nil
@@ -131,7 +132,7 @@
 	return err
 }
 
-// buildCore makes the core, which owns the decision module from then on.
+// buildCore builds the core, which owns the decision module from then on.
 func (a *agent) buildCore() error {
 	cfg := core.Config{
 		Balancer:         a.balancer,
@@ -140,7 +141,7 @@
 		Log:              a.log,
 		UploadTimeout:    httpmsg.MaxUploadDuration,
 		HealthChecker:    a.healthChecker,
-		Subscribe:        func() { a.discovery.Subscribe() }, // built later, and before the core runs
+		Subscribe:        func() { a.discovery.Subscribe() }, // buildDiscovery sets a.discovery before the core runs
 		OnEndpointCounts: a.metrics.SetEndpointCounts,
 		Budget:           a.budget,
 		PriorityOrder:    a.priorities,
@@ -157,7 +158,8 @@
 	return nil
 }
 
-// buildDiscovery makes the source of endpoint lists. With peers, the lists pass through them to the core.
+// buildDiscovery builds the discovery client. It delivers endpoint lists to the core, or, if peers are enabled, to peers, which pass
+// them on to the core.
 func (a *agent) buildDiscovery() error {
 	var sink discovery.Sink = a.core
 	if a.peers != nil {
@@ -179,7 +181,7 @@
 	return nil
 }
 
-// buildFront makes the server for clients.
+// buildFront builds the HTTP server for clients.
 func (a *agent) buildFront() error {
 	a.front = fronthttp.New(fronthttp.Config{
 		Site:              a.config.Site,
@@ -198,7 +200,8 @@
 	return nil
 }
 
-// registerMetrics adds the figures of the subsystems to those of the front. The names are part of the operators' interface.
+// registerMetrics adds the metrics of the subsystems to those of the front. The section names are part of the operators' interface
+// and must not change.
 func (a *agent) registerMetrics() {
 	a.metrics.Register("events", func() any { return a.events })
 	a.metrics.Register("invariants", func() any { return a.monitor })
@@ -213,7 +216,7 @@
 	}
 }
 
-// poolSettings returns the settings of the pool: the operators' where they set them, then those that follow from the platform's
+// poolSettings returns the settings of the pool. Values in the operators' file override those that follow from the platform's
 // settings and from the limits of the process.
 func (a *agent) poolSettings(operators operator.File) pool.Settings {
 	settings := pool.DefaultSettings(a.connections.toEndpoints)
@@ -225,8 +228,8 @@
 	return operators.Connections.Settings(settings)
 }
 
-// logFirstMalformedReport returns a function that logs the first malformed load report and ignores further ones: an endpoint
-// that sends one sends one with each answer.
+// logFirstMalformedReport returns a function that logs the first malformed load report and ignores later ones, because an endpoint
+// that sends one sends one with each response.
 func logFirstMalformedReport(log *slog.Logger) func(error) {
 	var first sync.Once
 	return func(err error) {
@@ -243,10 +246,11 @@
 	return names
 }
 
-// memoryLimit returns the memory that the platform gives an agent, in bytes.
+// memoryLimit returns the limit that the platform sets on the agent's memory, in bytes.
 func memoryLimit(cfg platform.Config) int64 { return int64(cfg.MemoryMB) << 20 }
 
-// bodyMemory returns how many bytes of bodies an agent may hold. During a handover two processes share the memory.
+// bodyMemory returns the limit on the agent's body buffers, in bytes. It is halved in a handover, in which two processes share the
+// memory.
 func bodyMemory(cfg platform.Config, env Environment) int64 {
 	memory := bodyMemoryFraction * float64(memoryLimit(cfg))
 	if env.Inherited {
--- a/internal/agent/doc.go
+++ b/internal/agent/doc.go
@@ -1,27 +1,28 @@
-// Package agent assembles an agent: the core with its decision module, a front for clients, an upstream with its connection
-// pool, discovery, and optionally peers and the operators' address.
+// Package agent assembles an agent from its subsystems: the core with its decision module, a front that serves clients, an upstream
+// with its connection pool, a discovery client, and optionally the exchange with peers and the operators' address.
 //
 // # Start
 //
-// [Run] builds every subsystem before it starts any (newAgent), so that a configuration that can't be used ends it before a
-// client is accepted. The subsystems are built in the order in which they depend on each other:
+// [Run] builds every subsystem (newAgent) before it starts any, so that a configuration that can't be used is reported before a
+// client is accepted. A subsystem is built after those that it depends on:
 //
-//  1. decision module, with the knowledge that the process before this one saved
-//  2. connection pool, upstream and health checker
-//  3. budget of the fleet, peers, core
-//  4. discovery, which feeds endpoint lists to the core, or to peers, which pass them on
-//  5. front
+//  1. the decision module, with the knowledge that the previous process saved
+//  2. the connection pool, the upstream and the health checker
+//  3. the fleet's budget, peers and the core
+//  4. discovery, which delivers endpoint lists to the core, or to peers, which pass them on to the core
+//  5. the front
 //
-// Then the goroutines of all but the front are started (start), and the front serves until the agent has drained.
+// Run then starts the goroutines of all subsystems but the front (start). The front serves on the goroutine of Run until the agent
+// has drained.
 //
 // # Stop
 //
-// Two contexts order the end of a process:
+// An agent stops in three steps, which two contexts control:
 //
-//  1. The context of Run ends (SIGTERM). The front drains: it reports that it is not ready, goes on accepting for
-//     platform.Config.AcceptFor, closes the client listener, and answers what is pending. The snapshot is saved once more, at
-//     the signal: what is learned during the drain is not kept.
-//  2. When the front returns, the background context ends. It is not derived from the cancellation of the first, because
-//     pending calls still need the core, the pool and discovery while the front drains.
+//  1. The context of Run ends, on SIGTERM. The front drains: it reports that the agent is not ready, accepts new connections for
+//     platform.Config.AcceptFor, closes the client listener, and answers the pending requests. The snapshot is saved for the last
+//     time when the context ends, so what is learned during the drain is not saved.
+//  2. When the front has returned, the background context is cancelled. The end of the first context does not cancel it, because
+//     pending calls need the core, the pool and discovery while the front drains.
 //  3. Run waits for all goroutines. The core waits for its attempts; the pool closes its connections last.
 package agent
--- a/internal/agent/knowledge.go
+++ b/internal/agent/knowledge.go
@@ -10,8 +10,8 @@
 	"ryeweir/internal/snapshot"
 )
 
-// snapshotFile returns the file in which the agent saves what it has learned, and whether it does. Without a directory in the
-// operators' file it is in the one for temporary files, which the platform gives to both processes of a handover.
+// snapshotFile returns the file in which the agent saves what it has learned, and whether saving is enabled. If the operators' file
+// names no directory, the file is in TMPDIR, which the platform gives to both processes of a handover.
 func snapshotFile(cfg platform.Config, settings operator.Snapshot) (file snapshot.File, enabled bool) {
 	dir := settings.Dir
 	if dir == "" {
@@ -21,8 +21,8 @@
 	return snapshot.FileIn(dir, cfg.Name, classNames(cfg)), enabled
 }
 
-// restoreKnowledge starts the decision module from the snapshot, if there is one that is valid. The agent starts without it
-// otherwise: a snapshot saves relearning and is never required.
+// restoreKnowledge restores the decision module from the snapshot, if there is a valid one. Otherwise the agent starts with
+// nothing learned: a snapshot saves it from learning again and is never required.
 func (a *agent) restoreKnowledge() {
 	knowledge, age, err := a.snapshots.Load(a.env.TimeOfDay(), a.operators.Snapshot.MaxAge.D())
 	switch {
--- a/internal/agent/peers.go
+++ b/internal/agent/peers.go
@@ -17,52 +17,54 @@
 )
 
 const (
-	// gossipInterval is how often new suspicions are sent to peers and the overlay of drains is brought up to date.
+	// gossipInterval is how often new suspicions are sent to peers and the overlay of drains is updated.
 	gossipInterval = 50 * time.Millisecond
-	// maxTrackedEndpoints limits the endpoints whose failures are counted.
+	// maxTrackedEndpoints limits the number of endpoints whose failed attempts are counted.
 	maxTrackedEndpoints = 1024
-	// maxPeerStates limits the peers whose budget state is stored.
+	// maxPeerStates limits the number of peers whose budget state is stored.
 	maxPeerStates = 1024
 	// drainConfirmation is how long a drain that peers report overrides this agent's own endpoint list. If the list has not
-	// confirmed it by then, the list is right.
+	// confirmed the drain by then, the list applies again.
 	drainConfirmation = 10 * time.Second
 )
 
-// peers exchanges facts and budget states with the other agents of a fleet. It stands between discovery and the core, so that a
-// drain that peers report earlier than this agent's own endpoint list takes effect at once.
+// peers exchanges facts and budget states with the other agents of a fleet. It receives the endpoint lists of discovery in place of
+// the core and passes them on, so that a drain that peers report before this agent's own list does takes effect at once.
 //
-//   - Endpoint lists (peers_endpoints.go) pass through it to the core. What they say of drains and removals is sent to peers.
-//   - Facts (peers_facts.go) from peers are merged into a replica.
-//   - Failures of attempts (peers_failures.go) are reported to peers as suspicions, and theirs to the decision module.
-//   - Budget states (peers_budget.go) are exchanged with those of peers.
+//   - peers_endpoints.go passes endpoint lists to the core, and sends peers notices of the drains and removals in them.
+//   - peers_facts.go merges the facts that peers send into a replica.
+//   - peers_failures.go sends peers suspicions of endpoints at which attempts fail, and reports the suspicions of peers to the
+//     decision module.
+//   - peers_budget.go exchanges budget states with peers.
 //
 // It implements discovery.Sink and membership.Handler.
 type peers struct {
 	name         string // of this agent
 	settings     operator.Peers
-	core         *core.Core // set before run
+	core         *core.Core // set by buildCore, before run is called
 	clock        core.Clock
 	member       *membership.Member
-	factsChanged chan struct{} // buffered; holds one signal for run
+	factsChanged chan struct{} // wakes run; buffered, holds one signal
 
-	// updates makes the core receive endpoint lists in the order in which they were computed. It is taken before mu.
+	// updates is held while an endpoint list is computed and passed to the core, so that the core receives the lists in the order in
+	// which they were computed. It is locked before mu.
 	updates sync.Mutex
 
-	mu               sync.Mutex // guards what follows
+	mu               sync.Mutex // guards the fields up to noticeDelay
 	replica          *fleetstate.Replica
 	failures         *fleetstate.FailureReporter
 	overlay          *fleetstate.DrainOverlay
-	endpoints        map[string]listedEndpoint // by id, as this agent's own list has them
+	endpoints        map[string]listedEndpoint // by ID, as in this agent's own list
 	budgetStates     map[string]receivedBudgetState
-	drainedEarly     int64 // drains that took effect before the own list reported them
-	forgedSuspicions int64 // suspicions that came under this agent's name and were corrected
+	drainedEarly     int64 // drains that took effect before this agent's own list reported them
+	forgedSuspicions int64 // suspicions that were received under this agent's name, and corrected
 	noticeDelay      delayStats
 
-	// reportedUnhealthy has the endpoints that were last reported to the core as unhealthy. It is owned by run.
+	// reportedUnhealthy holds the IDs of the endpoints that were last reported to the core as unhealthy. Only run uses it.
 	reportedUnhealthy map[string]bool
 }
 
-// newPeers begins to listen for peers. Nothing is sent until run.
+// newPeers begins to listen for peers. Nothing is sent before run is called.
 func newPeers(name string, settings operator.Peers, clock core.Clock, log *slog.Logger) (*peers, error) {
 	p := &peers{
 		name:              name,
@@ -89,7 +91,7 @@
 	if settings.KeyFile != "" {
 		key, err := os.ReadFile(settings.KeyFile)
 		if err != nil {
-			return nil, fmt.Errorf("peers: the key: %w", err)
+			return nil, fmt.Errorf("peers: read the encryption key: %w", err)
 		}
 		cfg.EncryptionKey = key
 	}
@@ -101,7 +103,7 @@
 	return p, nil
 }
 
-// run exchanges facts and budget states until the context ends.
+// run exchanges facts and budget states with peers until ctx ends.
 func (p *peers) run(ctx context.Context) {
 	var member sync.WaitGroup
 	defer member.Wait()
@@ -125,25 +127,26 @@
 	}
 }
 
-// incarnation identifies a listed endpoint in the same way for all agents, whose clocks differ.
+// incarnation returns the identity under which all agents know the process of a listed endpoint. It uses the start time in Unix time,
+// because the core's clock differs between agents.
 func incarnation(endpoint core.Endpoint) fleetstate.Incarnation {
 	return fleetstate.Incarnation{Server: endpoint.ID, Started: endpoint.StartedUnixMilli}
 }
 
-// peerStats are the figures of peers. Their JSON keys are part of the operators' interface.
+// peerStats holds the metrics of peers. Its JSON keys are part of the operators' interface.
 type peerStats struct {
 	membership.Stats
 	Facts            fleetstate.Stats `json:"facts"`
-	Digest           string           `json:"digest"`          // of the notices in the replica: equal in agents that agree
-	DrainedEarly     int64            `json:"held_back"`       // drains that took effect before the own list reported them
-	WithheldScans    int64            `json:"doubts_withheld"` // scans that found most endpoints failing: then the agent suspects itself
-	ForgedSuspicions int64            `json:"forged"`          // suspicions that came under this agent's name and were corrected
+	Digest           string           `json:"digest"`          // hash of the confirmed notices in the replica; equal in agents that agree
+	DrainedEarly     int64            `json:"held_back"`       // drains that took effect before this agent's own list reported them
+	WithheldScans    int64            `json:"doubts_withheld"` // scans in which most endpoints failed, so that the agent suspected itself
+	ForgedSuspicions int64            `json:"forged"`          // suspicions that were received under this agent's name, and corrected
 	BudgetStates     int              `json:"parts"`           // peers whose budget state is known
 	Names            []string         `json:"names"`           // of the peers
-	NoticeDelay      delayStats       `json:"notices"`         // from a drain's or removal's first notification to its arrival here
+	NoticeDelay      delayStats       `json:"notices"`         // from the first notification of any agent to this agent's knowledge
 }
 
-// stats returns the figures for operators.
+// stats returns the metrics of peers.
 func (p *peers) stats() peerStats {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -160,7 +163,8 @@
 	}
 }
 
-// delayStats sums up delays, which are measured between the clocks of two agents.
+// delayStats sums up delays. A delay starts on the clock of one agent and ends on that of another, so it includes the difference
+// between the two clocks.
 type delayStats struct {
 	Count int64         `json:"count"`
 	Sum   time.Duration `json:"sum_ns"`
--- a/internal/agent/peers_budget.go
+++ b/internal/agent/peers_budget.go
@@ -8,22 +8,22 @@
 
 // receivedBudgetState is the latest budget state from a peer.
 type receivedBudgetState struct {
-	number     uint64 // the peer's own count of the states that it sent
+	sequence   uint64 // number that the peer gave the state; a later state has a higher one
 	state      budget.PeerState
 	receivedAt time.Time
 }
 
-// UpdatePeerState takes in a peer's budget state. One that arrives after a later one is ignored.
-func (p *peers) UpdatePeerState(from string, number uint64, state budget.PeerState) {
+// UpdatePeerState stores a budget state that a peer has sent. A state that arrives after a later one is ignored. The member calls it.
+func (p *peers) UpdatePeerState(from string, sequence uint64, state budget.PeerState) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	latest, known := p.budgetStates[from]
-	if number > latest.number && (known || len(p.budgetStates) < maxPeerStates) {
-		p.budgetStates[from] = receivedBudgetState{number, state, time.Now()}
+	if sequence > latest.sequence && (known || len(p.budgetStates) < maxPeerStates) {
+		p.budgetStates[from] = receivedBudgetState{sequence, state, time.Now()}
 	}
 }
 
-// exchangeBudgetStates hands the states of peers to the budget and sends peers this agent's own.
+// exchangeBudgetStates passes the states of peers to the budget and sends this agent's own state to peers.
 func (p *peers) exchangeBudgetStates() {
 	if !p.settings.ShareBudget {
 		return
@@ -35,8 +35,8 @@
 	}
 }
 
-// freshBudgetStates forgets states that are too old and returns those of the peers that are present. A peer that has left no
-// longer counts, however recent its state is.
+// freshBudgetStates deletes states that are older than budget.PeerStateTTL and returns those of the peers that are present. The state
+// of a peer that has left is not returned, however recent it is.
 func (p *peers) freshBudgetStates(present []string) (states []budget.PeerState) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/agent/peers_endpoints.go
+++ b/internal/agent/peers_endpoints.go
@@ -8,35 +8,35 @@
 	"ryeweir/logic"
 )
 
-// listedEndpoint is an endpoint as this agent's own list has it.
+// listedEndpoint is an endpoint as in this agent's own list.
 type listedEndpoint struct {
 	core.Endpoint
 	since time.Duration // when this incarnation was first listed, on the core's clock
 }
 
-// UpdateEndpoints takes in this agent's own endpoint list or a change of it. The core receives it with the drains that peers
-// report, and peers receive what it says of drains and removals.
+// UpdateEndpoints applies an endpoint list of this agent's own discovery, or a change of it. It passes the list on to the core with
+// the drains that peers report, and sends peers notices of the drains and removals in the list. The discovery client calls it.
 func (p *peers) UpdateEndpoints(list core.EndpointList) {
 	p.updates.Lock()
 	defer p.updates.Unlock()
 	p.mu.Lock()
 	notices := p.recordList(list)
 	changed := p.updateOverlay()
-	shown := core.EndpointList{Full: list.Full}
+	overlaid := core.EndpointList{Full: list.Full}
 	for _, endpoint := range list.Endpoints {
-		shown.Endpoints = append(shown.Endpoints, p.withOverlay(endpoint))
+		overlaid.Endpoints = append(overlaid.Endpoints, p.withOverlay(endpoint))
 		delete(changed, endpoint.ID)
 	}
 	p.mu.Unlock()
 	p.member.Broadcast(notices)
-	p.core.UpdateEndpoints(shown)
+	p.core.UpdateEndpoints(overlaid)
 	p.sendChanged(changed)
 }
 
-// DiscoveryUnavailable passes on that this agent's own endpoint list can't be had.
+// DiscoveryUnavailable tells the core that discovery can't deliver this agent's own endpoint list.
 func (p *peers) DiscoveryUnavailable() { p.core.DiscoveryUnavailable() }
 
-// recordList applies a list to p.endpoints and returns the notices of drains and removals that follow from it. p.mu is held.
+// recordList applies a list to p.endpoints and returns new notices of the drains and removals in it. The caller holds p.mu.
 func (p *peers) recordList(list core.EndpointList) (notices []fleetstate.Fact) {
 	now := p.clock.Now()
 	listed := map[string]bool{}
@@ -49,14 +49,14 @@
 	}
 	for id, previous := range p.endpoints {
 		if !listed[id] {
-			notices = append(notices, p.notice(previous.Endpoint, fleetstate.Removed)...)
+			notices = append(notices, p.putNotice(previous.Endpoint, fleetstate.Removed)...)
 			delete(p.endpoints, id)
 		}
 	}
 	return notices
 }
 
-// recordEndpoint applies one entry of a list and returns the notices that follow from it. p.mu is held.
+// recordEndpoint applies one entry of a list to p.endpoints and returns new notices of a drain or removal. The caller holds p.mu.
 func (p *peers) recordEndpoint(endpoint core.Endpoint, now time.Duration) (notices []fleetstate.Fact) {
 	previous, known := p.endpoints[endpoint.ID]
 	entry := listedEndpoint{endpoint, now}
@@ -64,25 +64,26 @@
 	case known && incarnation(previous.Endpoint) == incarnation(endpoint):
 		entry.since = previous.since
 	case known && endpoint.StartedAt > previous.StartedAt:
-		// A peer that does not know of the restart takes the new process, which is in slow start, for the one before.
-		notices = p.notice(previous.Endpoint, fleetstate.Removed)
+		// The endpoint has restarted. A peer that does not know of it would take the new process, which is in slow start, for the
+		// previous one.
+		notices = p.putNotice(previous.Endpoint, fleetstate.Removed)
 	}
 	switch endpoint.State {
 	case logic.Removed:
 		if known {
-			notices = append(notices, p.notice(previous.Endpoint, fleetstate.Removed)...)
+			notices = append(notices, p.putNotice(previous.Endpoint, fleetstate.Removed)...)
 		}
 		delete(p.endpoints, endpoint.ID)
 		return notices
 	case logic.Draining:
-		notices = append(notices, p.notice(endpoint, fleetstate.Draining)...)
+		notices = append(notices, p.putNotice(endpoint, fleetstate.Draining)...)
 	}
 	p.endpoints[endpoint.ID] = entry
 	return notices
 }
 
-// notice adds to the replica that an endpoint is draining or removed, and returns the fact if it is new. p.mu is held.
-func (p *peers) notice(endpoint core.Endpoint, state int64) []fleetstate.Fact {
+// putNotice adds to the replica a notice that an endpoint is draining or removed, and returns it if it is new. The caller holds p.mu.
+func (p *peers) putNotice(endpoint core.Endpoint, state int64) []fleetstate.Fact {
 	if !p.settings.ShareFacts {
 		return nil
 	}
@@ -93,7 +94,8 @@
 	return nil
 }
 
-// withOverlay returns an endpoint of the own list as the core is to see it. p.mu is held.
+// withOverlay returns an endpoint of this agent's own list as the core receives it: if it is ready by the list and draining by the
+// report of peers, it is draining. The caller holds p.mu.
 func (p *peers) withOverlay(endpoint core.Endpoint) core.Endpoint {
 	if endpoint.State == logic.Ready && p.overlay.Drained(incarnation(endpoint)) {
 		endpoint.State = logic.Draining
@@ -101,8 +103,8 @@
 	return endpoint
 }
 
-// updateOverlay recomputes which endpoints are drained by the report of peers, and returns those of which that has changed. p.mu
-// is held.
+// updateOverlay recomputes which endpoints are draining by the report of peers, and returns those for which that has changed, with the
+// state that they have in this agent's own list. The caller holds p.mu.
 func (p *peers) updateOverlay() map[string]core.Endpoint {
 	ready, before := map[fleetstate.Incarnation]bool{}, map[string]bool{}
 	for id, endpoint := range p.endpoints {
@@ -130,7 +132,7 @@
 	return changed
 }
 
-// refreshOverlay applies to the core what has changed in the report of peers.
+// refreshOverlay updates the overlay of drains and sends the core the endpoints for which it has changed.
 func (p *peers) refreshOverlay() {
 	p.updates.Lock()
 	defer p.updates.Unlock()
@@ -140,7 +142,7 @@
 	p.sendChanged(changed)
 }
 
-// sendChanged sends the core a change of the endpoints whose overlay has changed. p.updates is held.
+// sendChanged sends the core these endpoints with the overlay of drains applied. The caller holds p.updates.
 func (p *peers) sendChanged(changed map[string]core.Endpoint) {
 	if len(changed) == 0 {
 		return
--- a/internal/agent/peers_facts.go
+++ b/internal/agent/peers_facts.go
@@ -6,7 +6,7 @@
 	"ryeweir/internal/fleetstate"
 )
 
-// MergeFacts takes in facts from a peer and returns those that were new, which are passed on to other peers.
+// MergeFacts merges the facts that a peer has sent and returns the new ones, which the member passes on to other peers.
 func (p *peers) MergeFacts(facts []fleetstate.Fact) (fresh []fleetstate.Fact) {
 	if !p.settings.ShareFacts {
 		return nil
@@ -29,7 +29,8 @@
 	return fresh
 }
 
-// mergeFact merges one fact and returns it if it was new. If it made a drain or removal known, its delay is counted. p.mu is held.
+// mergeFact merges one fact and returns it if it is new. If the fact makes a drain or removal known, its delay is added to
+// p.noticeDelay. The caller holds p.mu.
 func (p *peers) mergeFact(now time.Time, fact fleetstate.Fact) []fleetstate.Fact {
 	subject := fleetstate.Incarnation{Server: fact.Server, Started: fact.Started}
 	before := p.replica.NoticeState(subject)
@@ -40,9 +41,9 @@
 	return merged
 }
 
-// correctForgery replaces a suspicion that came under this agent's own name by what this agent last reported. Only this agent
-// reports its suspicions: one that comes back is from another that uses its name, or from an earlier process of its own, and
-// would count against the endpoint until it expires. p.mu is held.
+// correctForgery replaces a suspicion that was received under this agent's own name with what this agent last reported, and returns
+// the correction. Such a suspicion is from another agent that uses this agent's name, or from an earlier process of this agent, as
+// only this agent reports its suspicions. Uncorrected, it would count against the endpoint until it expires. The caller holds p.mu.
 func (p *peers) correctForgery(now time.Time, fact fleetstate.Fact) []fleetstate.Fact {
 	if fact.Kind != fleetstate.Suspicion || fact.Origin != p.name {
 		return nil
@@ -55,7 +56,7 @@
 	return nil
 }
 
-// signalFactsChanged wakes run, unless a signal waits for it already.
+// signalFactsChanged wakes run. It does nothing if a signal is already pending.
 func (p *peers) signalFactsChanged() {
 	select {
 	case p.factsChanged <- struct{}{}:
@@ -63,7 +64,7 @@
 	}
 }
 
-// Facts returns all facts of the replica, for a peer that joins or repairs its own.
+// Facts returns all facts of the replica that have not expired, for a peer that joins or repairs its replica.
 func (p *peers) Facts() []fleetstate.Fact {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/agent/peers_failures.go
+++ b/internal/agent/peers_failures.go
@@ -6,17 +6,17 @@
 	"ryeweir/internal/fleetstate"
 )
 
-// recordOutcome counts whether an endpoint was healthy in an attempt, for suspicions. The core calls it.
+// recordOutcome records whether an endpoint was healthy in an attempt. Suspicions follow from these counts. The core calls it.
 func (p *peers) recordOutcome(endpointID string, sentAt time.Duration, healthy bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	endpoint, listed := p.endpoints[endpointID]
-	if listed && sentAt >= endpoint.since { // an earlier attempt went to the incarnation before
+	if listed && sentAt >= endpoint.since { // an attempt sent before that went to the previous incarnation
 		p.failures.AttemptEnded(incarnation(endpoint.Endpoint), healthy)
 	}
 }
 
-// broadcastSuspicions sends peers which endpoints fail this agent's attempts, and which no longer do.
+// broadcastSuspicions tells peers at which endpoints this agent's attempts fail, and at which they no longer do.
 func (p *peers) broadcastSuspicions() {
 	if !p.settings.ShareFacts {
 		return
@@ -35,8 +35,8 @@
 	p.member.Broadcast(suspicions)
 }
 
-// reportSuspected reports to the decision module which endpoints peers suspect, and which they no longer do. A suspicion is
-// reported again each time, as the module expects.
+// reportSuspected reports to the decision module which endpoints peers suspect, and which they no longer suspect. It reports a
+// suspicion again at each call for as long as it holds, as the module expects.
 func (p *peers) reportSuspected() {
 	suspected := p.suspectedByPeers()
 	for id := range p.reportedUnhealthy {
@@ -50,8 +50,8 @@
 	p.reportedUnhealthy = suspected
 }
 
-// suspectedByPeers returns the listed endpoints that peers suspect. This agent's own suspicions do not count: the module knows
-// of its own failures.
+// suspectedByPeers returns the IDs of the listed endpoints that peers suspect. This agent's own suspicions do not count, because the
+// decision module already knows of its failed attempts.
 func (p *peers) suspectedByPeers() map[string]bool {
 	present := map[string]bool{}
 	for _, name := range p.member.Peers() {
--- a/internal/agent/reload.go
+++ b/internal/agent/reload.go
@@ -12,20 +12,20 @@
 	"ryeweir/internal/wire"
 )
 
-// ReloadConfig says when the configuration is read again, and how.
+// ReloadConfig configures when and how the configuration files are reloaded.
 type ReloadConfig struct {
-	Signals      <-chan os.Signal                // each one reads the configuration again; nil for never
-	LoadPlatform func() (platform.Config, error) // required with Signals
-	LoadOperator func() (operator.File, error)   // nil without an operators' file
+	Signals      <-chan os.Signal                // each signal triggers a reload; nil for no reloads
+	LoadPlatform func() (platform.Config, error) // required if Signals is set
+	LoadOperator func() (operator.File, error)   // nil if there is no operators' file
 }
 
-// reloader applies configuration that is read again to a running agent.
+// reloader reloads the configuration files and applies them to a running agent.
 type reloader struct {
 	config    ReloadConfig
-	site      wire.Site     // at the start; stays in effect
-	operators operator.File // in effect
+	site      wire.Site     // as read at the start; stays in effect until the next start
+	operators operator.File // the values in effect
 	discovery *discovery.Client
-	apply     func(operator.File) error // applies what can change without a restart
+	apply     func(operator.File) error // applies the keys that can change without a restart
 	log       *slog.Logger
 }
 
@@ -41,13 +41,13 @@
 	}
 }
 
-// reconfigure applies what can change in an operators' file without a restart.
+// reconfigure applies the keys of an operators' file that can change without a restart.
 func (a *agent) reconfigure(operators operator.File) error {
 	a.healthChecker.Configure(operators.HealthChecks.Settings())
 	return a.pool.Configure(a.poolSettings(operators))
 }
 
-// run reads the configuration again at each signal, until the context ends.
+// run reloads the configuration files at each signal, until ctx ends.
 func (r *reloader) run(ctx context.Context) {
 	for {
 		select {
@@ -59,8 +59,8 @@
 	}
 }
 
-// reload reads the platform's file and then the operators' file. A file that can't be used changes nothing: the agent goes on
-// with what it has. If the platform's file can't be used, the operators' file is not read.
+// reload reads the platform's file and then the operators' file. A file that can't be used changes nothing: the agent continues with
+// the configuration in effect. If the platform's file can't be used, the operators' file is not read.
 func (r *reloader) reload() {
 	fresh, err := r.config.LoadPlatform()
 	if err != nil {
@@ -69,13 +69,13 @@
 	}
 	r.log.Info("configuration reloaded", "discovery", fresh.Discovery)
 	if !reflect.DeepEqual(fresh.Site, r.site) {
-		r.log.Warn("settings changed; they take effect at the next start")
+		r.log.Warn("platform settings changed; they take effect at the next start")
 	}
 	r.discovery.SetAddress(fresh.Discovery)
 	r.reloadOperators()
 }
 
-// reloadOperators reads the operators' file again, if there is one.
+// reloadOperators reloads the operators' file, if there is one.
 func (r *reloader) reloadOperators() {
 	if r.config.LoadOperator == nil {
 		return
@@ -90,15 +90,15 @@
 	}
 	r.log.Info("operators' file reloaded")
 	if keys := r.operators.RestartRequired(fresh); len(keys) > 0 {
-		r.log.Warn("operators' keys changed; they take effect at the next start", "keys", keys)
-		fresh = withoutRestart(fresh, r.operators)
+		r.log.Warn("keys of the operators' file changed; they take effect at the next start", "keys", keys)
+		fresh = keepRestartOnlyKeys(fresh, r.operators)
 	}
 	r.operators = fresh
 }
 
-// withoutRestart returns the fresh file with the values of the one in effect for the keys that take effect at a start only, so
-// that the next reload compares with what is in effect.
-func withoutRestart(fresh, inEffect operator.File) operator.File {
+// keepRestartOnlyKeys returns the fresh file with the values in effect for the keys that are only applied at a start. The next reload
+// then compares with the values in effect.
+func keepRestartOnlyKeys(fresh, inEffect operator.File) operator.File {
 	fresh.Connections.MaxConnections = inEffect.Connections.MaxConnections
 	fresh.Connections.SocketBufferBytes = inEffect.Connections.SocketBufferBytes
 	fresh.HealthChecks.PerRequest = inEffect.HealthChecks.PerRequest
--- a/internal/agent/selfload.go
+++ b/internal/agent/selfload.go
@@ -12,8 +12,9 @@
 // selfLoadInterval is how often an agent measures its own load.
 const selfLoadInterval = 250 * time.Millisecond
 
-// watchSelfLoad reports to the core whether the agent itself is overloaded, until the context ends. The fleet's admission level then
-// falls: what the agent can't carry is rejected at once by priority, not late and at random.
+// watchSelfLoad reports to the core at intervals whether the agent itself is overloaded, until ctx ends. While it is, the fleet's
+// admission level falls, so that the requests that the agent can't process are rejected at once and by priority, and not late and at
+// random.
 func (a *agent) watchSelfLoad(ctx context.Context) {
 	configured := a.operators.Overload.SelfLimits
 	limits := budget.SelfLimits{QueueDelay: configured.QueueDelay.D(), CPU: configured.CPU, Memory: configured.Memory}
@@ -35,31 +36,32 @@
 	})
 }
 
-// cpuMeter measures the processor time that the process uses.
+// cpuMeter measures the CPU utilization of the process.
 type cpuMeter struct {
-	cores  float64 // that the process may use
+	cores  float64 // number of cores that the process may use
 	used   time.Duration
 	readAt time.Time
 }
 
-// newCPUMeter returns a meter for a number of cores; 0 or less, where the platform states none, counts as one.
+// newCPUMeter returns a meter for a process that may use this many cores. A number of 0 or less means that the platform states none,
+// and counts as one core.
 func newCPUMeter(cores float64) *cpuMeter {
 	if cores <= 0 {
 		cores = 1
 	}
-	return &cpuMeter{cores: cores, used: processorTime(), readAt: time.Now()}
+	return &cpuMeter{cores: cores, used: cpuTime(), readAt: time.Now()}
 }
 
-// utilization returns the fraction of the cores that the process used since the last reading.
+// utilization returns the fraction of its cores that the process has used since the last call, or since newCPUMeter.
 func (m *cpuMeter) utilization() float64 {
-	now, used := time.Now(), processorTime()
+	now, used := time.Now(), cpuTime()
 	fraction := (used - m.used).Seconds() / (now.Sub(m.readAt).Seconds() * m.cores)
 	m.used, m.readAt = used, now
 	return fraction
 }
 
-// processorTime returns the processor time that the process has used since its start.
-func processorTime() time.Duration {
+// cpuTime returns the CPU time, user and system, that the process has used since its start.
+func cpuTime() time.Duration {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
 		return 0
@@ -67,7 +69,7 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// memoryInUse returns the memory that the runtime has from the system, in bytes.
+// memoryInUse returns the memory that the Go runtime holds from the operating system, in bytes.
 func memoryInUse() int64 {
 	samples := []metrics.Sample{{Name: "/memory/classes/total:bytes"}, {Name: "/memory/classes/heap/released:bytes"}}
 	metrics.Read(samples)
--- a/internal/testkit/docs_test.go
+++ b/internal/testkit/docs_test.go
@@ -10,9 +10,9 @@
 	"testing"
 )
 
-// A reader who opens an item with go doc and finds nothing has to read its callers. The linter checks the form of the doc comments that
-// are there; this test checks that each package, and each exported item outside test files, has one. Methods that implement an
-// interface of the standard library by a well-known name are exempt.
+// Each package, and each exported item outside test files, has a doc comment: without one, a reader of go doc has to read the callers.
+// The linter only checks the form of existing doc comments. Exempt are methods with the well-known names of interfaces of the standard
+// library.
 func TestEveryExportedItemHasADocComment(t *testing.T) {
 	root := filepath.Join("..", "..")
 	packageDocs := map[string]bool{}
@@ -34,7 +34,7 @@
 	}
 }
 
-// goFiles lists the Go files under a folder that are no tests.
+// goFiles returns the paths of the Go files under a folder, without test files.
 func goFiles(t *testing.T, root string) (paths []string) {
 	t.Helper()
 	err := filepath.WalkDir(root, func(path string, entry fs.DirEntry, err error) error {
@@ -55,7 +55,7 @@
 	return paths
 }
 
-// undocumented names the exported items of a file that have no doc comment.
+// undocumented returns the names of the exported items of a file that have no doc comment.
 func undocumented(file *ast.File) (names []string) {
 	for _, declaration := range file.Decls {
 		switch d := declaration.(type) {
@@ -72,7 +72,7 @@
 	return names
 }
 
-// undocumentedSpec names the exported items of a spec that neither it nor its group documents.
+// undocumentedSpec returns the names of the exported items of a spec that have a doc comment neither there nor on their group.
 func undocumentedSpec(group *ast.GenDecl, spec ast.Spec) (names []string) {
 	switch s := spec.(type) {
 	case *ast.TypeSpec:
@@ -89,7 +89,7 @@
 	return names
 }
 
-// exportedReceiver reports whether a function has no receiver or one of an exported type.
+// exportedReceiver reports whether a function has no receiver or a receiver of an exported type.
 func exportedReceiver(d *ast.FuncDecl) bool {
 	if d.Recv == nil {
 		return true
@@ -105,7 +105,7 @@
 	return !ok || name.IsExported()
 }
 
-// wellKnown reports whether a method is one that sort, heap, errors or fmt call.
+// wellKnown reports whether a method has the name of one that the packages sort, heap, errors or fmt call.
 func wellKnown(d *ast.FuncDecl) bool {
 	if d.Recv == nil {
 		return false
--- a/internal/testkit/keys.go
+++ b/internal/testkit/keys.go
@@ -7,9 +7,9 @@
 	"strings"
 )
 
-// EncodedKeys lists the keys under which encoding with a struct tag (json, toml) reads or writes a type, nested ones behind a dot,
-// sorted. A field without the tag counts under its own name. Slices, maps and pointers are looked through; a type that decodes
-// itself counts as one value.
+// EncodedKeys returns the sorted keys of a value's type in an encoding that is configured by struct tags, such as json or toml. The
+// key of a field of a nested struct is its path, with dots between the names. A field without the tag has its own name as its key.
+// For slices, maps and pointers the keys are those of the element type. A json.RawMessage, or a type of package time, is one value.
 func EncodedKeys(value any, tag string) []string {
 	var keys []string
 	collectKeys(reflect.TypeOf(value), tag, "", &keys)
--- a/internal/testkit/pages_test.go
+++ b/internal/testkit/pages_test.go
@@ -9,15 +9,15 @@
 	"testing"
 )
 
-// pages are the pages whose files and identifiers are held to the code.
+// pages are the documentation pages whose file paths and identifiers must exist in the source.
 var pages = []string{
 	"README.md", "DEVELOPERS.md",
 	"docs/architecture.md", "docs/connections.md", "docs/decisions.md", "docs/emulator.md", "docs/experiments.md", "docs/fleet.md",
 	"docs/glossary.md", "docs/oncall.md", "docs/operating.md", "docs/overload.md", "docs/promises.md", "docs/replication.md", "docs/soak.md",
 }
 
-// A page that names a file, a type or a test which was renamed sends its reader searching. Each path under logic, internal, cmd, deploy and
-// docs that a page has in backticks must exist, and so must each exported name behind a package (`core.Call`) and each test.
+// Documentation must follow renames of files, types and tests. On each page, every path in backticks under logic, internal, cmd, deploy
+// or docs must exist, and so must every exported name in backticks with its package (`core.Call`) and every test that is named.
 func TestPagesNameFilesAndTypesThatExist(t *testing.T) {
 	root := filepath.Join("..", "..")
 	sources := packageSources(t, root)
@@ -31,14 +31,14 @@
 		}
 		for _, test := range regexp.MustCompile(`\bTest[A-Z]\w+`).FindAllString(string(text), -1) {
 			if !tests[test] {
-				t.Errorf("%s names the test %s, which is not there", page, test)
+				t.Errorf("%s names the test %s, which does not exist", page, test)
 			}
 		}
 		for _, match := range regexp.MustCompile("`([^`\n]+)`").FindAllStringSubmatch(string(text), -1) {
 			quoted := match[1]
 			if isPath.MatchString(quoted) {
 				if _, err := os.Stat(filepath.Join(root, quoted)); err != nil {
-					t.Errorf("%s names %s, which is not there", page, quoted)
+					t.Errorf("%s names %s, which does not exist", page, quoted)
 				}
 				continue
 			}
@@ -59,7 +59,7 @@
 	}
 }
 
-// packageSources returns the text of each package of the module without tests, by the package's name.
+// packageSources returns the source text of each package of the module, without test files, by the package's name.
 func packageSources(t *testing.T, root string) map[string]string {
 	t.Helper()
 	sources := map[string]string{}
@@ -70,14 +70,14 @@
 		}
 		declaration := regexp.MustCompile(`(?m)^package (\w+)$`).FindSubmatch(text)
 		if declaration == nil {
-			t.Fatalf("%s has no package", path)
+			t.Fatalf("%s has no package clause", path)
 		}
 		sources[string(declaration[1])] += strings.TrimSpace(string(text)) + "\n"
 	}
 	return sources
 }
 
-// testNames returns the names of all test functions of the module.
+// testNames returns the set of the names of all test functions of the module.
 func testNames(t *testing.T, root string) map[string]bool {
 	t.Helper()
 	names := map[string]bool{"TestMain": true}
--- a/internal/testkit/testkit.go
+++ b/internal/testkit/testkit.go
@@ -1,5 +1,5 @@
-// Package testkit holds what the tests of several packages need: a backend and a discovery that do as a script says, on the
-// loopback interface.
+// Package testkit provides what the tests of several packages share: a scripted backend and a discovery server on the loopback
+// interface, configuration texts, a log buffer, and functions that wait for a condition or list the keys of an encoding.
 package testkit
 
 import (
@@ -15,10 +15,10 @@
 	"time"
 )
 
-// WaitTimeout is how long a test waits for what must come; machines are noisy.
+// WaitTimeout is how long a test waits for a condition before it fails. It is generous because the machines that run tests may be busy.
 const WaitTimeout = 20 * time.Second
 
-// SettingsText is a settings object.
+// SettingsText is the settings object of ConfigText.
 const SettingsText = `{"Balancers":2,"Me":0,"TickNs":5000000,"WeightKind":"silent","Discovery":"automatic",
  "Ceilings":{"ConnIdleNs":15000000000,"ConnectTimeoutNs":5000000000,"MaxRetryAfterNs":1000000000,"MostHeld":1000,"MostTries":5,"ParallelTries":true,"RetryAfter":false},
  "Classes":[{"AimNs":600000000,"DeadlineNs":2000000000,"Effect":"repeatable","Group":"all","Name":"form-check","Worth":2},
@@ -28,16 +28,16 @@
  "Tenants":[{"Name":"glasgow-airport","Portion":0.5},{"Name":"lerwick-port","Portion":0.5}],"OverShareWorth":0.1,
  "Zones":["edinburgh-dc"]}`
 
-// ConfigText is the text of an agent's configuration file.
+// ConfigText returns the text of an agent's configuration file. The argument known is its cached endpoint list in JSON, or null.
 func ConfigText(discovery, known string) []byte {
 	return fmt.Appendf(nil, `{"name":"n0","listen":"127.0.0.1:0","discovery":%q,"seed":"8c1f30d27a5be964",
 		"limits":{"cores":1.0,"memory_mb":192,"sockets":1024},"known":%s,"settings":%s}`, discovery, known, SettingsText)
 }
 
-// NoEnv is an environment with nothing in it.
+// NoEnv is a getenv function for an environment without variables.
 func NoEnv(string) string { return "" }
 
-// Listen opens a port of the loopback that closes with the test.
+// Listen listens on a free port of the loopback interface until the test ends.
 func Listen(t *testing.T) net.Listener {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -48,39 +48,40 @@
 	return l
 }
 
-// RefusingAddr is an address at which nothing listens.
+// RefusingAddr returns an address that refuses connections because nothing listens there.
 func RefusingAddr(t *testing.T) string {
 	l := Listen(t)
 	l.Close()
 	return l.Addr().String()
 }
 
-// Eventually waits until ok holds.
-func Eventually(t *testing.T, what string, ok func() bool) {
+// Eventually waits until ok returns true, and fails the test if it does not within WaitTimeout. The text names the condition.
+func Eventually(t *testing.T, condition string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(WaitTimeout); time.Now().Before(end); time.Sleep(2 * time.Millisecond) {
 		if ok() {
 			return
 		}
 	}
-	t.Fatalf("waited %v in vain: %s", WaitTimeout, what)
+	t.Fatalf("condition not met within %v: %s", WaitTimeout, condition)
 }
 
-// Backend reads requests whole and lets a script answer. The script returns false to close the connection.
+// Backend is an endpoint that reads each request completely and then calls a script, which writes the response. The script receives
+// the connection, the request and the number of requests read so far. It returns false to close the connection.
 type Backend struct {
 	net.Listener
 	mu     sync.Mutex
-	Seen   []*http.Request
-	Bodies []string
+	Seen   []*http.Request // the requests read so far
+	Bodies []string        // their bodies
 	conns  int
 }
 
-// NewBackend starts a backend that ends with the test.
+// NewBackend starts a backend that runs until the test ends.
 func NewBackend(t *testing.T, script func(c net.Conn, r *http.Request, n int) bool) *Backend {
 	b := &Backend{Listener: Listen(t)}
-	var all sync.WaitGroup
-	t.Cleanup(func() { b.Close(); all.Wait() })
-	all.Go(func() {
+	var running sync.WaitGroup
+	t.Cleanup(func() { b.Close(); running.Wait() })
+	running.Go(func() {
 		for {
 			c, err := b.Accept()
 			if err != nil {
@@ -90,7 +91,7 @@
 			b.conns++
 			b.mu.Unlock()
 			t.Cleanup(func() { c.Close() })
-			all.Go(func() { b.serve(c, script) })
+			running.Go(func() { b.serve(c, script) })
 		}
 	})
 	return b
@@ -118,47 +119,47 @@
 	}
 }
 
-// Requests is how many have come.
+// Requests returns the number of requests read so far.
 func (b *Backend) Requests() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return len(b.Seen)
 }
 
-// Connections is how many were opened.
+// Connections returns the number of connections accepted so far.
 func (b *Backend) Connections() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.conns
 }
 
-// RespondWith is a script that always gives the same answer.
-func RespondWith(text string) func(net.Conn, *http.Request, int) bool {
+// RespondWith returns a script that sends the same response to each request.
+func RespondWith(response string) func(net.Conn, *http.Request, int) bool {
 	return func(c net.Conn, _ *http.Request, _ int) bool {
-		_, err := io.WriteString(c, text)
+		_, err := io.WriteString(c, response)
 		return err == nil
 	}
 }
 
-// CloseConnection is a script that closes the connection instead of an answer.
+// CloseConnection is a script that closes the connection without a response.
 func CloseConnection(net.Conn, *http.Request, int) bool { return false }
 
-// NeverRespond is a script that takes a request and never answers.
+// NeverRespond is a script that sends no response and keeps the connection open until the client closes it.
 func NeverRespond(c net.Conn, _ *http.Request, _ int) bool {
 	io.Copy(io.Discard, c)
 	return false
 }
 
-// OKResponse is a whole answer with a load report.
+// OKResponse is a complete 200 response with a load report.
 const OKResponse = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\nX-Server-Load: util=0.5,qps=10,eps=0\r\n\r\nfine"
 
-// EndpointJSON is a list entry in discovery's form.
-func EndpointJSON(id, addr, state string, started int64) string {
+// EndpointJSON returns an entry of discovery's endpoint list. The start time is in Unix milliseconds.
+func EndpointJSON(id, addr, state string, startedUnixMilli int64) string {
 	return fmt.Sprintf(`{"id":%q,"addr":%q,"zone":"edinburgh-dc","kind":"twin-core","cell":1,"state":%q,"weight":1,"started_ms":%d}`,
-		id, addr, state, started)
+		id, addr, state, startedUnixMilli)
 }
 
-// EndpointListJSON is a list in discovery's form.
+// EndpointListJSON returns an endpoint list, or a change of one, as discovery sends it.
 func EndpointListJSON(version int, full bool, entries ...string) string {
 	text := "["
 	for i, e := range entries {
@@ -170,19 +171,20 @@
 	return fmt.Sprintf(`{"version":%d,"full":%v,"servers":%s]}`, version, full, text)
 }
 
-// Discovery answers calls with what the test has set last, and watches when that is newer.
+// Discovery is a discovery server. It serves the list that the test has set last: at once to a request for the full list, and to a
+// watch when the list is newer than the version that the watch names.
 type Discovery struct {
 	net.Listener
 	mu      sync.Mutex
 	version int
-	text    string // for watches
-	whole   string
-	mute    bool // never respond, as in an outage
-	wholes  int  // calls for the whole list
-	watches int
+	current string // what watches receive: a full list or a change
+	full    string // the last full list
+	silent  bool   // requests get no response, as in an outage
+	fulls   int    // number of requests for the full list
+	watches int    // number of watches
 }
 
-// NewDiscovery starts a discovery that ends with the test.
+// NewDiscovery starts a discovery server with this full list, which runs until the test ends.
 func NewDiscovery(t *testing.T, version int, entries ...string) *Discovery {
 	d := &Discovery{Listener: Listen(t)}
 	d.Set(version, true, entries...)
@@ -193,53 +195,53 @@
 	return d
 }
 
-// Set states a list; what is not full is a change, and calls for the whole list go on to get the last full one.
+// Set sets the list. If full is false, it is a change: watches receive it, and requests for the full list still get the last full one.
 func (d *Discovery) Set(version int, full bool, entries ...string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.version, d.text = version, EndpointListJSON(version, full, entries...)
+	d.version, d.current = version, EndpointListJSON(version, full, entries...)
 	if full {
-		d.whole = d.text
+		d.full = d.current
 	}
 }
 
-// SetSilent makes it say nothing, as in an outage, or ends that.
-func (d *Discovery) SetSilent(on bool) {
+// SetSilent starts or ends an outage, in which requests get no response.
+func (d *Discovery) SetSilent(silent bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.mute = on
+	d.silent = silent
 }
 
-// Calls counts those for the whole list and the watches.
-func (d *Discovery) Calls() (wholes, watches int) {
+// Calls returns the number of requests for the full list and the number of watches.
+func (d *Discovery) Calls() (fulls, watches int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.wholes, d.watches
+	return d.fulls, d.watches
 }
 
-// ServeHTTP implements http.Handler.
+// ServeHTTP serves a request for the full list or, if it has the parameter since, a watch.
 func (d *Discovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	since, err := strconv.Atoi(r.URL.Query().Get("since"))
 	d.mu.Lock()
 	if watch := err == nil; watch {
 		d.watches++
 	} else {
-		d.wholes++
+		d.fulls++
 	}
 	d.mu.Unlock()
 	wait, _ := strconv.Atoi(r.URL.Query().Get("timeout_ms"))
 	end := time.Now().Add(time.Duration(wait) * time.Millisecond)
 	for r.Context().Err() == nil {
 		d.mu.Lock()
-		mute, version, text, whole := d.mute, d.version, d.text, d.whole
+		silent, version, current, full := d.silent, d.version, d.current, d.full
 		d.mu.Unlock()
 		switch {
-		case mute:
+		case silent:
 		case err != nil:
-			io.WriteString(w, whole)
+			io.WriteString(w, full)
 			return
 		case version > since:
-			io.WriteString(w, text)
+			io.WriteString(w, current)
 			return
 		case time.Now().After(end):
 			io.WriteString(w, EndpointListJSON(since, false))
@@ -249,7 +251,7 @@
 	}
 }
 
-// LockedBuffer is a log that tests read while it is written.
+// LockedBuffer is a buffer for a log that a test reads while other goroutines write it.
 type LockedBuffer struct {
 	mu  sync.Mutex
 	buf bytes.Buffer
@@ -262,14 +264,14 @@
 	return b.buf.Write(p)
 }
 
-// Count is how often the text is in it.
+// Count returns the number of times that the text occurs in the buffer.
 func (b *LockedBuffer) Count(text string) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return bytes.Count(b.buf.Bytes(), []byte(text))
 }
 
-// String is all that is in it.
+// String returns the content of the buffer.
 func (b *LockedBuffer) String() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
