--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -19,7 +19,7 @@
 	"ryeweir/internal/testkit"
 )
 
-// A request's target and body reach the endpoint byte for byte, and its answer the client.
+// The target and body of a request reach the endpoint unchanged, and the body of its response reaches the client.
 func TestRequestAndAnswerPassUnchanged(t *testing.T) {
 	b := testkit.NewBackend(t, testkit.RespondWith(testkit.OKResponse))
 	a := startAgent(t, testkit.NewDiscovery(t, 1, testkit.EndpointJSON("s-1", b.Addr().String(), "Ready", 0)), 0)
@@ -36,29 +36,29 @@
 	}
 }
 
-// An endpoint accepts a request and never answers. At the deadline the client gets an answer all the same: a rejection with a
-// Retry-After only where sending the request again does no harm, else a failure.
+// An endpoint reads a request and never responds. At the deadline the client must still get an answer: a rejection with Retry-After if
+// the request may safely be sent again, and a failure otherwise.
 func TestSilentEndpointEndsAtDeadline(t *testing.T) {
 	t.Parallel()
 	b := testkit.NewBackend(t, testkit.NeverRespond)
 	a := startAgent(t, testkit.NewDiscovery(t, 1, testkit.EndpointJSON("s-1", b.Addr().String(), "Ready", 0)), 0)
 	for method, want := range map[string]struct {
-		path   string
-		status int
-		after  string
+		path       string
+		status     int
+		retryAfter string
 	}{
 		http.MethodGet:  {"/form-check", http.StatusServiceUnavailable, "0.3"},
 		http.MethodPost: {"/refund-record", http.StatusBadGateway, ""},
 	} {
 		got := send(t, a.newRequest(t, method, want.path, ""))
-		if got.status != want.status || got.header.Get("Retry-After") != want.after {
+		if got.status != want.status || got.header.Get("Retry-After") != want.retryAfter {
 			t.Errorf("%s: %+v", want.path, got)
 		}
 	}
 }
 
-// The only endpoint refuses connections. Nothing can have run, so that the client is rejected at once, although it would wait for
-// long.
+// The only endpoint refuses connections, so the request can't have run. The client is rejected at once, although its timeout is 50
+// minutes.
 func TestNoReachableEndpointRejectsAtOnce(t *testing.T) {
 	a := startAgent(t, testkit.NewDiscovery(t, 1, testkit.EndpointJSON("s-1", testkit.RefusingAddr(t), "Ready", 0)), 0)
 	r := a.newRequest(t, http.MethodPost, "/refund-record", "")
@@ -68,8 +68,8 @@
 	}
 }
 
-// An endpoint reads a request that must not run twice and closes the connection. The request may have run: it goes to no other
-// endpoint, and the answer does not invite the client to send it again.
+// An endpoint reads a non-idempotent request and closes the connection. The request may have run, so it must not be sent to another
+// endpoint, and the answer must not invite the client to send it again.
 func TestNonIdempotentRequestIsSentOnce(t *testing.T) {
 	b := testkit.NewBackend(t, testkit.CloseConnection)
 	addr := b.Addr().String()
@@ -81,7 +81,7 @@
 	}
 }
 
-// An endpoint reads an idempotent request and closes the connection. It is retried, and the client sees nothing of it.
+// An endpoint reads an idempotent request and closes the connection. The request is retried, and the client gets a normal answer.
 func TestIdempotentRequestIsRetried(t *testing.T) {
 	b := testkit.NewBackend(t, func(c net.Conn, r *http.Request, n int) bool {
 		return n > 1 && testkit.RespondWith(testkit.OKResponse)(c, r, n)
@@ -93,8 +93,7 @@
 	}
 }
 
-// An invalid request gets a plain 4xx, which unlike 429 and 503 does not invite the client to send it again, and reaches no
-// endpoint.
+// An invalid request reaches no endpoint. It gets a 4xx answer other than 429, which like 503 would invite the client to send it again.
 func TestInvalidRequestIsAnsweredAndNotForwarded(t *testing.T) {
 	t.Parallel()
 	b := testkit.NewBackend(t, testkit.RespondWith(testkit.OKResponse))
@@ -108,21 +107,21 @@
 		change     func(*http.Request)
 		want       int
 	}{
-		"unknown class":     {"/elsewhere", "", func(*http.Request) {}, http.StatusNotFound},
-		"no class":          {"/", "", func(*http.Request) {}, http.StatusNotFound},
-		"no time-out":       {"/refund-record", "", without("X-Timeout"), http.StatusBadRequest},
-		"time-out, no unit": {"/refund-record", "", with("X-Timeout", "480"), http.StatusBadRequest},
-		"time-out, no sum":  {"/refund-record", "", with("X-Timeout", "m"), http.StatusBadRequest},
-		"time-out below 0":  {"/refund-record", "", with("X-Timeout", "-5m"), http.StatusBadRequest},
-		"time-out NaN":      {"/refund-record", "", with("X-Timeout", "NaNm"), http.StatusBadRequest},
-		"no id":             {"/refund-record", "", without("X-Request-ID"), http.StatusBadRequest},
-		"no key":            {"/refund-record", "", without("Idempotency-Key"), http.StatusBadRequest},
-		"wrong method":      {"/form-check", "", func(*http.Request) {}, http.StatusMethodNotAllowed},
-		"GET with a body":   {"/form-check", "x", func(r *http.Request) { r.Method = http.MethodGet }, http.StatusBadRequest},
-		"time-out twice":    {"/refund-record", "", func(r *http.Request) { r.Header.Add("X-Timeout", "1m") }, http.StatusBadRequest},
-		"two ids":           {"/refund-record", "", func(r *http.Request) { r.Header.Add("X-Request-ID", "2") }, http.StatusBadRequest},
-		"long id":           {"/refund-record", "", with("X-Request-ID", strings.Repeat("x", 129)), http.StatusBadRequest},
-		"unknown tenant":    {"/refund-record", "", with("X-Tenant-Id", "nobody"), http.StatusBadRequest},
+		"unknown class":      {"/elsewhere", "", func(*http.Request) {}, http.StatusNotFound},
+		"no class":           {"/", "", func(*http.Request) {}, http.StatusNotFound},
+		"no time-out":        {"/refund-record", "", without("X-Timeout"), http.StatusBadRequest},
+		"time-out, no unit":  {"/refund-record", "", with("X-Timeout", "480"), http.StatusBadRequest},
+		"time-out, no value": {"/refund-record", "", with("X-Timeout", "m"), http.StatusBadRequest},
+		"time-out below 0":   {"/refund-record", "", with("X-Timeout", "-5m"), http.StatusBadRequest},
+		"time-out NaN":       {"/refund-record", "", with("X-Timeout", "NaNm"), http.StatusBadRequest},
+		"no id":              {"/refund-record", "", without("X-Request-ID"), http.StatusBadRequest},
+		"no key":             {"/refund-record", "", without("Idempotency-Key"), http.StatusBadRequest},
+		"wrong method":       {"/form-check", "", func(*http.Request) {}, http.StatusMethodNotAllowed},
+		"GET with a body":    {"/form-check", "x", func(r *http.Request) { r.Method = http.MethodGet }, http.StatusBadRequest},
+		"time-out twice":     {"/refund-record", "", func(r *http.Request) { r.Header.Add("X-Timeout", "1m") }, http.StatusBadRequest},
+		"two ids":            {"/refund-record", "", func(r *http.Request) { r.Header.Add("X-Request-ID", "2") }, http.StatusBadRequest},
+		"long id":            {"/refund-record", "", with("X-Request-ID", strings.Repeat("x", 129)), http.StatusBadRequest},
+		"unknown tenant":     {"/refund-record", "", with("X-Tenant-Id", "nobody"), http.StatusBadRequest},
 		"long body": {"/refund-record", strings.Repeat("x", httpmsg.MaxBodyBytes+1), func(*http.Request) {},
 			http.StatusRequestEntityTooLarge},
 	} {
@@ -133,41 +132,42 @@
 		}
 	}
 	if n := b.Requests(); n != 0 {
-		t.Errorf("%d were forwarded", n)
+		t.Errorf("%d invalid requests were forwarded", n)
 	}
 	if got := send(t, a.newRequest(t, http.MethodPost, "/refund-record", strings.Repeat("x", httpmsg.MaxBodyBytes))); got.status != http.StatusOK {
 		t.Errorf("the longest body: %+v", got)
 	}
 }
 
-// Connections of both sides together stay under the limit on descriptors, with some in reserve, also while two processes share
-// it. A drain ends between the times that the platform states: 0.4 s and 0.7 s past the longest deadline.
-func TestLimitsStayWithinThePlatforms(t *testing.T) {
+// The connections to endpoints and from clients together stay below the limit on descriptors, with some in reserve, also while two
+// processes share the limit. New connections are accepted for more than 0.4 s after the termination signal, and the drain ends less
+// than 0.7 s after the longest deadline, as the platform states.
+func TestLimitsStayWithinThoseOfThePlatform(t *testing.T) {
 	for _, limit := range []int{256, 1024, 4096} {
 		limits := limitConnections(limit, Environment{})
 		if to, from := limits.toEndpoints, limits.fromClients; to < 1 || from < 1 || to+from > limit-reservedDescriptors {
-			t.Errorf("of %d: %d to backends, %d from clients", limit, to, from)
+			t.Errorf("limit %d: %d connections to endpoints, %d from clients", limit, to, from)
 		} else if third := limit / 3; to < third || float64(from)*fronthttp.MaxInFlightFraction < float64(third) {
-			t.Errorf("of %d: usual clients can't hold the third that is theirs", limit)
+			t.Errorf("limit %d: less than a third of it is for connections to endpoints, or for requests in flight", limit)
 		}
 		control := testkit.Listen(t)
-		alone, both := limitConnections(limit, Environment{Control: control}), limitConnections(limit, Environment{Control: control, Inherited: true})
-		if alone.fromClients+alone.toEndpoints > limits.fromClients+limits.toEndpoints-8 {
-			t.Errorf("of %d: no descriptors are reserved for operators", limit)
+		single, shared := limitConnections(limit, Environment{Control: control}), limitConnections(limit, Environment{Control: control, Inherited: true})
+		if single.fromClients+single.toEndpoints > limits.fromClients+limits.toEndpoints-8 {
+			t.Errorf("limit %d: no descriptors are reserved for operators", limit)
 		}
-		// Of two processes that share the limit, the clients' descriptors are counted once.
-		if both.fromClients+2*both.toEndpoints+2*reservedDescriptors > limit {
-			t.Errorf("of %d: two processes may hold %+v", limit, both)
+		// Clients move from one process to the other, so their descriptors are counted once for both.
+		if shared.fromClients+2*shared.toEndpoints+2*reservedDescriptors > limit {
+			t.Errorf("limit %d: each of two processes may hold %+v", limit, shared)
 		}
 	}
 	if ends := platform.AcceptOn + fronthttp.DrainMargin; platform.AcceptOn <= 400*time.Millisecond || ends >= 700*time.Millisecond {
-		t.Errorf("accepts for %v, ends %v past the deadline", platform.AcceptOn, ends)
+		t.Errorf("accepts for %v, the drain ends %v after the longest deadline", platform.AcceptOn, ends)
 	}
 }
 
-// Two requests under one id are open at a time, and could not be told apart. The second conflicts and must not take the first
-// one's answer.
-func TestSecondRequestUnderOneIDConflicts(t *testing.T) {
+// A request arrives while another one with the same ID is open. The two could not be told apart, and the second could receive the
+// answer to the first. The second is therefore answered with 409 Conflict.
+func TestSecondRequestWithTheSameIDConflicts(t *testing.T) {
 	release := make(chan struct{})
 	b := testkit.NewBackend(t, func(c net.Conn, r *http.Request, n int) bool {
 		<-release
@@ -179,19 +179,19 @@
 	second := first.Clone(context.Background())
 	got := make(chan reply)
 	go func() { got <- send(t, first) }()
-	testkit.Eventually(t, "the first is at the endpoint", func() bool { return b.Requests() == 1 })
+	testkit.Eventually(t, "the first request is at the endpoint", func() bool { return b.Requests() == 1 })
 	if r := send(t, second); r.status != http.StatusConflict {
-		t.Errorf("second: %+v", r)
+		t.Errorf("second request: %+v", r)
 	}
 	close(release)
 	if r := <-got; r.status != http.StatusOK || b.Requests() != 1 {
-		t.Errorf("first: %+v after %d attempts", r, b.Requests())
+		t.Errorf("first request: %+v after %d attempts", r, b.Requests())
 	}
 }
 
-// A client leaves while its request is at an endpoint. The attempt runs on, because its outcome is evidence about the endpoint,
-// and the agent goes on to serve others.
-func TestClientThatLeavesEndsItsRequest(t *testing.T) {
+// A client disconnects while its request is at an endpoint. The attempt continues, because its outcome shows how healthy the endpoint
+// is. The agent must continue to serve other requests.
+func TestClientDisconnectEndsItsRequest(t *testing.T) {
 	release := make(chan struct{})
 	b := testkit.NewBackend(t, func(c net.Conn, r *http.Request, n int) bool {
 		<-release
@@ -200,13 +200,13 @@
 	a := startAgent(t, testkit.NewDiscovery(t, 1, testkit.EndpointJSON("s-1", b.Addr().String(), "Ready", 0)), 0)
 	r := a.newRequest(t, http.MethodPost, "/refund-record", "")
 	r.Header.Set("X-Timeout", "60000m")
-	ctx, leave := context.WithCancel(context.Background())
-	left := make(chan error)
-	go func() { _, err := http.DefaultClient.Do(r.WithContext(ctx)); left <- err }()
-	testkit.Eventually(t, "it is at the endpoint", func() bool { return b.Requests() == 1 })
-	leave()
-	if err := <-left; err == nil {
-		t.Error("the client got an answer")
+	ctx, disconnect := context.WithCancel(context.Background())
+	disconnected := make(chan error)
+	go func() { _, err := http.DefaultClient.Do(r.WithContext(ctx)); disconnected <- err }()
+	testkit.Eventually(t, "the request is at the endpoint", func() bool { return b.Requests() == 1 })
+	disconnect()
+	if err := <-disconnected; err == nil {
+		t.Error("the disconnected client got an answer")
 	}
 	close(release)
 	next := a.newRequest(t, http.MethodGet, "/form-check", "")
@@ -215,8 +215,8 @@
 	}
 }
 
-// SIGTERM arrives while a request is at an endpoint. New connections are still accepted and served for a while, each answer
-// closes its connection, and the pending request is answered.
+// A drain begins while a request is at an endpoint. For AcceptFor new connections are still accepted and served, each answer closes its
+// connection, and the pending request is answered. Then the agent ends and its listener is closed.
 func TestDrainServesNewConnectionsAndPendingRequests(t *testing.T) {
 	t.Parallel()
 	release := make(chan struct{})
@@ -230,15 +230,15 @@
 	a := startAgent(t, testkit.NewDiscovery(t, 1, testkit.EndpointJSON("s-1", addr, "Ready", 0)), 3*time.Second)
 	got := make(chan reply)
 	go func() { got <- send(t, a.newRequest(t, http.MethodGet, "/form-check", "")) }()
-	testkit.Eventually(t, "the first is at the endpoint", func() bool { return b.Requests() == 1 })
+	testkit.Eventually(t, "the first request is at the endpoint", func() bool { return b.Requests() == 1 })
 	a.stop()
-	testkit.Eventually(t, "it stops being ready", func() bool { return a.status(t, "/ready") == http.StatusServiceUnavailable })
+	testkit.Eventually(t, "the agent is not ready", func() bool { return a.status(t, "/ready") == http.StatusServiceUnavailable })
 	if r := send(t, a.newRequest(t, http.MethodGet, "/form-check", "")); r.status != http.StatusOK || !r.close {
-		t.Errorf("on a new connection: %+v", r)
+		t.Errorf("request on a new connection: %+v", r)
 	}
 	close(release)
 	if r := <-got; r.status != http.StatusOK || !r.close {
-		t.Errorf("taken before: %+v", r)
+		t.Errorf("pending request: %+v", r)
 	}
 	select {
 	case err := <-a.done:
@@ -250,18 +250,18 @@
 	}
 	if c, err := net.Dial("tcp", a.addr); err == nil {
 		c.Close()
-		t.Error("it still listens")
+		t.Error("the agent still listens")
 	}
 }
 
-// Clients send requests one after the other while the agent drains. A reused connection may close between requests, and the
-// client opens another, but every request is answered.
+// Clients send requests one after the other while the agent drains. Every request must be answered. A connection may only be closed
+// between two requests, and the client then opens another.
 func TestDrainAnswersEveryRequest(t *testing.T) {
 	t.Parallel()
 	b := testkit.NewBackend(t, testkit.RespondWith(testkit.OKResponse))
 	a := startAgent(t, testkit.NewDiscovery(t, 1, testkit.EndpointJSON("s-1", b.Addr().String(), "Ready", 0)), 3*time.Second)
-	ctx, enough := context.WithTimeout(context.Background(), 400*time.Millisecond)
-	defer enough()
+	ctx, cancel := context.WithTimeout(context.Background(), 400*time.Millisecond)
+	defer cancel()
 	var clients sync.WaitGroup
 	for range 8 {
 		clients.Go(func() {
@@ -291,8 +291,8 @@
 	}
 }
 
-// A load balancer in front of the agent sends clients as soon as it is ready. Without an endpoint list it is not, and a list that
-// the process before it left counts as one.
+// A load balancer in front of the agent sends it clients as soon as it is ready, so it must not be ready without an endpoint list. A
+// cached list of the previous process suffices.
 func TestReadyOnlyWithEndpointList(t *testing.T) {
 	t.Parallel()
 	b := testkit.NewBackend(t, testkit.RespondWith(testkit.OKResponse))
@@ -319,7 +319,7 @@
 	}
 }
 
-// Requests on one connection are all answered on it, in order.
+// Consecutive requests on one client connection are all answered on it, in order.
 func TestClientConnectionIsReused(t *testing.T) {
 	b := testkit.NewBackend(t, testkit.RespondWith(testkit.OKResponse))
 	a := startAgent(t, testkit.NewDiscovery(t, 1, testkit.EndpointJSON("s-1", b.Addr().String(), "Ready", 0)), 0)
--- a/internal/agent/clients_test.go
+++ b/internal/agent/clients_test.go
@@ -15,7 +15,7 @@
 	"ryeweir/internal/testkit"
 )
 
-// dial opens a connection to the agent that closes with the test.
+// dial opens a connection to the agent that is closed when the test ends.
 func (a *testAgent) dial(t *testing.T) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp", a.addr)
@@ -26,19 +26,19 @@
 	return c
 }
 
-// readUntilClosed waits until the other side closes the connection, and returns what was read.
+// readUntilClosed reads until the other side closes the connection, and returns what it has read.
 func readUntilClosed(t *testing.T, c net.Conn) string {
 	t.Helper()
 	c.SetReadDeadline(time.Now().Add(testkit.WaitTimeout))
 	text, err := io.ReadAll(c)
 	if err, ok := err.(net.Error); ok && err.Timeout() {
-		t.Fatalf("still open, after %q", text)
+		t.Fatalf("the connection is still open after %q", text)
 	}
 	return string(text)
 }
 
-// Clients connect and send nothing, or send one request and stay, until all connections are taken. Idle connections are evicted
-// long before their timeout, so that another client is served.
+// Idle clients use up all connections: half of them send nothing, the others send one request and stay connected. Idle connections are
+// closed long before their timeout, so that another client is served.
 func TestIdleConnectionsAreEvictedAtTheLimit(t *testing.T) {
 	b := testkit.NewBackend(t, testkit.RespondWith(testkit.OKResponse))
 	a := startAgentWith(t, testkit.NewDiscovery(t, 1, testkit.EndpointJSON("s-1", b.Addr().String(), "Ready", 0)), 0, func(cfg *platform.Config) {
@@ -56,19 +56,19 @@
 		t.Errorf("%+v", got)
 	}
 	if took := time.Since(began); took > 3*time.Second {
-		t.Errorf("served after %v only", took)
+		t.Errorf("served only after %v", took)
 	}
 }
 
-// Many connections are open. Answers then close theirs, so that clients that send one request and stay do not hold every
-// connection for the whole idle timeout. With few open they stay.
+// While many connections are open, each answer closes its connection. Otherwise clients that send one request and stay connected would
+// hold all connections for the whole idle timeout. While few are open, an answer keeps its connection open.
 func TestAnswersCloseConnectionsNearTheLimit(t *testing.T) {
 	b := testkit.NewBackend(t, testkit.RespondWith(testkit.OKResponse))
 	a := startAgentWith(t, testkit.NewDiscovery(t, 1, testkit.EndpointJSON("s-1", b.Addr().String(), "Ready", 0)), 0, func(cfg *platform.Config) {
 		cfg.Sockets = minDescriptors
 	})
 	if got := send(t, a.newRequest(t, http.MethodGet, "/form-check", "")); got.close {
-		t.Error("closed with hardly any open")
+		t.Error("the answer closes its connection while few are open")
 	}
 	maxConnections := limitConnections(minDescriptors, Environment{}).fromClients
 	for range maxConnections / 2 {
@@ -79,8 +79,8 @@
 	})
 }
 
-// A client sends nothing, half a head or half a body, whatever its timeout says. It is answered or closed within 3 s, and nothing
-// reaches an endpoint.
+// A client sends nothing, half a head or half a body. The agent answers it or closes its connection within 3 s, regardless of
+// X-Timeout, and forwards nothing to an endpoint.
 func TestIncompleteRequestsAreClosedInTime(t *testing.T) {
 	t.Parallel()
 	b := testkit.NewBackend(t, testkit.RespondWith(testkit.OKResponse))
@@ -98,13 +98,13 @@
 		}
 	}
 	if b.Requests() != 0 {
-		t.Error("something was forwarded to an endpoint")
+		t.Error("an incomplete request was forwarded to an endpoint")
 	}
 }
 
-// A request has a Content-Length and chunks. By the chunks, which net/http reads, what follows them is a request of its own; by
-// the length it is a part of the body. Forwarded as it is, an endpoint may read it the other way. It is rejected. After chunks
-// without a length another request is valid.
+// A request has both a Content-Length and chunks. By the chunks, which net/http reads, the bytes after them are another request; by the
+// length they are part of the body. An endpoint could read the forwarded message the other way (request smuggling), so it must be
+// rejected. After chunks without a Content-Length, another request on the connection is valid.
 func TestRequestSmugglingIsRejected(t *testing.T) {
 	b := testkit.NewBackend(t, testkit.RespondWith(testkit.OKResponse))
 	a := startAgent(t, testkit.NewDiscovery(t, 1, testkit.EndpointJSON("s-1", b.Addr().String(), "Ready", 0)), 0)
@@ -123,12 +123,12 @@
 		}
 	}
 	if n := b.Requests(); n != 2 {
-		t.Errorf("%d were forwarded", n)
+		t.Errorf("%d requests were forwarded", n)
 	}
 }
 
-// A client closes its sending side while its request is pending. It counts as gone and gets no answer. If the handler simply
-// returned, net/http would answer 200, which no endpoint sent.
+// A client closes its sending side while its request is pending. It counts as disconnected and gets no answer. If the handler simply
+// returned, net/http would send a 200 response that no endpoint gave.
 func TestHalfClosedClientIsNotAnswered(t *testing.T) {
 	release := make(chan struct{})
 	b := testkit.NewBackend(t, func(c net.Conn, r *http.Request, n int) bool {
@@ -141,7 +141,7 @@
 	if err := r.Write(c); err != nil {
 		t.Fatal(err)
 	}
-	testkit.Eventually(t, "it is at the endpoint", func() bool { return b.Requests() == 1 })
+	testkit.Eventually(t, "the request is at the endpoint", func() bool { return b.Requests() == 1 })
 	c.(*net.TCPConn).CloseWrite()
 	if got := readUntilClosed(t, c); got != "" {
 		t.Errorf("answered %q", got)
@@ -149,7 +149,8 @@
 	close(release)
 }
 
-// A connection without a pending request is closed after a while, and not before, so that abandoned ones do not pile up.
+// A connection without a pending request is closed after its idle timeout and not before, so that abandoned connections do not
+// accumulate.
 func TestIdleConnectionsAreClosedAfterTheirTimeout(t *testing.T) {
 	t.Parallel()
 	b := testkit.NewBackend(t, testkit.RespondWith(testkit.OKResponse))
@@ -167,11 +168,11 @@
 	resp.Body.Close()
 	readUntilClosed(t, c)
 	if open := time.Since(began); open < 2*time.Second {
-		t.Errorf("closed after %v already", open)
+		t.Errorf("closed after only %v", open)
 	}
 }
 
-// A header that the agent does not know could change how an endpoint reads the message. Only known ones are forwarded.
+// A header that the agent does not know could change how an endpoint interprets the message. Only known headers are forwarded.
 func TestOnlyKnownHeadersAreForwarded(t *testing.T) {
 	b := testkit.NewBackend(t, testkit.RespondWith(testkit.OKResponse))
 	a := startAgent(t, testkit.NewDiscovery(t, 1, testkit.EndpointJSON("s-1", b.Addr().String(), "Ready", 0)), 0)
@@ -195,8 +196,8 @@
 	}
 }
 
-// A rejection sets a write deadline on its connection. If it stayed, a later answer on the connection would be cut off. It holds
-// for the rejection alone.
+// A rejection sets a write deadline on its connection. The deadline must apply to the rejection only: if it stayed, a later answer on
+// the connection would be cut off.
 func TestWriteDeadlineOfRejectionEndsWithIt(t *testing.T) {
 	d := testkit.NewDiscovery(t, 1, testkit.EndpointJSON("b", testkit.RefusingAddr(t), "Ready", 0))
 	a := startAgent(t, d, 0)
@@ -219,7 +220,7 @@
 	if got := exchange("GET /form-check HTTP/1.1\r\nHost: o\r\nX-Request-ID: 1\r\nX-Tenant-Id: glasgow-airport\r\nX-Timeout: 2000m\r\n"); got != http.StatusServiceUnavailable {
 		t.Fatalf("status %d", got)
 	}
-	for range 2 { // the connection may rest for 2.1 s at a time, and the limit was 2 s
+	for range 2 { // 2.2 s in all exceed the write deadline of 2 s; 1.1 s at a time stay below the idle timeout of 2.1 s
 		time.Sleep(1100 * time.Millisecond)
 		if got := exchange("GET /ready HTTP/1.1\r\nHost: o\r\n"); got != http.StatusOK {
 			t.Errorf("status %d", got)
--- a/internal/agent/drain_test.go
+++ b/internal/agent/drain_test.go
@@ -8,8 +8,8 @@
 	"ryeweir/internal/testkit"
 )
 
-// Operators drain an agent without ending it: it reports not ready, closes connections as they are answered or idle, serves
-// clients that come all the same, and takes up its work again when it is activated.
+// Operators drain an agent without ending its process. During the drain it reports that it is not ready, closes connections that are
+// idle or after their answer, and still serves clients that connect. When it is activated, it serves as before.
 func TestOperatorsDrainAndActivate(t *testing.T) {
 	t.Parallel()
 	b := testkit.NewBackend(t, testkit.RespondWith(testkit.OKResponse))
@@ -24,21 +24,21 @@
 		t.Fatal(status)
 	}
 	if got := a.status(t, "/ready"); got == http.StatusOK {
-		t.Error("still ready")
+		t.Error("/ready still reports that the agent is ready")
 	}
 	if got := a.callOperator(t, http.MethodGet, "/v1/readyz"); got == http.StatusOK {
-		t.Error("still ready to operators")
+		t.Error("/v1/readyz still reports that the agent is ready")
 	}
 	if got := send(t, a.newRequest(t, http.MethodGet, "/form-check", "")); got.status != http.StatusOK || !got.close {
-		t.Errorf("a late client: %+v", got)
+		t.Errorf("request on a new connection during the drain: %+v", got)
 	}
 	readUntilClosed(t, idle)
 	a.callOperator(t, http.MethodPost, "/v1/agent/activate")
 	if got := a.status(t, "/ready"); got != http.StatusOK {
-		t.Errorf("after the drain: %d", got)
+		t.Errorf("/ready after the drain: status %d", got)
 	}
 	if got := send(t, a.newRequest(t, http.MethodGet, "/form-check", "")); got.status != http.StatusOK || got.close {
-		t.Errorf("after the drain: %+v", got)
+		t.Errorf("request after the drain: %+v", got)
 	}
 	select {
 	case err := <-a.done:
--- a/internal/agent/events_test.go
+++ b/internal/agent/events_test.go
@@ -15,8 +15,8 @@
 	"ryeweir/internal/testkit"
 )
 
-// eventsOfRequest returns the events of one request and of its connection in the order of the log, with their reasons.
-func eventsOfRequest(log *testkit.LockedBuffer, request string) (of []string) {
+// eventsOfRequest returns the events of one request and of its client connection, each with its reason, in the order of the log.
+func eventsOfRequest(log *testkit.LockedBuffer, request string) (events []string) {
 	lines := strings.Split(log.String(), "\n")
 	connection := ""
 	for _, line := range lines {
@@ -31,13 +31,13 @@
 			continue
 		}
 		if kind := logField(line, "msg"); kind != "" {
-			of = append(of, strings.TrimSuffix(kind+" "+logField(line, "reason"), " "))
+			events = append(events, strings.TrimSuffix(kind+" "+logField(line, "reason"), " "))
 		}
 	}
-	return of
+	return events
 }
 
-// logField returns an attribute of a line of a text log; empty without it.
+// logField returns the value of an attribute in a line of a text log, or the empty string if the line does not have it.
 func logField(line, name string) string {
 	for _, part := range strings.Fields(line) {
 		if value, ok := strings.CutPrefix(part, name+"="); ok {
@@ -47,12 +47,12 @@
 	return ""
 }
 
-// At level debug an engineer follows one request by its id, from the accept of its connection to the last byte of its answer and
-// the close, with the reason of each attempt, retry, rejection and close.
+// At level debug the log shows what happened to a request, by its ID: from the accept of its connection to the last byte of its answer
+// and the close, with the reason of each attempt, retry, rejection and close.
 func TestRequestCanBeTracedThroughTheLog(t *testing.T) {
 	for name, c := range map[string]struct {
 		script func(net.Conn, *http.Request, int) bool
-		close  bool // the client requests the close
+		close  bool // the client sends Connection: close
 		want   []string
 	}{
 		"served": {testkit.RespondWith(testkit.OKResponse), true, []string{"connection_accepted", "request_read", "attempt_decided first",
@@ -65,7 +65,7 @@
 		}, true, []string{"connection_accepted", "request_read", "attempt_decided first", "attempt_written", "attempt_ended server_error",
 			"attempt_decided retry", "attempt_written", "attempt_ended ok", "request_answered served", "request_written",
 			"connection_closed after_answer"}},
-		"a client that stays": {testkit.RespondWith(testkit.OKResponse), false, []string{"connection_accepted", "request_read", "attempt_decided first",
+		"client stays connected": {testkit.RespondWith(testkit.OKResponse), false, []string{"connection_accepted", "request_read", "attempt_decided first",
 			"attempt_written", "attempt_ended ok", "request_answered served", "request_written", "connection_closed idle_timeout"}},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -86,7 +86,7 @@
 			fmt.Fprintf(conn, "GET /form-check HTTP/1.1\r\nHost: o\r\nX-Request-ID: 4f2a\r\nX-Tenant-Id: glasgow-airport\r\nX-Timeout: 2000m\r\n%s\r\n", closes)
 			conn.SetReadDeadline(time.Now().Add(testkit.WaitTimeout))
 			io.Copy(io.Discard, conn)
-			testkit.Eventually(t, "the close is in the log", func() bool {
+			testkit.Eventually(t, "the close of the connection is logged", func() bool {
 				got := eventsOfRequest(&log, "4f2a")
 				return len(got) > 0 && strings.HasPrefix(got[len(got)-1], "connection_closed")
 			})
@@ -97,7 +97,7 @@
 	}
 }
 
-// The log says why a request was rejected.
+// The log shows why a request was rejected.
 func TestRejectionLogsItsReason(t *testing.T) {
 	d := testkit.NewDiscovery(t, 1, testkit.EndpointJSON("b", testkit.RefusingAddr(t), "Ready", 0))
 	var log testkit.LockedBuffer
--- a/internal/agent/harness_test.go
+++ b/internal/agent/harness_test.go
@@ -23,24 +23,24 @@
 	url     string
 	addr    string
 	control string     // the operators' address
-	stop    func()     // as SIGTERM does
-	done    chan error // holds what serve returned
+	stop    func()     // begins the shutdown, as SIGTERM does
+	done    chan error // receives the result of Run
 }
 
-// startAgent runs an agent on the fake discovery and waits until it is ready. As it drains it accepts new connections for
+// startAgent runs an agent that uses d as its discovery, and waits until it is ready. When it drains, it accepts new connections for
 // acceptFor.
 func startAgent(t *testing.T, d *testkit.Discovery, acceptFor time.Duration) *testAgent {
 	t.Helper()
 	return startAgentWith(t, d, acceptFor, func(*platform.Config) {})
 }
 
-// startAgentWith is startAgent with a changed configuration.
+// startAgentWith is startAgent with a configuration that change has modified.
 func startAgentWith(t *testing.T, d *testkit.Discovery, acceptFor time.Duration, change func(*platform.Config)) *testAgent {
 	t.Helper()
 	return startAgentWithLog(t, d, acceptFor, change, slog.DiscardHandler)
 }
 
-// startAgentWithLog is startAgentWith with a log.
+// startAgentWithLog is startAgentWith with a handler for the agent's log.
 func startAgentWithLog(t *testing.T, d *testkit.Discovery, acceptFor time.Duration, change func(*platform.Config), log slog.Handler) *testAgent {
 	t.Helper()
 	cfg, err := platform.Parse(testkit.ConfigText(d.Addr().String(), "null"), testkit.NoEnv)
@@ -52,26 +52,26 @@
 	return launchAgent(t, cfg, Environment{Clients: testkit.Listen(t), Control: testkit.Listen(t)}, log)
 }
 
-// launchAgent runs an agent in its environment until the test ends, and waits until it is ready.
-func launchAgent(t *testing.T, cfg platform.Config, sockets Environment, log slog.Handler) *testAgent {
+// launchAgent runs an agent in this environment until the test ends, and waits until it is ready.
+func launchAgent(t *testing.T, cfg platform.Config, env Environment, log slog.Handler) *testAgent {
 	t.Helper()
 	ctx, stop := context.WithCancel(context.Background())
-	addr := sockets.Clients.Addr().String()
+	addr := env.Clients.Addr().String()
 	a := &testAgent{site: cfg.Site, addr: addr, url: "http://" + addr, stop: stop, done: make(chan error, 1)}
-	if sockets.Control != nil {
-		a.control = "http://" + sockets.Control.Addr().String()
+	if env.Control != nil {
+		a.control = "http://" + env.Control.Addr().String()
 	}
 	finished := make(chan struct{})
 	go func() {
 		defer close(finished)
-		a.done <- Run(ctx, cfg, operator.Default(), ReloadConfig{}, sockets, slog.New(log))
+		a.done <- Run(ctx, cfg, operator.Default(), ReloadConfig{}, env, slog.New(log))
 	}()
 	t.Cleanup(func() { stop(); <-finished })
 	testkit.Eventually(t, "the agent is ready", func() bool { return a.status(t, "/ready") == http.StatusOK })
 	return a
 }
 
-// callOperator sends a request to the operators' address and returns the status.
+// callOperator sends a request to the operators' address and returns the status of the response.
 func (a *testAgent) callOperator(t *testing.T, method, path string) int {
 	t.Helper()
 	r, err := http.NewRequest(method, a.control+path, nil)
@@ -81,6 +81,7 @@
 	return send(t, r).status
 }
 
+// status sends a GET request to the agent and returns the status of the answer, or 0 if there is none.
 func (a *testAgent) status(t *testing.T, path string) int {
 	t.Helper()
 	resp, err := http.Get(a.url + path)
@@ -93,7 +94,7 @@
 
 var lastID atomic.Int64
 
-// newRequest returns a request with an id of its own, and with an idempotency key if it is a POST.
+// newRequest returns a request with a unique ID. A POST has an idempotency key.
 func (a *testAgent) newRequest(t *testing.T, method, path, body string) *http.Request {
 	t.Helper()
 	r, err := http.NewRequest(method, a.url+path, bytes.NewReader([]byte(body)))
@@ -110,15 +111,15 @@
 	return r
 }
 
-// reply is what a client received.
+// reply is an answer as its client received it.
 type reply struct {
 	status int
 	header http.Header
 	body   string
-	close  bool
+	close  bool // the answer closes its connection
 }
 
-// send sends a request on a connection of its own and reads the whole answer.
+// send sends a request on a new connection and reads the complete answer.
 func send(t *testing.T, r *http.Request) reply {
 	t.Helper()
 	client := http.Client{Transport: &http.Transport{}, Timeout: testkit.WaitTimeout}
--- a/internal/agent/idleclose_test.go
+++ b/internal/agent/idleclose_test.go
@@ -12,15 +12,15 @@
 	"ryeweir/internal/emulator/node"
 )
 
-// connectionFigures are an agent's figures on its connections to endpoints.
-type connectionFigures struct {
+// connectionMetrics holds an agent's metrics on its connections to endpoints.
+type connectionMetrics struct {
 	Opened int64            `json:"opened"`
 	Reused int64            `json:"reused"`
 	Closed map[string]int64 `json:"closed"` // by reason
 }
 
-// connectionStats reads an agent's figures on its connections to endpoints.
-func (s *simulation) connectionStats(agent int) (c connectionFigures) {
+// connectionStats reads an agent's metrics on its connections to endpoints.
+func (s *simulation) connectionStats(agent int) (c connectionMetrics) {
 	s.t.Helper()
 	client := http.Client{Transport: &http.Transport{DialContext: s.network.Dialer("operator"), DisableKeepAlives: true}, Timeout: time.Second}
 	resp, err := client.Get("http://" + s.Scenario.Agents[agent] + ":9000/v1/metrics")
@@ -37,14 +37,14 @@
 	return c
 }
 
-// Endpoints close idle connections at random, also as a request is written to one. Nothing runs twice and nothing is lost. With
-// RYEWEIR_LONG set it goes on for 200,000 requests, beside an agent that reuses every connection.
+// Endpoints close idle connections at random, sometimes just as a request is written to one. No request may be lost, and no non-idempotent
+// request may run twice. With RYEWEIR_LONG set, the test runs for 200,000 requests, and a second variant reuses every connection.
 func TestRandomIdleClosesLoseAndRepeatNothing(t *testing.T) {
 	length := 20.0
 	variants := map[string]func(*operator.File){"defaults": nil}
 	if os.Getenv("RYEWEIR_LONG") != "" {
 		length = 1895
-		variants["trusting"] = func(f *operator.File) {
+		variants["trusting"] = func(f *operator.File) { // reuses every connection
 			f.Connections.NonIdempotentIdleFraction, f.Connections.SuspectAfterFailures, f.Connections.MinIdleLimit = 1, 0, seconds(10)
 		}
 	}
@@ -54,24 +54,24 @@
 			var crossed, stale, opened, reused int64
 			closed := map[string]int64{}
 			scenario{changeOperators: ops, minService: 0.95, verify: checkNoDuplicates,
-				changeDay: func(d *emulator.ScenarioSpec) {
+				changeSpec: func(d *emulator.ScenarioSpec) {
 					d.Length = seconds(length)
 					withFaults(fault(node.IdleClose, 5, 0.5, length, 0.9))(d)
 				},
-				beside: func(s *simulation) {
+				during: func(s *simulation) {
 					time.Sleep(time.Duration((length - 1) * float64(time.Second)))
 					for i := range s.Scenario.Agents {
 						c := s.connectionStats(i)
 						crossed, stale = crossed+c.Closed["crossed"], stale+c.Closed["stale"]
 						opened, reused = opened+c.Opened, reused+c.Reused
-						for why, n := range c.Closed {
-							closed[why] += n
+						for reason, n := range c.Closed {
+							closed[reason] += n
 						}
 					}
 				}}.run(t)
-			t.Logf("%d opened, %d reused, %d found closed, %d closed as a request was written; closed by reason %v", opened, reused, stale, crossed, closed)
+			t.Logf("%d opened, %d reused, %d found closed, %d closed while a request was written; closed by reason: %v", opened, reused, stale, crossed, closed)
 			if stale == 0 || reused == 0 {
-				t.Error("nothing was closed, or nothing reused: the scenario shows nothing")
+				t.Error("no connection was found closed, or none was reused: the scenario did not test idle closes")
 			}
 		})
 	}
--- a/internal/agent/lifecycle_test.go
+++ b/internal/agent/lifecycle_test.go
@@ -24,30 +24,30 @@
 	"ryeweir/internal/emulator/peer"
 )
 
-// scriptedAgent is an agent in memory with scripted endpoints, and clients that write bytes.
+// scriptedAgent is an agent on an in-memory network, with scripted endpoints and with clients that write raw bytes.
 type scriptedAgent struct {
 	t              *testing.T
 	network        *link.Network
 	endpoint       *peer.Peer
-	otherEndpoints []*peer.Peer     // beside it
-	stop           func()           // as SIGTERM does
-	hangup         chan<- os.Signal // SIGHUP
-	finished       chan error
+	otherEndpoints []*peer.Peer     // the endpoints after the first
+	stop           func()           // begins the shutdown, as SIGTERM does
+	hangup         chan<- os.Signal // triggers a reload, as SIGHUP does
+	finished       chan error       // receives the result of agent.Run
 }
 
-// startScriptedAgent runs an agent with one endpoint, whose connections follow the scripts.
+// startScriptedAgent runs an agent with one endpoint. Each connection to the endpoint follows the next of the scripts.
 func startScriptedAgent(t *testing.T, scripts ...[]peer.Step) *scriptedAgent {
 	t.Helper()
 	return startScriptedAgentOf(t, 1, scripts...)
 }
 
-// startScriptedAgentOf runs an agent with a number of endpoints, which follow the same scripts.
+// startScriptedAgentOf runs an agent with several endpoints, each of which follows the same scripts.
 func startScriptedAgentOf(t *testing.T, nodes int, scripts ...[]peer.Step) *scriptedAgent {
 	t.Helper()
 	return startScriptedAgentWith(t, func(*platform.Config) {}, nodes, scripts...)
 }
 
-// startScriptedAgentWith is startScriptedAgentOf with a changed configuration.
+// startScriptedAgentWith is startScriptedAgentOf with a configuration that change has modified.
 func startScriptedAgentWith(t *testing.T, change func(*platform.Config), nodes int, scripts ...[]peer.Step) *scriptedAgent {
 	t.Helper()
 	a := &scriptedAgent{t: t, network: link.NewNetwork(1), finished: make(chan error, 1)}
@@ -67,18 +67,18 @@
 	cfg := configWithEndpoints(t, "127.0.0.1:90", ids...)
 	change(&cfg)
 	ops := operator.Default()
-	ops.HealthChecks.PerRequest = 0 // the scripts have no health checks
+	ops.HealthChecks.PerRequest = 0 // the scripts do not respond to health checks
 	hangups := make(chan os.Signal, 1)
 	reloads := agent.ReloadConfig{Signals: hangups, LoadPlatform: func() (platform.Config, error) { return cfg, nil }}
-	sockets := agent.Environment{Clients: listen("agent:80"), Control: listen("agent:90"), Dial: a.network.Dialer("agent")}
+	env := agent.Environment{Clients: listen("agent:80"), Control: listen("agent:90"), Dial: a.network.Dialer("agent")}
 	ctx, stop := context.WithCancel(t.Context())
 	a.stop, a.hangup = stop, hangups
-	go func() { a.finished <- agent.Run(ctx, cfg, ops, reloads, sockets, slog.New(slog.DiscardHandler)) }()
+	go func() { a.finished <- agent.Run(ctx, cfg, ops, reloads, env, slog.New(slog.DiscardHandler)) }()
 	time.Sleep(time.Second)
 	return a
 }
 
-// close ends the agent and its endpoints and reports connections that are left. Goroutines that are left fail the test's bubble.
+// close shuts down the agent and its endpoints and reports connections that are left. If goroutines are left, synctest fails the test.
 func (a *scriptedAgent) close() {
 	a.t.Helper()
 	a.stop()
@@ -86,29 +86,29 @@
 		a.t.Error(err)
 	}
 	if n := a.network.Open("agent"); n > 0 {
-		a.t.Errorf("%d connections of an agent that has ended are open", n)
+		a.t.Errorf("the agent has ended but %d of its connections are open", n)
 	}
 	for _, p := range append(a.otherEndpoints, a.endpoint) {
 		p.Close()
 	}
 }
 
-// setReachable cuts the direction from the agent to its endpoint, or opens it. The other direction stays open.
-func (a *scriptedAgent) setReachable(on bool) {
-	a.network.Set("agent", "node", link.Conditions{Cut: !on})
+// setReachable opens or cuts the network from the agent to its first endpoint. The opposite direction stays open.
+func (a *scriptedAgent) setReachable(reachable bool) {
+	a.network.Set("agent", "node", link.Conditions{Cut: !reachable})
 }
 
-// progressFigures are the figures of GET /v1/metrics that say what is in progress.
-type progressFigures struct {
-	Pending     int
-	Unavailable int `json:"members_unavailable"`
-	Upstream    int `json:"upstream_requests"`
-	Connections struct{ Open, Idle, Opening, Waiting, Opened int }
-	Border      map[string]int
+// progressMetrics holds the metrics of GET /v1/metrics on requests and connections in progress.
+type progressMetrics struct {
+	Pending            int
+	Unavailable        int `json:"members_unavailable"`
+	Upstream           int `json:"upstream_requests"`
+	Connections        struct{ Open, Idle, Opening, Waiting, Opened int }
+	ContractViolations map[string]int `json:"border"`
 }
 
-// readFigures reads the figures at the operators' address.
-func (a *scriptedAgent) readFigures() (f progressFigures) {
+// readMetrics reads the metrics at the operators' address.
+func (a *scriptedAgent) readMetrics() (m progressMetrics) {
 	a.t.Helper()
 	client := http.Client{Transport: &http.Transport{DialContext: a.network.Dialer("operator"), DisableKeepAlives: true}}
 	resp, err := client.Get("http://agent:90/v1/metrics")
@@ -116,13 +116,13 @@
 		a.t.Fatal(err)
 	}
 	defer resp.Body.Close()
-	if err := json.NewDecoder(resp.Body).Decode(&f); err != nil {
+	if err := json.NewDecoder(resp.Body).Decode(&m); err != nil {
 		a.t.Fatal(err)
 	}
-	return f
+	return m
 }
 
-// connectAndWrite opens a connection to the agent and writes a text on it.
+// connectAndWrite opens a client connection to the agent and writes a text to it.
 func (a *scriptedAgent) connectAndWrite(text string) net.Conn {
 	a.t.Helper()
 	c, err := a.network.Dialer("app")(a.t.Context(), "tcp", "agent:80")
@@ -135,7 +135,8 @@
 	return c
 }
 
-// readAnswer reads an answer: its status, 0 without one; whether it is complete; and how many bytes follow it.
+// readAnswer reads an answer. It returns its status, or 0 if there is none, whether its body is complete, and how many bytes follow it
+// within a second.
 func readAnswer(c net.Conn) (status int, complete bool, surplus int) {
 	in := bufio.NewReader(c)
 	resp, err := http.ReadResponse(in, nil)
@@ -145,11 +146,11 @@
 	defer resp.Body.Close()
 	_, err = io.Copy(io.Discard, resp.Body)
 	c.SetReadDeadline(time.Now().Add(time.Second))
-	rest, _ := io.ReadAll(in) // nothing may follow
+	rest, _ := io.ReadAll(in)
 	return resp.StatusCode, err == nil, len(rest)
 }
 
-// requestHead returns the head of a request, with a length if it is a POST.
+// requestHead returns the head of a request with a timeout of 800 ms. A POST has this Content-Length.
 func requestHead(method, path string, body int) string {
 	head := method + " " + path + " HTTP/1.1\r\nHost: origin.svc\r\nX-Request-ID: 00000000000000aa\r\nX-Tenant-Id: kottu-run\r\nX-Timeout: 800m\r\n"
 	if method == http.MethodPost {
@@ -158,25 +159,25 @@
 	return head + "\r\n"
 }
 
-// requestStage is where a request is when something happens to it, 150 ms after it began.
+// requestStage describes a stage of a request, at which it is 150 ms after its start, and what follows from it.
 type requestStage struct {
-	endpointScript     []peer.Step   // of the first connection; nil, and of those after it: serveAll
+	endpointScript     []peer.Step   // of the first connection; serveAll if nil, and for later connections
 	unreachableAfter   time.Duration // when the endpoint becomes unreachable; 0 for never
-	written            string        // what the client has written
-	remaining          string        // what it has yet to write
-	requestsAtEndpoint int           // requests that the endpoint has read to the end by then
-	statusAtDeadline   int           // of the answer if nothing more happens; or truncated
-	scriptAfterwards   []peer.Step   // how endpointScript goes on if the endpoint answers after all
+	written            string        // what the client writes to reach the stage
+	remaining          string        // what the client has not written yet
+	requestsAtEndpoint int           // number of requests that the endpoint has read completely at the stage
+	statusAtDeadline   int           // of the answer if nothing more happens until the deadline, or truncated
+	scriptAfterwards   []peer.Step   // continues endpointScript if the endpoint responds later
 }
 
 const (
-	longBody        = 200 << 10 // bytes; is streamed
-	immediately     = time.Nanosecond
-	truncated       = 0 // the status of an answer that breaks off
+	longBody        = 200 << 10       // bytes; a body of this size is streamed, not buffered
+	immediately     = time.Nanosecond // for requestStage.unreachableAfter: before the request starts
+	truncated       = 0               // for requestStage.statusAtDeadline: the answer is cut off
 	betweenAttempts = "between two attempts"
 )
 
-// requestStages are the stages at which a request can be.
+// requestStages returns the stages of a request by their name.
 func requestStages() map[string]requestStage {
 	order, basket := "/place-order", "/price-basket"
 	half := strings.Repeat("x", longBody/2)
@@ -245,12 +246,12 @@
 	}
 }
 
-// serveAll is a script that serves every request on a connection.
+// serveAll returns a script that serves every request on a connection.
 func serveAll() []peer.Step {
 	return []peer.Step{peer.Forever(peer.Request(), peer.Send(peer.OK("fine")))}
 }
 
-// bringToStage sends a request and waits until it is at its stage.
+// bringToStage sends a request, waits until it is at the stage, and returns the client's connection.
 func (a *scriptedAgent) bringToStage(s requestStage) net.Conn {
 	a.t.Helper()
 	began := time.Now()
@@ -262,58 +263,58 @@
 	}
 	c := a.connectAndWrite(s.written)
 	time.Sleep(150*time.Millisecond - time.Since(began))
-	if f := a.readFigures(); len(a.endpoint.Requests()) != s.requestsAtEndpoint || f.Pending > 1 {
-		a.t.Errorf("the endpoint has read %d requests, not %d; %+v", len(a.endpoint.Requests()), s.requestsAtEndpoint, f)
+	if f := a.readMetrics(); len(a.endpoint.Requests()) != s.requestsAtEndpoint || f.Pending > 1 {
+		a.t.Errorf("the endpoint has read %d requests, want %d; metrics %+v", len(a.endpoint.Requests()), s.requestsAtEndpoint, f)
 	}
 	return c
 }
 
-// At each stage of its request a client leaves, or waits in vain until its deadline. It gets at most one answer, nothing is sent
-// afterwards, all connections and counts are returned, and the id is free.
+// At each stage of its request, a client disconnects or waits until its deadline passes. It must get at most one answer, and nothing may be
+// sent afterwards. Connections and counters must return to their idle state, and the ID of the request must be free again.
 func TestAbandonedRequestLeavesNothingBehindAtAnyStage(t *testing.T) {
 	for name, s := range requestStages() {
-		for _, leaves := range []bool{true, false} {
-			t.Run(fmt.Sprintf("%s, leaves %v", name, leaves), func(t *testing.T) {
+		for _, disconnects := range []bool{true, false} {
+			t.Run(fmt.Sprintf("%s, disconnects %v", name, disconnects), func(t *testing.T) {
 				t.Parallel()
 				synctest.Test(t, func(t *testing.T) {
 					script := serveAll()
 					if s.endpointScript != nil {
 						script = append(slices.Clone(s.endpointScript), peer.Silence())
 					}
-					d := startScriptedAgent(t, script, serveAll())
-					defer d.close()
-					c := d.bringToStage(s)
-					if leaves {
+					a := startScriptedAgent(t, script, serveAll())
+					defer a.close()
+					c := a.bringToStage(s)
+					if disconnects {
 						c.Close()
 						time.Sleep(20 * time.Millisecond)
-						if n := d.readFigures().Connections.Waiting; n > 0 {
-							t.Errorf("%d wait for a connection whose client has left", n)
+						if n := a.readMetrics().Connections.Waiting; n > 0 {
+							t.Errorf("%d requests of disconnected clients wait for a connection", n)
 						}
 					} else {
 						status, complete, surplus := readAnswer(c)
 						if status != s.statusAtDeadline && s.statusAtDeadline > 0 || complete != (s.statusAtDeadline > 0) || surplus > 0 {
-							t.Errorf("got %d, complete %v, followed by %d bytes", status, complete, surplus)
+							t.Errorf("got status %d, complete %v, followed by %d bytes", status, complete, surplus)
 						}
 						c.Close()
 					}
 					time.Sleep(10 * time.Second)
-					d.setReachable(true)
+					a.setReachable(true)
 					time.Sleep(10 * time.Second)
-					f := d.readFigures()
+					f := a.readMetrics()
 					if n := f.Connections; f.Pending != 0 || n.Open != n.Idle || n.Opening != 0 || n.Waiting != 0 || f.Upstream != s.requestsAtEndpoint {
-						t.Errorf("in the end %+v", f)
+						t.Errorf("metrics at the end: %+v", f)
 					}
-					for what, n := range f.Border {
+					for violation, n := range f.ContractViolations {
 						if n != 0 {
-							t.Errorf("%d %s", n, what)
+							t.Errorf("%d contract violations: %s", n, violation)
 						}
 					}
-					if n := len(d.endpoint.Requests()); n != s.requestsAtEndpoint {
-						t.Errorf("the endpoint has read %d requests in all, %d before", n, s.requestsAtEndpoint)
+					if n := len(a.endpoint.Requests()); n != s.requestsAtEndpoint {
+						t.Errorf("the endpoint has read %d requests in all, want %d", n, s.requestsAtEndpoint)
 					}
-					next := d.connectAndWrite(requestHead("POST", "/place-order", 0))
+					next := a.connectAndWrite(requestHead("POST", "/place-order", 0))
 					if status, complete, _ := readAnswer(next); status != http.StatusOK || !complete {
-						t.Errorf("the next under the same id got %d", status)
+						t.Errorf("the next request with the same ID got status %d", status)
 					}
 					next.Close()
 				})
@@ -322,8 +323,8 @@
 	}
 }
 
-// SIGTERM arrives at each stage of a request, also with a reload and a second signal right after it. What was accepted gets its
-// one complete answer, what must not run twice has run once, and nothing of the agent is left.
+// The shutdown begins at each stage of a request, and a reload and a second signal follow at once. The request must get exactly one
+// complete answer, a non-idempotent request must run only once, and no connection or goroutine of the agent may be left.
 func TestShutdownAnswersRequestsAtAnyStage(t *testing.T) {
 	for name, s := range requestStages() {
 		t.Run(name, func(t *testing.T) {
@@ -334,25 +335,25 @@
 					script = append(slices.Clone(s.endpointScript), peer.Wait(300*time.Millisecond))
 					script = append(append(script, s.scriptAfterwards...), peer.Silence())
 				}
-				d := startScriptedAgent(t, script, serveAll())
-				defer d.close()
-				c := d.bringToStage(s)
-				d.stop()
-				d.hangup <- os.Interrupt
+				a := startScriptedAgent(t, script, serveAll())
+				defer a.close()
+				c := a.bringToStage(s)
+				a.stop()
+				a.hangup <- os.Interrupt
 				time.Sleep(20 * time.Millisecond)
-				d.stop()
-				d.setReachable(true)
+				a.stop()
+				a.setReachable(true)
 				io.WriteString(c, s.remaining)
 				status, complete, surplus := readAnswer(c)
 				if status != http.StatusOK || !complete || surplus > 0 {
-					t.Errorf("got %d, complete %v, followed by %d bytes", status, complete, surplus)
+					t.Errorf("got status %d, complete %v, followed by %d bytes", status, complete, surplus)
 				}
 				c.Close()
 				want := max(1, s.requestsAtEndpoint)
 				if name == betweenAttempts {
 					want = 2
 				}
-				if n := len(d.endpoint.Requests()); n != want {
+				if n := len(a.endpoint.Requests()); n != want {
 					t.Errorf("the endpoint has read %d requests", n)
 				}
 			})
@@ -360,16 +361,17 @@
 	}
 }
 
-// Clients would wait for longer than the platform gives an agent to end. Each gets an answer before the end: a rejection where
-// nothing can have run or a repeat does no harm, a failure where it may have run, and a stream goes on to its end.
+// The shutdown begins while clients have longer deadlines than the platform allows a shutdown to take. Each must get an answer before the
+// agent ends: a rejection if the request has not run or may safely be sent again, and a failure if it may have run. An answer that is
+// being streamed continues to its end.
 func TestShutdownAnswersBeforeLongDeadlines(t *testing.T) {
-	patient := func(cfg *platform.Config) {
+	allowLongTimeouts := func(cfg *platform.Config) {
 		for i := range cfg.Site.Logic.Classes {
 			cfg.Site.Logic.Classes[i].Timeout = 20 * time.Second
 		}
 	}
 	order, basket := "/place-order", "/price-basket"
-	patientRequest := func(method, path string, body int) string {
+	longDeadlineRequest := func(method, path string, body int) string {
 		return strings.Replace(requestHead(method, path, body), "800m", "15000m", 1)
 	}
 	slow := []peer.Step{peer.Request(), peer.Send("HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n")}
@@ -378,33 +380,33 @@
 	}
 	for name, c := range map[string]struct {
 		script []peer.Step
-		cut    bool
-		text   string
-		more   bool // of the body is sent, a little at a time
-		want   int
-		begun  int // requests that the endpoint reads
+		cut    bool   // the endpoint is not reachable
+		text   string // what the client writes
+		more   bool   // the client then writes more of the body, slowly
+		want   int    // status of the answer
+		begun  int    // number of requests that the endpoint reads completely
 	}{
-		"may have run":             {[]peer.Step{peer.Request(), peer.Silence()}, false, patientRequest("POST", order, 0), false, http.StatusBadGateway, 1},
-		"may be repeated":          {[]peer.Step{peer.Request(), peer.Silence()}, false, patientRequest("GET", basket, 0), false, http.StatusServiceUnavailable, 1},
-		"waits for a connection":   {serveAll(), true, patientRequest("POST", order, 0), false, http.StatusServiceUnavailable, 0}, // it never ran
-		"a streamed answer":        {slow, false, patientRequest("GET", basket, 0), false, http.StatusOK, 1},
-		"a long body half written": {[]peer.Step{peer.Silence()}, false, patientRequest("POST", order, longBody) + strings.Repeat("x", longBody/2), true, http.StatusBadGateway, 0},
+		"may have run":             {[]peer.Step{peer.Request(), peer.Silence()}, false, longDeadlineRequest("POST", order, 0), false, http.StatusBadGateway, 1},
+		"may be repeated":          {[]peer.Step{peer.Request(), peer.Silence()}, false, longDeadlineRequest("GET", basket, 0), false, http.StatusServiceUnavailable, 1},
+		"waits for a connection":   {serveAll(), true, longDeadlineRequest("POST", order, 0), false, http.StatusServiceUnavailable, 0}, // the request has not run
+		"a streamed answer":        {slow, false, longDeadlineRequest("GET", basket, 0), false, http.StatusOK, 1},
+		"a long body half written": {[]peer.Step{peer.Silence()}, false, longDeadlineRequest("POST", order, longBody) + strings.Repeat("x", longBody/2), true, http.StatusBadGateway, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				d := startScriptedAgentWith(t, func(cfg *platform.Config) { patient(cfg); cfg.Site.ConnectTimeout = time.Minute }, 1, c.script, c.script, c.script, c.script)
+				a := startScriptedAgentWith(t, func(cfg *platform.Config) { allowLongTimeouts(cfg); cfg.Site.ConnectTimeout = time.Minute }, 1, c.script, c.script, c.script, c.script)
 				if c.cut {
-					d.setReachable(false)
+					a.setReachable(false)
 				}
-				half := d.connectAndWrite(patientRequest("POST", order, 4)[:20]) // begins before the signal
-				client := d.connectAndWrite(c.text)
+				half := a.connectAndWrite(longDeadlineRequest("POST", order, 4)[:20]) // this request begins before the shutdown
+				client := a.connectAndWrite(c.text)
 				time.Sleep(100 * time.Millisecond)
-				d.stop()
+				a.stop()
 				stopped := time.Now()
 				ended := make(chan struct{})
 				go func() {
 					defer close(ended)
-					if err := <-d.finished; err != nil {
+					if err := <-a.finished; err != nil {
 						t.Error(err)
 					}
 				}()
@@ -419,37 +421,37 @@
 				})
 				status, complete, surplus := readAnswer(client)
 				if status != c.want || !complete || surplus > 0 {
-					t.Errorf("got %d, complete %v, followed by %d bytes", status, complete, surplus)
+					t.Errorf("got status %d, complete %v, followed by %d bytes", status, complete, surplus)
 				}
-				if took := time.Since(stopped) - time.Second; c.want != http.StatusOK && took > 3700*time.Millisecond { // reading waits for a second
-					t.Errorf("the answer came after %v", took)
+				if took := time.Since(stopped) - time.Second; c.want != http.StatusOK && took > 3700*time.Millisecond { // readAnswer waits for a second after the answer
+					t.Errorf("the answer arrived %v after the shutdown began", took)
 				}
 				<-ended
-				if n := len(d.endpoint.Requests()); n != c.begun {
+				if n := len(a.endpoint.Requests()); n != c.begun {
 					t.Errorf("the endpoint has read %d requests", n)
 				}
 				half.Close()
 				client.Close()
 				uploads.Wait()
-				d.endpoint.Close()
-				if n := d.network.Open("agent"); n > 0 {
-					t.Errorf("%d connections of an agent that has ended are open", n)
+				a.endpoint.Close()
+				if n := a.network.Open("agent"); n > 0 {
+					t.Errorf("the agent has ended but %d of its connections are open", n)
 				}
 			})
 		})
 	}
 }
 
-// An endpoint sends a second answer to a request, at once or some milliseconds late. It must not be taken for the answer to the
-// next request on the connection.
-func TestSurplusAnswerIsNotForTheNextRequest(t *testing.T) {
-	for _, late := range []time.Duration{0, time.Millisecond, 5 * time.Millisecond} {
-		t.Run(late.String(), func(t *testing.T) {
+// An endpoint sends two responses to a request, the second at once or a few milliseconds later. The second must not be taken for the
+// response to the next request on the connection.
+func TestSurplusResponseIsNotForTheNextRequest(t *testing.T) {
+	for _, delay := range []time.Duration{0, time.Millisecond, 5 * time.Millisecond} {
+		t.Run(delay.String(), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				d := startScriptedAgent(t, []peer.Step{peer.Request(), peer.Send(peer.OK("first")), peer.Wait(late), peer.Send(peer.OK("first")),
+				a := startScriptedAgent(t, []peer.Step{peer.Request(), peer.Send(peer.OK("first")), peer.Wait(delay), peer.Send(peer.OK("first")),
 					peer.Forever(peer.Request(), peer.Send(peer.OK("behind")))}, serveAll())
-				defer d.close()
-				c := d.connectAndWrite(requestHead("GET", "/price-basket", 0))
+				defer a.close()
+				c := a.connectAndWrite(requestHead("GET", "/price-basket", 0))
 				defer c.Close()
 				in := bufio.NewReader(c)
 				for _, want := range []string{"first", "fine"} {
@@ -458,7 +460,7 @@
 						t.Fatal(err)
 					}
 					if body, err := io.ReadAll(resp.Body); string(body) != want || err != nil {
-						t.Errorf("%q in place of %q, %v", body, want, err)
+						t.Errorf("got body %q, want %q; error %v", body, want, err)
 					}
 					if want == "first" {
 						io.WriteString(c, requestHead("GET", "/price-basket", 0))
@@ -469,53 +471,53 @@
 	}
 }
 
-// One tenant does whatever the protocol allows. Another notices nothing of it: none of its requests is rejected or slow, no
-// healthy endpoint is ejected, and the connections that the first wastes are bounded.
+// One tenant sends whatever the protocol allows. Another tenant must not be affected: none of its requests is rejected or slow, and no
+// healthy endpoint is ejected. The number of connections to endpoints that the first tenant causes is bounded.
 func TestMisbehavingTenantDoesNotAffectAnother(t *testing.T) {
 	busy := []peer.Step{peer.Forever(peer.Request(), peer.Wait(20*time.Millisecond), peer.Send(peer.OK("fine")))}
-	request := func(id int, more string) string {
-		return fmt.Sprintf("GET /price-basket HTTP/1.1\r\nHost: o\r\nX-Request-ID: %016x\r\n%s\r\n", id, more)
+	request := func(id int, headers string) string {
+		return fmt.Sprintf("GET /price-basket HTTP/1.1\r\nHost: o\r\nX-Request-ID: %016x\r\n%s\r\n", id, headers)
 	}
-	const own = "X-Tenant-Id: bath-box\r\n"
+	const tenant = "X-Tenant-Id: bath-box\r\n"
 	for name, c := range map[string]struct {
-		more   func(id int) string          // of the head
-		stays  time.Duration                // then it leaves
-		reads  bool                         // its answers
-		wastes func(f progressFigures) bool // reports whether it took too many connections
+		headers            func(id int) string          // of a request of the misbehaving tenant
+		disconnectAfter    time.Duration                // if it does not read its answers
+		reads              bool                         // it reads its answers
+		tooManyConnections func(f progressMetrics) bool // reports whether it caused too many connections; may be nil
 	}{
 		"no other tenant":           {},
-		"short deadlines":           {func(int) string { return own + "X-Timeout: 10m\r\n" }, time.Second, true, func(f progressFigures) bool { return f.Connections.Opened > 700 }},
-		"odd deadlines":             {func(id int) string { return own + fmt.Sprintf("X-Timeout: %du\r\n", 1+id%30*1000) }, time.Second, true, nil},
-		"cancels":                   {func(int) string { return own + "X-Timeout: 800m\r\n" }, time.Millisecond, false, func(f progressFigures) bool { return f.Connections.Opened > 60 }},
-		"ever new keys":             {func(id int) string { return own + fmt.Sprintf("X-Timeout: 800m\r\nX-Route-Key: k%d\r\n", id) }, time.Second, true, nil},
-		"an invalid cost":           {func(int) string { return own + "X-Timeout: 800m\r\nX-Cost: 1e300\r\nX-Cost: -1\r\n" }, time.Second, true, nil},
-		"two ids in a request":      {func(int) string { return own + "X-Timeout: 800m\r\nX-Request-ID: 1\r\n" }, time.Second, true, nil},
-		"answers that nobody reads": {func(int) string { return own + "X-Timeout: 800m\r\n" }, time.Second, false, nil},
+		"short deadlines":           {func(int) string { return tenant + "X-Timeout: 10m\r\n" }, time.Second, true, func(f progressMetrics) bool { return f.Connections.Opened > 700 }},
+		"odd deadlines":             {func(id int) string { return tenant + fmt.Sprintf("X-Timeout: %du\r\n", 1+id%30*1000) }, time.Second, true, nil},
+		"cancels":                   {func(int) string { return tenant + "X-Timeout: 800m\r\n" }, time.Millisecond, false, func(f progressMetrics) bool { return f.Connections.Opened > 60 }},
+		"a new key each time":       {func(id int) string { return tenant + fmt.Sprintf("X-Timeout: 800m\r\nX-Route-Key: k%d\r\n", id) }, time.Second, true, nil},
+		"an invalid cost":           {func(int) string { return tenant + "X-Timeout: 800m\r\nX-Cost: 1e300\r\nX-Cost: -1\r\n" }, time.Second, true, nil},
+		"two IDs in a request":      {func(int) string { return tenant + "X-Timeout: 800m\r\nX-Request-ID: 1\r\n" }, time.Second, true, nil},
+		"answers that nobody reads": {func(int) string { return tenant + "X-Timeout: 800m\r\n" }, time.Second, false, nil},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
-				d := startScriptedAgentOf(t, 3, busy)
-				defer d.close()
+				a := startScriptedAgentOf(t, 3, busy)
+				defer a.close()
 				var all sync.WaitGroup
 				var mu sync.Mutex
-				slowest, unserved, avoided := time.Duration(0), 0, 0
-				for i := range 600 { // 200 a second of the one, 50 of the other
-					if c.more != nil {
+				slowest, unserved, unavailable := time.Duration(0), 0, 0
+				for i := range 600 { // 200 requests a second of the misbehaving tenant, 50 of the other
+					if c.headers != nil {
 						all.Go(func() {
-							conn := d.connectAndWrite(request(1<<32+i, c.more(i)))
+							conn := a.connectAndWrite(request(1<<32+i, c.headers(i)))
 							defer conn.Close()
 							if c.reads {
 								readAnswer(conn)
 							} else {
-								time.Sleep(c.stays)
+								time.Sleep(c.disconnectAfter)
 							}
 						})
 					}
 					if i%4 == 0 {
 						all.Go(func() {
 							began := time.Now()
-							conn := d.connectAndWrite(request(i, "X-Tenant-Id: kottu-run\r\nX-Timeout: 800m\r\nConnection: close\r\n"))
+							conn := a.connectAndWrite(request(i, "X-Tenant-Id: kottu-run\r\nX-Timeout: 800m\r\nConnection: close\r\n"))
 							defer conn.Close()
 							resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 							mu.Lock()
@@ -526,62 +528,62 @@
 						})
 					}
 					if i%100 == 0 {
-						avoided = max(avoided, d.readFigures().Unavailable)
+						unavailable = max(unavailable, a.readMetrics().Unavailable)
 					}
 					time.Sleep(5 * time.Millisecond)
 				}
 				all.Wait()
-				f := d.readFigures()
-				if unserved > 0 || slowest > 40*time.Millisecond || max(avoided, f.Unavailable) > 0 || c.wastes != nil && c.wastes(f) {
-					t.Errorf("%d unserved, the slowest after %v, %d endpoints avoided; %+v", unserved, slowest, avoided, f)
+				f := a.readMetrics()
+				if unserved > 0 || slowest > 40*time.Millisecond || max(unavailable, f.Unavailable) > 0 || c.tooManyConnections != nil && c.tooManyConnections(f) {
+					t.Errorf("%d requests not served, the slowest took %v, %d endpoints unavailable; metrics %+v", unserved, slowest, unavailable, f)
 				}
 				time.Sleep(10 * time.Second)
-				if f := d.readFigures(); f.Pending != 0 || f.Connections.Open != f.Connections.Idle {
-					t.Errorf("in the end %+v", f)
+				if f := a.readMetrics(); f.Pending != 0 || f.Connections.Open != f.Connections.Idle {
+					t.Errorf("metrics at the end: %+v", f)
 				}
 			})
 		})
 	}
 }
 
-// Clients request long answers and do not read them. They hold connections until they are cut, and nobody else waits for a
-// connection to an endpoint or for one to the agent.
-func TestClientsThatDoNotReadDelayNobody(t *testing.T) {
+// Clients request long answers and do not read them, so they hold connections until the agent cuts them off. Other clients must not have
+// to wait for a connection to the agent or to an endpoint.
+func TestClientsThatDoNotReadDoNotDelayOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		body := strings.Repeat("x", 4<<20)
-		d := startScriptedAgentOf(t, 3, []peer.Step{peer.Forever(peer.Request(), peer.Send(peer.OK(body)))})
-		defer d.close()
+		a := startScriptedAgentOf(t, 3, []peer.Step{peer.Forever(peer.Request(), peer.Send(peer.OK(body)))})
+		defer a.close()
 		var all sync.WaitGroup
-		for i := range 150 { // 30 a second
+		for i := range 150 { // 30 requests a second
 			all.Go(func() {
-				c := d.connectAndWrite(fmt.Sprintf("GET /price-basket HTTP/1.1\r\nHost: o\r\nX-Request-ID: %016x\r\nX-Tenant-Id: bath-box\r\nX-Timeout: 800m\r\n\r\n", 1<<32+i))
+				c := a.connectAndWrite(fmt.Sprintf("GET /price-basket HTTP/1.1\r\nHost: o\r\nX-Request-ID: %016x\r\nX-Tenant-Id: bath-box\r\nX-Timeout: 800m\r\n\r\n", 1<<32+i))
 				time.Sleep(20 * time.Second)
 				if _, complete, _ := readAnswer(c); complete {
-					t.Error("an answer that nobody read for 20 s is complete")
+					t.Error("an answer that its client did not read for 20 s was not cut off")
 				}
 				c.Close()
 			})
 			if i%10 == 0 {
-				c := d.connectAndWrite(fmt.Sprintf("GET /price-basket HTTP/1.1\r\nHost: o\r\nX-Request-ID: %016x\r\nX-Tenant-Id: kottu-run\r\nX-Timeout: 800m\r\nConnection: close\r\n\r\n", i))
+				c := a.connectAndWrite(fmt.Sprintf("GET /price-basket HTTP/1.1\r\nHost: o\r\nX-Request-ID: %016x\r\nX-Tenant-Id: kottu-run\r\nX-Timeout: 800m\r\nConnection: close\r\n\r\n", i))
 				began := time.Now()
 				if status, complete, _ := readAnswer(c); status != http.StatusOK || !complete || time.Since(began) > 100*time.Millisecond {
-					t.Errorf("request %d got %d, complete %v, after %v", i, status, complete, time.Since(began))
+					t.Errorf("request %d got status %d, complete %v, after %v", i, status, complete, time.Since(began))
 				}
 				c.Close()
 			}
 			time.Sleep(time.Second / 30)
 		}
-		if f := d.readFigures(); f.Unavailable > 0 || f.Connections.Waiting > 0 {
-			t.Errorf("beside them %+v", f)
+		if f := a.readMetrics(); f.Unavailable > 0 || f.Connections.Waiting > 0 {
+			t.Errorf("metrics while clients do not read: %+v", f)
 		}
-		time.Sleep(8 * time.Second) // they still do not read
-		if f := d.readFigures(); f.Pending != 0 || f.Connections.Open != f.Connections.Idle {
-			t.Errorf("8 s later they hold %+v", f)
+		time.Sleep(8 * time.Second) // the clients still do not read
+		if f := a.readMetrics(); f.Pending != 0 || f.Connections.Open != f.Connections.Idle {
+			t.Errorf("metrics 8 s after the last request: %+v", f)
 		}
 		all.Wait()
 		time.Sleep(10 * time.Second)
-		if f := d.readFigures(); f.Pending != 0 || f.Connections.Open != f.Connections.Idle {
-			t.Errorf("in the end %+v", f)
+		if f := a.readMetrics(); f.Pending != 0 || f.Connections.Open != f.Connections.Idle {
+			t.Errorf("metrics at the end: %+v", f)
 		}
 	})
 }
--- a/internal/agent/metrics_keys_test.go
+++ b/internal/agent/metrics_keys_test.go
@@ -12,10 +12,10 @@
 	"ryeweir/internal/testkit"
 )
 
-// Operators' dashboards and alerts read GET /v1/metrics by key. A key that goes away when a field is renamed shows nothing, and an
-// alert on it is silent. testdata/metrics_keys.txt has the keys, with those of nested objects, that the program of commit 53b3d21
-// wrote after one served request, with the operators' file testdata/everything.toml. Left out is
-// events.connection_closed.read_timeout, which it counted for each call of /ready although no client was slow.
+// Dashboards and alerts read GET /v1/metrics by key. If a renamed field changes a key, a dashboard shows nothing and an alert never
+// fires. testdata/metrics_keys.txt lists the keys, with those of nested objects, that the program of commit 53b3d21 wrote after one
+// served request, with the operators' file testdata/everything.toml. The list omits events.connection_closed.read_timeout, which that
+// program counted for each request to /ready although no client was slow.
 func TestEveryReleasedMetricsKeyIsStillThere(t *testing.T) {
 	released, err := os.ReadFile(filepath.Join("testdata", "metrics_keys.txt"))
 	if err != nil {
@@ -40,7 +40,7 @@
 			t.Logf("missing: %s", strings.Join(missing, ", "))
 		}
 	}()
-	testkit.Eventually(t, "all keys are there", func() bool {
+	testkit.Eventually(t, "all released keys are present", func() bool {
 		present := map[string]bool{}
 		for key, value := range readMetrics(t, controlURL) {
 			addKeys(t, present, key, value)
@@ -55,7 +55,7 @@
 	})
 }
 
-// addKeys adds a key and, with their path, the keys of the objects in its value.
+// addKeys adds the key at path and the keys of all objects in its value, with path as their prefix.
 func addKeys(t *testing.T, keys map[string]bool, path string, value json.RawMessage) {
 	t.Helper()
 	keys[path] = true
--- a/internal/agent/metrics_test.go
+++ b/internal/agent/metrics_test.go
@@ -10,8 +10,8 @@
 	"ryeweir/internal/testkit"
 )
 
-// counterReading are the counters of GET /v1/metrics.
-type counterReading struct {
+// requestCounters holds the counters of GET /v1/metrics on requests, and the numbers of endpoints.
+type requestCounters struct {
 	Downstream  map[string]map[string]int `json:"downstream_requests"`
 	Upstream    int                       `json:"upstream_requests"`
 	Pending     int
@@ -20,7 +20,7 @@
 }
 
 // readCounters reads the counters at the operators' address.
-func (a *testAgent) readCounters(t *testing.T) (f counterReading) {
+func (a *testAgent) readCounters(t *testing.T) (f requestCounters) {
 	t.Helper()
 	r, err := http.NewRequest(http.MethodGet, a.control+"/v1/metrics", nil)
 	if err != nil {
@@ -32,8 +32,8 @@
 	return f
 }
 
-// Operators compare what clients saw with what endpoints did: the metrics count each final answer as its client saw it, and each
-// attempt of which all bytes were written.
+// Operators compare what clients received with what endpoints processed. The metrics count each final answer as its client received it,
+// and each attempt whose request was written completely.
 func TestMetricsCountAnswersAndAttempts(t *testing.T) {
 	t.Parallel()
 	hold := make(chan struct{})
@@ -65,9 +65,9 @@
 	bad.Header.Del("X-Timeout")
 	send(t, bad)
 	go http.DefaultClient.Do(pay("/pay/held").WithContext(context.Background()))
-	testkit.Eventually(t, "one is pending", func() bool { return a.readCounters(t).Pending == 1 })
+	testkit.Eventually(t, "one request is pending", func() bool { return a.readCounters(t).Pending == 1 })
 	close(hold)
-	testkit.Eventually(t, "none is pending", func() bool { return a.readCounters(t).Pending == 0 })
+	testkit.Eventually(t, "no request is pending", func() bool { return a.readCounters(t).Pending == 0 })
 	f := a.readCounters(t)
 	if c := f.Downstream["form-check"]; c["completed"] != 1 || c["rejected"] != 1 || c["failed"] != 0 {
 		t.Errorf("form-check: %v", c)
@@ -76,6 +76,6 @@
 		t.Errorf("pay: %v", c)
 	}
 	if f.Upstream != b.Requests() {
-		t.Errorf("%d attempts of %d", f.Upstream, b.Requests())
+		t.Errorf("%d attempts counted, %d requests at the endpoint", f.Upstream, b.Requests())
 	}
 }
--- a/internal/agent/peers_test.go
+++ b/internal/agent/peers_test.go
@@ -17,8 +17,7 @@
 	"ryeweir/logic"
 )
 
-// startWithOperators runs an agent with an operators' file until the test ends, and returns the URL for its clients and the one for
-// its operators.
+// startWithOperators runs an agent with an operators' file until the test ends. It returns the URLs for clients and for operators.
 func startWithOperators(t *testing.T, d *testkit.Discovery, operators operator.File) (clientURL, controlURL string) {
 	t.Helper()
 	cfg, err := platform.Parse(testkit.ConfigText(d.Addr().String(), "null"), testkit.NoEnv)
@@ -40,7 +39,7 @@
 	return "http://" + env.Clients.Addr().String(), "http://" + env.Control.Addr().String()
 }
 
-// readMetrics reads GET /v1/metrics; nil while the agent does not listen yet.
+// readMetrics returns the sections of GET /v1/metrics, or nil if the agent does not listen yet.
 func readMetrics(t *testing.T, controlURL string) map[string]json.RawMessage {
 	t.Helper()
 	resp, err := http.Get(controlURL + "/v1/metrics")
@@ -59,33 +58,35 @@
 	return all
 }
 
-// An agent over its own memory limit can't carry what it admits. It lowers the fleet's admission level; an agent within its limits
-// does not.
+// An agent that exceeds its own memory limit can't process all that it admits, so it lowers the fleet's admission level. An agent within
+// its limits does not.
 func TestOverloadedAgentLowersTheAdmissionLevel(t *testing.T) {
 	b := testkit.NewBackend(t, testkit.RespondWith("here"))
 	d := testkit.NewDiscovery(t, 1, testkit.EndpointJSON("s-1", b.Addr().String(), "Ready", 0))
-	pressed := func(controlURL string) int64 {
+	selfOverloads := func(controlURL string) int64 {
 		t.Helper()
-		var overload struct{ Pressed int64 }
+		var overload struct {
+			SelfOverloads int64 `json:"Pressed"`
+		}
 		if data := readMetrics(t, controlURL)["overload"]; data != nil {
 			if err := json.Unmarshal(data, &overload); err != nil {
 				t.Fatal(err)
 			}
 		}
-		return overload.Pressed
+		return overload.SelfOverloads
 	}
 	operators := operator.Default()
 	operators.Overload.Enabled = true
 	_, idle := startWithOperators(t, d, operators)
 	operators.Overload.SelfLimits.Memory = 0.0001
 	_, overloaded := startWithOperators(t, d, operators)
-	testkit.Eventually(t, "the level is lowered", func() bool { return pressed(overloaded) > 0 })
-	if n := pressed(idle); n > 0 {
-		t.Errorf("an idle agent lowered the level %d times", n)
+	testkit.Eventually(t, "the admission level is lowered", func() bool { return selfOverloads(overloaded) > 0 })
+	if n := selfOverloads(idle); n > 0 {
+		t.Errorf("an agent within its limits lowered the admission level %d times", n)
 	}
 }
 
-// listUpstream is an upstream that carries out nothing and passes on each endpoint list that it receives.
+// listUpstream is an upstream that executes no attempts and sends each endpoint list that it receives on a channel.
 type listUpstream struct{ lists chan core.EndpointList }
 
 func (u listUpstream) UpdateEndpoints(list core.EndpointList) (int, int) {
@@ -95,7 +96,8 @@
 func (listUpstream) Bind(string) any                            { return nil }
 func (listUpstream) Execute(_ context.Context, _ *core.Attempt) {}
 
-// runPeers runs the peers of an agent called "me" with a core, and returns them with the endpoint lists that the core receives.
+// runPeers runs the peers value of an agent named "me" with a core until the test ends. The channel delivers the endpoint lists that the
+// core receives.
 func runPeers(t *testing.T) (*peers, <-chan core.EndpointList) {
 	t.Helper()
 	clock := core.NewClock()
@@ -128,7 +130,7 @@
 	return p, lists
 }
 
-// readyEndpoint is an endpoint that started at a time of day, in Unix milliseconds.
+// readyEndpoint returns a ready endpoint with this start time.
 func (p *peers) readyEndpoint(id string, startedUnixMilli int64) core.Endpoint {
 	return core.Endpoint{
 		Endpoint:         logic.Endpoint{ID: id, State: logic.Ready, StartedAt: p.clock.FromUnix(startedUnixMilli)},
@@ -137,7 +139,7 @@
 	}
 }
 
-// statesByID returns the states in a list by endpoint.
+// statesByID returns the states of the endpoints in a list by their ID.
 func statesByID(list core.EndpointList) map[string]logic.EndpointState {
 	states := map[string]logic.EndpointState{}
 	for _, endpoint := range list.Endpoints {
@@ -146,15 +148,15 @@
 	return states
 }
 
-// drainNotice is a notice by a peer that an endpoint's incarnation drains.
-func drainNotice(by, endpoint string, started int64) fleetstate.Fact {
+// drainNotice returns a notice from a peer that an endpoint is draining.
+func drainNotice(reporter, endpoint string, started int64) fleetstate.Fact {
 	replica := fleetstate.NewReplica(fleetstate.DefaultLimits())
-	key := fleetstate.Key{Kind: fleetstate.Notice, Server: endpoint, Started: started, Origin: by}
-	fact, _ := replica.Put(time.Now(), key, fleetstate.Draining, by)
+	key := fleetstate.Key{Kind: fleetstate.Notice, Server: endpoint, Started: started, Origin: reporter}
+	fact, _ := replica.Put(time.Now(), key, fleetstate.Draining, reporter)
 	return fact
 }
 
-// ownNotice returns the state that this agent's own notices give an endpoint's incarnation; 0 without one.
+// ownNotice returns the state of an endpoint in this agent's own notice, or 0 if there is none.
 func (p *peers) ownNotice(endpoint string, started int64) (state int64) {
 	for _, fact := range p.Facts() {
 		if fact.Server == endpoint && fact.Started == started && fact.Reporter == p.name {
@@ -164,16 +166,16 @@
 	return state
 }
 
-// Two peers are notified that an endpoint drains before this agent's own discovery says so. The core sees the drain at once, and
-// goes on seeing it when the own list repeats that the endpoint is ready. A notice by a single peer, of another incarnation, or
-// one that would drain most endpoints is not believed.
+// Two peers report that an endpoint is draining before this agent's own list does. The core must receive the drain at once and keep it
+// when the own list repeats that the endpoint is ready. Notices have no effect if they are from a single peer, of another incarnation,
+// or if they would drain most endpoints.
 func TestDrainReportedByPeersOverridesTheOwnList(t *testing.T) {
 	p, lists := runPeers(t)
 	p.UpdateEndpoints(core.EndpointList{Full: true, Endpoints: []core.Endpoint{p.readyEndpoint("a", 7), p.readyEndpoint("b", 8), p.readyEndpoint("c", 9)}})
 	if states := statesByID(<-lists); states["a"] != logic.Ready {
 		t.Fatalf("%v", states)
 	}
-	p.MergeFacts([]fleetstate.Fact{drainNotice("x", "b", 8)}) // of one peer alone: the next list says nothing of b
+	p.MergeFacts([]fleetstate.Fact{drainNotice("x", "b", 8)}) // from a single peer: the next list must not contain b
 	fresh := p.MergeFacts([]fleetstate.Fact{drainNotice("x", "a", 6), drainNotice("y", "a", 6), drainNotice("x", "a", 7), drainNotice("y", "a", 7)})
 	if len(fresh) != 4 {
 		t.Fatalf("new facts: %v", fresh)
@@ -183,20 +185,21 @@
 	}
 	p.UpdateEndpoints(core.EndpointList{Endpoints: []core.Endpoint{p.readyEndpoint("a", 7)}})
 	if states := statesByID(<-lists); states["a"] != logic.Draining {
-		t.Errorf("after the own list: %v", states)
+		t.Errorf("after an update of the own list: %v", states)
 	}
-	p.MergeFacts([]fleetstate.Fact{drainNotice("y", "b", 8)}) // with b, two of three would drain
+	p.MergeFacts([]fleetstate.Fact{drainNotice("y", "b", 8)}) // with b, two of three endpoints would be draining
 	if states := statesByID(<-lists); states["a"] != logic.Ready {
-		t.Errorf("after a notice too many: %v", states)
+		t.Errorf("after notices that would drain most endpoints: %v", states)
 	}
 	if p.stats().DrainedEarly == 0 {
-		t.Error("no drain is counted as early")
+		t.Error("the drain is not counted as early")
 	}
 }
 
-// Peers may receive endpoint lists later than this agent. One that does not know of a restart would take the new process, which is
-// in slow start, for the one before: the incarnation before is therefore noticed as removed. A drain is noticed too.
-func TestRestartAndDrainInTheOwnListAreNoticed(t *testing.T) {
+// A peer may receive an endpoint list later than this agent. If it does not know of a restart, it takes the new process, which is in
+// slow start, for the previous one. This agent therefore sends a notice that the previous incarnation is removed. It also sends one of
+// a drain.
+func TestPeersAreNotifiedOfRestartsAndDrains(t *testing.T) {
 	p, lists := runPeers(t)
 	p.UpdateEndpoints(core.EndpointList{Full: true, Endpoints: []core.Endpoint{p.readyEndpoint("c", 9)}})
 	<-lists
@@ -214,8 +217,8 @@
 	}
 }
 
-// A peer sends a suspicion under this agent's name, which this agent does not have. It would count as this agent's own until it
-// expires; it is replaced by what this agent says. A malformed fact is refused.
+// A peer sends a suspicion under this agent's name that this agent never reported. Until it expires, it would count as this agent's own,
+// so this agent replaces it with what it last reported. A malformed fact is rejected.
 func TestForgedSuspicionIsCorrected(t *testing.T) {
 	p, lists := runPeers(t)
 	p.UpdateEndpoints(core.EndpointList{Full: true, Endpoints: []core.Endpoint{p.readyEndpoint("b", 8)}})
--- a/internal/agent/reload_test.go
+++ b/internal/agent/reload_test.go
@@ -17,12 +17,12 @@
 	"ryeweir/internal/testkit"
 )
 
-// reloadableAgent is an agent with a configuration file that a test replaces.
+// reloadableAgent is an agent whose configuration file a test can replace and have reloaded.
 type reloadableAgent struct {
 	*testAgent
 	t    *testing.T
 	file string
-	hup  chan os.Signal
+	hup  chan os.Signal // triggers a reload
 	log  testkit.LockedBuffer
 }
 
@@ -32,7 +32,7 @@
 	a := &reloadableAgent{testAgent: &testAgent{done: make(chan error, 1)}, t: t, file: filepath.Join(t.TempDir(), "config.json"),
 		hup: make(chan os.Signal, 1)}
 	a.write(testkit.ConfigText(discovery, "null"))
-	// The environment names the first discovery for as long as the process runs.
+	// The environment of a process does not change: it keeps the address of the first discovery.
 	env := map[string]string{"PROXY_CONFIG": a.file, "PROXY_DISCOVERY": discovery}
 	getenv := func(name string) string { return env[name] }
 	cfg, err := platform.Load(getenv)
@@ -51,7 +51,7 @@
 	return a
 }
 
-// write replaces the configuration file.
+// write replaces the configuration file without a reload.
 func (a *reloadableAgent) write(text []byte) {
 	a.t.Helper()
 	if err := os.WriteFile(a.file, text, 0o600); err != nil {
@@ -59,27 +59,27 @@
 	}
 }
 
-// reload replaces the configuration file and signals the agent to read it.
+// reload replaces the configuration file and signals the agent to reload it.
 func (a *reloadableAgent) reload(text []byte) {
 	a.t.Helper()
 	a.write(text)
 	a.hup <- os.Interrupt
 }
 
-// awaitAnswer sends requests until one has the wanted body; all of them must be served.
+// awaitAnswer sends requests until an answer has the wanted body. It fails the test if a request is not served.
 func (a *reloadableAgent) awaitAnswer(want string) {
 	a.t.Helper()
-	testkit.Eventually(a.t, want+" answers", func() bool {
+	testkit.Eventually(a.t, want+" is the body of an answer", func() bool {
 		got := send(a.t, a.newRequest(a.t, http.MethodGet, "/form-check", ""))
 		if got.status != http.StatusOK {
-			a.t.Fatalf("not served: %+v", got)
+			a.t.Fatalf("request not served: %+v", got)
 		}
 		return got.body == want
 	})
 }
 
-// SIGHUP moves the agent to another discovery, although the environment still names the first one, and the versions of the new
-// one's lists are lower. The old discovery has gone silent, and its open watch must not delay the move.
+// A reload switches the agent to another discovery, although the environment still names the first one and the list versions of the new
+// one are lower. The first discovery no longer responds, and the open watch on it must not delay the switch.
 func TestReloadFollowsNewDiscoveryAddress(t *testing.T) {
 	t.Parallel()
 	first := testkit.NewBackend(t, testkit.RespondWith("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nold!"))
@@ -95,12 +95,12 @@
 	if took := time.Since(began); took > 4*time.Second {
 		t.Errorf("the new discovery's list was in effect after %v", took)
 	}
-	a.reload(testkit.ConfigText(old.Addr().String(), "null")) // and back to one that is silent: the last list stays in effect
+	a.reload(testkit.ConfigText(old.Addr().String(), "null")) // back to the first, which does not respond: the last list stays in effect
 	testkit.Eventually(t, "the first discovery is requested again", func() bool { fullLists, _ := old.Calls(); return fullLists == 2 })
 	a.awaitAnswer("new!")
 }
 
-// A reload finds a file that can't be used. It is logged in one line, and the agent goes on with the configuration it has.
+// A reload reads a file that can't be used. The error is logged in one line, and the agent continues with the configuration in effect.
 func TestInvalidReloadChangesNothing(t *testing.T) {
 	t.Parallel()
 	b := testkit.NewBackend(t, testkit.RespondWith(testkit.OKResponse))
@@ -108,18 +108,18 @@
 	a := startReloadableAgent(t, d.Addr().String())
 	for i, text := range []string{"", "{", strings.Replace(string(testkit.ConfigText("127.0.0.1:1", "null")), "by_key", "by_luck", 1)} {
 		a.reload([]byte(text))
-		testkit.Eventually(t, "it is in the log", func() bool { return a.log.Count("not reloaded") == i+1 })
+		testkit.Eventually(t, "the error is logged", func() bool { return a.log.Count("not reloaded") == i+1 })
 	}
 	a.awaitAnswer("fine")
 	d.Set(2, true, testkit.EndpointJSON("s-1", b.Addr().String(), "Ready", 0), testkit.EndpointJSON("s-2", b.Addr().String(), "Ready", 0))
-	testkit.Eventually(t, "the old discovery is still followed", func() bool { return a.log.Count("version=2") == 1 })
+	testkit.Eventually(t, "lists of the discovery in effect are still applied", func() bool { return a.log.Count("version=2") == 1 })
 }
 
-// The reloader ends with the agent, also if it was never signalled.
+// The reloader ends when its context does, also if there was no signal.
 func TestReloaderEndsWithItsContext(t *testing.T) {
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan struct{})
-	loadNothing := func() (platform.Config, error) { return platform.Config{}, errors.New("read without a signal") }
+	loadNothing := func() (platform.Config, error) { return platform.Config{}, errors.New("loaded without a signal") }
 	r := reloader{config: ReloadConfig{LoadPlatform: loadNothing}, log: slog.New(slog.DiscardHandler)}
 	go func() {
 		r.run(ctx)
@@ -133,9 +133,9 @@
 	}
 }
 
-// SIGHUP reads the operators' file too. What can change takes effect at once, a key that needs a restart is named in the log, and
-// a file that can't be used changes nothing.
-func TestReloadOfOperatorsFileAppliesWhatNeedsNoRestart(t *testing.T) {
+// A reload reads the operators' file too. Keys that can change without a restart take effect at once, the log names changed keys that
+// need a restart, and a file that can't be used changes nothing.
+func TestReloadAppliesOperatorsKeysThatNeedNoRestart(t *testing.T) {
 	t.Parallel()
 	file := filepath.Join(t.TempDir(), "operator.toml")
 	write := func(text string) {
--- a/internal/agent/scenarios_test.go
+++ b/internal/agent/scenarios_test.go
@@ -21,32 +21,32 @@
 	"ryeweir/internal/emulator/referee"
 )
 
-// simulation is an emulated world with its agents. Its scenarios run real agents in memory and in fake time: connections,
-// discovery, endpoints and clients behave as the emulator has it, and minutes pass in a moment.
+// simulation is a run of real agents against emulated clients, endpoints and discovery. It uses an in-memory network and the fake time of
+// synctest, so that minutes of emulated time take little real time.
 type simulation struct {
 	*emulator.World
 	t         *testing.T
 	network   *link.Network
-	addrs     []string
+	addrs     []string // by agent, as are the next three
 	clients   []*callers.Client
 	stop      []context.CancelFunc
-	finished  []chan error
-	calls     []referee.CallResult
-	operators operator.File
+	finished  []chan error         // receives the result of agent.Run
+	calls     []referee.CallResult // of all callers, when they have ended
+	operators operator.File        // of every agent
 }
 
-// scenario is a day of the emulator, what happens beside its clients, and what must have come of it.
+// scenario describes one run: its differences from the base scenario, what happens during the run, and what must hold afterwards.
 type scenario struct {
-	changeDay       func(*emulator.ScenarioSpec)
-	beside          func(*simulation)             // beside the callers; may be nil
-	minService      float64                       // the least
-	verify          func(*testing.T, *simulation) // beyond the rules; may be nil
+	changeSpec      func(*emulator.ScenarioSpec)
+	during          func(*simulation)             // runs concurrently with the callers; may be nil
+	minService      float64                       // minimum fraction of service
+	verify          func(*testing.T, *simulation) // checks more than the rules; may be nil
 	changeLimits    func(*emulator.Limits)        // may be nil
-	changeOperators func(*operator.File)          // what operators changed; may be nil
+	changeOperators func(*operator.File)          // may be nil
 }
 
-// baseDay is the day that scenarios change.
-func baseDay() emulator.ScenarioSpec {
+// baseSpec returns the emulator's spec of the base scenario, which each scenario modifies.
+func baseSpec() emulator.ScenarioSpec {
 	d := emulator.DefaultScenario()
 	d.Load, d.Length = 0.35, config.Duration(12*time.Second)
 	for i := range d.Kinds {
@@ -55,27 +55,27 @@
 	return d
 }
 
-// seconds is a duration of x seconds.
+// seconds returns a duration of x seconds.
 func seconds(x float64) config.Duration { return config.Duration(x * float64(time.Second)) }
 
-// run runs a scenario. The rules must hold in each, and every request must have exactly one end.
+// run runs a scenario. The rules must hold, every request must have exactly one end, and the conditions of the scenario must be met.
 func (sc scenario) run(t *testing.T) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		spec := baseDay()
-		if sc.changeDay != nil {
-			sc.changeDay(&spec)
+		spec := baseSpec()
+		if sc.changeSpec != nil {
+			sc.changeSpec(&spec)
 		}
 		if err := spec.Check(""); err != nil {
 			t.Fatal(err)
 		}
-		day, err := spec.Draw(7)
+		drawn, err := spec.Draw(7)
 		if err != nil {
 			t.Fatal(err)
 		}
 		network := link.NewNetwork(7)
 		ctx := t.Context()
-		w, err := emulator.Start(ctx, day, emulator.MemoryNetwork{Network: network}, true)
+		w, err := emulator.Start(ctx, drawn, emulator.MemoryNetwork{Network: network}, true)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -88,18 +88,18 @@
 		if sc.changeLimits != nil {
 			sc.changeLimits(&limits)
 		}
-		for i := range day.Agents {
+		for i := range drawn.Agents {
 			s.start(i, limits)
 		}
-		for i := range day.Agents {
+		for i := range drawn.Agents {
 			s.awaitReady(i)
 		}
 		w.InjectFaults()
 		done := make(chan struct{})
 		go func() {
 			defer close(done)
-			if sc.beside != nil {
-				sc.beside(s)
+			if sc.during != nil {
+				sc.during(s)
 			}
 		}()
 		s.calls, _ = w.RunCallers(ctx, s.route, false, nil)
@@ -109,7 +109,7 @@
 	})
 }
 
-// shutDown disconnects the clients and ends the agents in order.
+// shutDown disconnects the clients and shuts down the agents one after the other.
 func (s *simulation) shutDown() {
 	s.t.Helper()
 	for _, c := range s.clients {
@@ -123,27 +123,27 @@
 	}
 }
 
-// checkRules checks the referee's account and the least service of a scenario.
+// checkRules checks the referee's account and the conditions of a scenario.
 func (s *simulation) checkRules(sc scenario) {
 	s.t.Helper()
 	a := s.Referee.Account()
-	for _, b := range s.Referee.Violations() {
-		s.t.Error(b)
+	for _, violation := range s.Referee.Violations() {
+		s.t.Error(violation)
 	}
 	if !a.RulesHold() || !a.Balanced() || a.UnknownRequests > 0 || s.Err() != nil {
-		s.t.Errorf("the account %+v, %v", a, s.Err())
+		s.t.Errorf("rules violated or account not balanced: %+v, %v", a, s.Err())
 	}
 	service := referee.MeasureService(s.calls, time.Second, len(s.Scenario.Classes), len(s.Scenario.Tenants))
 	s.t.Logf("service %.3f worst %.3f classes %.3f of %d calls; %+v", service.Overall, service.WorstWindow, service.ByClass, len(s.calls), a)
 	if service.Overall < sc.minService {
-		s.t.Errorf("service is %.3f, under %.3f", service.Overall, sc.minService)
+		s.t.Errorf("service is %.3f, below the minimum of %.3f", service.Overall, sc.minService)
 	}
 	if sc.verify != nil {
 		sc.verify(s.t, s)
 	}
 }
 
-// start starts an agent's process.
+// start starts a process of an agent: the first one, or one after the previous has ended.
 func (s *simulation) start(i int, limits emulator.Limits) {
 	s.t.Helper()
 	name := s.Scenario.Agents[i]
@@ -180,7 +180,7 @@
 	s.addrs[i], s.stop[i], s.finished[i] = name+":8081", stop, ended
 }
 
-// get sends a request to an agent and returns the status, or 0.
+// get sends a GET request to an agent and returns the status of the answer, or 0 if there is none.
 func (s *simulation) get(addr, path string) int {
 	client := http.Client{Transport: &http.Transport{DialContext: s.network.Dialer("operator"), DisableKeepAlives: true}, Timeout: time.Second}
 	resp, err := client.Get("http://" + addr + path)
@@ -204,70 +204,70 @@
 	s.t.Fatalf("agent %d is not ready in 20 s", i)
 }
 
-// route sends a planned call to its agent.
+// route assigns a planned request to its agent and to the client of that agent.
 func (s *simulation) route(p callers.PlannedRequest, _ []string) (string, *callers.Client, func(referee.Outcome)) {
 	return s.Scenario.Agents[p.Agent], s.clients[p.Agent], func(referee.Outcome) {}
 }
 
-// fault is a fault of some endpoints between two times, in seconds.
+// fault returns the spec of a fault of some endpoints between two times, in seconds.
 func fault(kind node.FaultKind, nodes int, from, to, size float64) emulator.FaultSpec {
 	return emulator.FaultSpec{Kind: string(kind), Nodes: nodes, From: seconds(from), To: seconds(to), Size: size}
 }
 
-// withFaults adds faults to a day.
+// withFaults returns a function that adds faults to a spec.
 func withFaults(faults ...emulator.FaultSpec) func(*emulator.ScenarioSpec) {
 	return func(d *emulator.ScenarioSpec) { d.Faults = append(d.Faults, faults...) }
 }
 
-// Endpoints, networks, discovery, clients and agents fail in one way at a time, or in several. In each scenario the rules hold,
-// every request has exactly one end, and enough of them are served.
+// Endpoints, networks, discovery, clients and agents fail, in one way at a time or in several. In each scenario the rules must hold, every
+// request must have exactly one end, and the minimum service must be reached.
 func TestRulesHoldInScenarios(t *testing.T) {
 	flap := fault(node.Flap, 2, 2, 9, 0)
 	flap.On, flap.Off = seconds(0.7), seconds(0.9)
-	neighbour := fault(node.NoisyNeighbor, 3, 2, 10, 0.7)
-	neighbour.On, neighbour.Off = seconds(2), seconds(1.5)
-	bad := link.Conditions{Delay: 150 * time.Millisecond, Jitter: 20 * time.Millisecond, Loss: 0.1, Resend: 50 * time.Millisecond}
+	noisyNeighbor := fault(node.NoisyNeighbor, 3, 2, 10, 0.7)
+	noisyNeighbor.On, noisyNeighbor.Off = seconds(2), seconds(1.5)
+	poorLink := link.Conditions{Delay: 150 * time.Millisecond, Jitter: 20 * time.Millisecond, Loss: 0.1, Resend: 50 * time.Millisecond}
 	for name, sc := range map[string]scenario{
 		"quiet":                        {minService: 0.97},
-		"a slow endpoint":              {changeDay: withFaults(fault(node.Slow, 1, 2, 10, 8)), minService: 0.85},
-		"fast errors":                  {changeDay: withFaults(fault(node.FastFail, 1, 2, 10, 0.9)), minService: 0.85},
-		"a neighbour":                  {changeDay: withFaults(neighbour), minService: 0.8},
-		"an endpoint vanishes":         {changeDay: withFaults(fault(node.Blackhole, 1, 3, 9, 0)), minService: 0.85},
-		"resets":                       {changeDay: withFaults(fault(node.ResetConn, 5, 2, 10, 0.1)), minService: 0.8, verify: checkNoDuplicates},
-		"idle closes":                  {changeDay: withFaults(fault(node.IdleClose, 5, 1, 12, 1)), minService: 0.95, verify: checkNoDuplicates},
-		"corrupt answers":              {changeDay: withFaults(fault(node.MalformedResponse, 5, 2, 10, 0.1)), minService: 0.8, verify: checkNoDuplicates},
-		"oversized answers":            {changeDay: withFaults(fault(node.OversizedResponse, 5, 2, 10, 0.1)), minService: 0.8, verify: checkNoDuplicates},
-		"late answers":                 {changeDay: withFaults(fault(node.DelayedResponse, 2, 2, 8, 1)), minService: 0.6},
-		"flapping":                     {changeDay: withFaults(flap), minService: 0.75},
-		"a drain":                      {changeDay: withFaults(fault(node.Drain, 2, 3, 8, 0)), minService: 0.9},
-		"a restart":                    {changeDay: withFaults(fault(node.Restart, 1, 3, 5, 0)), minService: 0.9},
-		"a replacement":                {changeDay: withFaults(fault(node.Replace, 2, 3, 4, 0)), minService: 0.85},
-		"a rolling restart":            {changeDay: withFaults(fault(node.Restart, 1, 1, 3, 0), fault(node.Restart, 1, 4, 6, 0), fault(node.Restart, 1, 7, 9, 0)), minService: 0.8},
-		"overlapping faults":           {changeDay: withFaults(fault(node.Slow, 1, 2, 10, 5), fault(node.FastFail, 1, 4, 9, 0.8), fault(node.Drain, 1, 5, 8, 0)), minService: 0.6},
-		"overload":                     {changeDay: func(d *emulator.ScenarioSpec) { d.Load, d.Length = 2.2, seconds(6) }, minService: 0.25, verify: checkPromptRejections},
-		"a burst":                      {changeDay: func(d *emulator.ScenarioSpec) { d.Shape, d.Swing, d.Period = "burst", 3, seconds(4) }, minService: 0.6},
-		"all in slow start":            {changeDay: func(d *emulator.ScenarioSpec) { startAllInSlowStart(d); d.Load = 0.2 }, minService: 0.3},
-		"misbehaving and slow clients": {changeDay: func(d *emulator.ScenarioSpec) { d.Clients.SlowFraction = 0.2 }, beside: addMisbehavingClients, minService: 0.7},
-		"large answers": {changeDay: func(d *emulator.ScenarioSpec) {
+		"a slow endpoint":              {changeSpec: withFaults(fault(node.Slow, 1, 2, 10, 8)), minService: 0.85},
+		"fast errors":                  {changeSpec: withFaults(fault(node.FastFail, 1, 2, 10, 0.9)), minService: 0.85},
+		"noisy neighbor":               {changeSpec: withFaults(noisyNeighbor), minService: 0.8},
+		"an endpoint vanishes":         {changeSpec: withFaults(fault(node.Blackhole, 1, 3, 9, 0)), minService: 0.85},
+		"resets":                       {changeSpec: withFaults(fault(node.ResetConn, 5, 2, 10, 0.1)), minService: 0.8, verify: checkNoDuplicates},
+		"idle closes":                  {changeSpec: withFaults(fault(node.IdleClose, 5, 1, 12, 1)), minService: 0.95, verify: checkNoDuplicates},
+		"corrupt responses":            {changeSpec: withFaults(fault(node.MalformedResponse, 5, 2, 10, 0.1)), minService: 0.8, verify: checkNoDuplicates},
+		"oversized responses":          {changeSpec: withFaults(fault(node.OversizedResponse, 5, 2, 10, 0.1)), minService: 0.8, verify: checkNoDuplicates},
+		"late responses":               {changeSpec: withFaults(fault(node.DelayedResponse, 2, 2, 8, 1)), minService: 0.6},
+		"flapping":                     {changeSpec: withFaults(flap), minService: 0.75},
+		"a drain":                      {changeSpec: withFaults(fault(node.Drain, 2, 3, 8, 0)), minService: 0.9},
+		"a restart":                    {changeSpec: withFaults(fault(node.Restart, 1, 3, 5, 0)), minService: 0.9},
+		"a replacement":                {changeSpec: withFaults(fault(node.Replace, 2, 3, 4, 0)), minService: 0.85},
+		"a rolling restart":            {changeSpec: withFaults(fault(node.Restart, 1, 1, 3, 0), fault(node.Restart, 1, 4, 6, 0), fault(node.Restart, 1, 7, 9, 0)), minService: 0.8},
+		"overlapping faults":           {changeSpec: withFaults(fault(node.Slow, 1, 2, 10, 5), fault(node.FastFail, 1, 4, 9, 0.8), fault(node.Drain, 1, 5, 8, 0)), minService: 0.6},
+		"overload":                     {changeSpec: func(d *emulator.ScenarioSpec) { d.Load, d.Length = 2.2, seconds(6) }, minService: 0.25, verify: checkPromptRejections},
+		"a burst":                      {changeSpec: func(d *emulator.ScenarioSpec) { d.Shape, d.Swing, d.Period = "burst", 3, seconds(4) }, minService: 0.6},
+		"all in slow start":            {changeSpec: func(d *emulator.ScenarioSpec) { startAllInSlowStart(d); d.Load = 0.2 }, minService: 0.3},
+		"misbehaving and slow clients": {changeSpec: func(d *emulator.ScenarioSpec) { d.Clients.SlowFraction = 0.2 }, during: addMisbehavingClients, minService: 0.7},
+		"large responses": {changeSpec: func(d *emulator.ScenarioSpec) {
 			d.ResponseBytes, d.Load, d.Agents, d.Length = 300<<10, 0.1, 1, seconds(6)
 		}, minService: 0.9},
-		"large requests":    {changeDay: func(d *emulator.ScenarioSpec) { d.RequestBytes, d.Load, d.Agents = 200<<10, 0.1, 1 }, minService: 0.9},
-		"discovery is down": {changeDay: withDiscoveryOutage(2, 9), minService: 0.95},
-		"a restart that no list reports": {changeDay: func(d *emulator.ScenarioSpec) {
+		"large requests":    {changeSpec: func(d *emulator.ScenarioSpec) { d.RequestBytes, d.Load, d.Agents = 200<<10, 0.1, 1 }, minService: 0.9},
+		"discovery is down": {changeSpec: withDiscoveryOutage(2, 9), minService: 0.95},
+		"a restart that no list reports": {changeSpec: func(d *emulator.ScenarioSpec) {
 			withDiscoveryOutage(2, 9)(d)
 			withFaults(fault(node.Restart, 1, 3, 11, 0))(d)
 		}, minService: 0.85},
-		"discovery is slow":           {changeDay: func(d *emulator.ScenarioSpec) { d.Discovery.Rate = 3; withFaults(fault(node.Drain, 1, 3, 8, 0))(d) }, minService: 0.9},
-		"nothing reaches an endpoint": {beside: func(s *simulation) { s.partitionOneWay(true) }, minService: 0.85},
-		"no answer comes back":        {beside: func(s *simulation) { s.partitionOneWay(false) }, minService: 0.85, verify: checkNoDuplicates},
-		"all connections break":       {beside: resetAllConnections, minService: 0.85, verify: checkNoDuplicates},
-		"lossy links to endpoints":    {changeDay: func(d *emulator.ScenarioSpec) { d.Network.Loss = 0.02 }, minService: 0.5, verify: checkNoDuplicates},
-		"clients on poor links":       {changeDay: func(d *emulator.ScenarioSpec) { d.Load = 0.1 }, beside: func(s *simulation) { s.setClientLinks(bad) }, verify: checkNoDuplicates},
-		"operators drain an agent":    {beside: drainByOperator, minService: 0.9},
-		"an agent ends":               {beside: shutDownFirstAgent, verify: checkFirstAgentEnded},
-		"an agent is killed":          {beside: killFirstAgent, minService: 0.6},
-		"few descriptors":             {changeLimits: func(l *emulator.Limits) { l.Sockets = 128 }, minService: 0.9},
-		"little memory":               {changeDay: func(d *emulator.ScenarioSpec) { d.ResponseBytes, d.Load, d.Length = 200<<10, 0.1, seconds(6) }, changeLimits: func(l *emulator.Limits) { l.MemoryMB = 20 }, minService: 0.9},
+		"discovery is slow":              {changeSpec: func(d *emulator.ScenarioSpec) { d.Discovery.Rate = 3; withFaults(fault(node.Drain, 1, 3, 8, 0))(d) }, minService: 0.9},
+		"no request reaches an endpoint": {during: func(s *simulation) { s.partitionOneWay(true) }, minService: 0.85},
+		"no response comes back":         {during: func(s *simulation) { s.partitionOneWay(false) }, minService: 0.85, verify: checkNoDuplicates},
+		"all connections break":          {during: resetAllConnections, minService: 0.85, verify: checkNoDuplicates},
+		"lossy links to endpoints":       {changeSpec: func(d *emulator.ScenarioSpec) { d.Network.Loss = 0.02 }, minService: 0.5, verify: checkNoDuplicates},
+		"clients on poor links":          {changeSpec: func(d *emulator.ScenarioSpec) { d.Load = 0.1 }, during: func(s *simulation) { s.setClientLinks(poorLink) }, verify: checkNoDuplicates},
+		"operators drain an agent":       {during: drainByOperator, minService: 0.9},
+		"an agent shuts down":            {during: shutDownFirstAgent, verify: checkFirstAgentEnded},
+		"an agent is killed":             {during: killFirstAgent, minService: 0.6},
+		"few descriptors":                {changeLimits: func(l *emulator.Limits) { l.Sockets = 128 }, minService: 0.9},
+		"little memory":                  {changeSpec: func(d *emulator.ScenarioSpec) { d.ResponseBytes, d.Load, d.Length = 200<<10, 0.1, seconds(6) }, changeLimits: func(l *emulator.Limits) { l.MemoryMB = 20 }, minService: 0.9},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -276,7 +276,7 @@
 	}
 }
 
-// checkNoDuplicates checks that what must not run twice has not, though something did run.
+// checkNoDuplicates checks that no non-idempotent request has run twice, and that requests were completed.
 func checkNoDuplicates(t *testing.T, s *simulation) {
 	t.Helper()
 	if a := s.Referee.Account(); a.Effects == 0 || a.Duplicates > 0 || a.Completed == 0 {
@@ -284,7 +284,7 @@
 	}
 }
 
-// checkPromptRejections checks that requests for which there is no capacity are rejected, rather than left without an answer.
+// checkPromptRejections checks that requests for which there is no capacity are rejected and not left without an answer.
 func checkPromptRejections(t *testing.T, s *simulation) {
 	t.Helper()
 	if a := s.Referee.Account(); a.Rejected < a.Requests/10 || a.Unanswered > a.Requests/10 {
@@ -292,21 +292,21 @@
 	}
 }
 
-// startAllInSlowStart makes all endpoints begin in slow start.
+// startAllInSlowStart makes all endpoints start in slow start.
 func startAllInSlowStart(d *emulator.ScenarioSpec) {
 	for i := range d.Kinds {
 		d.Kinds[i].SlowStart = true
 	}
 }
 
-// withDiscoveryOutage makes discovery unavailable between two times, in seconds.
+// withDiscoveryOutage returns a function that makes discovery unavailable between two times, in seconds.
 func withDiscoveryOutage(from, to float64) func(*emulator.ScenarioSpec) {
 	return func(d *emulator.ScenarioSpec) {
 		d.Outages = []emulator.OutageSpec{{From: seconds(from), To: seconds(to)}}
 	}
 }
 
-// addMisbehavingClients adds clients that connect and send no valid requests.
+// addMisbehavingClients runs clients that connect to the first agent and send no valid requests.
 func addMisbehavingClients(s *simulation) {
 	ctx, stop := context.WithTimeout(context.Background(), 8*time.Second)
 	defer stop()
@@ -316,13 +316,13 @@
 	}
 }
 
-// partitionOneWay cuts one direction between the agents and an endpoint for some seconds.
-func (s *simulation) partitionOneWay(forth bool) {
+// partitionOneWay cuts the network between the agents and an endpoint in one direction, for 5 s.
+func (s *simulation) partitionOneWay(toEndpoint bool) {
 	time.Sleep(2 * time.Second)
 	for _, cut := range []bool{true, false} {
 		for _, a := range s.Scenario.Agents {
 			c := link.Conditions{Delay: time.Millisecond, Cut: cut}
-			if forth {
+			if toEndpoint {
 				s.network.Set(a, "node-01", c)
 			} else {
 				s.network.Set("node-01", a, c)
@@ -332,7 +332,7 @@
 	}
 }
 
-// resetAllConnections resets all connections between agents and endpoints, three times.
+// resetAllConnections resets all connections between agents and endpoints three times, every 2 s.
 func resetAllConnections(s *simulation) {
 	for range 3 {
 		time.Sleep(2 * time.Second)
@@ -344,14 +344,14 @@
 	}
 }
 
-// setClientLinks sets the conditions between clients and agents.
+// setClientLinks sets the network conditions between clients and agents, in both directions.
 func (s *simulation) setClientLinks(c link.Conditions) {
 	for _, a := range s.Scenario.Agents {
 		s.network.SetBoth("app-"+a, a, c)
 	}
 }
 
-// callOperator sends a request to the operators' address and returns the status.
+// callOperator sends a POST request to an agent's operators' address and returns the status of the answer, or 0 if there is none.
 func (s *simulation) callOperator(agent int, path string) int {
 	client := http.Client{Transport: &http.Transport{DialContext: s.network.Dialer("operator"), DisableKeepAlives: true}, Timeout: time.Second}
 	resp, err := client.Post("http://"+s.Scenario.Agents[agent]+":9000"+path, "", nil)
@@ -362,31 +362,31 @@
 	return resp.StatusCode
 }
 
-// drainByOperator drains an agent for some seconds: it reports not ready and serves clients all the same.
+// drainByOperator drains an agent for 3 s, as operators do. The agent reports that it is not ready but still serves clients.
 func drainByOperator(s *simulation) {
 	time.Sleep(2 * time.Second)
 	if code := s.callOperator(0, "/v1/agent/drain"); code/100 != 2 {
-		s.t.Errorf("drain: %d", code)
+		s.t.Errorf("drain: status %d", code)
 	}
 	if code := s.get(s.addrs[0], "/ready"); code/100 == 2 {
-		s.t.Errorf("ready says %d in a drain", code)
+		s.t.Errorf("/ready returns %d during a drain", code)
 	}
 	time.Sleep(3 * time.Second)
 	if code := s.callOperator(0, "/v1/agent/activate"); code/100 != 2 {
-		s.t.Errorf("activate: %d", code)
+		s.t.Errorf("activate: status %d", code)
 	}
 	if code := s.get(s.addrs[0], "/ready"); code != http.StatusOK {
-		s.t.Errorf("ready says %d after the drain", code)
+		s.t.Errorf("/ready returns %d after the drain", code)
 	}
 }
 
-// shutDownFirstAgent ends an agent in order, as SIGTERM does, while its clients go on.
+// shutDownFirstAgent shuts down an agent, as SIGTERM does, while its clients continue to send requests.
 func shutDownFirstAgent(s *simulation) {
 	time.Sleep(4 * time.Second)
 	s.stop[0]()
 }
 
-// checkFirstAgentEnded checks that what the agent had accepted was answered; later requests found no agent.
+// checkFirstAgentEnded checks that the agent answered the requests that it had accepted, and that later requests failed.
 func checkFirstAgentEnded(t *testing.T, s *simulation) {
 	t.Helper()
 	if a := s.Referee.Account(); a.Failed == 0 || a.Unanswered > 20 {
@@ -394,11 +394,11 @@
 	}
 }
 
-// killFirstAgent kills an agent with its connections and starts it again.
+// killFirstAgent kills an agent together with its connections, and starts a new process of it.
 func killFirstAgent(s *simulation) {
 	time.Sleep(4 * time.Second)
 	from := s.Now()
-	s.Referee.AgentKilled(s.Scenario.Agents[0], from, from+50*time.Millisecond) // first: callers see the closes as soon as the network makes them
+	s.Referee.AgentKilled(s.Scenario.Agents[0], from, from+50*time.Millisecond) // before Kill, because callers see the closed connections at once
 	s.network.Kill(s.Scenario.Agents[0])
 	s.stop[0]()
 	<-s.finished[0]
--- a/internal/agent/scripted_test.go
+++ b/internal/agent/scripted_test.go
@@ -22,19 +22,19 @@
 	"ryeweir/internal/emulator/peer"
 )
 
-// An endpoint does exactly what a script says. The client's answer, and how many requests reach the endpoint, follow from it:
-// what may have run is not sent again unless it is idempotent.
-func TestAnswerFollowsWhatTheEndpointDid(t *testing.T) {
+// An endpoint follows a script, which determines the client's answer and the number of requests that reach the endpoint. A request that
+// may have run must not be sent again unless it is idempotent.
+func TestAnswerFollowsFromTheEndpointsBehavior(t *testing.T) {
 	fine := []peer.Step{peer.Forever(peer.Request(), peer.Send(peer.OK("fine")))}
 	for name, c := range map[string]struct {
 		method, path string
 		scripts      [][]peer.Step
 		status       int
 		body         string
-		seen         int
+		requests     int // that the endpoint reads completely
 	}{
 		"byte by byte":                   {http.MethodPost, "/place-order", [][]peer.Step{{peer.Request(), peer.Drip(peer.OK("slowly"), time.Millisecond), peer.Silence()}}, 200, "slowly", 1},
-		"interim answers":                {http.MethodPost, "/place-order", [][]peer.Step{{peer.Request(), peer.Send("HTTP/1.1 103 Early Hints\r\n\r\n"), peer.Wait(5 * time.Millisecond), peer.Send(peer.OK("final")), peer.Silence()}}, 200, "final", 1},
+		"interim responses":              {http.MethodPost, "/place-order", [][]peer.Step{{peer.Request(), peer.Send("HTTP/1.1 103 Early Hints\r\n\r\n"), peer.Wait(5 * time.Millisecond), peer.Send(peer.OK("final")), peer.Silence()}}, 200, "final", 1},
 		"a reset, idempotent":            {http.MethodGet, "/price-basket", [][]peer.Step{{peer.Request(), peer.Reset()}, fine}, 200, "fine", 2},
 		"a reset, not idempotent":        {http.MethodPost, "/place-order", [][]peer.Step{{peer.Request(), peer.Reset()}, fine}, 502, "", 1},
 		"a close, not idempotent":        {http.MethodPost, "/place-order", [][]peer.Step{{peer.Request(), peer.Close()}, fine}, 502, "", 1},
@@ -55,19 +55,19 @@
 				p := peer.New(l, c.scripts...)
 				defer p.Close()
 				got, body := requestFromAgent(t, network, c.method, c.path)
-				if got != c.status || body != c.body || len(p.Requests()) != c.seen || p.Err() != nil {
-					t.Errorf("%d %q after %d requests, %v", got, body, len(p.Requests()), p.Err())
+				if got != c.status || body != c.body || len(p.Requests()) != c.requests || p.Err() != nil {
+					t.Errorf("status %d, body %q after %d requests, %v", got, body, len(p.Requests()), p.Err())
 				}
 			})
 		})
 	}
 }
 
-// configWithEndpoints is the configuration of an agent that has these endpoints from the process before it, and no discovery.
+// configWithEndpoints returns the configuration of an agent that has a cached list of these endpoints and can't reach discovery.
 func configWithEndpoints(t *testing.T, control string, nodes ...string) platform.Config {
 	t.Helper()
-	spec := baseDay()
-	day, err := spec.Draw(1)
+	spec := baseSpec()
+	drawn, err := spec.Draw(1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -75,7 +75,7 @@
 	for _, id := range nodes {
 		known.Servers = append(known.Servers, discovery.Entry{ID: id, Addr: id + ":80", Zone: "colombo", State: discovery.Ready, Weight: 1})
 	}
-	text, err := day.AgentConfig(0, "127.0.0.1:80", control, "nowhere:1", emulator.DefaultLimits(), &known)
+	text, err := drawn.AgentConfig(0, "127.0.0.1:80", control, "nowhere:1", emulator.DefaultLimits(), &known)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -86,15 +86,15 @@
 	return cfg
 }
 
-// requestFromAgent runs an agent with one endpoint, at node:80, and sends it one request.
+// requestFromAgent runs an agent with one endpoint, at node:80, sends it one request and returns the answer.
 func requestFromAgent(t *testing.T, network *link.Network, method, path string) (status int, body string) {
 	t.Helper()
 	ops := operator.Default()
-	ops.HealthChecks.PerRequest = 0 // the script has no health checks
+	ops.HealthChecks.PerRequest = 0 // the scripts do not respond to health checks
 	return requestFromAgentWith(t, network, ops, slog.New(slog.DiscardHandler), method, path)
 }
 
-// requestFromAgentWith is requestFromAgent with an operators' file and a log.
+// requestFromAgentWith is requestFromAgent with an operators' file and a logger.
 func requestFromAgentWith(t *testing.T, network *link.Network, ops operator.File, log *slog.Logger, method, path string) (status int, body string) {
 	t.Helper()
 	cfg := configWithEndpoints(t, "", "node")
@@ -134,8 +134,8 @@
 	return resp.StatusCode, string(got)
 }
 
-// An agent is restarted: the next process restores what the one before learned. With a damaged file it starts without, and serves
-// all the same.
+// When an agent is restarted, the next process restores what the previous one learned. If the snapshot file is damaged, the process must
+// start with nothing learned, and serve requests.
 func TestNextProcessRestoresTheSnapshot(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ops := operator.Default()
@@ -151,7 +151,7 @@
 			p := peer.New(l, []peer.Step{peer.Forever(peer.Request(), peer.Send(peer.OK("fine")))})
 			files, err := filepath.Glob(filepath.Join(ops.Snapshot.Dir, "*"))
 			if err != nil || run > 0 && len(files) != 1 {
-				t.Fatalf("before run %d there are %v, %v", run, files, err)
+				t.Fatalf("snapshot files before run %d: %v, %v", run, files, err)
 			}
 			if run == 2 {
 				if err := os.Truncate(files[0], 20); err != nil {
@@ -160,7 +160,7 @@
 			}
 			logged.Reset()
 			if status, _ := requestFromAgentWith(t, network, ops, log, http.MethodGet, "/price-basket"); status != http.StatusOK || !strings.Contains(logged.String(), want) {
-				t.Errorf("run %d: %d, %s", run, status, logged.String())
+				t.Errorf("run %d: status %d, log: %s", run, status, logged.String())
 			}
 			p.Close()
 		}
--- a/internal/agent/streaming_test.go
+++ b/internal/agent/streaming_test.go
@@ -18,7 +18,7 @@
 	"ryeweir/internal/testkit"
 )
 
-// longText returns n bytes of which no two parts are equal.
+// longText returns n bytes of ascending numbers, so that a lost, repeated or reordered part is detected.
 func longText(n int) string {
 	var b strings.Builder
 	for i := 0; b.Len() < n; i++ {
@@ -27,7 +27,7 @@
 	return b.String()[:n]
 }
 
-// pay returns a request with that body that must not run twice.
+// pay returns a non-idempotent request with this body.
 func (a *testAgent) pay(t *testing.T, body string) *http.Request {
 	t.Helper()
 	r := a.newRequest(t, http.MethodPost, "/pay", body)
@@ -35,8 +35,8 @@
 	return r
 }
 
-// Bodies of all sizes pass in both directions unchanged, with a length and in chunks, also when they exceed the memory for
-// bodies.
+// Bodies around and above the buffer size pass unchanged in both directions, with a Content-Length and in chunks, also when they exceed
+// the memory limit for bodies.
 func TestBodiesOfAllSizesPassUnchanged(t *testing.T) {
 	t.Parallel()
 	for _, size := range []int{httpmsg.MaxBufferedBytes - 1, httpmsg.MaxBufferedBytes, httpmsg.MaxBufferedBytes + 1, 1 << 20} {
@@ -61,46 +61,46 @@
 			}
 			got := send(t, r)
 			if got.status != http.StatusOK || got.body != text {
-				t.Errorf("%d, chunked %v: status %d, %d bytes", size, chunked, got.status, len(got.body))
+				t.Errorf("size %d, chunked %v: status %d, %d bytes", size, chunked, got.status, len(got.body))
 			}
 			if b.Requests() != 1 || b.Bodies[0] != text {
-				t.Errorf("%d, chunked %v: the endpoint received %d requests", size, chunked, b.Requests())
+				t.Errorf("size %d, chunked %v: the endpoint received %d requests, or another body", size, chunked, b.Requests())
 			}
 			a.stop()
 		}
 	}
 }
 
-// A body over the limit is an error, whether its length states it or its chunks show it at the end.
+// A body over the size limit is rejected, whether its Content-Length or only the sum of its chunks shows the size.
 func TestBodyOverLimitIsRejected(t *testing.T) {
 	t.Parallel()
 	b := testkit.NewBackend(t, testkit.RespondWith(testkit.OKResponse))
 	a := startAgent(t, testkit.NewDiscovery(t, 1, testkit.EndpointJSON("s-1", b.Addr().String(), "Ready", 0)), 0)
-	for _, length := range []int64{httpmsg.MaxBodyBytes + 1, -1} { // chunks show it only at the end
+	for _, length := range []int64{httpmsg.MaxBodyBytes + 1, -1} { // -1: in chunks
 		r := a.pay(t, "")
 		r.Body, r.ContentLength = io.NopCloser(io.LimitReader(endless{}, httpmsg.MaxBodyBytes+1)), length
 		client := http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: testkit.WaitTimeout}
 		if resp, err := client.Do(r); err == nil && resp.StatusCode != http.StatusRequestEntityTooLarge {
-			t.Errorf("%d: %s", length, resp.Status)
+			t.Errorf("Content-Length %d: status %s", length, resp.Status)
 		}
 	}
 	if b.Requests() != 0 {
-		t.Error("an endpoint received a complete one")
+		t.Error("an endpoint received a complete request")
 	}
 }
 
-// endless is a reader without an end.
+// endless is a reader that never ends.
 type endless struct{}
 
 func (endless) Read(p []byte) (int, error) { return len(p), nil }
 
-// The beginning of a long answer is passed on before its end is written.
+// The beginning of a long response is passed on to the client before the endpoint has written its end.
 func TestLongAnswerIsStreamed(t *testing.T) {
 	t.Parallel()
-	goOn := make(chan struct{})
+	resume := make(chan struct{})
 	b := testkit.NewBackend(t, func(c net.Conn, r *http.Request, n int) bool {
 		io.WriteString(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nTrailer: X-Sum\r\n\r\n5\r\nfirst\r\n")
-		<-goOn
+		<-resume
 		_, err := io.WriteString(c, "4\r\nlast\r\n0\r\nX-Sum: 1\r\n\r\n")
 		return err == nil
 	})
@@ -114,18 +114,18 @@
 	if _, err := io.ReadFull(resp.Body, first); err != nil || string(first) != "first" {
 		t.Errorf("%q, %v", first, err)
 	}
-	close(goOn)
+	close(resume)
 	if last, err := io.ReadAll(resp.Body); err != nil || string(last) != "last" {
 		t.Errorf("%q, %v", last, err)
 	}
-	testkit.Eventually(t, "it counts as served", func() bool { return a.readCounters(t).Downstream["pay"]["completed"] == 1 })
+	testkit.Eventually(t, "the request is counted as completed", func() bool { return a.readCounters(t).Downstream["pay"]["completed"] == 1 })
 	if got := send(t, a.pay(t, "x")); got.status != http.StatusOK || b.Connections() != 1 {
-		t.Errorf("the connection is not used again: %d", b.Connections())
+		t.Errorf("the connection to the endpoint is not reused: %d connections", b.Connections())
 	}
 }
 
-// An answer breaks off while it is passed on. The client must be able to tell, or it would take a part for the whole; it counts
-// as failed.
+// A response is truncated while it is passed on. The client must be able to detect that, or it would take a part for the whole. The
+// request is counted as failed.
 func TestTruncatedAnswerIsVisibleToItsClient(t *testing.T) {
 	for _, head := range []string{"Content-Length: 300000", "Transfer-Encoding: chunked"} {
 		b := testkit.NewBackend(t, func(c net.Conn, r *http.Request, n int) bool {
@@ -139,15 +139,15 @@
 			resp.Body.Close()
 		}
 		if err == nil {
-			t.Errorf("%s: the client can't tell", head)
+			t.Errorf("%s: the client can't detect the truncation", head)
 		}
-		testkit.Eventually(t, "it counts as failed", func() bool { return a.readCounters(t).Downstream["pay"]["failed"] == 1 })
+		testkit.Eventually(t, "the request is counted as failed", func() bool { return a.readCounters(t).Downstream["pay"]["failed"] == 1 })
 	}
 }
 
-// A client leaves in the middle of an endless answer. The agent stops reading it from the endpoint, whose connection would
-// otherwise be taken for ever.
-func TestClientThatLeavesStopsItsStream(t *testing.T) {
+// A client disconnects while it receives an endless answer. The agent must stop reading the response, or the connection to the endpoint
+// would be in use forever.
+func TestClientDisconnectStopsItsStream(t *testing.T) {
 	stopped := make(chan struct{})
 	b := testkit.NewBackend(t, func(c net.Conn, r *http.Request, n int) bool {
 		io.WriteString(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
@@ -167,46 +167,46 @@
 	io.ReadFull(resp.Body, make([]byte, 1<<20))
 	resp.Body.Close()
 	<-stopped
-	testkit.Eventually(t, "nothing is pending", func() bool { return a.readCounters(t).Pending == 0 })
+	testkit.Eventually(t, "no request is pending", func() bool { return a.readCounters(t).Pending == 0 })
 }
 
-// delayedChunks is a reader that returns chunks with a delay before each.
+// delayedChunks is a reader that waits for a delay before it returns each chunk.
 type delayedChunks struct {
 	chunks []string
 	delay  time.Duration
 }
 
-func (p *delayedChunks) Read(b []byte) (int, error) {
-	if len(p.chunks) == 0 {
+func (d *delayedChunks) Read(p []byte) (int, error) {
+	if len(d.chunks) == 0 {
 		return 0, io.EOF
 	}
-	time.Sleep(p.delay)
-	n := copy(b, p.chunks[0])
-	if p.chunks[0] = p.chunks[0][n:]; p.chunks[0] == "" {
-		p.chunks = p.chunks[1:]
+	time.Sleep(d.delay)
+	n := copy(p, d.chunks[0])
+	if d.chunks[0] = d.chunks[0][n:]; d.chunks[0] == "" {
+		d.chunks = d.chunks[1:]
 	}
 	return n, nil
 }
 
-// A request takes longer to arrive than its answer may take. The timeout runs from its last byte, so that it is served, whether
-// its body is buffered or streamed.
+// A request takes longer to arrive than its timeout. The timeout starts with the last byte of the request, so that the request is
+// served, whether its body is buffered or streamed.
 func TestTimeoutRunsFromLastByteOfRequest(t *testing.T) {
 	t.Parallel()
 	b := testkit.NewBackend(t, testkit.RespondWith(testkit.OKResponse))
 	a := startAgent(t, testkit.NewDiscovery(t, 1, testkit.EndpointJSON("s-1", b.Addr().String(), "Ready", 0)), 0)
-	for _, piece := range []int{100, httpmsg.MaxBufferedBytes} {
+	for _, chunkSize := range []int{100, httpmsg.MaxBufferedBytes} {
 		r := a.pay(t, "")
-		text := longText(piece)
-		r.Body, r.ContentLength = io.NopCloser(&delayedChunks{[]string{text, text, text, text}, 300 * time.Millisecond}), int64(4*piece)
+		chunk := longText(chunkSize)
+		r.Body, r.ContentLength = io.NopCloser(&delayedChunks{[]string{chunk, chunk, chunk, chunk}, 300 * time.Millisecond}), int64(4*chunkSize)
 		r.Header.Set("X-Timeout", "900m")
 		if got := send(t, r); got.status != http.StatusOK {
-			t.Errorf("pieces of %d: %+v", piece, got)
+			t.Errorf("chunks of %d bytes: %+v", chunkSize, got)
 		}
 	}
 }
 
-// A client stops sending in the middle of a body. The upload is given up, and a request that must not run twice does not begin at
-// an endpoint.
+// A client stops sending in the middle of the body of a non-idempotent request. The upload times out, and the request must not have
+// begun at an endpoint.
 func TestStalledUploadIsNotForwarded(t *testing.T) {
 	t.Parallel()
 	b := testkit.NewBackend(t, testkit.RespondWith(testkit.OKResponse))
@@ -220,15 +220,15 @@
 		t.Errorf("%q", got)
 	}
 	if b.Requests() != 0 {
-		t.Error("it was forwarded")
+		t.Error("the incomplete request was forwarded")
 	}
-	if f := a.readCounters(t); f.Pending != 0 || f.Upstream != 0 || f.Downstream["pay"]["failed"] != 0 { // it was never taken
+	if f := a.readCounters(t); f.Pending != 0 || f.Upstream != 0 || f.Downstream["pay"]["failed"] != 0 { // the request was never admitted
 		t.Errorf("%+v", f)
 	}
 }
 
-// An endpoint breaks the connection in the middle of a streamed body. The request never ran, but can't be sent again as its body
-// is not buffered. It is rejected at once, and the client, which is still sending, receives the answer.
+// An endpoint resets the connection in the middle of a streamed body. The request has not run, but the agent can't send it again because
+// its body is not buffered. It is rejected at once, and the client, which is still sending, must receive that answer.
 func TestConnectionLostDuringUploadIsARejection(t *testing.T) {
 	t.Parallel()
 	l := testkit.Listen(t)
@@ -247,11 +247,12 @@
 	d := testkit.NewDiscovery(t, 1, testkit.EndpointJSON("s-1", l.Addr().String(), "Ready", 0))
 	a := startAgent(t, d, 0)
 	d.Set(2, true, testkit.EndpointJSON("s-1", l.Addr().String(), "Ready", 0), testkit.EndpointJSON("s-2", working.Addr().String(), "Ready", 0))
-	testkit.Eventually(t, "both are listed", func() bool { return a.readCounters(t).Members == 2 })
-	// More than the kernel holds on the way: else all may have been written before the connection broke, and may have run.
+	testkit.Eventually(t, "both endpoints are listed", func() bool { return a.readCounters(t).Members == 2 })
+	// The body is larger than the kernel's buffers. Otherwise it could be written completely before the reset, and the request might
+	// have run.
 	longBody := longText(24 << 20)
 	served, rejected := 0, false
-	for range 50 { // either endpoint may be chosen
+	for range 50 { // either endpoint may be selected
 		got := send(t, a.pay(t, longBody))
 		if rejected = got.status == http.StatusServiceUnavailable; rejected {
 			break
@@ -261,16 +262,16 @@
 		}
 	}
 	if !rejected || working.Requests() != served {
-		t.Errorf("rejected %v, %d served, %d forwarded", rejected, served, working.Requests())
+		t.Errorf("rejected: %v; %d served, %d read by the working endpoint", rejected, served, working.Requests())
 	}
 	for _, body := range working.Bodies {
 		if len(body) != len(longBody) {
-			t.Errorf("a body of %d", len(body))
+			t.Errorf("the working endpoint read a body of %d bytes", len(body))
 		}
 	}
 }
 
-// A client waits for 100 Continue before it sends its body, and gets it.
+// A client that sends Expect: 100-continue receives 100 Continue, then sends its body and is served.
 func TestExpectContinueIsHonoured(t *testing.T) {
 	b := testkit.NewBackend(t, testkit.RespondWith("HTTP/1.1 103 Early Hints\r\n\r\n"+testkit.OKResponse))
 	a := startAgent(t, testkit.NewDiscovery(t, 1, testkit.EndpointJSON("s-1", b.Addr().String(), "Ready", 0)), 0)
@@ -289,7 +290,7 @@
 	}
 }
 
-// The agent ends while attempts wait for clients that do not read. They do not delay the end.
+// The agent shuts down while an answer is streamed to a client that does not read. That must not delay the end of the process.
 func TestOpenStreamsDoNotDelayShutdown(t *testing.T) {
 	t.Parallel()
 	b := testkit.NewBackend(t, func(c net.Conn, r *http.Request, n int) bool {
@@ -310,16 +311,16 @@
 			t.Error(err)
 		}
 	case <-time.After(testkit.WaitTimeout):
-		t.Fatal("the agent does not end")
+		t.Fatal("the agent did not end")
 	}
 }
 
-// An endpoint answers before it has read all of a long body, while the client still sends. A success is passed on at once; any
-// other answer says that the request did not begin. If the answer were read only after the body, the client would get a failure
-// at the deadline.
-func TestAnswerBeforeEndOfBodyIsNotAwaitedUntilDeadline(t *testing.T) {
+// An endpoint responds before it has read all of a long body, while the client is still sending. A 200 response is passed on at once. Any
+// other status means that the request has not begun, so it is rejected. If the agent read the response only after the body was
+// written, the client would get a failure at its deadline.
+func TestResponseBeforeEndOfBodyIsReadAtOnce(t *testing.T) {
 	t.Parallel()
-	for text, want := range map[string]int{
+	for response, want := range map[string]int{
 		"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nfine":        http.StatusOK,
 		"HTTP/1.1 413 Too long\r\nContent-Length: 0\r\n\r\n":      http.StatusServiceUnavailable,
 		"HTTP/1.1 503 No\r\nConnection: close\r\n\r\nnot for you": http.StatusServiceUnavailable,
@@ -333,8 +334,8 @@
 				}
 				t.Cleanup(func() { c.Close() })
 				go func() {
-					if _, err := http.ReadRequest(bufio.NewReader(c)); err == nil { // and nothing of the body
-						io.WriteString(c, text)
+					if _, err := http.ReadRequest(bufio.NewReader(c)); err == nil { // reads the head only
+						io.WriteString(c, response)
 					}
 				}()
 			}
@@ -342,13 +343,13 @@
 		a := startAgent(t, testkit.NewDiscovery(t, 1, testkit.EndpointJSON("s-1", l.Addr().String(), "Ready", 0)), 0)
 		c := a.dial(t)
 		head := "POST /pay HTTP/1.1\r\nHost: origin.svc\r\nX-Request-ID: 77\r\nX-Tenant-Id: lerwick-port\r\nX-Timeout: 1999m\r\nContent-Length: 9000000\r\n\r\n"
-		go io.WriteString(c, head+longText(200000)) // and then nothing for a while
+		go io.WriteString(c, head+longText(200000)) // and then nothing more
 		resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if resp.StatusCode != want || !resp.Close {
-			t.Errorf("%q: status %d, closes %v", text, resp.StatusCode, resp.Close)
+			t.Errorf("response %q: status %d, closes the connection: %v", response, resp.StatusCode, resp.Close)
 		}
 		if body, err := io.ReadAll(resp.Body); want == http.StatusOK && (string(body) != "fine" || err != nil) {
 			t.Errorf("%q, %v", body, err)
@@ -356,7 +357,7 @@
 	}
 }
 
-// Requests in chunks leave their client connection in order for the next.
+// A client connection can be reused after a chunked request.
 func TestChunkedRequestsReuseTheConnection(t *testing.T) {
 	b := testkit.NewBackend(t, testkit.RespondWith(testkit.OKResponse))
 	a := startAgent(t, testkit.NewDiscovery(t, 1, testkit.EndpointJSON("s-1", b.Addr().String(), "Ready", 0)), 0)
@@ -372,12 +373,12 @@
 		io.Copy(io.Discard, resp.Body)
 	}
 	if b.Requests() != 3 || b.Bodies[2] != "form" {
-		t.Errorf("%d came, %q", b.Requests(), b.Bodies)
+		t.Errorf("the endpoint received %d requests with the bodies %q", b.Requests(), b.Bodies)
 	}
 }
 
-// To a client of HTTP/1.0 the end of the connection is the end of the answer. One that breaks off ends in a reset, so that the
-// client can tell.
+// For an HTTP/1.0 client the end of the connection is the end of the answer. The agent must reset the connection after a truncated
+// answer, so that the client can detect the truncation.
 func TestTruncatedAnswerResetsHTTP10Client(t *testing.T) {
 	b := testkit.NewBackend(t, func(c net.Conn, r *http.Request, n int) bool {
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n186a0\r\n%s", longText(90000))
@@ -391,9 +392,9 @@
 	}
 }
 
-// An endpoint breaks off after the head of an answer and before any of its body. Nothing has been passed on by then, so that the
-// client is still owed an answer: an idempotent request is retried, any other fails.
-func TestAnswerThatBreaksAfterItsHeadIsRetriedOrFails(t *testing.T) {
+// An endpoint resets the connection after the head of a response and before any of its body. Nothing has been passed on to the client, so
+// it must still get an answer: an idempotent request is retried, any other fails.
+func TestResponseTruncatedAfterItsHeadIsRetriedOrFails(t *testing.T) {
 	for head, wait := range map[string]time.Duration{
 		"Content-Length: 100000\r\n":     0,
 		"Content-Length: 100001\r\n":     30 * time.Millisecond,
@@ -401,7 +402,7 @@
 	} {
 		t.Run(head, func(t *testing.T) {
 			t.Parallel()
-			breaks := func(c net.Conn, r *http.Request, n int) bool {
+			resetAfterHead := func(c net.Conn, r *http.Request, n int) bool {
 				if r.Method == http.MethodGet && n > 1 {
 					return testkit.RespondWith(testkit.OKResponse)(c, r, n)
 				}
@@ -414,7 +415,7 @@
 				method, path string
 				want         int
 			}{{http.MethodGet, "/form-check", http.StatusOK}, {http.MethodPost, "/pay", http.StatusBadGateway}} {
-				b := testkit.NewBackend(t, breaks)
+				b := testkit.NewBackend(t, resetAfterHead)
 				d := testkit.NewDiscovery(t, 1, testkit.EndpointJSON("b", b.Addr().String(), "Ready", 0))
 				a := startAgent(t, d, 0)
 				if got := requestStatus(a.newRequest(t, class.method, class.path, "")); got != class.want {
@@ -425,26 +426,27 @@
 	}
 }
 
-// A streamed answer is passed on for as long as its endpoint sends, also with pauses and past the client's timeout, which is for
-// its beginning. One that stops for 5 s is cut, and the client can tell that it is not complete.
+// A streamed answer is passed on for as long as its endpoint sends, also with pauses. It may last longer than the client's timeout, which
+// only limits when the answer begins. If the endpoint sends nothing for 5 s, the answer is cut off, and the client can detect that it
+// is incomplete.
 func TestStreamedAnswerMayOutlastItsTimeout(t *testing.T) {
 	for name, c := range map[string]struct {
 		pauses int
 		stops  bool
-	}{"in pieces": {3, false}, "stops": {1, true}} {
+	}{"with pauses": {3, false}, "stops": {1, true}} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			b := testkit.NewBackend(t, func(c2 net.Conn, _ *http.Request, _ int) bool {
-				io.WriteString(c2, "HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n")
+			b := testkit.NewBackend(t, func(conn net.Conn, _ *http.Request, _ int) bool {
+				io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n")
 				for range c.pauses {
-					io.WriteString(c2, strings.Repeat("x", 25000))
+					io.WriteString(conn, strings.Repeat("x", 25000))
 					time.Sleep(800 * time.Millisecond)
 				}
 				if c.stops {
 					time.Sleep(8 * time.Second)
 					return false
 				}
-				io.WriteString(c2, strings.Repeat("x", 25000))
+				io.WriteString(conn, strings.Repeat("x", 25000))
 				return true
 			})
 			d := testkit.NewDiscovery(t, 1, testkit.EndpointJSON("b", b.Addr().String(), "Ready", 0))
@@ -471,7 +473,7 @@
 	}
 }
 
-// The first byte of a long or chunked answer may arrive some time after its head, within the client's timeout.
+// The body of a long or chunked response may begin some time after its head, within the client's timeout.
 func TestBodyMayArriveAfterItsHead(t *testing.T) {
 	for head, body := range map[string]string{
 		"Content-Length: 100000\r\n":     strings.Repeat("x", 100000),
@@ -488,7 +490,7 @@
 			d := testkit.NewDiscovery(t, 1, testkit.EndpointJSON("b", b.Addr().String(), "Ready", 0))
 			a := startAgent(t, d, 0)
 			if got := send(t, a.newRequest(t, http.MethodPost, "/pay", "")); got.status != http.StatusOK || len(got.body) < 10 {
-				t.Errorf("%d with %d bytes", got.status, len(got.body))
+				t.Errorf("status %d with %d bytes", got.status, len(got.body))
 			}
 		})
 	}
--- a/internal/testkit/testkit.go
+++ b/internal/testkit/testkit.go
@@ -175,13 +175,13 @@
 // watch when the list is newer than the version that the watch names.
 type Discovery struct {
 	net.Listener
-	mu      sync.Mutex
-	version int
-	current string // what watches receive: a full list or a change
-	full    string // the last full list
-	silent  bool   // requests get no response, as in an outage
-	fulls   int    // number of requests for the full list
-	watches int    // number of watches
+	mu           sync.Mutex
+	version      int
+	current      string // what watches receive: a full list or a change
+	fullList     string // the last full list
+	outage       bool   // requests get no response
+	fullRequests int    // number of requests for the full list
+	watches      int    // number of watches
 }
 
 // NewDiscovery starts a discovery server with this full list, which runs until the test ends.
@@ -201,7 +201,7 @@
 	defer d.mu.Unlock()
 	d.version, d.current = version, EndpointListJSON(version, full, entries...)
 	if full {
-		d.full = d.current
+		d.fullList = d.current
 	}
 }
 
@@ -209,14 +209,14 @@
 func (d *Discovery) SetSilent(silent bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.silent = silent
+	d.outage = silent
 }
 
 // Calls returns the number of requests for the full list and the number of watches.
-func (d *Discovery) Calls() (fulls, watches int) {
+func (d *Discovery) Calls() (fullRequests, watches int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.fulls, d.watches
+	return d.fullRequests, d.watches
 }
 
 // ServeHTTP serves a request for the full list or, if it has the parameter since, a watch.
@@ -226,19 +226,19 @@
 	if watch := err == nil; watch {
 		d.watches++
 	} else {
-		d.fulls++
+		d.fullRequests++
 	}
 	d.mu.Unlock()
 	wait, _ := strconv.Atoi(r.URL.Query().Get("timeout_ms"))
 	end := time.Now().Add(time.Duration(wait) * time.Millisecond)
 	for r.Context().Err() == nil {
 		d.mu.Lock()
-		silent, version, current, full := d.silent, d.version, d.current, d.full
+		outage, version, current, fullList := d.outage, d.version, d.current, d.fullList
 		d.mu.Unlock()
 		switch {
-		case silent:
+		case outage:
 		case err != nil:
-			io.WriteString(w, full)
+			io.WriteString(w, fullList)
 			return
 		case version > since:
 			io.WriteString(w, current)
