--- a/internal/agent/drain_test.go
+++ b/internal/agent/drain_test.go
@@ -8,8 +8,8 @@
 	"ryeweir/internal/testkit"
 )
 
-// Operators drain an agent without ending its process. During the drain it reports that it is not ready, closes connections that are
-// idle or after their answer, and still serves clients that connect. When it is activated, it serves as before.
+// Operators drain an agent without ending its process. During the drain the agent reports that it is not ready, closes idle connections,
+// closes other connections with their next answer, and still serves clients that connect. When it is activated, it serves as before.
 func TestOperatorsDrainAndActivate(t *testing.T) {
 	t.Parallel()
 	b := testkit.NewBackend(t, testkit.RespondWith(testkit.OKResponse))
--- a/internal/agent/fleet_test.go
+++ b/internal/agent/fleet_test.go
@@ -117,7 +117,8 @@
 	name := f.Scenario.Agents[a.Agent]
 	if a.Kind == emulator.AgentKill {
 		from := f.Now()
-		f.Referee.AgentKilled(name, from, from+a.Duration+time.Second) // before Kill, because callers see the closed connections at once
+		// The referee is told before Kill, because callers see the closed connections at once.
+		f.Referee.AgentKilled(name, from, from+a.Duration+time.Second)
 		f.network.Kill(name)
 	}
 	f.stop[a.Agent]()
--- a/internal/agent/peers_test.go
+++ b/internal/agent/peers_test.go
@@ -96,8 +96,8 @@
 func (listUpstream) Bind(string) any                            { return nil }
 func (listUpstream) Execute(_ context.Context, _ *core.Attempt) {}
 
-// runPeers runs the peers value of an agent named "me" with a core until the test ends. The channel delivers the endpoint lists that the
-// core receives.
+// runPeers runs the peers of an agent named "me", and its core, until the test ends. The channel delivers the endpoint lists that the core
+// receives.
 func runPeers(t *testing.T) (*peers, <-chan core.EndpointList) {
 	t.Helper()
 	clock := core.NewClock()
@@ -217,8 +217,8 @@
 	}
 }
 
-// A peer sends a suspicion under this agent's name that this agent never reported. Until it expires, it would count as this agent's own,
-// so this agent replaces it with what it last reported. A malformed fact is rejected.
+// A peer sends a suspicion under this agent's name that this agent never reported. Until it expires, it would count as a report
+// of this agent, so this agent must correct it. A malformed fact is rejected.
 func TestForgedSuspicionIsCorrected(t *testing.T) {
 	p, lists := runPeers(t)
 	p.UpdateEndpoints(core.EndpointList{Full: true, Endpoints: []core.Endpoint{p.readyEndpoint("b", 8)}})
--- a/internal/agent/scenarios_test.go
+++ b/internal/agent/scenarios_test.go
@@ -27,7 +27,7 @@
 	*emulator.World
 	t         *testing.T
 	network   *link.Network
-	addrs     []string // by agent, as are the next three
+	addrs     []string // by agent, like clients, stop and finished
 	clients   []*callers.Client
 	stop      []context.CancelFunc
 	finished  []chan error         // receives the result of agent.Run
@@ -398,7 +398,8 @@
 func killFirstAgent(s *simulation) {
 	time.Sleep(4 * time.Second)
 	from := s.Now()
-	s.Referee.AgentKilled(s.Scenario.Agents[0], from, from+50*time.Millisecond) // before Kill, because callers see the closed connections at once
+	// The referee is told before Kill, because callers see the closed connections at once.
+	s.Referee.AgentKilled(s.Scenario.Agents[0], from, from+50*time.Millisecond)
 	s.network.Kill(s.Scenario.Agents[0])
 	s.stop[0]()
 	<-s.finished[0]
