--- a/internal/agent/accept_test.go
+++ b/internal/agent/accept_test.go
@@ -89,7 +89,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	cfg.AcceptFor = 0
+	cfg.AcceptWindow = 0
 	return launchAgent(t, cfg, Environment{Clients: l}, slog.DiscardHandler)
 }
 
@@ -120,7 +120,7 @@
 	answer := make(chan int, 1)
 	go func() { answer <- requestStatus(a.newRequest(t, http.MethodGet, "/form-check", "")) }()
 	time.Sleep(50 * time.Millisecond) // the connection is in the accept queue
-	a.stop()                          // AcceptFor is 0
+	a.stop()                          // AcceptWindow is 0
 	time.AfterFunc(acceptDelay, func() { close(resumed) })
 	if got := <-answer; got != http.StatusOK {
 		t.Errorf("status %d", got)
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -160,8 +160,8 @@
 			t.Errorf("limit %d: each of two processes may hold %+v", limit, shared)
 		}
 	}
-	if ends := platform.AcceptOn + fronthttp.DrainMargin; platform.AcceptOn <= 400*time.Millisecond || ends >= 700*time.Millisecond {
-		t.Errorf("accepts for %v, the drain ends %v after the longest deadline", platform.AcceptOn, ends)
+	if ends := platform.DefaultAcceptWindow + fronthttp.DrainMargin; platform.DefaultAcceptWindow <= 400*time.Millisecond || ends >= 700*time.Millisecond {
+		t.Errorf("accepts for %v, the drain ends %v after the longest deadline", platform.DefaultAcceptWindow, ends)
 	}
 }
 
@@ -215,7 +215,7 @@
 	}
 }
 
-// A drain begins while a request is at an endpoint. For AcceptFor new connections are still accepted and served, each answer closes its
+// A drain begins while a request is at an endpoint. For AcceptWindow new connections are still accepted and served, each answer closes its
 // connection, and the pending request is answered. Then the agent ends and its listener is closed.
 func TestDrainServesNewConnectionsAndPendingRequests(t *testing.T) {
 	t.Parallel()
--- a/internal/agent/doc.go
+++ b/internal/agent/doc.go
@@ -20,7 +20,7 @@
 // An agent stops in three steps, which two contexts control:
 //
 //  1. The context of Run ends, on SIGTERM. The front drains: it reports that the agent is not ready, accepts new connections for
-//     platform.Config.AcceptFor, closes the client listener, and answers the pending requests. The snapshot is saved for the last
+//     platform.Config.AcceptWindow, closes the client listener, and answers the pending requests. The snapshot is saved for the last
 //     time when the context ends, so what is learned during the drain is not saved.
 //  2. When the front has returned, the background context is cancelled. The end of the first context does not cancel it, because
 //     pending calls need the core, the pool and discovery while the front drains.
--- a/internal/agent/harness_test.go
+++ b/internal/agent/harness_test.go
@@ -28,26 +28,26 @@
 }
 
 // startAgent runs an agent that uses d as its discovery, and waits until it is ready. When it drains, it accepts new connections for
-// acceptFor.
-func startAgent(t *testing.T, d *testkit.Discovery, acceptFor time.Duration) *testAgent {
+// acceptWindow.
+func startAgent(t *testing.T, d *testkit.Discovery, acceptWindow time.Duration) *testAgent {
 	t.Helper()
-	return startAgentWith(t, d, acceptFor, func(*platform.Config) {})
+	return startAgentWith(t, d, acceptWindow, func(*platform.Config) {})
 }
 
 // startAgentWith is startAgent with a configuration that change has modified.
-func startAgentWith(t *testing.T, d *testkit.Discovery, acceptFor time.Duration, change func(*platform.Config)) *testAgent {
+func startAgentWith(t *testing.T, d *testkit.Discovery, acceptWindow time.Duration, change func(*platform.Config)) *testAgent {
 	t.Helper()
-	return startAgentWithLog(t, d, acceptFor, change, slog.DiscardHandler)
+	return startAgentWithLog(t, d, acceptWindow, change, slog.DiscardHandler)
 }
 
 // startAgentWithLog is startAgentWith with a handler for the agent's log.
-func startAgentWithLog(t *testing.T, d *testkit.Discovery, acceptFor time.Duration, change func(*platform.Config), log slog.Handler) *testAgent {
+func startAgentWithLog(t *testing.T, d *testkit.Discovery, acceptWindow time.Duration, change func(*platform.Config), log slog.Handler) *testAgent {
 	t.Helper()
 	cfg, err := platform.Parse(testkit.ConfigText(d.Addr().String(), "null"), testkit.NoEnv)
 	if err != nil {
 		t.Fatal(err)
 	}
-	cfg.AcceptFor = acceptFor
+	cfg.AcceptWindow = acceptWindow
 	change(&cfg)
 	return launchAgent(t, cfg, Environment{Clients: testkit.Listen(t), Control: testkit.Listen(t)}, log)
 }
--- a/logic/hedge_test.go
+++ b/logic/hedge_test.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// The answer of a request is late and may never come, as a connection has gone silent or the endpoint
-// hangs. A hedged request goes to another endpoint, where the class allows it and endpoints are not busy;
-// each costs one retry.
+// The response to a request is late and may never come, because the connection is broken without notice or
+// the endpoint hangs. A hedged request must be sent to another endpoint if the class allows it and the
+// endpoints are not busy. Each hedged request must spend one retry of the budget.
 func TestLateRequestIsHedgedWhereClassAndUtilizationAllow(t *testing.T) {
 	const idempotent, withKey, nonIdempotent = 0, 1, 2
 	class := func(idempotency Idempotency) Class {
 		return Class{Idempotency: idempotency, IdempotencyWindow: 3 * time.Second, LatencyObjective: time.Second,
 			Timeout: 3 * time.Second, PriorityWeight: 1}
 	}
-	set := testSettings()
-	set.HedgingAllowed = true
-	set.Classes = []Class{class(Idempotent), class(IdempotentWithKey), class(NonIdempotent)}
+	settings := testSettings()
+	settings.HedgingAllowed = true
+	settings.Classes = []Class{class(Idempotent), class(IdempotentWithKey), class(NonIdempotent)}
 	for name, c := range map[string]struct {
 		class, hedges int
 		utilization   float64
@@ -26,25 +26,25 @@
 		"non-idempotent": {nonIdempotent, 0, 0.3},
 		"busy endpoints": {idempotent, 0, 0.9},
 	} {
-		h := newHarness(t, set, 1, 1, 1, 1)
+		h := newHarness(t, settings, 1, 1, 1, 1)
 		for range 100 {
 			id, to := h.sendRequest(idempotent)
 			h.endAttempt(id, to, 0, OK, loadReport(c.utilization, 50))
 		}
 		h.advanceTick()
 		id, to := h.sendRequest(c.class)
-		hedges, before := 0, h.retries.available
+		hedges, before := 0, h.retryBudget.available
 		for _, a := range h.advance(time.Duration(2 * hedgeDelayFactor * h.baseline[c.class])) {
 			if a.Kind == Send && a.Request == id {
 				hedges++
 				if a.Endpoint == to {
-					t.Errorf("%s: the hedged request went to the same endpoint", name)
+					t.Errorf("%s: the hedged request was sent to the same endpoint", name)
 				}
 			}
 		}
-		if hedges != c.hedges || h.retries.available != before-float64(hedges) {
-			t.Errorf("%s: %d hedged requests, want %d; %v of %v retries are left",
-				name, hedges, c.hedges, h.retries.available, before)
+		if hedges != c.hedges || h.retryBudget.available != before-float64(hedges) {
+			t.Errorf("%s: %d hedged requests, want %d; retry budget %v, was %v",
+				name, hedges, c.hedges, h.retryBudget.available, before)
 		}
 	}
 }
--- a/logic/slowstart_test.go
+++ b/logic/slowstart_test.go
@@ -7,7 +7,7 @@
 )
 
 // In an overload a newly started endpoint has the lowest load of all. Selection by load alone would send it
-// nearly every request and overload it. It must get no more than its part of the requests.
+// nearly every request and overload it. It must get no more than its share of the requests.
 func TestWarmingEndpointIsNotOverloadedWhileOthersAreBusy(t *testing.T) {
 	h := newHarness(t, testSettings(), 1, 1, 1, 1, 1, 1, 1, 1, 1)
 	for range 500 {
@@ -22,19 +22,19 @@
 			warming++
 		}
 	}
-	if most := n*0.3/10 + 8; float64(warming) > most || warming == 0 {
-		t.Errorf("a warming endpoint got %d of %d requests, want 1 to %.1f", warming, n, most)
+	if limit := n*0.3/10 + 8; float64(warming) > limit || warming == 0 {
+		t.Errorf("a warming endpoint got %d of %d requests, want 1 to %.1f", warming, n, limit)
 	}
 }
 
-// After a release all endpoints, or all but one, have just started. Each of them gets the requests that it
-// can serve at present, of those that a warm fleet would get. More would overload it, whether a warm one is
-// left or not.
+// After a release all endpoints, or all but one, have just started. Of the requests that a warm fleet would
+// get, each endpoint must get as many as its current capacity allows, whether or not a warm endpoint is
+// left. More requests would overload it.
 func TestWarmingFleetGetsItsPresentCapacity(t *testing.T) {
 	for _, warm := range []int{0, 1} {
-		set := testSettings()
-		set.SlowStartOverloadFactor = 3
-		h := newHarness(t, set)
+		settings := testSettings()
+		settings.SlowStartOverloadFactor = 3
+		h := newHarness(t, settings)
 		list := EndpointList{Full: true}
 		for i := range 10 {
 			entry := Endpoint{ID: fmt.Sprint("s", i), StartedAt: h.clock}
@@ -52,22 +52,22 @@
 				warming++
 			}
 		}
-		most := 1.5*0.3*n*float64(10-warm)/10 + 50
-		if float64(warming) > most || float64(warming) < most/2 {
+		limit := 1.5*0.3*n*float64(10-warm)/10 + 50
+		if float64(warming) > limit || float64(warming) < limit/2 {
 			t.Errorf("with %d warm endpoints the others got %d of %d requests, want %.0f to %.0f",
-				warm, warming, n, most/2, most)
+				warm, warming, n, limit/2, limit)
 		}
 	}
 }
 
-// After a release of half of a large fleet, balancers that each send few requests left the new endpoints
-// idle, as each of them was drawn too rarely. Together they must send each new endpoint what its present
-// capacity is of the whole, and none of them so much that it is overloaded.
+// After a release of half of a large fleet, balancers that send few requests each left the new endpoints
+// idle, because each balancer drew them too rarely. Together, the balancers must send each new endpoint
+// requests in proportion to its current capacity, and no endpoint so many that it is overloaded.
 func TestReleaseInLargeFleetUsesWarmingEndpoints(t *testing.T) {
 	const balancers, requestsEach = 300, 20
 	for name, c := range map[string]struct {
 		before   func(h *harness)
-		fraction float64 // of their capacity that the warming endpoints have
+		fraction float64 // fraction of their capacity that the warming endpoints have
 	}{
 		"steady state":      {func(h *harness) { h.serveRequests(200, "") }, 0.2},
 		"nothing learned":   {func(*harness) {}, 0.2},
@@ -85,25 +85,25 @@
 				}
 			}
 		}
-		most, total := 0, 0
+		highest, total := 0, 0
 		for i := 100; i < 200; i++ {
 			n := sent[fmt.Sprint("s", i)]
-			total, most = total+n, max(most, n)
+			total, highest = total+n, max(highest, n)
 		}
 		fair := balancers * requestsEach * c.fraction / 200
 		mean := float64(total) / 100
 		if mean < fair || mean > 1.5*fair {
-			t.Errorf("%s: a warming endpoint got %.1f requests on average, its present capacity is %.1f", name, mean, fair)
+			t.Errorf("%s: a warming endpoint got %.1f requests on average, with a current capacity of %.1f", name, mean, fair)
 		}
-		if float64(most) > 2.5*fair+2*mean {
-			t.Errorf("%s: one warming endpoint got %d requests, its present capacity is %.1f", name, most, fair)
+		if float64(highest) > 2.5*fair+2*mean {
+			t.Errorf("%s: one warming endpoint got %d requests, with a current capacity of %.1f", name, highest, fair)
 		}
 	}
 }
 
-// The draw for a warming endpoint does not look at its load. One that has a request of this balancer in
-// flight must not get another by that draw while ready endpoints are idle.
-func TestBusyWarmingEndpointGetsNoMore(t *testing.T) {
+// The draw of a warming endpoint ignores its load. If a warming endpoint has a request of this balancer in
+// flight, the draw must not give it another one while ready endpoints are idle.
+func TestBusyWarmingEndpointGetsNoFurtherRequests(t *testing.T) {
 	h := newHarness(t, testSettings(), 1, 1, 1, 1, 1, 1)
 	h.list(Endpoint{ID: "warming", StartedAt: h.clock})
 	inFlight := 0
@@ -111,11 +111,11 @@
 		id, to := h.sendRequest(nonIdempotentClass)
 		if to == "warming" {
 			inFlight++
-			continue // it does not answer
+			continue // gets no response
 		}
 		h.endAttempt(id, to, 0, OK, NoLoadReport)
 	}
 	if inFlight != 1 {
-		t.Errorf("a warming endpoint has %d requests in flight while ready ones are idle, want 1", inFlight)
+		t.Errorf("a warming endpoint has %d requests in flight while ready endpoints are idle, want 1", inFlight)
 	}
 }
