--- a/cmd/ryeweir/demo.go
+++ b/cmd/ryeweir/demo.go
@@ -59,7 +59,7 @@
 	if err != nil {
 		return err
 	}
-	spec := experiment.DemoDay(length)
+	spec := experiment.DemoScenario(length)
 	day, err := spec.Draw(seed)
 	if err != nil {
 		return err
@@ -116,7 +116,7 @@
 	if r := outcome.Misbehaving; r.Clients > 0 {
 		fmt.Fprintf(out, "rude clients %d, of which %d were served and %d got neither an error nor a close\n", r.Clients, r.Served, r.Ignored)
 	}
-	for _, b := range outcome.Breaches {
+	for _, b := range outcome.Violations {
 		fmt.Fprintln(out, "BROKEN:", b)
 	}
 	if outcome.Lag > 50 {
@@ -147,7 +147,7 @@
 }
 
 // show draws a look.
-func (s *screen) show(live experiment.Live) {
+func (s *screen) show(live experiment.LiveSample) {
 	account := live.Account
 	calls := live.Calls
 	latencies := referee.Latencies(calls, -1)
@@ -161,11 +161,11 @@
 		account.Completed-s.last.Completed, account.Rejected-s.last.Rejected, account.Failed+account.Unanswered-s.last.Failed-s.last.Unanswered, elapsed(0.5), elapsed(0.99))
 	s.last = account
 	var news []string
-	for _, m := range live.Marks[min(s.marks, len(live.Marks)):] {
+	for _, m := range live.Events[min(s.marks, len(live.Events)):] {
 		news = append(news, fmt.Sprintf("%s: %s for %.0f s", m.Node, m.Text, (m.To-m.At).Seconds()))
 	}
 	if !s.live {
-		s.marks = len(live.Marks)
+		s.marks = len(live.Events)
 		if len(news) > 0 {
 			line += "  <- " + strings.Join(news, ", ")
 		}
@@ -193,7 +193,7 @@
 		fmt.Fprintf(&b, "  %-10s %-12s %5.2f cores' worth  in hand %2d %s\n", n.ID, state, n.Capacity, n.InFlight, strings.Repeat("#", min(40, n.InFlight)))
 		s.lines++
 	}
-	for _, m := range live.Marks {
+	for _, m := range live.Events {
 		if live.At < m.To {
 			fmt.Fprintf(&b, "  now: %s %s until %.0fs\n", m.Node, m.Text, m.To.Seconds())
 			s.lines++
--- a/cmd/ryeweir/describe.go
+++ b/cmd/ryeweir/describe.go
@@ -13,7 +13,7 @@
 
 // describeTOML says what a TOML file of ours means, or what is wrong with it.
 func describeTOML(file string, data []byte) (string, error) {
-	kind, err := experiment.KindOf(file, data)
+	kind, err := experiment.DetectFileKind(file, data)
 	if err != nil {
 		return "", err
 	}
@@ -23,13 +23,13 @@
 		if err := config.TOML(file, data, &s); err != nil {
 			return "", err
 		}
-		return fmt.Sprintf("experiment %s: %d days with %d arms, %d repeats", s.Name, len(s.Days), len(s.Variants), s.Repeats), nil
+		return fmt.Sprintf("experiment %s: %d days with %d arms, %d repeats", s.Name, len(s.Scenarios), len(s.Variants), s.Repeats), nil
 	case "drill":
 		var s experiment.DrillSpec
 		if err := config.TOML(file, data, &s); err != nil {
 			return "", err
 		}
-		return describeDay("drill "+s.Name, &s.Day, s.Seed)
+		return describeDay("drill "+s.Name, &s.Scenario, s.Seed)
 	case "fleet":
 		s := experiment.DefaultFleet()
 		if err := config.TOML(file, data, &s); err != nil {
@@ -49,13 +49,13 @@
 		if err := config.TOML(file, data, &s); err != nil {
 			return "", err
 		}
-		return describeDay("load on "+fmt.Sprint(s.Targets), &s.Day, s.Seed)
+		return describeDay("load on "+fmt.Sprint(s.Targets), &s.Scenario, s.Seed)
 	case "world":
 		var s experiment.WorldSpec
 		if err := config.TOML(file, data, &s); err != nil {
 			return "", err
 		}
-		return describeDay("world", &s.Day, s.Seed)
+		return describeDay("world", &s.Scenario, s.Seed)
 	}
 	return "", &config.Error{File: file, Err: errors.New("is neither an experiment, a model of a fleet, an operators' file, a world, load nor a deployment")}
 }
--- a/cmd/ryeweir/drill.go
+++ b/cmd/ryeweir/drill.go
@@ -59,16 +59,16 @@
 func printDrill(out io.Writer, spec *experiment.DrillSpec, drilled experiment.DrillResult) {
 	o := drilled.Outcome
 	fmt.Fprintf(out, "%s: %s\n", spec.Name, spec.Question)
-	fmt.Fprintf(out, "%+v\nservice %.3f, attempts a request %.2f, chokes %d, probe work %.4f, cold peak %.2f", o.Account, o.Overall, o.Attempts, o.Chokes,
+	fmt.Fprintf(out, "%+v\nservice %.3f, attempts a request %.2f, chokes %d, probe work %.4f, cold peak %.2f", o.Account, o.Overall, o.Attempts, o.Degradations,
 		o.HealthCheckWork, o.SlowStartPeak)
-	for i, class := range spec.Day.Classes {
+	for i, class := range spec.Scenario.Classes {
 		fmt.Fprintf(out, ", %s %.3f", class.Name, o.ByClass[i])
 	}
-	fmt.Fprintf(out, ", passed over %.3f of the worthiest, at agents that nothing befell %.3f\n", o.PassedOver, o.Spared)
+	fmt.Fprintf(out, ", passed over %.3f of the worthiest, at agents that nothing befell %.3f\n", o.PassedOver, o.UnaffectedService)
 	if s := o.Surge; s != nil {
 		fmt.Fprintf(out, "surge of %.1f times: goodput %.3f, service back after %.0f s\n", s.Offered, s.Goodput, s.RecoverySeconds)
 	}
-	if l := o.Levels; l != nil {
+	if l := o.Admission; l != nil {
 		fmt.Fprintf(out, "budgets: an agent took %.2f of its demand in the surge (median; %.2f to %.2f), %d requests shed, %d retries withheld, over themselves at %d looks\n",
 			l.Median, l.Least, l.Most, l.Shed, l.Withheld, l.SelfOverloaded)
 	}
--- a/cmd/ryeweir/experiment.go
+++ b/cmd/ryeweir/experiment.go
@@ -68,7 +68,7 @@
 	ctx, cancel := context.WithTimeout(ctx, options.hunt)
 	defer cancel()
 	result, err := experiment.Hunt(ctx, options.seed, 0, options.dir, command.OutOrStdout())
-	if err == nil && len(result.Found) > 0 {
+	if err == nil && len(result.FailedScenarios) > 0 {
 		return errReported
 	}
 	return err
@@ -93,7 +93,7 @@
 	}
 	printExperiment(out, &figures)
 	fmt.Fprintln(out, "report:", filepath.Join(options.dir, "report.html"))
-	if figures.Unfinished || len(figures.Failures) > 0 || !figures.Held() || !figures.Passed() {
+	if figures.Unfinished || len(figures.Failures) > 0 || !figures.RulesHeld() || !figures.Passed() {
 		fmt.Fprintln(out, "not all of it went well: a run was interrupted or failed, a rule broke, or the gate failed")
 		return errReported
 	}
@@ -126,12 +126,12 @@
 	}
 	for _, d := range figures.Differences {
 		if d.Figure == "service" {
-			fmt.Fprintf(out, "%-12s %s against %s: service %+.3f (%+.3f to %+.3f): %s\n", d.Day, d.Variant, d.Baseline, d.Mean, d.Low, d.High, d.Verdict)
+			fmt.Fprintf(out, "%-12s %s against %s: service %+.3f (%+.3f to %+.3f): %s\n", d.Scenario, d.Variant, d.Baseline, d.Mean, d.Low, d.High, d.Verdict)
 		}
 	}
 	for _, g := range figures.Gate {
 		if !g.Passed {
-			fmt.Fprintf(out, "gate: %s with %s, seed %d: served %.3f, wanted %.3f: %s\n", g.Day, g.Variant, g.Seed, g.Served, g.Wanted, g.FailureReason)
+			fmt.Fprintf(out, "gate: %s with %s, seed %d: served %.3f, wanted %.3f: %s\n", g.Scenario, g.Variant, g.Seed, g.Served, g.Wanted, g.FailureReason)
 		}
 	}
 	switch {
@@ -145,7 +145,7 @@
 
 // printRow prints the figures of one day with one variant.
 func printRow(out io.Writer, simulated bool, row *experiment.Row) {
-	fmt.Fprintf(out, "%-12s %-12s service %.3f (%.3f to %.3f)  worst 10 s %.3f  p50 %.1f ms  p99 %.0f ms", row.Day, row.Variant, row.Service.Mean,
+	fmt.Fprintf(out, "%-12s %-12s service %.3f (%.3f to %.3f)  worst 10 s %.3f  p50 %.1f ms  p99 %.0f ms", row.Scenario, row.Variant, row.Service.Mean,
 		row.Service.Low, row.Service.High, row.WorstWindow, row.P50, row.P99)
 	if simulated {
 		fmt.Fprintf(out, "  refused %.3f, with room %.4f, of its own %.4f  into a jam %.4f  probes %.3f  nodes used %.2f  cold peak %.2f",
@@ -153,7 +153,7 @@
 	}
 	if row.Goodput.Mean > 0 {
 		fmt.Fprintf(out, "  surge: goodput %.3f (%.3f to %.3f), back after %.0f s, chokes %.1f, done %.0f, attempts %.2f, probe work %.4f, worthiest served %.3f, passed over %.3f, cold peak %.2f",
-			row.Goodput.Mean, row.Goodput.Low, row.Goodput.High, row.RecoverySeconds, row.Chokes, row.Completed, row.Attempts, row.HealthCheckWork, row.TopPriorityServed, row.PassedOver, row.SlowStartPeak)
+			row.Goodput.Mean, row.Goodput.Low, row.Goodput.High, row.RecoverySeconds, row.Degradations, row.Completed, row.Attempts, row.HealthCheckWork, row.TopPriorityServed, row.PassedOver, row.SlowStartPeak)
 	}
 	if row.Unnotified > 0 {
 		fmt.Fprintf(out, "  sent to ending nodes by agents that were not told: %.0f", row.Unnotified)
@@ -163,14 +163,14 @@
 
 // printViews prints what agents that talk with each other saw of their peers.
 func printViews(out io.Writer, outcome experiment.Outcome) {
-	views := outcome.Views
+	views := outcome.Peers
 	if views == nil {
 		return
 	}
 	fmt.Fprintf(out, "%-12s %-12s seed %d: an agent sent %.0f bytes a second (%.0f at most); %d notices came by peers in %.0f ms (%.0f at most), held back %d times; facts: %d at most, %d refused, %d evicted\n",
-		outcome.Day, outcome.Variant, outcome.Seed, views.MeanBytesPerSecond, views.MaxBytesPerSecond, views.Notices, views.NoticeMeanMS, views.NoticeMaxMS, views.Withheld, views.MaxFacts, views.FactsRejected, views.FactsEvicted)
-	for _, heal := range views.Healed {
+		outcome.Scenario, outcome.Variant, outcome.Seed, views.MeanBytesPerSecond, views.MaxBytesPerSecond, views.Notices, views.NoticeMeanMS, views.NoticeMaxMS, views.Withheld, views.MaxFacts, views.FactsRejected, views.FactsEvicted)
+	for _, heal := range views.Recoveries {
 		fmt.Fprintf(out, "  after %s (%.1f s; an agent saw as few as %d): all others seen after %.2f s, the last agent after %.2f s, never by %d\n", heal.Fault, heal.At,
-			heal.MinPeersSeen, heal.Median, heal.Worst, heal.NeverHealed)
+			heal.MinPeersSeen, heal.Median, heal.Worst, heal.NeverRecovered)
 	}
 }
--- a/cmd/ryeweir/faults_test.go
+++ b/cmd/ryeweir/faults_test.go
@@ -64,11 +64,11 @@
 	}
 	a := o.Account
 	if !a.Balanced() || !a.RulesHold() || a.UnknownRequests > 0 || a.Completed < 500 {
-		t.Errorf("%+v %v", a, o.Breaches)
+		t.Errorf("%+v %v", a, o.Violations)
 	}
 	t.Logf("%+v; attempts a request %.2f", a, o.Attempts)
 	seen := map[string]int{}
-	for _, m := range o.Marks {
+	for _, m := range o.Events {
 		seen[m.Text]++
 	}
 	if seen[emulator.AgentKill] != 3 || seen[emulator.AgentPause] != 1 || seen[emulator.AgentRestart] != 1 {
@@ -103,7 +103,7 @@
 				defer func() { <-places }()
 				d := drill(t, program, file)
 				o := d.Outcome
-				t.Logf("%+v; attempts a request %.2f, chokes %d, by class %.3f, surge %+v, budgets %+v, views %+v", o.Account, o.Attempts, o.Chokes, o.ByClass, o.Surge, o.Levels, o.Views)
+				t.Logf("%+v; attempts a request %.2f, chokes %d, by class %.3f, surge %+v, budgets %+v, views %+v", o.Account, o.Attempts, o.Degradations, o.ByClass, o.Surge, o.Admission, o.Peers)
 				if d.MachineOverloaded {
 					t.Logf("the machine was too busy to judge more than the rules: %.2f ms for a processor, callers %.0f ms late", o.ProcessorWait, o.Lag)
 				}
--- a/cmd/ryeweir/fleet.go
+++ b/cmd/ryeweir/fleet.go
@@ -26,7 +26,7 @@
 			if err := readTOML(command, args[0], &spec); err != nil {
 				return err
 			}
-			figures, err := experiment.Fleet(&spec, command.OutOrStdout())
+			figures, err := experiment.RunFleetModel(&spec, command.OutOrStdout())
 			if err != nil || file == "" {
 				return err
 			}
--- a/cmd/ryeweir/load.go
+++ b/cmd/ryeweir/load.go
@@ -41,7 +41,7 @@
 			if len(spec.Targets) == 0 {
 				return &config.Error{File: args[0], Key: "targets", Err: errors.New("names no agent's address")}
 			}
-			outcome, err := experiment.Load(ctx, &spec)
+			outcome, err := experiment.RunLoad(ctx, &spec)
 			if err != nil {
 				return err
 			}
--- a/cmd/ryeweir/world.go
+++ b/cmd/ryeweir/world.go
@@ -35,7 +35,7 @@
 }
 
 func runWorld(ctx context.Context, command *cobra.Command, spec *experiment.WorldSpec) error {
-	day, err := spec.Day.Draw(spec.Seed)
+	day, err := spec.Scenario.Draw(spec.Seed)
 	if err != nil {
 		return err
 	}
--- a/internal/experiment/demo.go
+++ b/internal/experiment/demo.go
@@ -8,8 +8,8 @@
 	"ryeweir/internal/emulator/node"
 )
 
-// DemoDay is a day on which a node turns slow, another fails fast and a third drains.
-func DemoDay(length time.Duration) emulator.ScenarioSpec {
+// DemoScenario is a day on which a node turns slow, another fails fast and a third drains.
+func DemoScenario(length time.Duration) emulator.ScenarioSpec {
 	d := emulator.DefaultScenario()
 	d.Name, d.Length = "demo", config.Duration(length)
 	at := func(share float64) config.Duration { return config.Duration(share * float64(length)) }
--- a/internal/experiment/drill.go
+++ b/internal/experiment/drill.go
@@ -21,7 +21,7 @@
 	Cores    float64               `toml:"cores"`    // that the platform tells the agents they may use; 0 for what it usually does
 	Long     LongSpec              `toml:"long"`
 	Expect   Expect                `toml:"expect"`
-	Day      emulator.ScenarioSpec `toml:"day"`
+	Scenario emulator.ScenarioSpec `toml:"day"`
 }
 
 // LongSpec is what a drill's long form has in place of its short one's.
@@ -58,8 +58,8 @@
 	if s.Seed == 0 {
 		s.Seed = 1
 	}
-	s.Day.ApplyDefaults()
-	all := []error{s.Day.Check("day."), checkProcesses("day.", &s.Day)}
+	s.Scenario.ApplyDefaults()
+	all := []error{s.Scenario.Check("day."), checkProcesses("day.", &s.Scenario)}
 	wrong := func(bad bool, key, format string, args ...any) {
 		if bad {
 			all = append(all, config.Wrong(key, format, args...))
@@ -79,7 +79,7 @@
 
 // class returns the index of a class by its name, or -1.
 func (s *DrillSpec) class(name string) int {
-	for i, c := range s.Day.Classes {
+	for i, c := range s.Scenario.Classes {
 		if c.Name == name {
 			return i
 		}
@@ -136,13 +136,13 @@
 	}
 	if long {
 		if spec.Long.Agents > 0 {
-			spec.Day.Agents = spec.Long.Agents
+			spec.Scenario.Agents = spec.Long.Agents
 		}
 		if spec.Long.Times > 0 {
-			spec.Day.ScaleTimes(spec.Long.Times)
+			spec.Scenario.ScaleTimes(spec.Long.Times)
 		}
 	}
-	day, err := spec.Day.Draw(spec.Seed)
+	day, err := spec.Scenario.Draw(spec.Seed)
 	if err != nil {
 		return nil, DrillResult{}, err
 	}
--- a/internal/experiment/drill_judge.go
+++ b/internal/experiment/drill_judge.go
@@ -37,14 +37,14 @@
 func (j *drillJudge) checkRules() {
 	account := j.outcome.Account
 	held := account.Balanced() && account.RulesHold() && account.UnknownRequests == 0
-	j.expect(held, "the rules, one answer each and no stranger: %+v %v", account, j.outcome.Breaches)
+	j.expect(held, "the rules, one answer each and no stranger: %+v %v", account, j.outcome.Violations)
 	j.expect(!j.outcome.Interrupted, "it was interrupted")
 }
 
 // checkNodes checks what the nodes were sent.
 func (j *drillJudge) checkNodes() {
 	e, o := j.spec.Expect, j.outcome
-	j.expect(e.MaxChokes == nil || o.Chokes <= *e.MaxChokes, "%d nodes choked", o.Chokes)
+	j.expect(e.MaxChokes == nil || o.Degradations <= *e.MaxChokes, "%d nodes choked", o.Degradations)
 	j.expect(e.MaxAttempts == 0 || o.Attempts <= e.MaxAttempts, "%.2f attempts a request", o.Attempts)
 	j.expect(e.MaxSlowStartPeak == 0 || o.SlowStartPeak <= e.MaxSlowStartPeak, "a cold node got %.2f of what topples it", o.SlowStartPeak)
 	j.expect(e.MaxHealthCheckWork == 0 || o.HealthCheckWork <= e.MaxHealthCheckWork, "probes took %.4f of the nodes' work", o.HealthCheckWork)
@@ -67,14 +67,14 @@
 // checkPriorities checks the agents without faults, and the order by priority weight.
 func (j *drillJudge) checkPriorities() {
 	e, o := j.spec.Expect, j.outcome
-	j.expect(o.Spared >= e.MinSpared, "agents that nothing befell served %.3f", o.Spared)
+	j.expect(o.UnaffectedService >= e.MinSpared, "agents that nothing befell served %.3f", o.UnaffectedService)
 	j.expect(e.MaxPassedOver == 0 || o.PassedOver <= e.MaxPassedOver, "%.3f of the worthiest were passed over", o.PassedOver)
 }
 
 // checkLevels checks what the agents reported of their budgets.
 func (j *drillJudge) checkLevels() {
 	least := j.spec.Expect.MinSelfOverloaded
-	if levels := j.outcome.Levels; levels != nil {
+	if levels := j.outcome.Admission; levels != nil {
 		j.expect(levels.SelfOverloaded >= least, "agents were over themselves at %d looks", levels.SelfOverloaded)
 		return
 	}
@@ -95,7 +95,7 @@
 
 // checkPeers checks what the agents reported of their peers.
 func (j *drillJudge) checkPeers() {
-	e, views := j.spec.Expect, j.outcome.Views
+	e, views := j.spec.Expect, j.outcome.Peers
 	if views == nil {
 		none := !e.AllSeeAll && e.SplitTo == 0 && e.MinWithheld == 0 && e.MaxNoticeMS == 0 && e.MinReplicaStates == 0 && !e.ReplicasAgree
 		j.expect(none, "the agents told nothing of their peers")
@@ -114,22 +114,22 @@
 }
 
 // checkMembershipHealed checks that each agent saw all others at the end, and at least once after each fault.
-func (j *drillJudge) checkMembershipHealed(views *Views) {
+func (j *drillJudge) checkMembershipHealed(views *PeerSummary) {
 	j.expect(views.AllSeenAtEnd >= 1-1e-9, "%.2f of the agents saw all others at the end", views.AllSeenAtEnd)
-	for i, healed := range views.Healed {
+	for i, healed := range views.Recoveries {
 		// Where the next fault ends at the same time there is no interval to see it in.
-		if i+1 == len(views.Healed) || views.Healed[i+1].At > healed.At {
-			j.expect(healed.NeverHealed == 0, "after %s %d agents never saw all others", healed.Fault, healed.NeverHealed)
+		if i+1 == len(views.Recoveries) || views.Recoveries[i+1].At > healed.At {
+			j.expect(healed.NeverRecovered == 0, "after %s %d agents never saw all others", healed.Fault, healed.NeverRecovered)
 		}
 	}
 }
 
 // checkMembershipSplit checks that a fault did separate the agents.
-func (j *drillJudge) checkMembershipSplit(views *Views) {
-	least := j.spec.Day.Agents
-	for _, healed := range views.Healed {
+func (j *drillJudge) checkMembershipSplit(views *PeerSummary) {
+	least := j.spec.Scenario.Agents
+	for _, healed := range views.Recoveries {
 		least = min(least, healed.MinPeersSeen)
 	}
-	most := j.spec.Expect.SplitTo * float64(j.spec.Day.Agents-1)
+	most := j.spec.Expect.SplitTo * float64(j.spec.Scenario.Agents-1)
 	j.expect(float64(least) <= most, "no agent saw fewer than %d others: the cut did not bite", least)
 }
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -34,8 +34,8 @@
 	agents   map[string]bool // names of the variants that are agents
 }
 
-// Held reports whether the rules held in all runs with an agent.
-func (f Findings) Held() bool {
+// RulesHeld reports whether the rules held in all runs with an agent.
+func (f Findings) RulesHeld() bool {
 	for _, o := range f.Outcomes {
 		if f.agents[o.Variant] && !o.Account.RulesHold() {
 			return false
@@ -106,7 +106,7 @@
 		if !outcome.Account.RulesHold() {
 			note = "  RULE BROKEN"
 		}
-		fmt.Fprintf(out, "%3d of %d  %-12s %-12s repeat %d  service %.3f  p99 %.0f ms%s  (%v left)\n", len(findings.Outcomes), findings.Planned, outcome.Day, outcome.Variant,
+		fmt.Fprintf(out, "%3d of %d  %-12s %-12s repeat %d  service %.3f  p99 %.0f ms%s  (%v left)\n", len(findings.Outcomes), findings.Planned, outcome.Scenario, outcome.Variant,
 			run.repeat+1, outcome.Overall, outcome.Latency["all"].P99, note, left.Round(time.Second))
 		if err := findings.save(spec, dir); err != nil {
 			return findings, err
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -62,7 +62,7 @@
 			t.Errorf("%s: %+v and %+v", variant.Name, first.Account, second.Account)
 		}
 		if !first.Account.Balanced() || !first.Account.RulesHold() || first.Account.UnknownRequests > 0 {
-			t.Errorf("%s: %+v %v", variant.Name, first.Account, first.Breaches)
+			t.Errorf("%s: %+v %v", variant.Name, first.Account, first.Violations)
 		}
 	}
 }
@@ -206,8 +206,8 @@
 	// A binary that does not exist fails its own runs only.
 	spec := readSpec(t, strings.Replace(strings.Replace(experimentText, "simulated = true", "", 1), `kind = "random"`, "kind = \"agent\"\nbinary = \"/no/such/program\"", 1))
 	spec.Repeats = 1
-	spec.Days[0].Length = config.Duration(time.Second)
-	spec.Days[0].Faults = nil
+	spec.Scenarios[0].Length = config.Duration(time.Second)
+	spec.Scenarios[0].Faults = nil
 	findings, err = Run(t.Context(), spec, "", t.TempDir(), "", io.Discard)
 	if err != nil || len(findings.Outcomes) != 1 || len(findings.Failures) != 1 || !strings.Contains(findings.Failures[0], "no such file") {
 		t.Errorf("%d outcomes, failures %v, %v", len(findings.Outcomes), findings.Failures, err)
--- a/internal/experiment/fleet.go
+++ b/internal/experiment/fleet.go
@@ -32,8 +32,8 @@
 	P99                  Interval `json:"p99_ms"`
 }
 
-// Fleet runs the model with each variant and prints a table of the figures to out.
-func Fleet(spec *FleetSpec, out io.Writer) ([]FleetFigures, error) {
+// RunFleetModel runs the model with each variant and prints a table of the figures to out.
+func RunFleetModel(spec *FleetSpec, out io.Writer) ([]FleetFigures, error) {
 	var all []FleetFigures
 	table := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(table, "arm\thandshakes/request\topen\tcrossed/million\tof these once only\ttimed out after cut\tpeak/100 ms at start\tcold share\tmean ms\tp99 ms")
--- a/internal/experiment/fleet_days_test.go
+++ b/internal/experiment/fleet_days_test.go
@@ -50,12 +50,12 @@
 				t.Fatal(err)
 			}
 			if !outcome.Account.RulesHold() {
-				t.Errorf("rules broke: %v", outcome.Breaches)
+				t.Errorf("rules broke: %v", outcome.Violations)
 			}
 			if outcome.Overall < tc.minService || outcome.HealthCheckWork > 0.01 {
 				t.Errorf("service %.3f, health checks took %.4f of the nodes' work", outcome.Overall, outcome.HealthCheckWork)
 			}
-			if again, err := Simulate(day, Variant{Name: "agent", Command: []string{"agent"}}); err != nil || fmt.Sprint(again.Overall, again.Truths) != fmt.Sprint(outcome.Overall, outcome.Truths) {
+			if again, err := Simulate(day, Variant{Name: "agent", Command: []string{"agent"}}); err != nil || fmt.Sprint(again.Overall, again.GroundTruth) != fmt.Sprint(outcome.Overall, outcome.GroundTruth) {
 				t.Errorf("second run: service %v, error %v", again.Overall, err)
 			}
 		})
--- a/internal/experiment/fleet_test.go
+++ b/internal/experiment/fleet_test.go
@@ -25,11 +25,11 @@
 // same file gives the same figures.
 func TestConnectionModelRepeatsAndShowsCostOfOpeningAhead(t *testing.T) {
 	spec := smallFleet(t, "[[fleet_arm]]\nname = \"needed\"\n[[fleet_arm]]\nname = \"ahead\"\n[fleet_arm.connections]\nahead_per_second = 1000000.0\nahead_keep = 4\n")
-	first, err := Fleet(&spec, io.Discard)
+	first, err := RunFleetModel(&spec, io.Discard)
 	if err != nil {
 		t.Fatal(err)
 	}
-	again, err := Fleet(&spec, io.Discard)
+	again, err := RunFleetModel(&spec, io.Discard)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -51,7 +51,7 @@
 func TestLearningTheIdleTimeoutLosesFewerRequests(t *testing.T) {
 	spec := smallFleet(t, "closes = \"3s\"\nrtt = \"20ms\"\n[[fleet_arm]]\nname = \"learns\"\n[[fleet_arm]]\nname = \"trusts\"\n[fleet_arm.connections]\nidle_least = \"10s\"\nsure_part = 1.0\n")
 	spec.Length = config.Duration(300 * time.Second) // in 30 s an arm has one such close or none
-	figures, err := Fleet(&spec, io.Discard)
+	figures, err := RunFleetModel(&spec, io.Discard)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/experiment/gate.go
+++ b/internal/experiment/gate.go
@@ -6,7 +6,7 @@
 
 // GateRow compares what an agent served in a run with what the delayed oracle served in the same day and seed.
 type GateRow struct {
-	Day           string  `json:"day"`
+	Scenario      string  `json:"day"`
 	Variant       string  `json:"arm"`
 	Seed          uint64  `json:"seed"`
 	Served        float64 `json:"served"` // fraction of the priority weight asked for
@@ -38,23 +38,23 @@
 	for _, outcome := range outcomes {
 		switch kinds[outcome.Variant] {
 		case DelayedOracle:
-			delayedOracle[run{outcome.Day, outcome.Seed}] = outcome.Overall
+			delayedOracle[run{outcome.Scenario, outcome.Seed}] = outcome.Overall
 		case Random:
-			random[run{outcome.Day, outcome.Seed}] = outcome.Overall
+			random[run{outcome.Scenario, outcome.Seed}] = outcome.Overall
 		}
 	}
 	for _, outcome := range outcomes {
-		reference, ok := delayedOracle[run{outcome.Day, outcome.Seed}]
+		reference, ok := delayedOracle[run{outcome.Scenario, outcome.Seed}]
 		if kinds[outcome.Variant] != AgentKind || !ok {
 			continue
 		}
-		row := GateRow{Day: outcome.Day, Variant: outcome.Variant, Seed: outcome.Seed, Served: outcome.Overall, Wanted: delayedOracleFraction * reference}
-		if randomServed, ok := random[run{outcome.Day, outcome.Seed}]; ok && calm[outcome.Day] {
+		row := GateRow{Scenario: outcome.Scenario, Variant: outcome.Variant, Seed: outcome.Seed, Served: outcome.Overall, Wanted: delayedOracleFraction * reference}
+		if randomServed, ok := random[run{outcome.Scenario, outcome.Seed}]; ok && calm[outcome.Scenario] {
 			row.Wanted = max(row.Wanted, min(randomServed-randomMargin, reference-delayedOracleMargin))
 		}
 		switch {
 		case !outcome.Account.RulesHold():
-			row.FailureReason = fmt.Sprintf("a rule broke: %v", outcome.Breaches[0])
+			row.FailureReason = fmt.Sprintf("a rule broke: %v", outcome.Violations[0])
 		case !outcome.Account.Balanced():
 			row.FailureReason = "not each request has one end"
 		case row.Served < row.Wanted:
--- a/internal/experiment/hunt.go
+++ b/internal/experiment/hunt.go
@@ -17,19 +17,19 @@
 	"ryeweir/internal/emulator"
 )
 
-// Hunted is the result of Hunt.
-type Hunted struct {
-	Played int     `json:"played"`
-	Found  []Found `json:"found,omitempty"`
-	Failed []error `json:"-"` // runs that ended with an error
+// HuntResult is the result of Hunt.
+type HuntResult struct {
+	Runs            int              `json:"played"`
+	FailedScenarios []FailedScenario `json:"found,omitempty"`
+	Errors          []error          `json:"-"` // runs that ended with an error
 }
 
-// Found is a day that did not pass, with the experiment's file that reproduces it.
-type Found struct {
-	Seed uint64 `json:"seed"`
-	Day  string `json:"day"`
-	Why  string `json:"why"`
-	File string `json:"file"`
+// FailedScenario is a day that did not pass, with the experiment's file that reproduces it.
+type FailedScenario struct {
+	Seed     uint64 `json:"seed"`
+	Scenario string `json:"day"`
+	Why      string `json:"why"`
+	File     string `json:"file"`
 }
 
 // maxFound is the number of days that did not pass after which a hunt ends.
@@ -44,12 +44,12 @@
 // Hunt runs random days of whole fleets with the agent's decisions in simulated time, for seed and those after it. It ends with the context,
 // after maxRuns days (0: no limit), or when maxFound did not pass the gate. Each of these is left in dir as an experiment's file that
 // reproduces it. Progress goes to out.
-func Hunt(ctx context.Context, seed, maxRuns uint64, dir string, out io.Writer) (Hunted, error) {
+func Hunt(ctx context.Context, seed, maxRuns uint64, dir string, out io.Writer) (HuntResult, error) {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
-		return Hunted{}, fmt.Errorf("the folder for what is found: %w", err)
+		return HuntResult{}, fmt.Errorf("the folder for what is found: %w", err)
 	}
 	var mu sync.Mutex
-	var hunted Hunted
+	var hunted HuntResult
 	var next atomic.Uint64
 	var workers sync.WaitGroup
 	for range runtime.GOMAXPROCS(0) {
@@ -62,19 +62,19 @@
 				daySeed := seed + number - 1
 				why, err := runRandomFleet(daySeed)
 				mu.Lock()
-				hunted.Played++
+				hunted.Runs++
 				switch {
 				case err != nil:
-					hunted.Failed = append(hunted.Failed, fmt.Errorf("seed %d: %w", daySeed, err))
-				case why != "" && len(hunted.Found) < maxFound:
+					hunted.Errors = append(hunted.Errors, fmt.Errorf("seed %d: %w", daySeed, err))
+				case why != "" && len(hunted.FailedScenarios) < maxFound:
 					found, err := saveFound(daySeed, why, dir)
 					if err != nil {
-						hunted.Failed = append(hunted.Failed, err)
+						hunted.Errors = append(hunted.Errors, err)
 					}
-					hunted.Found = append(hunted.Found, found)
-					fmt.Fprintf(out, "FOUND seed %d, %s: %s (%s)\n", daySeed, found.Day, why, found.File)
+					hunted.FailedScenarios = append(hunted.FailedScenarios, found)
+					fmt.Fprintf(out, "FOUND seed %d, %s: %s (%s)\n", daySeed, found.Scenario, why, found.File)
 				}
-				full := len(hunted.Found) == maxFound || len(hunted.Failed) == maxFound
+				full := len(hunted.FailedScenarios) == maxFound || len(hunted.Errors) == maxFound
 				mu.Unlock()
 				if full {
 					return
@@ -83,8 +83,8 @@
 		})
 	}
 	workers.Wait()
-	fmt.Fprintf(out, "%d days played, %d did not pass\n", hunted.Played, len(hunted.Found))
-	return hunted, errors.Join(hunted.Failed...)
+	fmt.Fprintf(out, "%d days played, %d did not pass\n", hunted.Runs, len(hunted.FailedScenarios))
+	return hunted, errors.Join(hunted.Errors...)
 }
 
 // runRandomFleet runs the day of a seed and returns why it did not pass the gate, or "". A panic of the decision module is a reason, too.
@@ -140,10 +140,10 @@
 `
 
 // saveFound writes the experiment's file that reproduces a day.
-func saveFound(seed uint64, why, dir string) (Found, error) {
+func saveFound(seed uint64, why, dir string) (FailedScenario, error) {
 	fleet := randomFleet(seed)
 	file := filepath.Join(dir, fmt.Sprintf("found-%d.toml", seed))
 	first, _, _ := strings.Cut(why, "\n")
 	text := fmt.Sprintf(foundFile, first, seed, seed, fleet.Name, fleet.Kind, fleet.Agents, fleet.Nodes)
-	return Found{Seed: seed, Day: fleet.String(), Why: why, File: file}, replace(file, []byte(text))
+	return FailedScenario{Seed: seed, Scenario: fleet.String(), Why: why, File: file}, replace(file, []byte(text))
 }
--- a/internal/experiment/levels.go
+++ b/internal/experiment/levels.go
@@ -7,8 +7,8 @@
 	"ryeweir/internal/emulator"
 )
 
-// Levels sums up the admission budgets of a day's agent processes, as their metrics reported them.
-type Levels struct {
+// AdmissionSummary sums up the admission budgets of a day's agent processes, as their metrics reported them.
+type AdmissionSummary struct {
 	Least          float64 `json:"least"`    // fraction of its demand that an agent admitted one second before the surge ended: the lowest of all agents
 	Median         float64 `json:"median"`   //
 	Most           float64 `json:"most"`     //
@@ -26,12 +26,12 @@
 }
 
 // summarizeLevels sums up the budget metrics of all agents; nil where no agent has a budget.
-func summarizeLevels(day *emulator.Scenario, peerViews [][]peerView) *Levels {
+func summarizeLevels(day *emulator.Scenario, peerViews [][]peerView) *AdmissionSummary {
 	end := day.Length
 	if i := surgeShift(day); i >= 0 {
 		end = day.Spec.Fleet.TrafficShifts[i].To.D()
 	}
-	levels := &Levels{}
+	levels := &AdmissionSummary{}
 	var shares []float64
 	for _, agentViews := range peerViews {
 		var last overloadMetrics // of the present process
@@ -63,6 +63,6 @@
 }
 
 // add adds the counters of one process.
-func (l *Levels) add(o overloadMetrics) {
+func (l *AdmissionSummary) add(o overloadMetrics) {
 	l.Shed, l.Withheld, l.SelfOverloaded = l.Shed+o.Shed, l.Withheld+o.Withheld, l.SelfOverloaded+o.SelfOverloaded
 }
--- a/internal/experiment/load.go
+++ b/internal/experiment/load.go
@@ -14,8 +14,8 @@
 	"ryeweir/internal/emulator/referee"
 )
 
-// KindOf says what a TOML file is: experiment, load, world, or nothing of ours.
-func KindOf(file string, data []byte) (string, error) {
+// DetectFileKind says what a TOML file is: experiment, load, world, or nothing of ours.
+func DetectFileKind(file string, data []byte) (string, error) {
 	top := map[string]any{}
 	if err := toml.Unmarshal(data, &top); err != nil {
 		var ignored anyKeys
@@ -32,10 +32,10 @@
 // Check finds nothing wrong.
 func (*anyKeys) Check() error { return nil }
 
-// Load sends a day's plan to agents that run already. Their nodes are out of sight: that an answer was made by a node, and
+// RunLoad sends a day's plan to agents that run already. Their nodes are out of sight: that an answer was made by a node, and
 // what ran there, is not checked.
-func Load(ctx context.Context, spec *LoadSpec) (Outcome, error) {
-	day, err := spec.Day.Draw(spec.Seed)
+func RunLoad(ctx context.Context, spec *LoadSpec) (Outcome, error) {
+	day, err := spec.Scenario.Draw(spec.Seed)
 	if err != nil {
 		return Outcome{}, err
 	}
--- a/internal/experiment/outcome.go
+++ b/internal/experiment/outcome.go
@@ -44,14 +44,14 @@
 
 // Outcome is the result of one run: a day with a variant.
 type Outcome struct {
-	Day       string              `json:"day"`
-	Variant   string              `json:"arm"`
-	Seed      uint64              `json:"seed"`
-	Simulated bool                `json:"simulated"`
-	Seconds   float64             `json:"seconds"`
-	Calls     int                 `json:"calls"` // callers' requests, with all attempts of a client counted as one
-	Account   referee.Account     `json:"account"`
-	Breaches  []referee.Violation `json:"breaches,omitempty"`
+	Scenario   string              `json:"day"`
+	Variant    string              `json:"arm"`
+	Seed       uint64              `json:"seed"`
+	Simulated  bool                `json:"simulated"`
+	Seconds    float64             `json:"seconds"`
+	Calls      int                 `json:"calls"` // callers' requests, with all attempts of a client counted as one
+	Account    referee.Account     `json:"account"`
+	Violations []referee.Violation `json:"breaches,omitempty"`
 	referee.Service
 	Goal              float64                    `json:"goal"`
 	Latency           map[string]Percentiles     `json:"latency"`              // a class each, and "all"
@@ -60,8 +60,8 @@
 	HealthChecks      int                        `json:"probes"`
 	Handshakes        int                        `json:"handshakes"`
 	ListCalls         int                        `json:"list_calls"`
-	Chokes            int                        `json:"chokes"`
-	Truths            *Truths                    `json:"truths,omitempty"`                   // of a simulation
+	Degradations      int                        `json:"chokes"`
+	GroundTruth       *GroundTruth               `json:"truths,omitempty"`                   // of a simulation
 	SlowStartPeak     float64                    `json:"cold_peak"`                          // highest load of a node in slow start, as a fraction of what overloads it
 	NodesUsed         []float64                  `json:"nodes_used,omitempty"`               // of a simulation: share of the nodes, a second each
 	NodesBusy         []float64                  `json:"nodes_busy,omitempty"`               // of a simulation: work done of what could be, a second each
@@ -71,16 +71,16 @@
 	Skipped           int                        `json:"skipped"`                            // calls that were not sent, as too many were open
 	Lag               float64                    `json:"lag_ms"`                             // longest delay of a call behind its planned time
 	ProcessorWait     float64                    `json:"starved_ms"`                         // mean wait of the rig's threads for a processor; on sockets
-	Levels            *Levels                    `json:"levels,omitempty"`                   // of agents with the fleet's budgets
+	Admission         *AdmissionSummary          `json:"levels,omitempty"`                   // of agents with the fleet's budgets
 	Misbehaving       callers.MisbehavingFigures `json:"rude"`                               // clients that sent no requests
 	Interrupted       bool                       `json:"interrupted,omitempty"`
-	Views             *Views                     `json:"views,omitempty"`  // of agents that gossip
+	Peers             *PeerSummary               `json:"views,omitempty"`  // of agents that gossip
 	TopPriorityServed float64                    `json:"worthiest_served"` // fraction of the top-priority class that was answered
 	PassedOver        float64                    `json:"passed_over"`      // fraction of the top-priority class that was not answered while lower classes were
-	Spared            float64                    `json:"spared"`           // service of the requests at agents without a fault of their own; 1 where there are none
+	UnaffectedService float64                    `json:"spared"`           // service of the requests at agents without a fault of their own; 1 where there are none
 	Surge             *Surge                     `json:"surge,omitempty"`  // of a day whose traffic shifts upwards at all agents
 	Series            Series                     `json:"series"`
-	Marks             []emulator.Event           `json:"marks"`
+	Events            []emulator.Event           `json:"marks"`
 }
 
 // Series are figures over time, one a second. NaN and absent values are null in JSON.
@@ -113,9 +113,9 @@
 // outcome computes the outcome of a run.
 func (t runRecord) outcome(variant string, simulated bool) Outcome {
 	slices.SortFunc(t.calls, func(a, b referee.CallResult) int { return int(a.At - b.At) })
-	outcome := Outcome{Day: t.day.Spec.Name, Variant: variant, Seed: t.day.Seed, Simulated: simulated, Seconds: t.day.Length.Seconds(), Calls: len(t.calls),
-		Account: t.account, Breaches: t.violations, Service: referee.MeasureService(t.calls, settleTime, len(t.day.Classes), len(t.day.Tenants)),
-		Latency: map[string]Percentiles{"all": percentiles(referee.Latencies(t.calls, -1))}, ListCalls: t.lists, Marks: t.marks,
+	outcome := Outcome{Scenario: t.day.Spec.Name, Variant: variant, Seed: t.day.Seed, Simulated: simulated, Seconds: t.day.Length.Seconds(), Calls: len(t.calls),
+		Account: t.account, Violations: t.violations, Service: referee.MeasureService(t.calls, settleTime, len(t.day.Classes), len(t.day.Tenants)),
+		Latency: map[string]Percentiles{"all": percentiles(referee.Latencies(t.calls, -1))}, ListCalls: t.lists, Events: t.marks,
 		Skipped: t.figures.Skipped, Lag: float64(t.figures.Lag.Microseconds()) / 1e3}
 	outcome.Goal = outcome.Service.Goal()
 	for i, c := range t.day.Classes {
@@ -131,7 +131,7 @@
 	if nodeTotals.Work > 0 {
 		outcome.Waste = float64(nodeTotals.Wasted) / float64(nodeTotals.Work)
 	}
-	outcome.HealthChecks, outcome.Handshakes, outcome.Chokes = nodeTotals.HealthChecks, nodeTotals.Handshakes, nodeTotals.Degradations
+	outcome.HealthChecks, outcome.Handshakes, outcome.Degradations = nodeTotals.HealthChecks, nodeTotals.Handshakes, nodeTotals.Degradations
 	outcome.SlowStartPeak = nodeTotals.SlowStartPeak
 	prices, perCall := t.day.Spec.Fleet.Prices, 1/max(1, float64(len(t.calls)))
 	outcome.Priced = outcome.Goal - prices.HealthCheck*float64(outcome.HealthChecks)*perCall - prices.Handshake*float64(outcome.Handshakes)*perCall - prices.List*float64(outcome.ListCalls)*perCall - prices.Waste*outcome.Waste
@@ -142,7 +142,7 @@
 	outcome.TopPriorityServed, outcome.PassedOver = passedOver(t.day, t.calls)
 	affected := t.day.AffectedAgents()
 	spared := slices.DeleteFunc(slices.Clone(t.calls), func(c referee.CallResult) bool { return affected[c.Agent] })
-	outcome.Spared = referee.MeasureService(spared, settleTime, 0, 0).Overall
+	outcome.UnaffectedService = referee.MeasureService(spared, settleTime, 0, 0).Overall
 	for _, n := range t.day.Nodes {
 		outcome.Series.Nodes = append(outcome.Series.Nodes, n.ID)
 	}
--- a/internal/experiment/report.go
+++ b/internal/experiment/report.go
@@ -54,7 +54,7 @@
 	for _, day := range spec.dayNames() {
 		first := map[string]Outcome{}
 		for _, outcome := range findings.Outcomes {
-			if _, ok := first[outcome.Variant]; outcome.Day == day && !ok {
+			if _, ok := first[outcome.Variant]; outcome.Scenario == day && !ok {
 				first[outcome.Variant] = outcome
 			}
 		}
@@ -122,7 +122,7 @@
 		var at intervals
 		for d, day := range days {
 			for _, row := range rows {
-				if row.Day == day && row.Variant == variant {
+				if row.Scenario == day && row.Variant == variant {
 					at.XYs = append(at.XYs, plotter.XY{X: float64(d) + 0.04*float64(i), Y: row.Service.Mean})
 					at.YErrors = append(at.YErrors, struct{ Low, High float64 }{row.Service.Mean - row.Service.Low, row.Service.High - row.Service.Mean})
 				}
@@ -233,10 +233,10 @@
 
 // mark shades the intervals of faults. Where there are more than maxLines, each kind is shaded from its first to its last.
 func mark(p *plot.Plot, o Outcome) {
-	marks := o.Marks
+	marks := o.Events
 	if len(marks) > maxLines {
 		marks = nil
-		for _, m := range o.Marks {
+		for _, m := range o.Events {
 			i := slices.IndexFunc(marks, func(x emulator.Event) bool { return x.Text == m.Text })
 			if i < 0 {
 				marks = append(marks, emulator.Event{At: m.At, To: m.To, Node: "many", Text: m.Text})
--- a/internal/experiment/scenario.go
+++ b/internal/experiment/scenario.go
@@ -27,7 +27,7 @@
 
 // RunScenario runs a day with a variant on loopback sockets. watch, where it is not nil, gets a sample each second. When the context ends the
 // day ends early, and the outcome so far is returned, marked as interrupted. The error names agents whose processes misbehaved.
-func RunScenario(ctx context.Context, day *emulator.Scenario, variant Variant, watch func(Live)) (outcome Outcome, err error) {
+func RunScenario(ctx context.Context, day *emulator.Scenario, variant Variant, watch func(LiveSample)) (outcome Outcome, err error) {
 	dir, err := os.MkdirTemp("", "ryeweir-")
 	if err != nil {
 		return outcome, err
@@ -130,7 +130,7 @@
 
 // startBackground starts what goes on beside the calls until the context ends: byzantine peers, samples, faults of agents' processes and
 // misbehaving clients.
-func (p *scenarioRun) startBackground(ctx context.Context, all *sync.WaitGroup, byzantine []*byzantinePeer, watch func(Live)) {
+func (p *scenarioRun) startBackground(ctx context.Context, all *sync.WaitGroup, byzantine []*byzantinePeer, watch func(LiveSample)) {
 	for _, peer := range byzantine {
 		all.Go(func() { peer.run(ctx) })
 	}
@@ -168,9 +168,9 @@
 	outcome := t.outcome(p.variant.Name, false)
 	outcome.ProcessorWait = float64(processorWait.Microseconds()) / 1e3
 	if p.peers != nil {
-		outcome.Views = summarizeViews(day, p.peerViews)
+		outcome.Peers = summarizeViews(day, p.peerViews)
 	}
-	outcome.Levels = summarizeLevels(day, p.peerViews)
+	outcome.Admission = summarizeLevels(day, p.peerViews)
 	outcome.Misbehaving = p.misbehaving
 	if requests := t.account.Requests; requests > 0 {
 		outcome.CPU = float64(p.cpu.Microseconds()) / float64(requests)
--- a/internal/experiment/scenario_watch.go
+++ b/internal/experiment/scenario_watch.go
@@ -10,13 +10,13 @@
 	"ryeweir/internal/emulator/referee"
 )
 
-// Live is the state of a run in progress, sampled each second.
-type Live struct {
+// LiveSample is the state of a run in progress, sampled each second.
+type LiveSample struct {
 	At      time.Duration // since the day began
 	Account referee.Account
 	Calls   []referee.CallResult // that ended since the last sample
 	States  []backend.State
-	Marks   []emulator.Event
+	Events  []emulator.Event
 }
 
 // callEnded keeps a call's result for the next sample.
@@ -38,7 +38,7 @@
 }
 
 // watch notes the nodes' load each second, and shows what has come of the day.
-func (p *scenarioRun) watch(ctx context.Context, show func(Live)) {
+func (p *scenarioRun) watch(ctx context.Context, show func(LiveSample)) {
 	began := time.Now()
 	last, done := began, time.Duration(0)
 	tick := time.NewTicker(time.Second)
@@ -66,7 +66,7 @@
 		p.ended = nil
 		p.mu.Unlock()
 		if show != nil {
-			show(Live{At: time.Since(began), Account: p.world.Referee.Account(), Calls: fresh, States: states, Marks: p.world.Events()})
+			show(LiveSample{At: time.Since(began), Account: p.world.Referee.Account(), Calls: fresh, States: states, Events: p.world.Events()})
 		}
 	}
 }
--- a/internal/experiment/simulation.go
+++ b/internal/experiment/simulation.go
@@ -110,7 +110,7 @@
 		t.nodes = append(t.nodes, n.earlierIncarnations.Add(n.Figures()))
 	}
 	outcome := t.outcome(variant, true)
-	outcome.Truths, outcome.NodesUsed, outcome.NodesBusy = &s.truths, s.used, s.busy
+	outcome.GroundTruth, outcome.NodesUsed, outcome.NodesBusy = &s.truths, s.used, s.busy
 	return outcome
 }
 
@@ -150,7 +150,7 @@
 	used         []float64 // share of the listed nodes that something came to, a second each
 	marks        []emulator.Event
 	callsLeft    int // calls that have not ended
-	truths       Truths
+	truths       GroundTruth
 	operators    operator.File
 	err          error
 }
--- a/internal/experiment/simulation_truths.go
+++ b/internal/experiment/simulation_truths.go
@@ -6,8 +6,8 @@
 	"ryeweir/logic"
 )
 
-// Truths compare an agent's decisions with the true state of the nodes at the time, which only a simulation knows.
-type Truths struct {
+// GroundTruth compare an agent's decisions with the true state of the nodes at the time, which only a simulation knows.
+type GroundTruth struct {
 	Rejected             int `json:"refused"`       // requests rejected without an attempt
 	RejectedWithCapacity int `json:"refused_room"`  // of these, while a ready node of the list had a free core
 	RejectedNearCapacity int `json:"refused_near"`  // of these, while a node in the agent's subset had one
--- a/internal/experiment/spec.go
+++ b/internal/experiment/spec.go
@@ -33,7 +33,7 @@
 	Seed      uint64                   `toml:"seed"`
 	Simulated bool                     `toml:"simulated"`
 	Variants  []VariantSpec            `toml:"arm"`
-	Days      []emulator.ScenarioSpec  `toml:"day"`
+	Scenarios []emulator.ScenarioSpec  `toml:"day"`
 	Fleets    []emulator.FleetScenario `toml:"fleet_day"` // drawn anew for each seed; in simulated time
 	Gate      bool                     `toml:"gate"`      // judge the agents' runs against the delayed oracle
 }
@@ -57,7 +57,7 @@
 		errs = append(errs, variant.check(fmt.Sprintf("arm[%d].", i), s.Simulated, variantNames))
 	}
 	dayNames := map[string]bool{}
-	for i := range s.Days {
+	for i := range s.Scenarios {
 		errs = append(errs, s.checkDay(i, dayNames))
 	}
 	for i := range s.Fleets {
@@ -117,7 +117,7 @@
 // checkDay applies a day's defaults, checks it, and adds its name to those in use.
 func (s *Spec) checkDay(index int, names map[string]bool) error {
 	var errs []error
-	day, prefix := &s.Days[index], fmt.Sprintf("day[%d].", index)
+	day, prefix := &s.Scenarios[index], fmt.Sprintf("day[%d].", index)
 	day.ApplyDefaults()
 	if names[day.Name] {
 		errs = append(errs, config.Wrong(prefix+"name", "%q is there already", day.Name))
@@ -145,14 +145,14 @@
 }
 
 // dayCount is how many there are, those of fleets behind the others.
-func (s *Spec) dayCount() int { return len(s.Days) + len(s.Fleets) }
+func (s *Spec) dayCount() int { return len(s.Scenarios) + len(s.Fleets) }
 
 // draw draws a day by its number.
 func (s *Spec) draw(index int, seed uint64) (*emulator.Scenario, error) {
-	if index < len(s.Days) {
-		return s.Days[index].Draw(seed)
+	if index < len(s.Scenarios) {
+		return s.Scenarios[index].Draw(seed)
 	}
-	spec := s.Fleets[index-len(s.Days)].Spec(seed)
+	spec := s.Fleets[index-len(s.Scenarios)].Spec(seed)
 	return spec.Draw(seed)
 }
 
@@ -202,7 +202,7 @@
 
 // dayNames are the names of all days, in the order of their numbers.
 func (s *Spec) dayNames() (out []string) {
-	for _, d := range s.Days {
+	for _, d := range s.Scenarios {
 		out = append(out, d.Name)
 	}
 	for _, f := range s.Fleets {
@@ -221,9 +221,9 @@
 
 // WorldSpec is the file of nodes and discovery without agents or callers.
 type WorldSpec struct {
-	Seed uint64                `toml:"seed"`
-	Dir  string                `toml:"dir"` // where the agents' configurations are written
-	Day  emulator.ScenarioSpec `toml:"day"`
+	Seed     uint64                `toml:"seed"`
+	Dir      string                `toml:"dir"` // where the agents' configurations are written
+	Scenario emulator.ScenarioSpec `toml:"day"`
 }
 
 // Check applies the defaults and reports all that is wrong.
@@ -231,8 +231,8 @@
 	if s.Seed == 0 {
 		s.Seed = 1
 	}
-	s.Day.ApplyDefaults()
-	return errors.Join(s.Day.Check("day."), checkProcesses("day.", &s.Day), checkStandalone(&s.Day))
+	s.Scenario.ApplyDefaults()
+	return errors.Join(s.Scenario.Check("day."), checkProcesses("day.", &s.Scenario), checkStandalone(&s.Scenario))
 }
 
 // checkStandalone rejects faults of agents, which only an experiment can inject: it starts their processes.
@@ -245,9 +245,9 @@
 
 // LoadSpec is the file of callers for an agent that runs already.
 type LoadSpec struct {
-	Seed    uint64                `toml:"seed"`
-	Targets []string              `toml:"targets"` // an agent's clients' address each
-	Day     emulator.ScenarioSpec `toml:"day"`
+	Seed     uint64                `toml:"seed"`
+	Targets  []string              `toml:"targets"` // an agent's clients' address each
+	Scenario emulator.ScenarioSpec `toml:"day"`
 }
 
 // Check applies the defaults and reports all that is wrong.
@@ -255,11 +255,11 @@
 	if s.Seed == 0 {
 		s.Seed = 1
 	}
-	s.Day.ApplyDefaults()
+	s.Scenario.ApplyDefaults()
 	if len(s.Targets) > 0 {
-		s.Day.Agents = len(s.Targets)
+		s.Scenario.Agents = len(s.Targets)
 	}
-	return errors.Join(s.Day.Check("day."), checkProcesses("day.", &s.Day), checkStandalone(&s.Day))
+	return errors.Join(s.Scenario.Check("day."), checkProcesses("day.", &s.Scenario), checkStandalone(&s.Scenario))
 }
 
 // FileKind is what a TOML file is, by its first tables: an experiment, a model of a fleet, an operators' file, a drill, a world or load.
--- a/internal/experiment/statistics.go
+++ b/internal/experiment/statistics.go
@@ -55,7 +55,7 @@
 
 // Difference is one figure of a variant less that of the baseline, on the same day and seeds.
 type Difference struct {
-	Day      string `json:"day"`
+	Scenario string `json:"day"`
 	Variant  string `json:"arm"`
 	Baseline string `json:"than"`
 	Figure   string `json:"figure"`
@@ -94,7 +94,7 @@
 	{"refused", Outcome.rejectedFraction},
 	{"nodes_used", Outcome.minNodesUsed},
 	{"cold_peak", func(o Outcome) float64 { return o.SlowStartPeak }},
-	{"chokes", func(o Outcome) float64 { return float64(o.Chokes) }},
+	{"chokes", func(o Outcome) float64 { return float64(o.Degradations) }},
 	{"unheard", func(o Outcome) float64 { return float64(o.Account.Unnotified) }},
 	{"completed", func(o Outcome) float64 { return float64(o.Account.Completed) }},
 	{"surge_goodput", func(o Outcome) float64 { return o.surgeOrZero().Goodput }},
@@ -130,26 +130,26 @@
 // rejectedWithCapacityFraction is the fraction of the requests that were rejected without an attempt while a ready node had a free core;
 // 0 where the truth is not known.
 func (o Outcome) rejectedWithCapacityFraction() float64 {
-	if o.Truths == nil {
+	if o.GroundTruth == nil {
 		return 0
 	}
-	return float64(o.Truths.RejectedWithCapacity) / max(1, float64(o.Account.Requests))
+	return float64(o.GroundTruth.RejectedWithCapacity) / max(1, float64(o.Account.Requests))
 }
 
 // sentIntoOverloadFraction is the fraction of the attempts that arrived at a full node or at one whose backlog exceeded their latency
 // objective.
 func (o Outcome) sentIntoOverloadFraction() float64 {
-	if o.Truths == nil {
+	if o.GroundTruth == nil {
 		return 0
 	}
-	return float64(o.Truths.SentIntoOverload) / max(1, float64(o.Truths.Sent))
+	return float64(o.GroundTruth.SentIntoOverload) / max(1, float64(o.GroundTruth.Sent))
 }
 
 // differences compares every variant with the first, by day, in pairs of one seed.
 func differences(outcomes []Outcome, days, variants []string) (out []Difference) {
 	for _, day := range days {
 		for _, variant := range variants[1:] {
-			out = append(out, pairedDifferences(bySeed(outcomes, day, variants[0]), bySeed(outcomes, day, variant), Difference{Day: day, Variant: variant, Baseline: variants[0]})...)
+			out = append(out, pairedDifferences(bySeed(outcomes, day, variants[0]), bySeed(outcomes, day, variant), Difference{Scenario: day, Variant: variant, Baseline: variants[0]})...)
 		}
 	}
 	return out
@@ -159,7 +159,7 @@
 func differencesFromBaseline(baseline, outcomes []Outcome, days, variants []string) (out []Difference) {
 	for _, day := range days {
 		for _, variant := range variants {
-			out = append(out, pairedDifferences(bySeed(baseline, day, variant), bySeed(outcomes, day, variant), Difference{Day: day, Variant: variant, Baseline: variant + " before"})...)
+			out = append(out, pairedDifferences(bySeed(baseline, day, variant), bySeed(outcomes, day, variant), Difference{Scenario: day, Variant: variant, Baseline: variant + " before"})...)
 		}
 	}
 	return out
@@ -189,7 +189,7 @@
 func bySeed(outcomes []Outcome, day, variant string) map[uint64]Outcome {
 	out := map[uint64]Outcome{}
 	for _, outcome := range outcomes {
-		if outcome.Day == day && outcome.Variant == variant && !outcome.Interrupted {
+		if outcome.Scenario == day && outcome.Variant == variant && !outcome.Interrupted {
 			out[outcome.Seed] = outcome
 		}
 	}
@@ -198,7 +198,7 @@
 
 // Row summarizes a variant on a day, over its repeats. Figures without an interval are means.
 type Row struct {
-	Day                  string   `json:"day"`
+	Scenario             string   `json:"day"`
 	Variant              string   `json:"arm"`
 	Runs                 int      `json:"runs"`
 	RulesHeld            bool     `json:"rules_held"`
@@ -220,7 +220,7 @@
 	NodesUsed            float64  `json:"nodes_used"`        // share of the nodes in use, in the worst ten seconds
 	SlowStartPeak        float64  `json:"cold_peak"`         // the highest of all runs
 	Priced               float64  `json:"priced"`            // the goal less the day's prices
-	Chokes               float64  `json:"chokes"`            // nodes that choked
+	Degradations         float64  `json:"chokes"`            // nodes that choked
 	Goodput              Interval `json:"surge_goodput"`     // see Surge; 0 without one
 	RecoverySeconds      float64  `json:"surge_back_s"`      // the longest of all runs; below 0 where one never recovered
 	Completed            float64  `json:"completed"`
@@ -233,10 +233,10 @@
 func rows(outcomes []Outcome, days, variants []string) (out []Row) {
 	for _, day := range days {
 		for _, variant := range variants {
-			row := Row{Day: day, Variant: variant, RulesHeld: true}
+			row := Row{Scenario: day, Variant: variant, RulesHeld: true}
 			var service, goodput []float64
 			for _, outcome := range outcomes {
-				if outcome.Day != day || outcome.Variant != variant || outcome.Interrupted {
+				if outcome.Scenario != day || outcome.Variant != variant || outcome.Interrupted {
 					continue
 				}
 				row.Runs++
@@ -248,7 +248,7 @@
 				row.HealthChecks, row.HealthCheckWork, row.ListCalls = row.HealthChecks+outcome.healthChecksPerRequest(), row.HealthCheckWork+outcome.HealthCheckWork, row.ListCalls+float64(outcome.ListCalls)
 				row.RejectedWithCapacity, row.SentIntoOverload = row.RejectedWithCapacity+outcome.rejectedWithCapacityFraction(), row.SentIntoOverload+outcome.sentIntoOverloadFraction()
 				row.Rejected, row.NodesUsed, row.Priced, row.SlowStartPeak = row.Rejected+outcome.rejectedFraction(), row.NodesUsed+outcome.minNodesUsed(), row.Priced+outcome.Priced, max(row.SlowStartPeak, outcome.SlowStartPeak)
-				row.Chokes, row.Completed = row.Chokes+float64(outcome.Chokes), row.Completed+float64(outcome.Account.Completed)
+				row.Degradations, row.Completed = row.Degradations+float64(outcome.Degradations), row.Completed+float64(outcome.Account.Completed)
 				row.Unnotified += float64(outcome.Account.Unnotified)
 				row.TopPriorityServed, row.PassedOver = row.TopPriorityServed+outcome.TopPriorityServed, row.PassedOver+outcome.PassedOver
 				if surge := outcome.surgeOrZero(); row.RecoverySeconds >= 0 && surge.RecoverySeconds >= 0 {
@@ -257,8 +257,8 @@
 					row.RecoverySeconds = -1
 				}
 				goodput = append(goodput, outcome.surgeOrZero().Goodput)
-				if outcome.Truths != nil {
-					row.RejectedNearCapacity += float64(outcome.Truths.RejectedNearCapacity) / max(1, float64(outcome.Account.Requests))
+				if outcome.GroundTruth != nil {
+					row.RejectedNearCapacity += float64(outcome.GroundTruth.RejectedNearCapacity) / max(1, float64(outcome.Account.Requests))
 				}
 			}
 			if row.Runs == 0 {
@@ -266,7 +266,7 @@
 			}
 			row.Service, row.Goodput = bootstrap(service), bootstrap(goodput)
 			runs := float64(row.Runs)
-			for _, sum := range []*float64{&row.WorstWindow, &row.Goal, &row.P50, &row.P99, &row.Attempts, &row.Waste, &row.CPU, &row.HealthChecks, &row.HealthCheckWork, &row.ListCalls, &row.RejectedWithCapacity, &row.SentIntoOverload, &row.Rejected, &row.RejectedNearCapacity, &row.NodesUsed, &row.Priced, &row.Chokes, &row.Completed, &row.Unnotified, &row.TopPriorityServed, &row.PassedOver} {
+			for _, sum := range []*float64{&row.WorstWindow, &row.Goal, &row.P50, &row.P99, &row.Attempts, &row.Waste, &row.CPU, &row.HealthChecks, &row.HealthCheckWork, &row.ListCalls, &row.RejectedWithCapacity, &row.SentIntoOverload, &row.Rejected, &row.RejectedNearCapacity, &row.NodesUsed, &row.Priced, &row.Degradations, &row.Completed, &row.Unnotified, &row.TopPriorityServed, &row.PassedOver} {
 				*sum /= runs
 			}
 			out = append(out, row)
--- a/internal/experiment/surge_test.go
+++ b/internal/experiment/surge_test.go
@@ -32,19 +32,19 @@
 		return Variant{Name: operator, Command: agentVariant.Command, Operator: operator}
 	}
 	localBudgets, sharedBudgets := withOperator("../../deploy/overload.toml"), withOperator("../../deploy/peers.toml")
-	if outcome := simulate(t, surgeDay(t, 10, 3), agentVariant); outcome.Chokes < 4 || outcome.Surge.Goodput > 0.65 {
-		t.Errorf("without budgets: %d chokes, %+v: the day is too mild to show a difference", outcome.Chokes, outcome.Surge)
+	if outcome := simulate(t, surgeDay(t, 10, 3), agentVariant); outcome.Degradations < 4 || outcome.Surge.Goodput > 0.65 {
+		t.Errorf("without budgets: %d chokes, %+v: the day is too mild to show a difference", outcome.Degradations, outcome.Surge)
 	}
 	for _, factor := range []float64{3, 10} {
 		for _, variant := range []Variant{localBudgets, sharedBudgets} {
 			chokes, goodput, passedOver, recovered := 0, 0.0, 0.0, 0
 			for _, seed := range []uint64{3, 4} {
 				outcome := simulate(t, surgeDay(t, factor, seed), variant)
-				t.Logf("%gx %s: %+v, %d chokes, %.2f attempts a request, passed over %.3f", factor, variant.Name, *outcome.Surge, outcome.Chokes, outcome.Attempts, outcome.PassedOver)
+				t.Logf("%gx %s: %+v, %d chokes, %.2f attempts a request, passed over %.3f", factor, variant.Name, *outcome.Surge, outcome.Degradations, outcome.Attempts, outcome.PassedOver)
 				if !outcome.Account.Balanced() || !outcome.Account.RulesHold() || outcome.Attempts > 0.5 || outcome.HealthCheckWork > 0.01 {
 					t.Errorf("%gx %s: %+v, %.2f attempts a request, health check work %.4f", factor, variant.Name, outcome.Account, outcome.Attempts, outcome.HealthCheckWork)
 				}
-				chokes, goodput, passedOver = chokes+outcome.Chokes, goodput+outcome.Surge.Goodput/2, passedOver+outcome.PassedOver/2
+				chokes, goodput, passedOver = chokes+outcome.Degradations, goodput+outcome.Surge.Goodput/2, passedOver+outcome.PassedOver/2
 				if outcome.Surge.RecoverySeconds >= 0 && outcome.Surge.RecoverySeconds <= 2 {
 					recovered++
 				}
--- a/internal/experiment/views.go
+++ b/internal/experiment/views.go
@@ -14,32 +14,32 @@
 	"ryeweir/internal/emulator"
 )
 
-// Views sums up what agents that gossip saw of their peers in a day.
-type Views struct {
-	Agents             int      `json:"agents"`
-	Healed             []Healed `json:"healed"`                // after each fault has ended
-	AllSeenAtEnd       float64  `json:"whole_at_end"`          // share of the agents that saw all others when the day ended
-	MeanBytesPerSecond float64  `json:"bytes_per_second"`      // sent by an agent, mean
-	MaxBytesPerSecond  float64  `json:"bytes_per_second_most"` // by the one that sent most
-	Notices            int64    `json:"notices"`               // of servers' ends that came by a peer first
-	NoticeMeanMS       float64  `json:"notice_mean_ms"`        // from the notification of the first agent until they arrived
-	NoticeMaxMS        float64  `json:"notice_worst_ms"`       //
-	Withheld           int64    `json:"held_back"`             // times that an agent sent a server nothing new on a peer's notice, before its own list said so
-	FactsRejected      int64    `json:"facts_refused"`         // malformed, or too many of one agent
-	FactsEvicted       int64    `json:"facts_evicted"`         // as a replica was full
-	MaxFacts           int      `json:"facts_most"`            // held by an agent at once
-	MaxReplicaStates   int      `json:"copies_most"`           // most different states of the facts on servers' ends that agents held in one sample
-	ReplicaStatesAtEnd int      `json:"copies_at_end"`         // likewise, in the last sample of all agents
+// PeerSummary sums up what agents that gossip saw of their peers in a day.
+type PeerSummary struct {
+	Agents             int        `json:"agents"`
+	Recoveries         []Recovery `json:"healed"`                // after each fault has ended
+	AllSeenAtEnd       float64    `json:"whole_at_end"`          // share of the agents that saw all others when the day ended
+	MeanBytesPerSecond float64    `json:"bytes_per_second"`      // sent by an agent, mean
+	MaxBytesPerSecond  float64    `json:"bytes_per_second_most"` // by the one that sent most
+	Notices            int64      `json:"notices"`               // of servers' ends that came by a peer first
+	NoticeMeanMS       float64    `json:"notice_mean_ms"`        // from the notification of the first agent until they arrived
+	NoticeMaxMS        float64    `json:"notice_worst_ms"`       //
+	Withheld           int64      `json:"held_back"`             // times that an agent sent a server nothing new on a peer's notice, before its own list said so
+	FactsRejected      int64      `json:"facts_refused"`         // malformed, or too many of one agent
+	FactsEvicted       int64      `json:"facts_evicted"`         // as a replica was full
+	MaxFacts           int        `json:"facts_most"`            // held by an agent at once
+	MaxReplicaStates   int        `json:"copies_most"`           // most different states of the facts on servers' ends that agents held in one sample
+	ReplicaStatesAtEnd int        `json:"copies_at_end"`         // likewise, in the last sample of all agents
 }
 
-// Healed is how long the agents took to see all others after a fault had ended, in seconds.
-type Healed struct {
-	Fault        string  `json:"fault"`
-	At           float64 `json:"at_s"` // of the day: when it ended
-	Median       float64 `json:"median_s"`
-	Worst        float64 `json:"worst_s"`
-	NeverHealed  int     `json:"never"` // agents that did not before the next fault had ended
-	MinPeersSeen int     `json:"least"` // fewest peers that an agent saw in the fault and since the one before had ended
+// Recovery is how long the agents took to see all others after a fault had ended, in seconds.
+type Recovery struct {
+	Fault          string  `json:"fault"`
+	At             float64 `json:"at_s"` // of the day: when it ended
+	Median         float64 `json:"median_s"`
+	Worst          float64 `json:"worst_s"`
+	NeverRecovered int     `json:"never"` // agents that did not before the next fault had ended
+	MinPeersSeen   int     `json:"least"` // fewest peers that an agent saw in the fault and since the one before had ended
 }
 
 // peerView is a sample of what an agent sees of its peers.
@@ -150,8 +150,8 @@
 }
 
 // summarizeViews summarizes what the agents saw of each other.
-func summarizeViews(day *emulator.Scenario, peerViews [][]peerView) *Views {
-	views := &Views{Agents: len(day.Agents), Healed: healedAfterFaults(day, peerViews)}
+func summarizeViews(day *emulator.Scenario, peerViews [][]peerView) *PeerSummary {
+	views := &PeerSummary{Agents: len(day.Agents), Recoveries: healedAfterFaults(day, peerViews)}
 	var noticeSum time.Duration
 	for _, agentViews := range peerViews {
 		if len(agentViews) < 2 {
@@ -177,7 +177,7 @@
 
 // healedAfterFaults returns, for each fault, how long the agents took to see all others after it had ended. Only the time until the next
 // fault ends counts.
-func healedAfterFaults(day *emulator.Scenario, peerViews [][]peerView) (out []Healed) {
+func healedAfterFaults(day *emulator.Scenario, peerViews [][]peerView) (out []Recovery) {
 	ends := faultEnds(day)
 	for i, end := range ends {
 		since, limit := time.Duration(0), day.Length
@@ -193,8 +193,8 @@
 }
 
 // healedAfter is the same for one fault: since is when the one before it ended, limit when the next one does.
-func healedAfter(day *emulator.Scenario, peerViews [][]peerView, end faultEnd, since, limit time.Duration) Healed {
-	healed := Healed{Fault: end.fault, At: end.at.Seconds(), MinPeersSeen: members(day) - 1}
+func healedAfter(day *emulator.Scenario, peerViews [][]peerView, end faultEnd, since, limit time.Duration) Recovery {
+	healed := Recovery{Fault: end.fault, At: end.at.Seconds(), MinPeersSeen: members(day) - 1}
 	var delays []float64
 	for _, agentViews := range peerViews {
 		for _, view := range agentViews {
@@ -204,7 +204,7 @@
 		}
 		first := slices.IndexFunc(agentViews, func(v peerView) bool { return v.at >= end.at && v.at < limit && v.seesAll(day) })
 		if first < 0 {
-			healed.NeverHealed++
+			healed.NeverRecovered++
 			continue
 		}
 		delays = append(delays, (agentViews[first].at - end.at).Seconds())
@@ -217,7 +217,7 @@
 }
 
 // addAgent adds one agent's samples, of which there are two at least.
-func (v *Views) addAgent(day *emulator.Scenario, agentViews []peerView) {
+func (v *PeerSummary) addAgent(day *emulator.Scenario, agentViews []peerView) {
 	last := agentViews[len(agentViews)-1]
 	agents := float64(len(day.Agents))
 	if last.seesAll(day) {
@@ -282,12 +282,12 @@
 	bytes, heals := newPlot("bytes a second that an agent sent its peers", "bytes a second"), newPlot("after a fault: until all see all others", "seconds")
 	sent, last, median := map[float64][]float64{}, map[float64][]float64{}, map[float64][]float64{}
 	for _, outcome := range outcomes {
-		if outcome.Views == nil || outcome.Interrupted {
+		if outcome.Peers == nil || outcome.Interrupted {
 			continue
 		}
-		agents := float64(outcome.Views.Agents)
-		sent[agents] = append(sent[agents], outcome.Views.MeanBytesPerSecond)
-		for _, h := range outcome.Views.Healed[1:] {
+		agents := float64(outcome.Peers.Agents)
+		sent[agents] = append(sent[agents], outcome.Peers.MeanBytesPerSecond)
+		for _, h := range outcome.Peers.Recoveries[1:] {
 			last[agents], median[agents] = append(last[agents], h.Worst), append(median[agents], h.Median)
 		}
 	}
--- a/internal/experiment/whole_fleet_test.go
+++ b/internal/experiment/whole_fleet_test.go
@@ -53,11 +53,11 @@
 func TestGateFailsBrokenRulesMissingEndsAndLowService(t *testing.T) {
 	variants := []VariantSpec{{Name: "a", Kind: AgentKind}, {Name: "l", Kind: DelayedOracle}, {Name: "r", Kind: Random}}
 	judge := func(calm bool, served float64, change func(*referee.Account)) GateRow {
-		outcome := Outcome{Day: "d", Variant: "a", Seed: 1, Account: referee.Account{Requests: 2, Completed: 1, Rejected: 1}}
+		outcome := Outcome{Scenario: "d", Variant: "a", Seed: 1, Account: referee.Account{Requests: 2, Completed: 1, Rejected: 1}}
 		outcome.Overall = served
 		if change != nil {
 			change(&outcome.Account)
-			outcome.Breaches = []referee.Violation{{Rule: referee.Lost, Text: "lost"}}
+			outcome.Violations = []referee.Violation{{Rule: referee.Lost, Text: "lost"}}
 		}
 		delayedOracle, random := outcome, outcome
 		delayedOracle.Variant, delayedOracle.Overall, random.Variant, random.Overall = "l", 0.8, "r", 0.78
@@ -90,7 +90,7 @@
 	dir := t.TempDir()
 	var progress string
 	hunted, err := Hunt(t.Context(), 1591, 2, dir, writer(func(line string) { progress += line }))
-	if err != nil || hunted.Played != 2 || !strings.Contains(progress, "2 days played") {
+	if err != nil || hunted.Runs != 2 || !strings.Contains(progress, "2 days played") {
 		t.Fatalf("%+v, %v: %s", hunted, err, progress)
 	}
 	found, err := saveFound(7, "too little\nbecause", dir)
@@ -131,11 +131,11 @@
 		base(d)
 		d.Fleet.AgentFaults = []emulator.AgentFaultSpec{{Kind: emulator.AgentKill, Share: 1, From: secondsOf(4), Duration: secondsOf(2)}}
 	}), agentVariant)
-	if _, s := service(killed, 4, 6); killed.Truths.AgentNotRunning == 0 || s > 0.8 {
-		t.Errorf("with all agents away for 2 s, %d connections failed and service was %.2f", killed.Truths.AgentNotRunning, s)
+	if _, s := service(killed, 4, 6); killed.GroundTruth.AgentNotRunning == 0 || s > 0.8 {
+		t.Errorf("with all agents away for 2 s, %d connections failed and service was %.2f", killed.GroundTruth.AgentNotRunning, s)
 	}
 	if _, s := service(killed, 8, 12); s < 0.9 || !killed.Account.RulesHold() {
-		t.Errorf("after their return service is %.2f; %v", s, killed.Breaches)
+		t.Errorf("after their return service is %.2f; %v", s, killed.Violations)
 	}
 	restarted := simulate(t, drawDay(t, func(d *emulator.ScenarioSpec) {
 		base(d)
@@ -186,8 +186,8 @@
 		day.Faults = []emulator.FaultSpec{{Kind: "replace", Nodes: 3, From: secondsOf(2), To: secondsOf(2.5)}}
 	})
 	outcome := simulate(t, day, agentVariant)
-	if outcome.Attempts <= 0.9 || outcome.Truths.ToUnresponsive > outcome.Account.Requests/20 {
-		t.Errorf("%+v", outcome.Truths)
+	if outcome.Attempts <= 0.9 || outcome.GroundTruth.ToUnresponsive > outcome.Account.Requests/20 {
+		t.Errorf("%+v", outcome.GroundTruth)
 	}
 }
 
