--- a/cmd/ryeweir/describe.go
+++ b/cmd/ryeweir/describe.go
@@ -14,7 +14,7 @@
 // describeTOML returns a short description of one of this program's TOML files, or an error that says what is wrong with it. The kind of
 // the file follows from its keys.
 func describeTOML(file string, data []byte) (string, error) {
-	kind, err := experiment.KindOf(file, data)
+	kind, err := experiment.DetectFileKind(file, data)
 	if err != nil {
 		return "", err
 	}
@@ -24,13 +24,13 @@
 		if err := config.TOML(file, data, &s); err != nil {
 			return "", err
 		}
-		return fmt.Sprintf("experiment %s: %d days with %d variants, %d repeats", s.Name, len(s.Days), len(s.Variants), s.Repeats), nil
+		return fmt.Sprintf("experiment %s: %d days with %d variants, %d repeats", s.Name, len(s.Scenarios), len(s.Variants), s.Repeats), nil
 	case "drill":
 		var s experiment.DrillSpec
 		if err := config.TOML(file, data, &s); err != nil {
 			return "", err
 		}
-		return describeDay("drill "+s.Name, &s.Day, s.Seed)
+		return describeDay("drill "+s.Name, &s.Scenario, s.Seed)
 	case "fleet":
 		s := experiment.DefaultFleet()
 		if err := config.TOML(file, data, &s); err != nil {
@@ -50,13 +50,13 @@
 		if err := config.TOML(file, data, &s); err != nil {
 			return "", err
 		}
-		return describeDay("load on "+fmt.Sprint(s.Targets), &s.Day, s.Seed)
+		return describeDay("load on "+fmt.Sprint(s.Targets), &s.Scenario, s.Seed)
 	case "world":
 		var s experiment.WorldSpec
 		if err := config.TOML(file, data, &s); err != nil {
 			return "", err
 		}
-		return describeDay("world", &s.Day, s.Seed)
+		return describeDay("world", &s.Scenario, s.Seed)
 	}
 	return "", &config.Error{File: file, Err: errors.New("its keys are those of neither an experiment, a drill, a fleet model, an operators' file, a world, a load nor a deployment")}
 }
--- a/cmd/ryeweir/drill.go
+++ b/cmd/ryeweir/drill.go
@@ -59,16 +59,16 @@
 func printDrill(out io.Writer, spec *experiment.DrillSpec, result experiment.DrillResult) {
 	o := result.Outcome
 	fmt.Fprintf(out, "%s: %s\n", spec.Name, spec.Question)
-	fmt.Fprintf(out, "%+v\nservice %.3f, attempts per request %.2f, nodes choked %d, health check work %.4f, slow start peak %.2f", o.Account, o.Overall, o.Attempts, o.Chokes,
+	fmt.Fprintf(out, "%+v\nservice %.3f, attempts per request %.2f, degradations %d, health check work %.4f, slow start peak %.2f", o.Account, o.Overall, o.Attempts, o.Degradations,
 		o.HealthCheckWork, o.SlowStartPeak)
-	for i, class := range spec.Day.Classes {
+	for i, class := range spec.Scenario.Classes {
 		fmt.Fprintf(out, ", %s %.3f", class.Name, o.ByClass[i])
 	}
-	fmt.Fprintf(out, ", top priority passed over %.3f, service at agents without faults %.3f\n", o.PassedOver, o.Spared)
+	fmt.Fprintf(out, ", top priority passed over %.3f, service at agents without faults %.3f\n", o.PassedOver, o.UnaffectedService)
 	if s := o.Surge; s != nil {
 		fmt.Fprintf(out, "surge of %.1f times the capacity of the nodes: goodput %.3f, service recovered after %.0f s (below 0: never)\n", s.Offered, s.Goodput, s.RecoverySeconds)
 	}
-	if l := o.Levels; l != nil {
+	if l := o.Admission; l != nil {
 		fmt.Fprintf(out, "budgets: an agent admitted %.2f of its demand in the surge (median; %.2f to %.2f), %d requests shed, %d retries withheld, agents overloaded in %d samples\n",
 			l.Median, l.Least, l.Most, l.Shed, l.Withheld, l.SelfOverloaded)
 	}
--- a/cmd/ryeweir/experiment.go
+++ b/cmd/ryeweir/experiment.go
@@ -69,7 +69,7 @@
 	ctx, cancel := context.WithTimeout(ctx, options.hunt)
 	defer cancel()
 	result, err := experiment.Hunt(ctx, options.seed, 0, options.dir, command.OutOrStdout())
-	if err == nil && len(result.Found) > 0 {
+	if err == nil && len(result.FailedScenarios) > 0 {
 		return errReported
 	}
 	return err
@@ -95,7 +95,7 @@
 	}
 	printExperiment(out, &figures)
 	fmt.Fprintln(out, "report:", filepath.Join(options.dir, "report.html"))
-	if figures.Unfinished || len(figures.Failures) > 0 || !figures.Held() || !figures.Passed() {
+	if figures.Unfinished || len(figures.Failures) > 0 || !figures.RulesHeld() || !figures.Passed() {
 		fmt.Fprintln(out, "experiment failed: a run was interrupted or failed, a rule was broken, or the gate failed")
 		return errReported
 	}
@@ -129,12 +129,12 @@
 	}
 	for _, d := range figures.Differences {
 		if d.Figure == "service" {
-			fmt.Fprintf(out, "%-12s %s against %s: service %+.3f (%+.3f to %+.3f): %s\n", d.Day, d.Variant, d.Baseline, d.Mean, d.Low, d.High, d.Verdict)
+			fmt.Fprintf(out, "%-12s %s against %s: service %+.3f (%+.3f to %+.3f): %s\n", d.Scenario, d.Variant, d.Baseline, d.Mean, d.Low, d.High, d.Verdict)
 		}
 	}
 	for _, g := range figures.Gate {
 		if !g.Passed {
-			fmt.Fprintf(out, "gate: %s with %s, seed %d: served %.3f, required %.3f: %s\n", g.Day, g.Variant, g.Seed, g.Served, g.Wanted, g.FailureReason)
+			fmt.Fprintf(out, "gate: %s with %s, seed %d: served %.3f, required %.3f: %s\n", g.Scenario, g.Variant, g.Seed, g.Served, g.Wanted, g.FailureReason)
 		}
 	}
 	switch {
@@ -148,15 +148,15 @@
 
 // printRow prints the figures of one day with one variant.
 func printRow(out io.Writer, simulated bool, row *experiment.Row) {
-	fmt.Fprintf(out, "%-12s %-12s service %.3f (%.3f to %.3f)  worst 10 s %.3f  p50 %.1f ms  p99 %.0f ms", row.Day, row.Variant, row.Service.Mean,
+	fmt.Fprintf(out, "%-12s %-12s service %.3f (%.3f to %.3f)  worst 10 s %.3f  p50 %.1f ms  p99 %.0f ms", row.Scenario, row.Variant, row.Service.Mean,
 		row.Service.Low, row.Service.High, row.WorstWindow, row.P50, row.P99)
 	if simulated {
 		fmt.Fprintf(out, "  rejected %.3f, while a node had capacity %.4f, while one of its subset had %.4f  sent into overload %.4f  health checks %.3f  nodes used %.2f  slow start peak %.2f",
 			row.Rejected, row.RejectedWithCapacity, row.RejectedNearCapacity, row.SentIntoOverload, row.HealthChecks, row.NodesUsed, row.SlowStartPeak)
 	}
 	if row.Goodput.Mean > 0 {
-		fmt.Fprintf(out, "  surge: goodput %.3f (%.3f to %.3f), recovered after %.0f s (below 0: never), nodes choked %.1f, completed %.0f, attempts per request %.2f, health check work %.4f, top priority served %.3f, top priority passed over %.3f, slow start peak %.2f",
-			row.Goodput.Mean, row.Goodput.Low, row.Goodput.High, row.RecoverySeconds, row.Chokes, row.Completed, row.Attempts, row.HealthCheckWork, row.TopPriorityServed, row.PassedOver, row.SlowStartPeak)
+		fmt.Fprintf(out, "  surge: goodput %.3f (%.3f to %.3f), recovered after %.0f s (below 0: never), degradations %.1f, completed %.0f, attempts per request %.2f, health check work %.4f, top priority served %.3f, top priority passed over %.3f, slow start peak %.2f",
+			row.Goodput.Mean, row.Goodput.Low, row.Goodput.High, row.RecoverySeconds, row.Degradations, row.Completed, row.Attempts, row.HealthCheckWork, row.TopPriorityServed, row.PassedOver, row.SlowStartPeak)
 	}
 	if row.Unnotified > 0 {
 		fmt.Fprintf(out, "  sent to draining nodes by agents that were not notified: %.0f", row.Unnotified)
@@ -166,14 +166,14 @@
 
 // printViews prints what agents that gossip saw of their peers: traffic, notices, facts, and the recovery after each fault.
 func printViews(out io.Writer, outcome experiment.Outcome) {
-	views := outcome.Views
+	views := outcome.Peers
 	if views == nil {
 		return
 	}
 	fmt.Fprintf(out, "%-12s %-12s seed %d: an agent sent its peers %.0f bytes a second (%.0f at most); %d notices arrived through peers after %.0f ms (%.0f at most), and agents withheld attempts on them %d times; facts: %d held at most, %d rejected, %d evicted\n",
-		outcome.Day, outcome.Variant, outcome.Seed, views.MeanBytesPerSecond, views.MaxBytesPerSecond, views.Notices, views.NoticeMeanMS, views.NoticeMaxMS, views.Withheld, views.MaxFacts, views.FactsRejected, views.FactsEvicted)
-	for _, heal := range views.Healed {
+		outcome.Scenario, outcome.Variant, outcome.Seed, views.MeanBytesPerSecond, views.MaxBytesPerSecond, views.Notices, views.NoticeMeanMS, views.NoticeMaxMS, views.Withheld, views.MaxFacts, views.FactsRejected, views.FactsEvicted)
+	for _, heal := range views.Recoveries {
 		fmt.Fprintf(out, "  after %s, which ended at %.1f s (fewest peers seen by an agent: %d): agents saw all others after %.2f s (median) to %.2f s (slowest), %d never did\n", heal.Fault, heal.At,
-			heal.MinPeersSeen, heal.Median, heal.Worst, heal.NeverHealed)
+			heal.MinPeersSeen, heal.Median, heal.Worst, heal.NeverRecovered)
 	}
 }
--- a/cmd/ryeweir/world.go
+++ b/cmd/ryeweir/world.go
@@ -37,7 +37,7 @@
 // runWorld runs the nodes and discovery until the context ends, and prints the state of each node every five seconds as
 // ID, requests in flight / requests served.
 func runWorld(ctx context.Context, command *cobra.Command, spec *experiment.WorldSpec) error {
-	day, err := spec.Day.Draw(spec.Seed)
+	day, err := spec.Scenario.Draw(spec.Seed)
 	if err != nil {
 		return err
 	}
