--- a/internal/soak/agent.go
+++ b/internal/soak/agent.go
@@ -14,45 +14,45 @@
 	"time"
 )
 
-// agentIncarnation is one process of an agent, as the soak's account has it.
+// agentIncarnation records when one process of an agent ran, and the faults that affected it.
 type agentIncarnation struct {
 	number           int
 	startedAt        time.Duration
-	readyAt          time.Duration // 0: never
-	termAt           time.Duration // SIGTERM was sent; 0: never
-	killedAt         time.Duration // SIGKILL was sent; 0: never
-	endedAt          time.Duration // 0: it did not
-	paused           []span
-	stalls           []span
-	clientReadFaults []span // in which calls on clients' connections were made to fail
+	readyAt          time.Duration // when /ready first returned 200; 0: never
+	termAt           time.Duration // when SIGTERM was sent; 0: never
+	killedAt         time.Duration // when SIGKILL was sent; 0: never
+	endedAt          time.Duration // when it exited; 0: it is running
+	paused           []span        // from SIGSTOP to SIGCONT
+	stalls           []span        // when system calls were held up
+	clientReadFaults []span        // when reads from client connections were made to fail
 	exitErr          error
 }
 
-// agent is an agent with its processes.
+// agent is one agent of the fleet: its addresses, its current process and its earlier ones.
 type agent struct {
 	number       int
 	name         string
-	listen       string
-	control      string
+	listen       string // address for clients
+	control      string // address for operators
 	dir          string
-	renderConfig func(discovery string) []byte
+	renderConfig func(discovery string) []byte // the content of the configuration file, with the address of discovery
 
 	mu                  sync.Mutex
 	child               *child
 	incarnations        []*agentIncarnation
 	discovery           *discovery
-	discoveries         []*discovery
-	stallLog            atomic.Bool
-	maxRSS              int64
-	invariantViolations map[string]int64
-	ending              bool
+	discoveries         []*discovery     // all so far, with the current one
+	stallLog            atomic.Bool      // stop reading the agent's log
+	maxRSS              int64            // in bytes
+	invariantViolations map[string]int64 // by rule and process, as the agent counts them
+	ending              bool             // a fault is ending the current process
 }
 
 func (a *agent) current() *agentIncarnation { return a.incarnations[len(a.incarnations)-1] }
 
 func (a *agent) configFile() string { return filepath.Join(a.dir, a.name+".json") }
 
-// start starts the next process of the agent. command is the soak's program.
+// start starts the next process of the agent. program is the path of the binary with the soak-agent command.
 func (a *agent) start(program string, seed uint64, extra ...string) error {
 	if err := os.WriteFile(a.configFile(), a.renderConfig(a.discovery.addr), 0o600); err != nil {
 		return err
@@ -92,7 +92,7 @@
 	return nil
 }
 
-// copyLog copies the agent's log to a file. While it stalls nobody reads the pipe, as with a collector that hangs.
+// copyLog copies the agent's log from its pipe to a file. While stallLog is set it does not read the pipe, like a log collector that hangs.
 func (a *agent) copyLog(from *os.File, to *os.File) {
 	defer from.Close()
 	defer to.Close()
@@ -109,7 +109,8 @@
 	}
 }
 
-// awaitReady waits until the agent takes clients.
+// awaitReady waits until the agent's /ready returns 200, and records the time. It returns an error if the process exits first or the
+// timeout passes.
 func (a *agent) awaitReady(ctx context.Context, timeout time.Duration) error {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -133,15 +134,15 @@
 		}
 		select {
 		case <-process.ended:
-			return fmt.Errorf("agent %s ended before it was ready: %v", a.name, process.err)
+			return fmt.Errorf("agent %s exited before it became ready: %v", a.name, process.err)
 		case <-ctx.Done():
-			return fmt.Errorf("agent %s is not ready after %v", a.name, timeout)
+			return fmt.Errorf("agent %s did not become ready within %v", a.name, timeout)
 		case <-time.After(15 * time.Millisecond):
 		}
 	}
 }
 
-// scrapeMetrics takes in the agent's own count of broken invariants, its memory and its processor time.
+// scrapeMetrics reads the agent's own counts of violated invariants and its resident memory, and keeps the highest value of each.
 func (a *agent) scrapeMetrics() {
 	client := http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	resp, err := client.Get("http://" + a.control + "/v1/metrics")
@@ -172,7 +173,8 @@
 	a.maxRSS = max(a.maxRSS, residentBytes(a.child.cmd.Process.Pid))
 }
 
-// postControl makes a call of the operators. One that fails, as to a process that ends, changes nothing.
+// postControl sends an operator's command to the agent's control address. It ignores errors: they mean that the process is exiting, and
+// the command then has no effect.
 func (a *agent) postControl(action string) {
 	client := http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	if resp, err := client.Post("http://"+a.control+"/v1/agent/"+action, "", nil); err == nil {
--- a/internal/soak/backend.go
+++ b/internal/soak/backend.go
@@ -17,22 +17,22 @@
 	"ryeweir/internal/httpmsg"
 )
 
-// Attempt is one request as a backend saw it. Times are of the machine's monotonic clock.
+// Attempt is what a backend recorded of one request that it received. Times are of the machine's monotonic clock.
 type Attempt struct {
 	Request       string        `json:"request"`
 	Backend       string        `json:"backend"`
-	Instance      int           `json:"instance"` // which process of the backend
-	Peer          string        `json:"peer"`     // the far end of the connection
+	Instance      int           `json:"instance"` // which process of the backend, from 1
+	Peer          string        `json:"peer"`     // the address at the other end of the connection
 	Class         string        `json:"class"`
-	FirstByteAt   time.Duration `json:"first"`  // its first byte came
-	CompleteAt    time.Duration `json:"whole"`  // its last byte came; 0: never
-	StatedTimeout time.Duration `json:"stated"` // X-Timeout; below 0 where it was not readable
-	Processed     bool          `json:"processed"`
-	Answer        string        `json:"answer"` // the body that it would be served with
-	Mode          Mode          `json:"did"`    // how it was answered
+	FirstByteAt   time.Duration `json:"first"`     // when its first byte was read
+	CompleteAt    time.Duration `json:"whole"`     // when its last byte was read; 0: never
+	StatedTimeout time.Duration `json:"stated"`    // X-Timeout; negative if it is missing or unreadable
+	Processed     bool          `json:"processed"` // false: rejected or incomplete
+	ResponseBody  string        `json:"answer"`    // the body of a successful response to it
+	Mode          Mode          `json:"did"`       // how the backend responded
 }
 
-// backend is the process of a backend.
+// backend is the state of a backend's process.
 type backend struct {
 	id       string
 	instance int
@@ -41,13 +41,13 @@
 
 	mu     sync.Mutex
 	rng    *rand.Rand
-	modes  map[Mode]float64 // probability of each
+	modes  map[Mode]float64 // the probability of each
 	open   map[net.Conn]bool
-	serial int
+	serial int // number of the latest complete request
 }
 
-// RunBackend serves requests on a listener and writes an Attempt for each to out, until the commands end. Commands are lines:
-// "mode NAME PROBABILITY" and "resetall".
+// RunBackend serves requests on a listener and writes an Attempt for each to out as JSON. It returns nil when the commands end or ctx is
+// canceled. Each command is a line: "mode NAME PROBABILITY" sets the probability of a mode, and "resetall" resets all connections.
 func RunBackend(ctx context.Context, listener net.Listener, id string, instance int, seed uint64, commands io.Reader, out io.Writer) error {
 	b := &backend{id: id, instance: instance, out: json.NewEncoder(out), rng: rand.New(rand.NewPCG(seed, uint64(instance))),
 		modes: map[Mode]float64{}, open: map[net.Conn]bool{}}
@@ -63,12 +63,13 @@
 	for {
 		conn, err := listener.Accept()
 		if err != nil {
-			return nil // the commands have ended
+			return nil // the commands have ended or ctx is canceled
 		}
 		go b.serve(conn.(*net.TCPConn))
 	}
 }
 
+// command executes one command, given as its words. It ignores an unknown one.
 func (b *backend) command(words []string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -83,8 +84,8 @@
 	}
 }
 
-// draw is how the next request is answered.
-func (b *backend) draw() Mode {
+// drawMode draws the mode of the response to the next request.
+func (b *backend) drawMode() Mode {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, mode := range backendModes {
@@ -104,12 +105,13 @@
 func (b *backend) record(a Attempt) {
 	b.outLock.Lock()
 	defer b.outLock.Unlock()
-	b.out.Encode(a) // fails only where the soak has ended
+	b.out.Encode(a) // fails only after the soak test has exited
 }
 
-// idleLimit is how long a connection may be idle, by the agents' settings.
+// idleLimit is how long a backend keeps an idle connection open. The agents' settings state the same limit.
 const idleLimit = 4 * time.Second
 
+// serve serves the requests of one connection, one after another, and closes it.
 func (b *backend) serve(conn *net.TCPConn) {
 	b.mu.Lock()
 	b.open[conn] = true
@@ -124,7 +126,7 @@
 	for {
 		limit := idleLimit
 		b.mu.Lock()
-		if b.modes[Unannounced] > 0 {
+		if b.modes[CloseIdle] > 0 {
 			limit = 20 * time.Millisecond
 		}
 		b.mu.Unlock()
@@ -140,7 +142,7 @@
 	}
 }
 
-// exchange reads a request and answers it, and reports whether the connection stays open.
+// exchange reads a request, records it and responds, and reports whether the connection stays open.
 func (b *backend) exchange(conn *net.TCPConn, reader *bufio.Reader, attempt Attempt) bool {
 	request, err := http.ReadRequest(reader)
 	if err != nil {
@@ -149,8 +151,8 @@
 	}
 	attempt.Request, attempt.Class = request.Header.Get("X-Request-Id"), strings.Trim(request.URL.Path, "/")
 	attempt.StatedTimeout = statedTimeout(request.Header.Get(httpmsg.TimeoutHeader))
-	mode := b.draw()
-	if mode == EarlyAnswer && request.ContentLength > httpmsg.MaxBufferedBytes {
+	mode := b.drawMode()
+	if mode == EarlyResponse && request.ContentLength > httpmsg.MaxBufferedBytes {
 		attempt.Mode = mode
 		b.record(attempt)
 		io.WriteString(conn, "HTTP/1.1 500 Early\r\nContent-Length: 0\r\nConnection: close\r\n\r\n")
@@ -166,13 +168,14 @@
 	attempt.CompleteAt, attempt.Mode = monotonic(), mode
 	b.mu.Lock()
 	b.serial++
-	attempt.Answer = fmt.Sprintf("%s by %s.%d no %d", attempt.Request, b.id, b.instance, b.serial)
+	attempt.ResponseBody = fmt.Sprintf("%s by %s.%d no %d", attempt.Request, b.id, b.instance, b.serial)
 	b.mu.Unlock()
-	attempt.Processed = mode != Reject && mode != RejectLate
-	b.record(attempt) // before the answer: a client must not have one that nobody knows of
-	return b.answer(conn, attempt, mode)
+	attempt.Processed = mode != Reject && mode != DelayedReject
+	b.record(attempt) // before the response, so that no client gets a response whose attempt is not recorded
+	return b.respond(conn, attempt, mode)
 }
 
+// statedTimeout parses the value of X-Timeout in microseconds, and returns -1 if it is missing or unreadable.
 func statedTimeout(text string) time.Duration {
 	n, err := strconv.ParseInt(strings.TrimSuffix(text, "u"), 10, 64)
 	if err != nil {
--- a/internal/soak/checker.go
+++ b/internal/soak/checker.go
@@ -7,31 +7,31 @@
 	"time"
 )
 
-// Figures of the rules, as the protocol and the acceptance page have them.
+// Limits of the rules, as the protocol and the acceptance page define them.
 const (
-	drainGrace          = 250 * time.Millisecond // to stop sending after a notification
-	socketGrace         = 50 * time.Millisecond  // more for each time limit on sockets
-	clientCloseGrace    = 100 * time.Millisecond // for an attempt after its client left
-	answerGrace         = 500 * time.Millisecond // for a final answer past its time
-	deadlineSlack       = 150 * time.Millisecond // of the deadline passed on
-	notificationBound   = 6 * time.Second        // after which an agent counts as notified of a change
-	badClientBound      = 3 * time.Second        // for an error or a close
-	slowStartRateWindow = 2 * time.Second        // over which a server in slow start is counted
-	acceptsAfterTerm    = 400 * time.Millisecond // for which new connections are accepted after SIGTERM
-	capacityMargin      = 1.2                    // of a server, over its part of all requests
-	maxAgentRSS         = agentMemory << 20
+	drainGrace          = 250 * time.Millisecond // to stop sending to a server after a notification
+	socketGrace         = 50 * time.Millisecond  // added to each time limit that is measured at a socket
+	clientCloseGrace    = 100 * time.Millisecond // for an attempt to begin after its client closed the connection
+	responseGrace       = 500 * time.Millisecond // for a final response after the request's timeout
+	deadlineSlack       = 150 * time.Millisecond // by which the timeout passed to a server may exceed the time left
+	notificationBound   = 6 * time.Second        // after which an agent is presumed to be notified of a change
+	badClientBound      = 3 * time.Second        // for an error or a close after a bad request
+	slowStartRateWindow = 2 * time.Second        // over which the requests to a server in slow start are counted
+	acceptsAfterTerm    = 400 * time.Millisecond // for which an agent accepts new connections after SIGTERM
+	capacityMargin      = 1.2                    // capacity of a server, relative to its share of all requests
+	maxAgentRSS         = agentMemory << 20      // of resident memory, in bytes
 )
 
-// Violation is a broken rule.
+// Violation is an observation that breaks a rule.
 type Violation struct {
-	Rule    string
+	Rule    string        // the kind of violation
 	At      time.Duration // since the run began
-	Request string
-	Agent   int
+	Request string        // the ID of the request; empty: none
+	Agent   int           // the number of the agent that got the request
 	Text    string
 }
 
-// String returns it in a line.
+// String returns the violation as one line of text.
 func (v Violation) String() string {
 	line := fmt.Sprintf("%-18s at %6.2fs", v.Rule, v.At.Seconds())
 	if v.Request != "" {
@@ -40,21 +40,21 @@
 	return line + " " + v.Text
 }
 
-// checker holds all that was noted in a run, and the violations found in it.
+// checker holds everything that was recorded in a run, and the violations that the checks found in it.
 type checker struct {
 	*soakRun
-	tolerance   time.Duration // no time is more exact than that
-	attempts    map[string][]Attempt
-	serverIndex map[string]int
+	tolerance   time.Duration        // the uncertainty of each recorded time
+	attempts    map[string][]Attempt // by request ID, in the order of arrival
+	serverIndex map[string]int       // by server ID
 	violations  []Violation
 }
 
-// result checks what was noted.
-func (p *soakRun) result() Result {
-	check := &checker{soakRun: p, attempts: map[string][]Attempt{}, serverIndex: map[string]int{}}
-	check.tolerance = 60*time.Millisecond + 3*time.Duration(p.lag.Load()) // where this process is late, the others are
-	result := Result{Plan: p.plan, Lag: time.Duration(p.lag.Load())}
-	for i, s := range p.servers {
+// result runs all checks on the recorded events and returns the outcome of the run.
+func (r *soakRun) result() Result {
+	check := &checker{soakRun: r, attempts: map[string][]Attempt{}, serverIndex: map[string]int{}}
+	check.tolerance = 60*time.Millisecond + 3*time.Duration(r.lag.Load()) // when this process is scheduled late, so are the others
+	result := Result{Plan: r.plan, Lag: time.Duration(r.lag.Load())}
+	for i, s := range r.servers {
 		s.mu.Lock()
 		check.serverIndex[s.id] = i
 		result.Attempts += len(s.attempts)
@@ -69,7 +69,7 @@
 	for _, attempts := range check.attempts {
 		sort.Slice(attempts, func(i, j int) bool { return attempts[i].FirstByteAt < attempts[j].FirstByteAt })
 	}
-	for _, c := range p.clients {
+	for _, c := range r.clients {
 		for _, request := range c.requests {
 			result.Requests++
 			if request.Complete {
@@ -81,7 +81,7 @@
 			check.checkRequest(request, c)
 		}
 	}
-	for _, ag := range p.agents {
+	for _, ag := range r.agents {
 		check.checkAgent(ag)
 		result.Processes += len(ag.incarnations)
 		result.MaxRSS = max(result.MaxRSS, ag.maxRSS)
@@ -89,25 +89,26 @@
 	check.checkDrains()
 	check.checkNotified()
 	check.checkSlowStarts()
-	result.Violations = append(p.violations, check.violations...)
+	result.Violations = append(r.violations, check.violations...)
 	slices.SortStableFunc(result.Violations, func(x, y Violation) int { return int(x.At - y.At) })
 	return result
 }
 
-func (a *checker) report(rule string, at time.Duration, request *Request, format string, args ...any) {
-	violation := Violation{Rule: rule, At: at - a.startedAt, Text: fmt.Sprintf(format, args...)}
+// report adds a violation at a time of the monotonic clock. request is nil if the violation concerns no single request.
+func (check *checker) report(rule string, at time.Duration, request *Request, format string, args ...any) {
+	violation := Violation{Rule: rule, At: at - check.startedAt, Text: fmt.Sprintf(format, args...)}
 	if request != nil {
 		violation.Request, violation.Agent = request.ID, request.Agent
 	}
-	a.violations = append(a.violations, violation)
+	check.violations = append(check.violations, violation)
 }
 
-// incarnationOf is the agent's process that a request was sent to.
-func (a *checker) incarnationOf(request *Request) *agentIncarnation {
-	return a.agents[request.Agent].incarnations[max(request.Incarnation, 1)-1]
+// incarnationOf returns the process of the agent that a request was sent to.
+func (check *checker) incarnationOf(request *Request) *agentIncarnation {
+	return check.agents[request.Agent].incarnations[max(request.Incarnation, 1)-1]
 }
 
-// pausedWithin is for how long the agent was paused between two times.
+// pausedWithin returns how long the agent was paused between two times.
 func pausedWithin(incarnation *agentIncarnation, from, to time.Duration) (sum time.Duration) {
 	for _, s := range incarnation.paused {
 		sum += max(0, min(to, s.to)-max(from, s.from))
@@ -115,26 +116,27 @@
 	return sum
 }
 
-// disturbed reports whether the agent was paused or held up, or the way to the server shaped, in a time.
-func (a *checker) disturbed(incarnation *agentIncarnation, server int, from, to time.Duration) bool {
+// disturbed reports whether, between two times, the agent was paused or stalled, the server was paused, or a fault affected the path to
+// the server.
+func (check *checker) disturbed(incarnation *agentIncarnation, server int, from, to time.Duration) bool {
 	margin := 300 * time.Millisecond
 	for _, s := range append(slices.Clone(incarnation.paused), incarnation.stalls...) {
 		if s.overlaps(from, to, margin) {
 			return true
 		}
 	}
-	s := a.servers[server]
+	s := check.servers[server]
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, p := range s.paused { // it reads late what came in time
+	for _, p := range s.paused { // a paused server reads late what arrived in time
 		if p.overlaps(from, to, margin) {
 			return true
 		}
 	}
-	if way := a.paths[server]; way != nil {
-		way.mu.Lock()
-		defer way.mu.Unlock()
-		for _, p := range way.disturbed {
+	if path := check.relayPaths[server]; path != nil {
+		path.mu.Lock()
+		defer path.mu.Unlock()
+		for _, p := range path.disturbed {
 			if p.overlaps(from, to, margin) {
 				return true
 			}
--- a/internal/soak/child.go
+++ b/internal/soak/child.go
@@ -12,15 +12,15 @@
 	"syscall"
 )
 
-// child is one process of a soak. The kernel ends it when the soak's own process ends.
+// child is one process that a run started. The kernel kills it when the soak test's own process exits.
 type child struct {
 	cmd      *exec.Cmd
-	commands io.WriteCloser
-	ended    chan struct{}
-	err      error // how it ended; read after ended
+	commands io.WriteCloser // its standard input
+	ended    chan struct{}  // closed when the process has exited
+	err      error          // the result of Wait; read it only after ended is closed
 }
 
-// launch starts a process in a group of its own.
+// launch starts a process in a process group of its own, with a pipe for commands as its standard input.
 func launch(cmd *exec.Cmd) (*child, error) {
 	commands, err := cmd.StdinPipe()
 	if err != nil {
@@ -30,7 +30,7 @@
 	c := &child{cmd: cmd, commands: commands, ended: make(chan struct{})}
 	started := make(chan error, 1)
 	go func() {
-		runtime.LockOSThread() // the kernel ends the child with the thread that started it: keep that, and never unlock it
+		runtime.LockOSThread() // never unlocked: the kernel kills the child when the thread that started it exits
 		if err := cmd.Start(); err != nil {
 			started <- err
 			return
@@ -51,42 +51,43 @@
 	}
 }
 
-// send sends a line to the process.
+// send writes a command line to the process's standard input. It ignores errors: the process may have exited.
 func (c *child) send(format string, args ...any) { fmt.Fprintf(c.commands, format+"\n", args...) }
 
 func (c *child) signal(s syscall.Signal) { c.cmd.Process.Signal(s) }
 
-// kill ends it at once and waits for it.
+// kill sends SIGKILL and waits until the process has exited.
 func (c *child) kill() {
 	c.cmd.Process.Kill()
 	<-c.ended
 }
 
-// errPorts is returned where no port is free.
-var errPorts = errors.New("no port is free")
+// errNoFreePort is the error of freePort after 100 ports that are in use.
+var errNoFreePort = errors.New("no free port for an agent: 100 random ports are in use")
 
-// Ports of agents come from below those that the machine gives to outgoing connections.
+// Agents listen on ports below the range that the machine uses for outgoing connections.
 const (
 	lowestAgentPort = 13000
-	agentPorts      = 10000
+	agentPorts      = 10000 // number of ports from lowestAgentPort
 )
 
-// freePort is an address of the host at a port that is free.
-func freePort(host string, draw func(int) int) (string, error) {
+// freePort returns an address of the host with a random port of the agents' range that is free. randomInt returns a random number below
+// its argument.
+func freePort(host string, randomInt func(int) int) (string, error) {
 	for range 100 {
-		addr := net.JoinHostPort(host, strconv.Itoa(lowestAgentPort+draw(agentPorts)))
+		addr := net.JoinHostPort(host, strconv.Itoa(lowestAgentPort+randomInt(agentPorts)))
 		if l, err := net.Listen("tcp", addr); err == nil {
 			return addr, l.Close()
 		}
 	}
-	return "", errPorts
+	return "", errNoFreePort
 }
 
-// replaceFile replaces a file's content atomically, as the platform does.
+// replaceFile replaces the content of a file atomically, as the deployment platform does.
 func replaceFile(path string, text []byte) error {
-	part := path + ".new"
-	if err := os.WriteFile(part, text, 0o600); err != nil {
+	temporary := path + ".new"
+	if err := os.WriteFile(temporary, text, 0o600); err != nil {
 		return err
 	}
-	return os.Rename(part, path)
+	return os.Rename(temporary, path)
 }
--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -10,97 +10,98 @@
 	"time"
 )
 
-// effect is what a repeat of a class's requests does, in the settings' words.
+// effect says whether a request of a class may be sent again. The values are those of the settings.
 type effect string
 
 const (
-	idempotent        effect = "repeatable"
-	idempotentWithKey effect = "by_key"
-	nonIdempotent     effect = "once"
+	idempotent        effect = "repeatable" // at any time
+	idempotentWithKey effect = "by_key"     // within the idempotency window, with an idempotency key
+	nonIdempotent     effect = "once"       // never
 )
 
-// class is a class of requests of a soak.
+// class is a class of requests.
 type class struct {
-	name             string
-	effect           effect
-	latencyObjective time.Duration
-	deadline         time.Duration
-	window           time.Duration
+	name              string
+	effect            effect
+	latencyObjective  time.Duration
+	deadline          time.Duration
+	idempotencyWindow time.Duration
 }
 
-// clientBehavior is how a client behaves with one request.
+// clientBehavior is how a client behaves while it sends one request and waits for the response.
 type clientBehavior string
 
 const (
-	wellBehaved         clientBehavior = "patient"
-	closesEarly         clientBehavior = "leaves"     // closes its connection before the answer
-	resets              clientBehavior = "resets"     // resets it
-	halfCloses          clientBehavior = "halfcloses" // closes its side for writing
-	leavesTrailingBytes clientBehavior = "leavesbehind"
-	slowWriter          clientBehavior = "slowwriter" // takes its time with the body
-	timeoutEdgeWriter   clientBehavior = "edgewriter" // the last byte of the body comes just before the limit
-	stopsMidway         clientBehavior = "stopsmid"   // stops in the middle and stays
-	longBody            clientBehavior = "longbody"
-	closesInLongBody    clientBehavior = "longleaves" // leaves within a long body
-	shortTimeout        clientBehavior = "hurried"    // has little time
-	malformed           clientBehavior = "malformed"
-	newConnection       clientBehavior = "fresh"    // on a connection of its own
-	idleLimitEdge       clientBehavior = "edgeidle" // on a connection that has rested for about as long as the agent lets it
+	wellBehaved        clientBehavior = "patient"
+	closesEarly        clientBehavior = "leaves"       // closes its connection up to 60 ms after the request
+	resets             clientBehavior = "resets"       // resets its connection up to 60 ms after the request
+	halfCloses         clientBehavior = "halfcloses"   // closes its sending side up to 60 ms after the request
+	sendsTrailingBytes clientBehavior = "leavesbehind" // sends the start of a second request, and closes the connection
+	slowWriter         clientBehavior = "slowwriter"   // pauses within the request, up to 700 ms at a time
+	timeoutEdgeWriter  clientBehavior = "edgewriter"   // sends the last byte of the body just before the agent's limit for the body
+	stopsMidway        clientBehavior = "stopsmid"     // stops within the request and leaves the connection open
+	longBody           clientBehavior = "longbody"     // sends a body that is longer than an agent buffers
+	closesInLongBody   clientBehavior = "longleaves"   // closes its connection within a long body
+	shortTimeout       clientBehavior = "hurried"      // states a timeout of 1 to 120 ms
+	malformed          clientBehavior = "malformed"    // sends a second X-Timeout, which is unreadable
+	newConnection      clientBehavior = "fresh"        // sends on a new connection
+	idleLimitEdge      clientBehavior = "edgeidle"     // sends on a connection that has been idle for about clientIdleLimit
 )
 
-// Request is one request as its client saw it.
+// Request is what a client recorded of one request. Times are of the machine's monotonic clock.
 type Request struct {
 	ID          string
 	Agent       int
-	Incarnation int // process of the agent when it was sent
+	Incarnation int // process of the agent when the request was sent, from 1
 	Class       string
 	Behavior    clientBehavior
 	Timeout     time.Duration
 
-	LocalAddr       string        // the client's end of the connection
-	ConnectionUses  int           // requests on the connection before this one
-	SentAt          time.Duration // its last byte was written; 0: never
-	ClosedAt        time.Duration // the client closed; 0: it stayed
-	AnswerStartedAt time.Duration // the head of its answer had come; 0: never
-	EndedAt         time.Duration // its answer was complete, or the connection ended
-	Status          int           // 0: no answer
-	Body            string        // of an answer, its first line
-	Complete        bool          // the answer came completely
-	BodyBytes       int           // of an answer that came
-	Err             string
-	Resent          bool          // it was sent once more after the connection closed unread
-	StoppedAt       time.Duration // when a client that stops in the middle stopped
-	ConnectErr      bool          // no connection could be had
+	LocalAddr         string        // the client's end of the connection
+	ConnectionUses    int           // earlier requests on the connection
+	SentAt            time.Duration // when its last byte was written; 0: never
+	ClosedAt          time.Duration // when the client closed its connection or its sending side; 0: never
+	ResponseStartedAt time.Duration // when the head of its response was read; 0: never
+	EndedAt           time.Duration // when its response was complete or the connection ended
+	Status            int           // of the response; 0: none
+	ReceivedBody      string        // body of the response, without the padding of a long one
+	Complete          bool          // the response was received completely
+	ReceivedBytes     int           // length of the received body plus 1; 0: no response
+	Err               string        // why sending or reading failed; empty: it did not
+	Resent            bool          // the request was sent once more after its connection closed without a response
+	StoppedAt         time.Duration // when a client that stops within the request stopped; 0: never
+	ConnectErr        bool          // no connection could be established
 }
 
-// clients send requests to one agent.
+// clients is the group of clients that send requests to one agent.
 type clients struct {
 	agent   *agent
 	plan    *Plan
-	rate    float64
+	rate    float64 // requests per second
 	classes []class
 
 	mu            sync.Mutex
 	rng           *rand.Rand
-	idle          []*clientConn
+	idle          []*clientConn // the latest used last
 	requests      []*Request
-	serial        int
-	burstBehavior clientBehavior // of most requests during a ClientBurst; empty otherwise
-	calls         sync.WaitGroup
+	serial        int            // number of the latest request
+	burstBehavior clientBehavior // of 60% of the requests during a ClientBurst; empty otherwise
+	calls         sync.WaitGroup // the calls in progress
 }
 
+// clientConn is a connection of a client to its agent.
 type clientConn struct {
 	net.Conn
-	in           *bufio.Reader
-	uses         int
-	incarnation  int
-	lastAnswerAt time.Time // when its latest answer had come
+	in             *bufio.Reader
+	uses           int       // requests on it with a complete response
+	incarnation    int       // the agent process that it leads to, from 1
+	lastResponseAt time.Time // when the latest response was complete
 }
 
-// clientIdleLimit is how long the agent lets a connection be idle between requests.
+// clientIdleLimit is how long an agent keeps a client's connection open between requests.
 const clientIdleLimit = 2100 * time.Millisecond
 
-// run sends requests at random times until the context ends, and waits for the answers.
+// run sends requests with random pauses, rate per second on average, until the context ends. Then it waits for the responses.
 func (c *clients) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		c.mu.Lock()
@@ -120,8 +121,8 @@
 	}
 }
 
-// draw makes up the next request.
-func (c *clients) draw() (*Request, class) {
+// drawRequest draws the class, the behavior and the timeout of the next request, and records it.
+func (c *clients) drawRequest() (*Request, class) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.serial++
@@ -129,9 +130,9 @@
 	request := &Request{ID: fmt.Sprintf("%08x%02x%06x", uint32(c.plan.Seed), c.agent.number, c.serial), Agent: c.agent.number, Class: drawnClass.name,
 		Timeout: drawnClass.deadline, Behavior: wellBehaved}
 	remaining := c.rng.Float64()
-	for _, h := range c.plan.behaviors {
-		if remaining -= h.fraction; remaining < 0 {
-			request.Behavior = h.behavior
+	for _, share := range c.plan.behaviors {
+		if remaining -= share.fraction; remaining < 0 {
+			request.Behavior = share.behavior
 			break
 		}
 	}
@@ -139,7 +140,7 @@
 		request.Behavior = c.burstBehavior
 	}
 	if drawnClass.effect == idempotent && (request.Behavior == slowWriter || request.Behavior == timeoutEdgeWriter || request.Behavior == stopsMidway || request.Behavior == longBody || request.Behavior == closesInLongBody) {
-		request.Behavior = wellBehaved // it has no body
+		request.Behavior = wellBehaved // a GET request has no body
 	}
 	if request.Behavior == shortTimeout {
 		request.Timeout = time.Duration(1+c.rng.IntN(120)) * time.Millisecond
@@ -154,7 +155,7 @@
 	return least + time.Duration(c.rng.Float64()*float64(most-least))
 }
 
-// connection is an idle one or a new one.
+// connection returns an idle connection to the agent's current process, or a new one if there is none or forceNew is set.
 func (c *clients) connection(forceNew bool) (*clientConn, error) {
 	c.agent.mu.Lock()
 	incarnation := c.agent.current().number
@@ -177,10 +178,11 @@
 	return &clientConn{Conn: raw, in: bufio.NewReader(raw), incarnation: incarnation}, nil
 }
 
-// call sends one request and waits for its answer. One whose connection closes unread is sent once more, on a new connection.
+// call sends one request and waits for its response. If a reused connection closes without any response, it sends the request once more on
+// a new connection.
 func (c *clients) call() {
-	request, requestClass := c.draw()
-	forceNew := request.Behavior == newConnection || request.Behavior == malformed || request.Behavior == leavesTrailingBytes
+	request, requestClass := c.drawRequest()
+	forceNew := request.Behavior == newConnection || request.Behavior == malformed || request.Behavior == sendsTrailingBytes
 	for {
 		conn, err := c.connection(forceNew)
 		if err != nil {
@@ -188,11 +190,11 @@
 			return
 		}
 		if request.Behavior == idleLimitEdge && conn.uses > 0 {
-			time.Sleep(time.Until(conn.lastAnswerAt.Add(clientIdleLimit + c.randomDuration(-5*time.Millisecond, 5*time.Millisecond))))
+			time.Sleep(time.Until(conn.lastResponseAt.Add(clientIdleLimit + c.randomDuration(-5*time.Millisecond, 5*time.Millisecond))))
 		}
 		request.Incarnation, request.ConnectionUses, request.LocalAddr = conn.incarnation, conn.uses, conn.LocalAddr().String()
 		c.exchange(conn, request, requestClass)
-		if unread := request.Status == 0 && request.BodyBytes == 0 && request.ClosedAt == 0 && request.ConnectionUses > 0 && request.StoppedAt == 0; !unread || request.Resent || request.Err == noAnswerInTime {
+		if closedUnanswered := request.Status == 0 && request.ReceivedBytes == 0 && request.ClosedAt == 0 && request.ConnectionUses > 0 && request.StoppedAt == 0; !closedUnanswered || request.Resent || request.Err == responseTimeout {
 			return
 		}
 		*request = Request{ID: request.ID, Agent: request.Agent, Class: request.Class, Behavior: request.Behavior, Timeout: request.Timeout, Resent: true}
@@ -200,7 +202,7 @@
 	}
 }
 
-// holdIdleConnections opens n connections, sends nothing on them, and closes them after a duration.
+// holdIdleConnections opens n connections, sends nothing on them, and closes them after the duration or when the context ends.
 func (c *clients) holdIdleConnections(ctx context.Context, n int, duration time.Duration) {
 	var open []net.Conn
 	for range n {
--- a/internal/soak/client_send.go
+++ b/internal/soak/client_send.go
@@ -12,13 +12,13 @@
 	"time"
 )
 
-// noAnswerInTime is the error of a request that no answer came for.
-const noAnswerInTime = "no answer in time"
+// responseTimeout is the error of a request whose response did not come, or not completely, while its client waited.
+const responseTimeout = "no complete response in time"
 
-// answerOvertime is for how long past its time a request's answer is waited for.
-const answerOvertime = 1500 * time.Millisecond
+// responseWaitMargin is how long a client waits for the response after the request's timeout has passed.
+const responseWaitMargin = 1500 * time.Millisecond
 
-// render is the head of a request and its body.
+// render returns the head and the body of a request.
 func (c *clients) render(request *Request, requestClass class) (head, body string) {
 	method := "POST"
 	if requestClass.effect == idempotent {
@@ -42,7 +42,7 @@
 	return head + "\r\n", body
 }
 
-// exchange sends a request on a connection and takes its answer.
+// exchange sends a request on a connection and reads the response. Then it closes the connection, or keeps it for the next request.
 func (c *clients) exchange(conn *clientConn, request *Request, requestClass class) {
 	head, body := c.render(request, requestClass)
 	reusable := false
@@ -64,7 +64,7 @@
 	}
 	stop := c.scheduleClose(conn, request)
 	if request.SentAt > 0 {
-		conn.SetReadDeadline(time.Now().Add(request.Timeout + answerOvertime))
+		conn.SetReadDeadline(time.Now().Add(request.Timeout + responseWaitMargin))
 	} else {
 		conn.SetReadDeadline(time.Now().Add(6 * time.Second))
 	}
@@ -74,37 +74,38 @@
 		request.fail(err)
 		return
 	}
-	request.AnswerStartedAt = monotonic()
+	request.ResponseStartedAt = monotonic()
 	text, err := io.ReadAll(resp.Body)
 	stop()
-	request.BodyBytes = 1 + len(text)
+	request.ReceivedBytes = 1 + len(text)
 	request.Status, request.EndedAt = resp.StatusCode, monotonic()
-	request.Body, _, _ = strings.Cut(string(text), ".....")
+	request.ReceivedBody, _, _ = strings.Cut(string(text), ".....")
 	if err != nil {
 		request.fail(err)
 		return
 	}
 	request.Complete = true
 	conn.uses++
-	conn.lastAnswerAt = time.Now()
-	reusable = !resp.Close && request.ClosedAt == 0 && request.StoppedAt == 0 && request.Behavior != leavesTrailingBytes
+	conn.lastResponseAt = time.Now()
+	reusable = !resp.Close && request.ClosedAt == 0 && request.StoppedAt == 0 && request.Behavior != sendsTrailingBytes
 	conn.SetDeadline(time.Time{})
 }
 
+// fail records that reading the response failed with err.
 func (r *Request) fail(err error) {
 	r.Err, r.EndedAt = err.Error(), monotonic()
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		r.Err = noAnswerInTime
+		r.Err = responseTimeout
 	}
 }
 
-// send writes a request by its client's behavior, and reports whether an answer is to be read.
+// send writes a request in the way of its client's behavior, and reports whether a response is to be read.
 func (c *clients) send(conn *clientConn, request *Request, head, body string) bool {
 	write := func(parts ...string) bool {
 		for _, part := range parts {
 			if _, err := io.WriteString(conn, part); err != nil {
 				if request.Behavior == longBody || request.Behavior == closesInLongBody || request.Behavior == slowWriter || request.Behavior == timeoutEdgeWriter {
-					return true // it may have been answered before its end
+					return true // the agent may have responded before the end of the request
 				}
 				request.Err = err.Error()
 				return false
@@ -129,8 +130,8 @@
 			return false
 		}
 	case stopsMidway:
-		whole := head + body
-		if !write(whole[:len(whole)-1-int(c.randomDuration(0, 60))]) {
+		message := head + body
+		if !write(message[:len(message)-1-int(c.randomDuration(0, 60))]) {
 			return false
 		}
 		request.StoppedAt = monotonic()
@@ -141,7 +142,7 @@
 		conn.Close()
 		request.ClosedAt = monotonic()
 		return false
-	case leavesTrailingBytes:
+	case sendsTrailingBytes:
 		if !write(head+body, "GET /", c.classes[0].name) {
 			return false
 		}
@@ -154,12 +155,13 @@
 	return true
 }
 
-// scheduleClose closes the client's side a little later where that is its behavior, unless stop is called before.
+// scheduleClose closes or resets the connection, or closes its sending side, after up to 60 ms if that is the client's behavior. A call of
+// stop prevents that if it has not happened yet.
 func (c *clients) scheduleClose(conn *clientConn, request *Request) (stop func()) {
 	var closeSide func()
 	raw := conn.Conn.(*net.TCPConn)
 	switch request.Behavior {
-	case closesEarly, leavesTrailingBytes:
+	case closesEarly, sendsTrailingBytes:
 		closeSide = func() { raw.Close() }
 	case resets:
 		closeSide = func() { raw.SetLinger(0); raw.Close() }
@@ -169,11 +171,11 @@
 		return func() {}
 	}
 	var mu sync.Mutex
-	over := false
+	stopped := false
 	timer := time.AfterFunc(c.randomDuration(0, 60*time.Millisecond), func() {
 		mu.Lock()
 		defer mu.Unlock()
-		if !over {
+		if !stopped {
 			closeSide()
 			request.ClosedAt = monotonic()
 		}
@@ -182,6 +184,6 @@
 		timer.Stop()
 		mu.Lock()
 		defer mu.Unlock()
-		over = true
+		stopped = true
 	}
 }
--- a/internal/soak/clock.go
+++ b/internal/soak/clock.go
@@ -6,8 +6,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// monotonic is the time since the machine started: one clock for all processes of a soak, which no step of the time of day
-// changes.
+// monotonic returns the time of the machine's monotonic clock. All processes of a run share it, and steps of the time of day do not
+// affect it.
 func monotonic() time.Duration {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_MONOTONIC, &t); err != nil {
--- a/internal/soak/discovery.go
+++ b/internal/soak/discovery.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// discovery is a discovery service as one agent sees it, with faults.
+// discovery is the discovery service of one agent, into which faults can be injected.
 type discovery struct {
 	agent    int
 	registry *registry
@@ -19,24 +19,24 @@
 	addr     string
 
 	mu             sync.Mutex
-	down           bool
-	silence        chan struct{} // closed when it begins
-	outages        []span        // in which it could not be reached, or was slow
-	slow           time.Duration
-	pieces         bool
-	hideDraining   bool // full lists leave out draining servers
-	watches        map[chan struct{}]bool
-	reachableSince time.Duration // since when it can be reached
+	down           bool                   // all calls are aborted
+	silenced       chan struct{}          // closed by silenceCalls, and replaced for later calls
+	outages        []span                 // when the service was unreachable or slow
+	responseDelay  time.Duration          // before each response
+	inPieces       bool                   // lists are written in pieces of 40 bytes
+	hideDraining   bool                   // full lists omit draining servers
+	openCalls      map[chan struct{}]bool // closing the channel aborts the call
+	reachableSince time.Duration          // end of the latest outage, or the start of the service
 }
 
-// newDiscovery serves on a port of its host.
+// newDiscovery starts a discovery service on a free port of host. addrOf gives the address at which the agent reaches a server.
 func newDiscovery(agent int, r *registry, host string, addrOf func(entry) string) (*discovery, error) {
 	l, err := net.Listen("tcp", net.JoinHostPort(host, "0"))
 	if err != nil {
 		return nil, err
 	}
-	d := &discovery{agent: agent, registry: r, addrOf: addrOf, addr: l.Addr().String(), watches: map[chan struct{}]bool{},
-		silence: make(chan struct{}), reachableSince: monotonic()}
+	d := &discovery{agent: agent, registry: r, addrOf: addrOf, addr: l.Addr().String(), openCalls: map[chan struct{}]bool{},
+		silenced: make(chan struct{}), reachableSince: monotonic()}
 	d.server = &http.Server{Handler: d}
 	go d.server.Serve(l)
 	return d, nil
@@ -44,13 +44,13 @@
 
 func (d *discovery) close() { d.server.Close() }
 
-// setFault changes the faults.
+// setFault calls set, which changes the faults, and records the start or the end of an outage.
 func (d *discovery) setFault(set func()) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	wasOut := d.down || d.slow > 0
+	wasOut := d.down || d.responseDelay > 0
 	set()
-	switch isOut := d.down || d.slow > 0; {
+	switch isOut := d.down || d.responseDelay > 0; {
 	case isOut && !wasOut:
 		d.outages = append(d.outages, span{from: monotonic()})
 	case wasOut && !isOut:
@@ -59,34 +59,35 @@
 	}
 }
 
-// silenceWatches lets the watches that are open now never answer.
-func (d *discovery) silenceWatches() {
+// silenceCalls makes the watches that are open now wait without a response until the agent gives up.
+func (d *discovery) silenceCalls() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	close(d.silence)
-	d.silence = make(chan struct{})
+	close(d.silenced)
+	d.silenced = make(chan struct{})
 }
 
-// reset breaks the watches that are open.
-func (d *discovery) reset() {
+// abortCalls aborts the connections of the watches that are open.
+func (d *discovery) abortCalls() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for w := range d.watches {
+	for w := range d.openCalls {
 		close(w)
-		delete(d.watches, w)
+		delete(d.openCalls, w)
 	}
 }
 
-// ServeHTTP answers a call.
+// ServeHTTP serves one poll of the server list. A watch, which is a poll with the parameters since and timeout_ms, gets a response when the
+// list changes or after the timeout.
 func (d *discovery) ServeHTTP(response http.ResponseWriter, request *http.Request) {
 	d.mu.Lock()
-	down, slow, pieces, hide, silence := d.down, d.slow, d.pieces, d.hideDraining, d.silence
-	broken := make(chan struct{})
-	d.watches[broken] = true
+	down, responseDelay, inPieces, withoutDraining, silenced := d.down, d.responseDelay, d.inPieces, d.hideDraining, d.silenced
+	aborted := make(chan struct{})
+	d.openCalls[aborted] = true
 	d.mu.Unlock()
 	defer func() {
 		d.mu.Lock()
-		delete(d.watches, broken)
+		delete(d.openCalls, aborted)
 		d.mu.Unlock()
 	}()
 	if down {
@@ -98,26 +99,26 @@
 		ms, _ := strconv.Atoi(request.URL.Query().Get("timeout_ms"))
 		wait = time.Duration(ms) * time.Millisecond
 	}
-	if slow > 0 && !d.pause(request, slow, broken) {
+	if responseDelay > 0 && !d.delayCall(request, responseDelay, aborted) {
 		panic(http.ErrAbortHandler)
 	}
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	for {
-		version, full, entries, more := d.registry.list(since, d.addrOf, hide)
+		version, full, entries, nextChange := d.registry.list(since, d.addrOf, withoutDraining)
 		if full || len(entries) > 0 {
-			d.writeList(response, version, full, entries, pieces)
+			d.writeList(response, version, full, entries, inPieces)
 			return
 		}
 		select {
-		case <-more:
+		case <-nextChange:
 		case <-timer.C:
-			d.writeList(response, version, false, nil, pieces)
+			d.writeList(response, version, false, nil, inPieces)
 			return
-		case <-silence:
+		case <-silenced:
 			<-request.Context().Done()
 			return
-		case <-broken:
+		case <-aborted:
 			panic(http.ErrAbortHandler)
 		case <-request.Context().Done():
 			return
@@ -125,19 +126,19 @@
 	}
 }
 
-// pause waits, and reports whether the call is still open.
-func (d *discovery) pause(r *http.Request, slow time.Duration, broken <-chan struct{}) bool {
+// delayCall waits for responseDelay, and reports whether the call is still open.
+func (d *discovery) delayCall(r *http.Request, responseDelay time.Duration, aborted <-chan struct{}) bool {
 	select {
-	case <-time.After(slow):
+	case <-time.After(responseDelay):
 		return true
-	case <-broken:
+	case <-aborted:
 	case <-r.Context().Done():
 	}
 	return false
 }
 
-// writeList writes a list.
-func (d *discovery) writeList(w http.ResponseWriter, version int64, full bool, entries []entry, pieces bool) {
+// writeList writes a list of entries as JSON, and records that the agent was notified of them once everything is written.
+func (d *discovery) writeList(w http.ResponseWriter, version int64, full bool, entries []entry, inPieces bool) {
 	if entries == nil {
 		entries = []entry{}
 	}
@@ -145,27 +146,27 @@
 	if err != nil {
 		panic(err)
 	}
-	if !pieces {
+	if !inPieces {
 		var compact bytes.Buffer
 		json.Compact(&compact, text)
 		text = compact.Bytes()
 	}
 	w.Header().Set("Content-Length", strconv.Itoa(len(text)))
 	control := http.NewResponseController(w)
-	for pieces && len(text) > 40 {
+	for inPieces && len(text) > 40 {
 		w.Write(text[:40])
 		control.Flush()
 		text = text[40:]
 		time.Sleep(200 * time.Microsecond)
 	}
 	if _, err := w.Write(text); err == nil && control.Flush() == nil {
-		d.registry.recordNotified(d.agent, full, entries)
+		d.registry.recordNotifications(d.agent, full, entries)
 	}
 }
 
-// faulty reports whether it can't be reached or answers slowly.
+// faulty reports whether the service is unreachable, slow or sends its lists in pieces.
 func (d *discovery) faulty() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.down || d.slow > 0 || d.pieces
+	return d.down || d.responseDelay > 0 || d.inPieces
 }
--- a/internal/soak/doc.go
+++ b/internal/soak/doc.go
@@ -1,16 +1,17 @@
-// Package soak runs random overlapping faults on real processes and checks what these did against the rules of the protocol.
+// Package soak injects random overlapping faults into real processes and checks their behavior against the rules of the protocol.
 //
-// A run starts agents (with the system calls of internal/faultshim in place of the machine's), backends, a discovery service for each
-// agent, relays between them and clients, all on loopback. Two or three faults overlap at a time: processes are killed, stopped, paused
-// or reloaded; servers, clients and discovery misbehave; system calls fail; clocks step.
+// A run starts agents, backends, a discovery service for each agent, relays in front of some backends, and clients, all on loopback.
+// The agents' system calls go through internal/faultshim, which can make them fail. Two or three faults overlap at a time: processes
+// are killed, paused, restarted or reloaded; servers, clients and discovery services misbehave; system calls fail; clocks are stepped.
 //
-//   - [Draw] makes a [Plan] of a seed: the fleet, the clients' behaviors and the faults. Which request meets which fault depends
-//     on the machine, so that two runs of a plan differ.
-//   - [Run] starts the processes (topology.go), injects the faults (inject.go) and lets the clients send (client.go).
-//   - The checker (checker.go and check_*.go) compares what the clients noted of each [Request] with what the backends noted of each
-//     [Attempt] and with what discovery wrote, and reports each [Violation]. It trusts nobody: all notes are times of the machine's
-//     monotonic clock, written by the soak's own parts. The agents' own counts of violated invariants stand beside that.
+//   - [Draw] makes a [Plan] from a seed: the fleet, the behaviors of the clients, and the faults. Which request meets which fault
+//     depends on timing, so two runs of the same plan differ.
+//   - [Run] starts the processes (topology.go), injects the faults (inject.go) and lets the clients send requests (client.go).
+//   - The checker (checker.go and check_*.go) compares the [Request] that a client recorded with each [Attempt] that a backend
+//     recorded and with the lists that the discovery services sent, and reports each [Violation]. It relies on nothing that an agent
+//     says: the soak test's own clients, backends and discovery services record all events, with times of the machine's monotonic
+//     clock. The agents' own counts of violated invariants are checked in addition.
 //
-// A rule is only checked where the run allows it: a pause of an agent, a stalled system call, a cut path explain what would be
-// a violation otherwise. Each check names what it excuses.
+// A rule is not checked where an injected fault explains the observation, such as a pause of the agent, a stalled system call or a cut
+// path. Each check names the faults that it excuses.
 package soak
--- a/internal/soak/fault.go
+++ b/internal/soak/fault.go
@@ -10,63 +10,64 @@
 // FaultKind is a kind of fault.
 type FaultKind string
 
-// The kinds of faults. The prefix names what they act on.
+// The kinds of faults. The prefix of a value names what the fault acts on. Fault.Detail has the errno of a failing call.
 const (
-	AgentTerm        FaultKind = "agent-term"         // SIGTERM, and the next process once it has ended
-	AgentKill        FaultKind = "agent-kill"         // SIGKILL
-	AgentPause       FaultKind = "agent-pause"        // SIGSTOP for a while
-	AgentReload      FaultKind = "agent-reload"       // SIGHUP with nothing changed
-	AgentMove        FaultKind = "agent-move"         // SIGHUP with another discovery
-	AgentThereBack   FaultKind = "agent-there-back"   // two SIGHUPs in quick succession: to another discovery and back
-	AgentDrain       FaultKind = "agent-drain"        // operators send its clients away for a while
-	AgentHold        FaultKind = "agent-hold"         // writes to servers are held up for 150 ms
-	ClockStep        FaultKind = "clock-step"         // the time of day of all machines is stepped
-	AcceptFails      FaultKind = "accept-fails"       //
-	ConnectFails     FaultKind = "connect-fails"      //
-	ServerReadFails  FaultKind = "server-read-fails"  //
-	ServerWriteFails FaultKind = "server-write-fails" //
-	ClientReadFails  FaultKind = "client-read-fails"  //
-	ShortReads       FaultKind = "short-reads"        // each read brings a few bytes
-	DiskFails        FaultKind = "disk-fails"         //
+	AgentTerm        FaultKind = "agent-term"         // SIGTERM; the next process starts once this one has exited
+	AgentKill        FaultKind = "agent-kill"         // SIGKILL; the next process starts after a fifth of the duration
+	AgentPause       FaultKind = "agent-pause"        // SIGSTOP, and SIGCONT after the duration
+	AgentReload      FaultKind = "agent-reload"       // SIGHUP without a change of the configuration
+	AgentMove        FaultKind = "agent-move"         // SIGHUP with another discovery service in the configuration
+	AgentMoveAndBack FaultKind = "agent-there-back"   // two SIGHUPs in quick succession: another discovery service, then the old one
+	AgentDrain       FaultKind = "agent-drain"        // an operator drains the agent, and activates it after the duration
+	AgentWriteStall  FaultKind = "agent-hold"         // writes to servers are held up for 150 ms
+	ClockStep        FaultKind = "clock-step"         // the time of day of all agents and servers is stepped
+	AcceptFails      FaultKind = "accept-fails"       // accepts of client connections fail with an errno
+	ConnectFails     FaultKind = "connect-fails"      // connects to servers fail with an errno
+	ServerReadFails  FaultKind = "server-read-fails"  // reads from servers fail with an errno
+	ServerWriteFails FaultKind = "server-write-fails" // writes to servers fail with an errno
+	ClientReadFails  FaultKind = "client-read-fails"  // reads from clients fail with an errno
+	ShortReads       FaultKind = "short-reads"        // each read returns only a few bytes
+	DiskFails        FaultKind = "disk-fails"         // file operations of the agent fail with an errno
 	LogStalls        FaultKind = "log-stalls"         // nobody reads the agent's log
-	ServerDrain      FaultKind = "server-drain"       // drains, goes, and starts anew
-	ServerCrash      FaultKind = "server-crash"       // dies, and starts anew before discovery knows
-	ServerPause      FaultKind = "server-pause"       // SIGSTOP
-	ServerMode       FaultKind = "server-mode"        // misbehaves in one of its ways
-	ServerResets     FaultKind = "server-resets"      // resets all its connections
-	PathCut          FaultKind = "path-cut"           // nothing passes on the way to a server
-	PathSlow         FaultKind = "path-slow"          //
-	PathReset        FaultKind = "path-reset"         // the way's connections break
-	DiscoveryDown    FaultKind = "discovery-down"     //
-	DiscoverySilent  FaultKind = "discovery-silent"   // open watches get no further answer
-	DiscoveryReset   FaultKind = "discovery-reset"    // open watches break
-	DiscoverySlow    FaultKind = "discovery-slow"     //
-	DiscoveryPieces  FaultKind = "discovery-pieces"   // lists come in pieces
-	ClientBurst      FaultKind = "client-burst"       // most clients have one misbehavior
-	IdleClients      FaultKind = "client-crowd"       // connections on which nothing is sent
+	ServerDrain      FaultKind = "server-drain"       // the server is listed as draining, then as removed, exits, and starts again
+	ServerCrash      FaultKind = "server-crash"       // the server is killed, and starts again before discovery lists a change
+	ServerPause      FaultKind = "server-pause"       // SIGSTOP, and SIGCONT after the duration
+	ServerMode       FaultKind = "server-mode"        // the server responds to half of its requests in one misbehaving Mode
+	ServerResets     FaultKind = "server-resets"      // the server resets all its connections
+	PathCut          FaultKind = "path-cut"           // no data passes on the path to a server
+	PathSlow         FaultKind = "path-slow"          // 40 ms of delay and 60 ms of jitter on the path to a server
+	PathReset        FaultKind = "path-reset"         // the relay resets all connections to a server
+	DiscoveryDown    FaultKind = "discovery-down"     // all calls are aborted
+	DiscoverySilent  FaultKind = "discovery-silent"   // the open watches get no response
+	DiscoveryReset   FaultKind = "discovery-reset"    // the open watches are aborted; full lists omit draining servers from then on
+	DiscoverySlow    FaultKind = "discovery-slow"     // responses are delayed by 300 ms
+	DiscoveryPieces  FaultKind = "discovery-pieces"   // lists are sent in small pieces
+	ClientBurst      FaultKind = "client-burst"       // 60% of the requests have the same misbehavior
+	IdleConnections  FaultKind = "client-crowd"       // clients open connections and send nothing on them
 )
 
-var drawnFaultKinds = []FaultKind{AgentTerm, AgentTerm, AgentKill, AgentPause, AgentReload, AgentMove, AgentThereBack, AgentDrain, AgentHold, ClockStep,
+// drawnFaultKinds are the kinds that Draw draws from by default. A kind that is listed n times is drawn n times as often.
+var drawnFaultKinds = []FaultKind{AgentTerm, AgentTerm, AgentKill, AgentPause, AgentReload, AgentMove, AgentMoveAndBack, AgentDrain, AgentWriteStall, ClockStep,
 	AcceptFails, ConnectFails, ServerReadFails, ServerWriteFails, ClientReadFails, ShortReads, DiskFails, LogStalls, ServerDrain, ServerDrain,
 	ServerCrash, ServerCrash, ServerPause, ServerMode, ServerMode, ServerMode, ServerResets, PathCut, PathSlow, PathReset, DiscoveryDown,
-	DiscoverySilent, DiscoveryReset, DiscoverySlow, DiscoveryPieces, ClientBurst, ClientBurst, IdleClients}
+	DiscoverySilent, DiscoveryReset, DiscoverySlow, DiscoveryPieces, ClientBurst, ClientBurst, IdleConnections}
 
 // Fault is one fault of a run.
 type Fault struct {
 	Kind     FaultKind
 	Start    time.Duration // since the run began
 	Duration time.Duration
-	Target   int    // number of an agent or of a server
-	Detail   string // an errno, a Mode, a client behavior, a clock step
-	Count    int
+	Target   int    // number of an agent or a server
+	Detail   string // an errno, a Mode, a client behavior or a clock step
+	Count    int    // of system calls that fail, or a random number that varies the fault
 }
 
-// String returns it in a line.
+// String returns the fault as one line of text, with its start and duration in seconds.
 func (f Fault) String() string {
 	return strings.TrimSpace(fmt.Sprintf("%6.2fs for %5.2fs  %-18s %d %s", f.Start.Seconds(), f.Duration.Seconds(), f.Kind, f.Target, f.Detail))
 }
 
-// FaultKinds limits the kinds that Draw draws from; empty for all.
+// FaultKinds are the kinds that Draw may draw; empty for all.
 type FaultKinds []FaultKind
 
 var (
@@ -75,11 +76,14 @@
 	readErrors     = []string{"ECONNRESET", "ETIMEDOUT", "EHOSTUNREACH", "ENETUNREACH", "EIO"}
 	writeErrors    = []string{"ECONNRESET", "EPIPE", "ETIMEDOUT", "EHOSTUNREACH", "ENOBUFS"}
 	clockSteps     = []string{"3s", "-3s", "1h", "-1h"}
-	burstBehaviors = []clientBehavior{closesEarly, resets, halfCloses, slowWriter, longBody, closesInLongBody, shortTimeout, leavesTrailingBytes, stopsMidway}
+	burstBehaviors = []clientBehavior{closesEarly, resets, halfCloses, slowWriter, longBody, closesInLongBody, shortTimeout, sendsTrailingBytes, stopsMidway}
 )
 
+// pick returns a random element of from.
 func pick[T any](rng *rand.Rand, from []T) T { return from[rng.IntN(len(from))] }
 
+// drawFault draws a fault of an allowed kind that starts up to 0.7 s after from. The order of the draws is fixed, since it determines the
+// plan of a seed.
 func drawFault(rng *rand.Rand, plan *Plan, from time.Duration, allowed FaultKinds) Fault {
 	kinds := drawnFaultKinds
 	if len(allowed) > 0 {
--- a/internal/soak/inject.go
+++ b/internal/soak/inject.go
@@ -8,34 +8,35 @@
 	"ryeweir/internal/emulator/link"
 )
 
-// inject injects one fault into its target, and returns when it has ended.
-func (p *soakRun) inject(ctx context.Context, fault Fault) {
+// inject injects one fault into its target, and returns when the fault has ended.
+func (r *soakRun) inject(ctx context.Context, fault Fault) {
 	switch fault.Kind {
-	case AgentTerm, AgentKill, AgentPause, AgentReload, AgentMove, AgentThereBack, AgentDrain:
-		p.injectAgentFault(ctx, p.agents[fault.Target], fault)
+	case AgentTerm, AgentKill, AgentPause, AgentReload, AgentMove, AgentMoveAndBack, AgentDrain:
+		r.injectAgentFault(ctx, r.agents[fault.Target], fault)
 	case ServerDrain, ServerCrash, ServerPause, ServerMode, ServerResets:
-		p.injectServerFault(ctx, fault.Target, fault)
+		r.injectServerFault(ctx, fault.Target, fault)
 	case PathCut, PathSlow, PathReset:
-		p.injectPathFault(ctx, fault)
+		r.injectPathFault(ctx, fault)
 	case DiscoveryDown, DiscoverySilent, DiscoveryReset, DiscoverySlow, DiscoveryPieces:
-		p.injectDiscoveryFault(ctx, p.agents[fault.Target], fault)
-	case ClientBurst, IdleClients:
-		p.injectClientFault(ctx, fault)
+		r.injectDiscoveryFault(ctx, r.agents[fault.Target], fault)
+	case ClientBurst, IdleConnections:
+		r.injectClientFault(ctx, fault)
 	case ClockStep:
-		p.stepClocks(fault)
+		r.stepClocks(fault)
 	default:
-		p.injectSystemCallFault(ctx, p.agents[fault.Target], fault)
+		r.injectSystemCallFault(ctx, r.agents[fault.Target], fault)
 	}
 }
 
-func (p *soakRun) injectAgentFault(ctx context.Context, target *agent, fault Fault) {
+// injectAgentFault injects a fault into the process of an agent. It does nothing if the process has exited or another fault is ending it.
+func (r *soakRun) injectAgentFault(ctx context.Context, target *agent, fault Fault) {
 	target.mu.Lock()
-	process, incarnation, busy := target.child, target.current(), target.ending
-	if ending := fault.Kind == AgentTerm || fault.Kind == AgentKill; ending && !busy {
+	process, incarnation, alreadyEnding := target.child, target.current(), target.ending
+	if ending := fault.Kind == AgentTerm || fault.Kind == AgentKill; ending && !alreadyEnding {
 		target.ending = true
 	}
 	target.mu.Unlock()
-	if !process.alive() || busy {
+	if !process.alive() || alreadyEnding {
 		return
 	}
 	switch fault.Kind {
@@ -47,17 +48,17 @@
 		select {
 		case <-process.ended:
 		case <-time.After(shutdownTimeout):
-			p.reportViolation("end", "agent %d has not ended %v after SIGTERM", target.number, shutdownTimeout)
+			r.reportViolation("end", "agent %d was still running %v after SIGTERM", target.number, shutdownTimeout)
 			process.kill()
 		}
-		p.restartAgent(ctx, target)
+		r.restartAgent(ctx, target)
 	case AgentKill:
 		target.mu.Lock()
 		incarnation.killedAt = monotonic()
 		target.mu.Unlock()
 		process.kill()
 		sleep(ctx, fault.Duration/5)
-		p.restartAgent(ctx, target)
+		r.restartAgent(ctx, target)
 	case AgentPause:
 		process.signal(syscall.SIGSTOP)
 		from := monotonic()
@@ -69,9 +70,9 @@
 	case AgentReload:
 		process.signal(syscall.SIGHUP)
 	case AgentMove:
-		p.switchDiscovery(target, process)
-	case AgentThereBack:
-		p.switchDiscoveryAndBack(ctx, target, process, fault)
+		r.switchDiscovery(target, process)
+	case AgentMoveAndBack:
+		r.switchDiscoveryAndBack(ctx, target, process, fault)
 	case AgentDrain:
 		target.postControl("drain")
 		sleep(ctx, fault.Duration)
@@ -79,12 +80,14 @@
 	}
 }
 
-func (p *soakRun) restartAgent(ctx context.Context, a *agent) {
+// restartAgent starts the next process of an agent and waits until it is ready. It reports a violation if the process does not become ready
+// and no other fault ended it.
+func (r *soakRun) restartAgent(ctx context.Context, a *agent) {
 	if ctx.Err() != nil {
 		return
 	}
-	if err := a.start(p.opts.Program, p.seed(), p.agentArgs()...); err != nil {
-		p.reportViolation("start", "agent %d: %v", a.number, err)
+	if err := a.start(r.opts.Program, r.drawSeed(), r.agentArgs()...); err != nil {
+		r.reportViolation("start", "agent %d could not be started: %v", a.number, err)
 		return
 	}
 	a.mu.Lock()
@@ -92,25 +95,25 @@
 	a.mu.Unlock()
 	err := a.awaitReady(ctx, readyTimeout)
 	a.mu.Lock()
-	stopping := incarnation.killedAt > 0 || incarnation.termAt > 0 // another fault ended it as it started
+	stopping := incarnation.killedAt > 0 || incarnation.termAt > 0 // another fault ended it while it started
 	a.mu.Unlock()
 	if err != nil && ctx.Err() == nil && !stopping {
-		p.reportViolation("start", "%v", err)
+		r.reportViolation("start", "%v", err)
 	}
 }
 
-// writeConfig replaces the configuration of an agent, as the platform does before SIGHUP.
-func (p *soakRun) writeConfig(a *agent, discovery string) {
+// writeConfig replaces the configuration file of an agent, as the deployment platform does before it sends SIGHUP.
+func (r *soakRun) writeConfig(a *agent, discovery string) {
 	if err := replaceFile(a.configFile(), a.renderConfig(discovery)); err != nil {
-		p.reportViolation("soak", "configuration of agent %d: %v", a.number, err)
+		r.reportViolation("soak", "the configuration of agent %d could not be written: %v", a.number, err)
 	}
 }
 
-// switchDiscovery points an agent to another discovery. The old one closes what is open after 1.5 s.
-func (p *soakRun) switchDiscovery(a *agent, process *child) {
-	other, err := p.newDiscovery(a.number)
+// switchDiscovery points an agent to a new discovery service. The old one closes its connections after 1.5 s.
+func (r *soakRun) switchDiscovery(a *agent, process *child) {
+	other, err := r.newDiscovery(a.number)
 	if err != nil {
-		p.reportViolation("soak", "discovery of agent %d: %v", a.number, err)
+		r.reportViolation("soak", "a new discovery service for agent %d could not be started: %v", a.number, err)
 		return
 	}
 	a.mu.Lock()
@@ -118,37 +121,38 @@
 	a.discovery = other
 	a.discoveries = append(a.discoveries, other)
 	a.mu.Unlock()
-	p.writeConfig(a, other.addr)
+	r.writeConfig(a, other.addr)
 	process.signal(syscall.SIGHUP)
 	time.AfterFunc(1500*time.Millisecond, old.close)
 }
 
-// switchDiscoveryAndBack points an agent to another discovery and, before it can have got far, back.
-func (p *soakRun) switchDiscoveryAndBack(ctx context.Context, a *agent, process *child, fault Fault) {
+// switchDiscoveryAndBack points an agent to an address without a discovery service and back again within a few ms, before the agent can
+// have applied the first change completely.
+func (r *soakRun) switchDiscoveryAndBack(ctx context.Context, a *agent, process *child, fault Fault) {
 	a.mu.Lock()
 	current := a.discovery
 	a.mu.Unlock()
-	p.writeConfig(a, discoveryHost+":1")
+	r.writeConfig(a, discoveryHost+":1")
 	process.signal(syscall.SIGHUP)
 	sleep(ctx, fault.Duration/1000)
-	p.writeConfig(a, current.addr)
+	r.writeConfig(a, current.addr)
 	process.signal(syscall.SIGHUP)
 }
 
-// injectSystemCallFault lets calls of an agent's machine fail.
-func (p *soakRun) injectSystemCallFault(ctx context.Context, target *agent, fault Fault) {
+// injectSystemCallFault makes system calls of an agent fail or stall. Most of these faults are commands to the agent's faultshim.
+func (r *soakRun) injectSystemCallFault(ctx context.Context, target *agent, fault Fault) {
 	target.mu.Lock()
 	process, incarnation := target.child, target.current()
 	target.mu.Unlock()
-	note := func(list *[]span, duration time.Duration) {
+	recordSpan := func(list *[]span, duration time.Duration) {
 		target.mu.Lock()
 		defer target.mu.Unlock()
 		now := monotonic()
 		*list = append(*list, span{now, now + duration})
 	}
 	switch fault.Kind {
-	case AgentHold:
-		note(&incarnation.stalls, fault.Duration)
+	case AgentWriteStall:
+		recordSpan(&incarnation.stalls, fault.Duration)
 		process.send("hold 150ms %d", 2+fault.Count)
 	case AcceptFails:
 		process.send("accept %s %d", fault.Detail, fault.Count)
@@ -159,10 +163,10 @@
 	case ServerWriteFails:
 		process.send("serverwrite %s %d", fault.Detail, fault.Count)
 	case ClientReadFails:
-		note(&incarnation.clientReadFaults, 3*time.Second)
+		recordSpan(&incarnation.clientReadFaults, 3*time.Second)
 		process.send("clientread %s %d", fault.Detail, fault.Count)
-	case ShortReads: // a long body takes many reads, which stall the agent
-		note(&incarnation.stalls, fault.Duration)
+	case ShortReads: // a long body then needs many reads, which stall the agent
+		recordSpan(&incarnation.stalls, fault.Duration)
 		process.send("shortread %s", fault.Duration)
 	case DiskFails:
 		process.send("disk %s", fault.Detail)
@@ -175,17 +179,18 @@
 	}
 }
 
-func (p *soakRun) stepClocks(fault Fault) {
+// stepClocks adds the step of the fault to the time of day of all agents and servers. The step is permanent.
+func (r *soakRun) stepClocks(fault Fault) {
 	step, err := time.ParseDuration(fault.Detail)
 	if err != nil {
-		p.reportViolation("soak", "%v", err)
+		r.reportViolation("soak", "the clock step of a fault could not be parsed: %v", err)
 		return
 	}
-	p.mu.Lock()
-	p.clockOffset += step
-	now := p.clockOffset
-	p.mu.Unlock()
-	for _, a := range p.agents {
+	r.mu.Lock()
+	r.clockOffset += step
+	now := r.clockOffset
+	r.mu.Unlock()
+	for _, a := range r.agents {
 		a.mu.Lock()
 		c := a.child
 		a.mu.Unlock()
@@ -193,8 +198,9 @@
 	}
 }
 
-func (p *soakRun) injectServerFault(ctx context.Context, number int, fault Fault) {
-	target := p.servers[number]
+// injectServerFault injects a fault into the process of a server. It does nothing if the process has exited.
+func (r *soakRun) injectServerFault(ctx context.Context, number int, fault Fault) {
+	target := r.servers[number]
 	target.mu.Lock()
 	process := target.child
 	target.mu.Unlock()
@@ -217,117 +223,120 @@
 		target.paused = append(target.paused, span{from, monotonic()})
 		target.mu.Unlock()
 	case ServerDrain:
-		p.drainServer(ctx, number, process, fault)
+		r.drainServer(ctx, number, process, fault)
 	case ServerCrash:
 		process.kill()
 		sleep(ctx, fault.Duration/3)
-		p.restartServer(ctx, number)
+		r.restartServer(ctx, number)
 	}
 }
 
-// drainServer lets a server drain, go and start anew.
-func (p *soakRun) drainServer(ctx context.Context, number int, process *child, fault Fault) {
-	listed := p.registry.get(p.servers[number].id)
+// drainServer lists a server as draining, then as removed, stops its process and starts the next one.
+func (r *soakRun) drainServer(ctx context.Context, number int, process *child, fault Fault) {
+	listed := r.registry.get(r.servers[number].id)
 	if listed.State != ready {
 		return
 	}
 	listed.State = terminating
-	p.registry.set(listed)
+	r.registry.set(listed)
 	drainFor := fault.Duration + time.Second
 	if fault.Count > 2 {
-		drainFor += notificationBound + time.Second // until all agents must be notified
+		drainFor += notificationBound + time.Second // until all agents are presumed to be notified
 	}
 	sleep(ctx, drainFor)
 	if !process.alive() {
-		return // it crashed meanwhile, and comes back by that
+		return // the fault that killed it in the meantime also restarts it
 	}
 	listed.State = removed
-	p.registry.set(listed)
+	r.registry.set(listed)
 	sleep(ctx, fault.Duration/4)
 	process.kill()
-	p.restartServer(ctx, number)
+	r.restartServer(ctx, number)
 }
 
-// restartServer starts the next process of a server, in slow start, and lists it.
-func (p *soakRun) restartServer(ctx context.Context, number int) {
+// restartServer starts the next process of a server and lists it as just started, so that agents put it in slow start.
+func (r *soakRun) restartServer(ctx context.Context, number int) {
 	if ctx.Err() != nil {
 		return
 	}
-	s := p.servers[number]
-	if err := s.start(p.opts.Program, p.seed()); err != nil {
-		p.reportViolation("soak", "server %d: %v", number, err)
+	s := r.servers[number]
+	if err := s.start(r.opts.Program, r.drawSeed()); err != nil {
+		r.reportViolation("soak", "server %d could not be started: %v", number, err)
 		return
 	}
 	s.mu.Lock()
 	s.slowStarts = append(s.slowStarts, monotonic())
 	s.mu.Unlock()
-	if err := p.announce(number, p.wallMS()); err != nil {
-		p.reportViolation("soak", "server %d: %v", number, err)
+	if err := r.announce(number, r.timeOfDayMS()); err != nil {
+		r.reportViolation("soak", "server %d could not be listed: %v", number, err)
 	}
 }
 
-func (p *soakRun) injectPathFault(ctx context.Context, fault Fault) {
-	number := fault.Target | 1 // these have a path of their own
-	if number >= len(p.paths) {
+// injectPathFault injects a fault into the path to a server, and records when the path was affected.
+func (r *soakRun) injectPathFault(ctx context.Context, fault Fault) {
+	number := fault.Target | 1 // only servers with odd numbers have a relay
+	if number >= len(r.relayPaths) {
 		return
 	}
-	way := p.paths[number]
+	path := r.relayPaths[number]
 	conditions := map[FaultKind]link.Conditions{PathCut: {Cut: true}, PathSlow: {Delay: 40 * time.Millisecond, Jitter: 60 * time.Millisecond}}[fault.Kind]
 	set := func(c link.Conditions) {
-		way.mu.Lock()
-		defer way.mu.Unlock()
-		way.conditions = c
-		way.relay.Set(c, c)
+		path.mu.Lock()
+		defer path.mu.Unlock()
+		path.conditions = c
+		path.relay.Set(c, c)
 	}
 	from := monotonic()
 	if fault.Kind == PathReset {
-		way.mu.Lock()
-		way.relay.Reset()
-		way.mu.Unlock()
+		path.mu.Lock()
+		path.relay.Reset()
+		path.mu.Unlock()
 	} else {
 		set(conditions)
 		sleep(ctx, fault.Duration)
 		set(link.Conditions{})
 	}
-	way.mu.Lock()
-	way.disturbed = append(way.disturbed, span{from, monotonic()})
-	way.mu.Unlock()
+	path.mu.Lock()
+	path.disturbed = append(path.disturbed, span{from, monotonic()})
+	path.mu.Unlock()
 }
 
-func (p *soakRun) injectDiscoveryFault(ctx context.Context, a *agent, fault Fault) {
+// injectDiscoveryFault injects a fault into the current discovery service of an agent.
+func (r *soakRun) injectDiscoveryFault(ctx context.Context, a *agent, fault Fault) {
 	a.mu.Lock()
 	d := a.discovery
 	a.mu.Unlock()
 	switch fault.Kind {
 	case DiscoveryDown:
 		d.setFault(func() { d.down = true })
-		d.reset()
+		d.abortCalls()
 		sleep(ctx, fault.Duration*2)
 		d.setFault(func() { d.down = false })
 	case DiscoverySilent:
-		d.silenceWatches()
+		d.silenceCalls()
 	case DiscoveryReset:
 		d.setFault(func() { d.hideDraining = true })
-		d.reset()
+		d.abortCalls()
 	case DiscoverySlow:
-		d.setFault(func() { d.slow = 300 * time.Millisecond })
+		d.setFault(func() { d.responseDelay = 300 * time.Millisecond })
 		sleep(ctx, fault.Duration)
-		d.setFault(func() { d.slow = 0 })
+		d.setFault(func() { d.responseDelay = 0 })
 	case DiscoveryPieces:
-		d.setFault(func() { d.pieces = true })
+		d.setFault(func() { d.inPieces = true })
 		sleep(ctx, fault.Duration*2)
-		d.setFault(func() { d.pieces = false })
+		d.setFault(func() { d.inPieces = false })
 	}
 }
 
-func (p *soakRun) injectClientFault(ctx context.Context, fault Fault) {
-	c := p.clients[fault.Target]
-	if fault.Kind == IdleClients {
+// injectClientFault makes the clients of an agent misbehave, or opens as many idle connections to the agent as it may have sockets.
+func (r *soakRun) injectClientFault(ctx context.Context, fault Fault) {
+	c := r.clients[fault.Target]
+	if fault.Kind == IdleConnections {
 		from := monotonic()
-		c.holdIdleConnections(ctx, agentFiles, fault.Duration)
-		p.mu.Lock()
-		p.overConnectionLimit[fault.Target] = append(p.overConnectionLimit[fault.Target], span{from, monotonic()})
-		p.mu.Unlock()
+		c.holdIdleConnections(ctx, agentSockets, fault.Duration)
+		r.mu.Lock()
+		r.overConnectionLimit[fault.Target] = append(r.overConnectionLimit[fault.Target], span{from, monotonic()})
+		r.mu.Unlock()
 		return
 	}
 	c.mu.Lock()
--- a/internal/soak/monitor.go
+++ b/internal/soak/monitor.go
@@ -9,33 +9,34 @@
 	"time"
 )
 
-// watchLag notes how late this process itself is: no time in the account is more exact than that.
-func (p *soakRun) watchLag(ctx context.Context) {
+// watchLag measures the most by which a sleep in this process ends late. Recorded times cannot be more precise than that.
+func (r *soakRun) watchLag(ctx context.Context) {
 	const step = 5 * time.Millisecond
 	for ctx.Err() == nil {
 		before := monotonic()
 		time.Sleep(step)
-		if late := monotonic() - before - step; int64(late) > p.lag.Load() {
-			p.lag.Store(int64(late))
+		if late := monotonic() - before - step; int64(late) > r.lag.Load() {
+			r.lag.Store(int64(late))
 		}
 	}
 }
 
-// monitorAgents looks at the agents' own counts, and at processes that take all of their processor time.
-func (p *soakRun) monitorAgents(ctx context.Context) {
+// monitorAgents scrapes the metrics of the agents every scrapeInterval, and reports an agent that uses more than 90% of a core five times in
+// a row.
+func (r *soakRun) monitorAgents(ctx context.Context) {
 	before := map[int]time.Duration{}
 	spins := map[int]int{}
 	for ctx.Err() == nil {
 		began := monotonic()
 		sleep(ctx, scrapeInterval)
-		for i, a := range p.agents {
+		for i, a := range r.agents {
 			a.mu.Lock()
 			pid := a.child.cmd.Process.Pid
 			a.mu.Unlock()
-			now := processorTime(pid)
+			now := cpuTime(pid)
 			if was, known := before[pid]; known && float64(now-was) > 0.9*float64(monotonic()-began) {
 				if spins[i]++; spins[i] == 5 {
-					p.reportViolation("spin", "agent %d has taken a whole core for %v", i, 5*scrapeInterval)
+					r.reportViolation("spin", "agent %d used more than 0.9 cores for %v", i, 5*scrapeInterval)
 				}
 			} else {
 				spins[i] = 0
@@ -46,7 +47,7 @@
 	}
 }
 
-// residentBytes is how much memory a process has.
+// residentBytes returns the resident memory of a process in bytes, or 0 if it cannot be read.
 func residentBytes(pid int) int64 {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", pid))
 	if err != nil {
@@ -60,8 +61,8 @@
 	return pages * int64(os.Getpagesize())
 }
 
-// processorTime is what a process has taken so far.
-func processorTime(pid int) time.Duration {
+// cpuTime returns the CPU time that a process has used so far, or 0 if it cannot be read.
+func cpuTime(pid int) time.Duration {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return 0
@@ -72,5 +73,5 @@
 	}
 	user, _ := strconv.ParseInt(fields[11], 10, 64)
 	system, _ := strconv.ParseInt(fields[12], 10, 64)
-	return time.Duration(user+system) * 10 * time.Millisecond // of a clock of 100 Hz
+	return time.Duration(user+system) * 10 * time.Millisecond // the kernel counts in ticks of 1/100 s
 }
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -8,19 +8,20 @@
 	"time"
 )
 
+// behaviorShare is the fraction of all requests that have a behavior.
 type behaviorShare struct {
 	behavior clientBehavior
 	fraction float64
 }
 
-// Plan is all that is drawn for a run.
+// Plan holds everything that is drawn for a run.
 type Plan struct {
 	Seed                     uint64
 	Length                   time.Duration
 	Agents                   int
 	Servers                  int
-	Rate                     float64 // requests a second of each agent, in the mean
-	Subscribed               bool    // agents subscribe to discovery
+	Rate                     float64 // mean requests per second to each agent
+	Subscribed               bool    // the settings tell agents to subscribe to discovery, instead of leaving the choice to them
 	Zones                    []string
 	Classes                  []class
 	SlowStartInitialFraction float64
@@ -28,17 +29,18 @@
 	OverloadFactor           float64
 	Faults                   []Fault
 	behaviors                []behaviorShare
-	seeds                    *rand.Rand
+	seeds                    *rand.Rand // for the seeds and ports of the processes, after all draws of the plan
 }
 
-// Bounds of a plan.
+// Limits of a plan.
 const (
-	quietStart       = 1500 * time.Millisecond // before the first fault
-	quietEnd         = 3500 * time.Millisecond // after the last one begins
-	maxFaultDuration = 2500 * time.Millisecond // of one fault
+	quietStart       = 1500 * time.Millisecond // from the start of the run to the first fault
+	quietEnd         = 3500 * time.Millisecond // from the last group of faults to the end of the run
+	maxFaultDuration = 2500 * time.Millisecond // drawn for one fault
 )
 
-// Draw makes the plan of a seed.
+// Draw makes the plan of a seed. Equal arguments give equal plans, so the order of the draws is fixed. The faults start two or three at a
+// time, every 1 to 3.5 s.
 func Draw(seed uint64, length time.Duration, allowed FaultKinds) *Plan {
 	rng := rand.New(rand.NewPCG(seed, 31))
 	p := &Plan{Seed: seed, Length: length, Agents: 3 + rng.IntN(3), Servers: 6 + rng.IntN(5), Rate: 25 + rng.Float64()*30, Subscribed: rng.Float64() < 0.7,
@@ -46,11 +48,11 @@
 	deadline := time.Duration(600+rng.IntN(1400)) * time.Millisecond
 	p.Classes = []class{
 		{name: "read", effect: idempotent, latencyObjective: deadline / 4, deadline: deadline},
-		{name: "record", effect: idempotentWithKey, latencyObjective: deadline / 4, deadline: deadline, window: time.Duration(300+rng.IntN(900)) * time.Millisecond},
+		{name: "record", effect: idempotentWithKey, latencyObjective: deadline / 4, deadline: deadline, idempotencyWindow: time.Duration(300+rng.IntN(900)) * time.Millisecond},
 		{name: "pay", effect: nonIdempotent, latencyObjective: deadline / 4, deadline: deadline},
 	}
-	for _, h := range []clientBehavior{closesEarly, resets, halfCloses, leavesTrailingBytes, slowWriter, timeoutEdgeWriter, stopsMidway, longBody, closesInLongBody, shortTimeout, malformed, newConnection, idleLimitEdge} {
-		p.behaviors = append(p.behaviors, behaviorShare{h, 0.06 * rng.Float64()})
+	for _, behavior := range []clientBehavior{closesEarly, resets, halfCloses, sendsTrailingBytes, slowWriter, timeoutEdgeWriter, stopsMidway, longBody, closesInLongBody, shortTimeout, malformed, newConnection, idleLimitEdge} {
+		p.behaviors = append(p.behaviors, behaviorShare{behavior, 0.06 * rng.Float64()})
 	}
 	for at := quietStart; at < length-quietEnd; at += time.Second + time.Duration(rng.Float64()*2.5*float64(time.Second)) {
 		for range 2 + rng.IntN(2) {
@@ -61,23 +63,23 @@
 	return p
 }
 
-// Describe returns the plan in lines of text.
+// Describe returns the plan as text, with one fault on each line after the first.
 func (p *Plan) Describe() string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "seed %d: %d agents with %.0f requests a second each, %d servers, asked %v, deadline %v, window %v, slow start from %.2f over %v, overload %.2f, %v long\n",
-		p.Seed, p.Agents, p.Rate, p.Servers, p.Subscribed, p.Classes[0].deadline, p.Classes[1].window, p.SlowStartInitialFraction, p.SlowStartWindow, p.OverloadFactor, p.Length)
-	for _, t := range p.Faults {
-		fmt.Fprintln(&b, " ", t)
+	fmt.Fprintf(&b, "seed %d: %d agents with %.0f requests/s each, %d servers, subscribe to discovery: %v, deadline %v, idempotency window %v, slow start from a fraction of %.2f over %v, overload factor %.2f, length %v\n",
+		p.Seed, p.Agents, p.Rate, p.Servers, p.Subscribed, p.Classes[0].deadline, p.Classes[1].idempotencyWindow, p.SlowStartInitialFraction, p.SlowStartWindow, p.OverloadFactor, p.Length)
+	for _, fault := range p.Faults {
+		fmt.Fprintln(&b, " ", fault)
 	}
 	return b.String()
 }
 
-// settings are the agents' settings, in the platform's form.
+// settings returns the settings of agent number me, in the form of the deployment platform.
 func (p *Plan) settings(me int) map[string]any {
 	var classes []map[string]any
 	for _, c := range p.Classes {
 		classes = append(classes, map[string]any{"AimNs": c.latencyObjective, "DeadlineNs": c.deadline, "Effect": c.effect, "Group": "all", "Name": c.name,
-			"WindowNs": c.window, "Worth": 1})
+			"WindowNs": c.idempotencyWindow, "Worth": 1})
 	}
 	mode := "automatic"
 	if p.Subscribed {
--- a/internal/soak/registry.go
+++ b/internal/soak/registry.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// States of a server, in discovery's words.
+// States of a server, as discovery names them.
 const (
 	ready       = "Ready"
 	terminating = "Terminating"
 	removed     = "Gone"
 )
 
-// entry is a server of the list.
+// entry is one server in the list that discovery serves.
 type entry struct {
 	ID        string  `json:"id"`
 	Addr      string  `json:"addr"`
@@ -22,34 +22,34 @@
 	Weight    float64 `json:"weight"`
 	StartedMS int64   `json:"started_ms"`
 
-	version int64 // that changed it
+	version int64 // of the list, when the entry last changed
 }
 
-// notice is when an agent was notified that a server takes nothing new, or takes it again.
-type notice struct {
-	agent      int
+// notification records when an agent was notified whether a server accepts new requests, or when the server's entry itself changed.
+type notification struct {
+	agent      int // number of the agent; -1: a change of the list
 	server     string
 	startedMS  int64
 	acceptsNew bool
-	at         time.Duration
+	at         time.Duration // of the machine's monotonic clock
 }
 
-// registry is the endpoint list that all discovery services of a run serve. It notes who was notified of what.
+// registry is the server list that all discovery services of a run serve. It records its changes and which agent was notified of what.
 type registry struct {
-	mu      sync.Mutex
-	version int64
-	entries map[string]*entry
-	order   []string
-	changed chan struct{} // closed with each change
-	notices []notice
-	changes []notice // of the list itself, of no agent
+	mu            sync.Mutex
+	version       int64
+	entries       map[string]*entry
+	order         []string
+	changed       chan struct{} // closed and replaced at each change
+	notifications []notification
+	changes       []notification // of the list, with agent -1
 }
 
 func newRegistry() *registry {
 	return &registry{entries: map[string]*entry{}, changed: make(chan struct{})}
 }
 
-// set changes a server's entry.
+// set adds or replaces a server's entry, and wakes the watches.
 func (r *registry) set(e entry) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -59,12 +59,12 @@
 		r.order = append(r.order, e.ID)
 	}
 	r.entries[e.ID] = &e
-	r.changes = append(r.changes, notice{-1, e.ID, e.StartedMS, e.State == ready, monotonic()})
+	r.changes = append(r.changes, notification{-1, e.ID, e.StartedMS, e.State == ready, monotonic()})
 	close(r.changed)
 	r.changed = make(chan struct{})
 }
 
-// get is a server's entry.
+// get returns a server's entry, or an empty one if the server is not in the list.
 func (r *registry) get(id string) entry {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -74,8 +74,9 @@
 	return entry{}
 }
 
-// list returns what an agent is sent: all entries, or those that have changed since a version. The address of each server is the agent's own.
-func (r *registry) list(since int64, addr func(entry) string, withoutDraining bool) (version int64, full bool, entries []entry, more <-chan struct{}) {
+// list returns what discovery sends to an agent: all entries if since is negative, or those that have changed after the version since.
+// addr gives the address at which the agent reaches a server. nextChange is closed at the next change of the list.
+func (r *registry) list(since int64, addr func(entry) string, withoutDraining bool) (version int64, full bool, entries []entry, nextChange <-chan struct{}) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	full = since < 0
@@ -90,20 +91,21 @@
 	return r.version, full, entries, r.changed
 }
 
-// recordNotified notes that an agent was notified of entries, all of the list where full.
-func (r *registry) recordNotified(agent int, full bool, entries []entry) {
+// recordNotifications records that an agent was notified of entries. By a full list, it was also notified that the servers that the list
+// omits accept no new requests.
+func (r *registry) recordNotifications(agent int, full bool, entries []entry) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := monotonic()
-	named := map[string]bool{}
+	listed := map[string]bool{}
 	for _, e := range entries {
-		named[e.ID] = true
-		r.notices = append(r.notices, notice{agent, e.ID, e.StartedMS, e.State == ready, now})
+		listed[e.ID] = true
+		r.notifications = append(r.notifications, notification{agent, e.ID, e.StartedMS, e.State == ready, now})
 	}
 	if full {
 		for _, id := range r.order {
-			if !named[id] {
-				r.notices = append(r.notices, notice{agent, id, r.entries[id].StartedMS, false, now})
+			if !listed[id] {
+				r.notifications = append(r.notifications, notification{agent, id, r.entries[id].StartedMS, false, now})
 			}
 		}
 	}
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -17,84 +17,85 @@
 	serverHost    = "127.0.0.4"
 	pathHost      = "127.0.0.5"
 
-	readyTimeout    = 10 * time.Second // for an agent, from its start
-	shutdownTimeout = 10 * time.Second // for an agent, from SIGTERM
+	readyTimeout    = 10 * time.Second // from the start of an agent until it is ready
+	shutdownTimeout = 10 * time.Second // from SIGTERM until an agent has exited
 	scrapeInterval  = 500 * time.Millisecond
-	agentMemory     = 192 // MB
-	agentFiles      = 512
+	agentMemory     = 192 // limit of an agent's memory, in MiB
+	agentSockets    = 512 // limit of an agent's open sockets
 )
 
 // Options configure a run.
 type Options struct {
-	Program       string   // the path of this program
-	Dir           string   // for logs and configurations
-	PlantedFaults []string // faults planted in the agents: a name and a probability each, as faultshim has them
+	Program       string   // the path of the binary with the commands soak-agent and soak-backend
+	Dir           string   // for the logs and configuration files of the agents
+	PlantedFaults []string // planted in the agents by faultshim: a name and a probability each
 	Out           io.Writer
 }
 
-// soakRun is a run under way.
+// soakRun is a run in progress.
 type soakRun struct {
-	plan      *Plan
-	opts      Options
-	startedAt time.Duration
-	registry  *registry
-	agents    []*agent
-	servers   []*server
-	clients   []*clients
-	paths     []*path // one for each server, or nil
-	lag       atomic.Int64
-	work      sync.WaitGroup
+	plan       *Plan
+	opts       Options
+	startedAt  time.Duration // when all processes were ready
+	registry   *registry
+	agents     []*agent
+	servers    []*server
+	clients    []*clients
+	relayPaths []*relayPath   // by server; nil: agents reach it directly
+	lag        atomic.Int64   // as Result.Lag, in ns
+	tasks      sync.WaitGroup // monitors and faults
 
 	mu                  sync.Mutex
-	clockOffset         time.Duration
+	clockOffset         time.Duration // of the time of day of all agents and servers
 	seeds               *rand.Rand
-	violations          []Violation // found while it ran
-	overConnectionLimit map[int][]span
-	network             [2]int // of the agents' hosts: plays side by side must not take each other's ports
+	violations          []Violation    // found during the run, before the checks
+	overConnectionLimit map[int][]span // when an agent may have been at its limit of connections
+	agentNetwork        [2]int         // bytes 2 and 3 of the agents' addresses, random so that concurrent runs do not conflict over ports
 }
 
 // Result is the outcome of a run.
 type Result struct {
 	Plan       *Plan
-	Requests   int
-	Answered   int
-	Served     int
-	Attempts   int
-	Processes  int
-	Lag        time.Duration // the latest that the soak itself was
-	MaxRSS     int64
+	Requests   int           // sent by clients
+	Answered   int           // requests with a complete response
+	Served     int           // requests with a complete response of status 200
+	Attempts   int           // received by backends
+	Processes  int           // of agents and backends
+	Lag        time.Duration // the most by which a sleep of this process ended late
+	MaxRSS     int64         // highest resident memory of an agent, in bytes
 	Violations []Violation
 }
 
-// Run runs a plan. It ends all processes that it starts; the error is that of a process that could not be started, or of the
-// context.
+// Run runs a plan and checks the result. Before it returns, it ends all processes that it started. The error is that of a process that did
+// not start or become ready at the beginning, or that of the context; violations are not errors.
 func Run(ctx context.Context, plan *Plan, opts Options) (Result, error) {
-	p := &soakRun{plan: plan, opts: opts, registry: newRegistry(), seeds: plan.seeds, overConnectionLimit: map[int][]span{},
-		network: [2]int{16 + rand.IntN(64), rand.IntN(256)}}
-	defer p.stop()
-	if err := p.start(ctx); err != nil {
+	r := &soakRun{plan: plan, opts: opts, registry: newRegistry(), seeds: plan.seeds, overConnectionLimit: map[int][]span{},
+		agentNetwork: [2]int{16 + rand.IntN(64), rand.IntN(256)}}
+	defer r.stop()
+	if err := r.start(ctx); err != nil {
 		return Result{}, err
 	}
 	running, end := context.WithCancel(ctx)
 	defer end()
-	p.startedAt = monotonic()
-	p.work.Go(func() { p.watchLag(running) })
-	p.work.Go(func() { p.monitorAgents(running) })
-	var calling sync.WaitGroup
-	for _, c := range p.clients {
-		calling.Go(func() { c.run(running) })
+	r.startedAt = monotonic()
+	r.tasks.Go(func() { r.watchLag(running) })
+	r.tasks.Go(func() { r.monitorAgents(running) })
+	var clientsRunning sync.WaitGroup
+	for _, c := range r.clients {
+		clientsRunning.Go(func() { c.run(running) })
 	}
-	p.injectFaults(running)
-	sleep(running, p.plan.Length-(monotonic()-p.startedAt))
+	r.injectFaults(running)
+	sleep(running, r.plan.Length-(monotonic()-r.startedAt))
 	end()
-	calling.Wait()
-	p.work.Wait()
-	for _, a := range p.agents {
+	clientsRunning.Wait()
+	r.tasks.Wait()
+	for _, a := range r.agents {
 		a.scrapeMetrics()
 	}
-	return p.result(), ctx.Err()
+	return r.result(), ctx.Err()
 }
 
+// sleep waits for d or until the context ends.
 func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-time.After(d):
@@ -103,43 +104,45 @@
 }
 
 // drawInt returns a random number below n.
-func (p *soakRun) drawInt(n int) int {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.seeds.IntN(n)
+func (r *soakRun) drawInt(n int) int {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.seeds.IntN(n)
 }
 
-func (p *soakRun) seed() uint64 {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.seeds.Uint64()
+// drawSeed returns a random seed for a process or an agent.
+func (r *soakRun) drawSeed() uint64 {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.seeds.Uint64()
 }
 
-func (p *soakRun) reportViolation(rule, format string, args ...any) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.violations = append(p.violations, Violation{Rule: rule, At: monotonic() - p.startedAt, Text: fmt.Sprintf(format, args...)})
+// reportViolation records a violation that happens now.
+func (r *soakRun) reportViolation(rule, format string, args ...any) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.violations = append(r.violations, Violation{Rule: rule, At: monotonic() - r.startedAt, Text: fmt.Sprintf(format, args...)})
 }
 
-// wallMS is the time of day of all machines, in milliseconds.
-func (p *soakRun) wallMS() int64 {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return time.Now().Add(p.clockOffset).UnixMilli()
+// timeOfDayMS returns the time of day of all agents and servers, in Unix milliseconds.
+func (r *soakRun) timeOfDayMS() int64 {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return time.Now().Add(r.clockOffset).UnixMilli()
 }
 
-// injectFaults lets the troubles of the plan happen at their times, and waits until the last has begun.
-func (p *soakRun) injectFaults(ctx context.Context) {
-	for _, fault := range p.plan.Faults {
-		sleep(ctx, fault.Start-(monotonic()-p.startedAt))
+// injectFaults injects the faults of the plan at their times. It returns when the last one has begun or the context ends.
+func (r *soakRun) injectFaults(ctx context.Context) {
+	for _, fault := range r.plan.Faults {
+		sleep(ctx, fault.Start-(monotonic()-r.startedAt))
 		if ctx.Err() != nil {
 			return
 		}
-		p.work.Go(func() { p.inject(ctx, fault) })
+		r.tasks.Go(func() { r.inject(ctx, fault) })
 	}
 }
 
-// Save writes the plan and the violations to violations.txt in a directory.
+// Save writes the plan and the violations to the file violations.txt in dir.
 func (r Result) Save(dir string) error {
 	f, err := os.Create(filepath.Join(dir, "violations.txt"))
 	if err != nil {
--- a/internal/soak/server.go
+++ b/internal/soak/server.go
@@ -13,26 +13,26 @@
 	"time"
 )
 
-// server is a backend with its processes.
+// server is one backend of the fleet: its current process and what all its processes recorded.
 type server struct {
 	id         string
 	mu         sync.Mutex
 	child      *child
-	instance   int
+	instance   int // number of the current process, from 1
 	addr       string
 	attempts   []Attempt
-	slowStarts []time.Duration // of each process that is in slow start, by instance
-	paused     []span
+	slowStarts []time.Duration // when each process started; 0 for one that was not in slow start
+	paused     []span          // from SIGSTOP to SIGCONT
 }
 
-// start starts the next process of the backend and returns its address.
+// start starts the next process of the backend and sets its address, which the process prints first.
 func (s *server) start(program string, seed uint64) error {
 	s.mu.Lock()
 	s.instance++
 	instance := s.instance
 	s.mu.Unlock()
 	cmd := exec.Command(program, "soak-backend", "--id", s.id, "--instance", strconv.Itoa(instance), "--seed", strconv.FormatUint(seed, 10))
-	readEnd, writeEnd, err := os.Pipe() // not StdoutPipe: Wait would close it before the last lines were read
+	readEnd, writeEnd, err := os.Pipe() // not StdoutPipe, which Wait may close before the last lines are read
 	if err != nil {
 		return err
 	}
@@ -45,7 +45,7 @@
 	lines := bufio.NewReaderSize(readEnd, 1<<16)
 	addr, err := lines.ReadString('\n')
 	if err != nil {
-		return fmt.Errorf("backend %s said no address: %w", s.id, err)
+		return fmt.Errorf("backend %s did not print its address: %w", s.id, err)
 	}
 	s.mu.Lock()
 	s.child, s.addr = process, strings.TrimSpace(addr)
@@ -57,7 +57,7 @@
 	return nil
 }
 
-// readAttempts collects the attempts that the process writes.
+// readAttempts collects the attempts that a process writes, until its output ends.
 func (s *server) readAttempts(from io.Reader) {
 	decoder := json.NewDecoder(from)
 	for {
--- a/internal/soak/topology.go
+++ b/internal/soak/topology.go
@@ -12,45 +12,45 @@
 	"ryeweir/internal/emulator/link"
 )
 
-// path is the way to a server that some agents take through a relay.
-type path struct {
+// relayPath is the path to a server through a relay, into which faults can be injected. Agents with even numbers take it.
+type relayPath struct {
 	mu         sync.Mutex
 	relay      *link.Relay
-	addr       string
+	addr       string // of the relay
 	conditions link.Conditions
-	disturbed  []span
+	disturbed  []span // when faults affected the path
 }
 
-// start starts all processes.
-func (p *soakRun) start(ctx context.Context) error {
-	for i := range p.plan.Servers {
+// start starts all servers and agents, and waits until the agents are ready. Each server with an odd number gets a relay.
+func (r *soakRun) start(ctx context.Context) error {
+	for i := range r.plan.Servers {
 		s := &server{id: fmt.Sprintf("s%02d", i)}
-		p.servers = append(p.servers, s)
-		var way *path
+		r.servers = append(r.servers, s)
+		var path *relayPath
 		if i%2 == 1 {
-			way = &path{}
+			path = &relayPath{}
 		}
-		p.paths = append(p.paths, way)
-		if err := s.start(p.opts.Program, p.seed()); err != nil {
+		r.relayPaths = append(r.relayPaths, path)
+		if err := s.start(r.opts.Program, r.drawSeed()); err != nil {
 			return err
 		}
 		s.slowStarts = append(s.slowStarts, 0)
-		if err := p.announce(i, 0); err != nil {
+		if err := r.announce(i, 0); err != nil {
 			return err
 		}
 	}
-	for i := range p.plan.Agents {
-		a, err := p.newAgent(i)
+	for i := range r.plan.Agents {
+		a, err := r.newAgent(i)
 		if err != nil {
 			return err
 		}
-		p.agents = append(p.agents, a)
-		if err := a.start(p.opts.Program, p.seed(), p.agentArgs()...); err != nil {
+		r.agents = append(r.agents, a)
+		if err := a.start(r.opts.Program, r.drawSeed(), r.agentArgs()...); err != nil {
 			return err
 		}
-		p.clients = append(p.clients, &clients{agent: a, plan: p.plan, rate: p.plan.Rate, classes: p.plan.Classes, rng: rand.New(rand.NewPCG(p.plan.Seed, uint64(100+i)))})
+		r.clients = append(r.clients, &clients{agent: a, plan: r.plan, rate: r.plan.Rate, classes: r.plan.Classes, rng: rand.New(rand.NewPCG(r.plan.Seed, uint64(100+i)))})
 	}
-	for _, a := range p.agents {
+	for _, a := range r.agents {
 		if err := a.awaitReady(ctx, readyTimeout); err != nil {
 			return err
 		}
@@ -58,90 +58,92 @@
 	return nil
 }
 
-// agentArgs are the arguments of an agent's process: the time of day that all machines have, and the
-// faults that are planted.
-func (p *soakRun) agentArgs() []string {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	args := []string{"--clock", p.clockOffset.String()}
-	for _, plant := range p.opts.PlantedFaults {
+// agentArgs returns the additional arguments of an agent's process: the offset of the time of day, and the planted
+// faults.
+func (r *soakRun) agentArgs() []string {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	args := []string{"--clock", r.clockOffset.String()}
+	for _, plant := range r.opts.PlantedFaults {
 		args = append(args, "--plant", plant)
 	}
 	return args
 }
 
-func (p *soakRun) newAgent(number int) (*agent, error) {
-	host := fmt.Sprintf("127.%d.%d.%d", p.network[0], p.network[1], 1+number)
-	listen, err := freePort(host, p.drawInt)
+// newAgent prepares an agent with a discovery service of its own. It does not start the agent's process.
+func (r *soakRun) newAgent(number int) (*agent, error) {
+	host := fmt.Sprintf("127.%d.%d.%d", r.agentNetwork[0], r.agentNetwork[1], 1+number)
+	listen, err := freePort(host, r.drawInt)
 	if err != nil {
 		return nil, err
 	}
-	control, err := freePort(host, p.drawInt)
+	control, err := freePort(host, r.drawInt)
 	if err != nil {
 		return nil, err
 	}
-	created := &agent{number: number, name: fmt.Sprintf("n%d", number), listen: listen, control: control, dir: p.opts.Dir}
-	if created.discovery, err = p.newDiscovery(number); err != nil {
+	a := &agent{number: number, name: fmt.Sprintf("n%d", number), listen: listen, control: control, dir: r.opts.Dir}
+	if a.discovery, err = r.newDiscovery(number); err != nil {
 		return nil, err
 	}
-	created.discoveries = append(created.discoveries, created.discovery)
-	created.renderConfig = func(discovery string) []byte {
-		_, _, entries, _ := p.registry.list(-1, p.addrOf(number), false)
+	a.discoveries = append(a.discoveries, a.discovery)
+	a.renderConfig = func(discovery string) []byte {
+		_, _, entries, _ := r.registry.list(-1, r.addrOf(number), false)
 		if entries == nil {
 			entries = []entry{}
 		}
-		text, _ := json.Marshal(map[string]any{"name": created.name, "listen": listen, "discovery": discovery, "control": control,
-			"seed": fmt.Sprintf("%016x", p.seed()), "limits": map[string]any{"cores": 1.0, "memory_mb": agentMemory, "sockets": agentFiles},
-			"known": map[string]any{"version": 0, "full": true, "servers": entries}, "settings": p.plan.settings(number)})
+		text, _ := json.Marshal(map[string]any{"name": a.name, "listen": listen, "discovery": discovery, "control": control,
+			"seed": fmt.Sprintf("%016x", r.drawSeed()), "limits": map[string]any{"cores": 1.0, "memory_mb": agentMemory, "sockets": agentSockets},
+			"known": map[string]any{"version": 0, "full": true, "servers": entries}, "settings": r.plan.settings(number)})
 		return text
 	}
-	return created, nil
+	return a, nil
 }
 
-func (p *soakRun) newDiscovery(number int) (*discovery, error) {
-	return newDiscovery(number, p.registry, discoveryHost, p.addrOf(number))
+// newDiscovery starts a discovery service for an agent.
+func (r *soakRun) newDiscovery(number int) (*discovery, error) {
+	return newDiscovery(number, r.registry, discoveryHost, r.addrOf(number))
 }
 
-// addrOf is where an agent reaches a server: through its path, or directly.
-func (p *soakRun) addrOf(agent int) func(entry) string {
+// addrOf returns a function that gives the address at which an agent reaches a server: that of the server's relay, or its own.
+func (r *soakRun) addrOf(agent int) func(entry) string {
 	return func(e entry) string {
-		for i, s := range p.servers {
-			if s.id == e.ID && p.paths[i] != nil && agent%2 == 0 {
-				p.paths[i].mu.Lock()
-				defer p.paths[i].mu.Unlock()
-				return p.paths[i].addr
+		for i, s := range r.servers {
+			if s.id == e.ID && r.relayPaths[i] != nil && agent%2 == 0 {
+				r.relayPaths[i].mu.Lock()
+				defer r.relayPaths[i].mu.Unlock()
+				return r.relayPaths[i].addr
 			}
 		}
 		return e.Addr
 	}
 }
 
-// announce lists a server that is ready, by the process that it has now.
-func (p *soakRun) announce(number int, startedMS int64) error {
-	s := p.servers[number]
+// announce lists a server as ready, at the address of its current process. If the server has a relay, a new relay replaces it.
+func (r *soakRun) announce(number int, startedMS int64) error {
+	s := r.servers[number]
 	s.mu.Lock()
 	addr := s.addr
 	s.mu.Unlock()
-	if way := p.paths[number]; way != nil {
+	if path := r.relayPaths[number]; path != nil {
 		l, err := net.Listen("tcp", net.JoinHostPort(pathHost, "0"))
 		if err != nil {
 			return err
 		}
-		way.mu.Lock()
-		if way.relay != nil {
-			go way.relay.Close()
+		path.mu.Lock()
+		if path.relay != nil {
+			go path.relay.Close()
 		}
-		way.relay, way.addr = link.NewRelay(l, addr, p.seed()), l.Addr().String()
-		way.relay.Set(way.conditions, way.conditions)
-		way.mu.Unlock()
+		path.relay, path.addr = link.NewRelay(l, addr, r.drawSeed()), l.Addr().String()
+		path.relay.Set(path.conditions, path.conditions)
+		path.mu.Unlock()
 	}
-	p.registry.set(entry{ID: s.id, Addr: addr, Zone: "z", State: ready, Weight: 1, StartedMS: startedMS})
+	r.registry.set(entry{ID: s.id, Addr: addr, Zone: "z", State: ready, Weight: 1, StartedMS: startedMS})
 	return nil
 }
 
-// stop ends all processes.
-func (p *soakRun) stop() {
-	for _, a := range p.agents {
+// stop ends all processes, discovery services and relays.
+func (r *soakRun) stop() {
+	for _, a := range r.agents {
 		a.mu.Lock()
 		c := a.child
 		a.mu.Unlock()
@@ -153,13 +155,13 @@
 			d.close()
 		}
 	}
-	for i, s := range p.servers {
+	for i, s := range r.servers {
 		if s.child != nil {
 			s.child.signal(syscall.SIGCONT)
 			s.child.kill()
 		}
-		if way := p.paths[i]; way != nil && way.relay != nil {
-			way.relay.Close()
+		if path := r.relayPaths[i]; path != nil && path.relay != nil {
+			path.relay.Close()
 		}
 	}
 }
