--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -23,9 +23,9 @@
 type class struct {
 	name              string
 	effect            effect
-	latencyObjective  time.Duration
-	deadline          time.Duration
-	idempotencyWindow time.Duration
+	latencyObjective  time.Duration // the AimNs of the settings
+	deadline          time.Duration // the timeout of a request whose client has no short timeout
+	idempotencyWindow time.Duration // within which a request with a key may be sent again
 }
 
 // clientBehavior is how a client behaves while it sends one request and waits for the response.
