--- a/internal/soak/agent.go
+++ b/internal/soak/agent.go
@@ -173,8 +173,8 @@
 	a.maxRSS = max(a.maxRSS, residentBytes(a.child.cmd.Process.Pid))
 }
 
-// postControl sends an operator's command to the agent's control address. It ignores errors: they mean that the process is exiting, and
-// the command then has no effect.
+// postControl sends an operator's command to the agent's control address. It ignores errors: a command that fails, for example because
+// the process is exiting, has no effect.
 func (a *agent) postControl(action string) {
 	client := http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	if resp, err := client.Post("http://"+a.control+"/v1/agent/"+action, "", nil); err == nil {
--- a/internal/soak/answer.go
+++ b/internal/soak/answer.go
@@ -56,7 +56,8 @@
 	normal  string // the complete response of a backend that behaves
 }
 
-// responders holds the function that responds in each mode. It reports whether the connection stays open.
+// responders maps a mode to the function that writes the response and reports whether the connection stays open. EarlyResponse and
+// CloseIdle are not in it: they take effect while the backend reads (backend.go).
 var responders = map[Mode]func(*response) bool{
 	Hang: func(r *response) bool {
 		r.sleep(time.Second, 8*time.Second)
@@ -80,7 +81,7 @@
 	},
 	Garbage: func(r *response) bool {
 		r.write("\x16\x03\x01\x00 this is no answer")
-		r.sleep(0, 6*time.Second) // keep the connection open although it is unusable
+		r.sleep(0, 6*time.Second) // the connection stays open for a while, but is unusable
 		return false
 	},
 	StallMidway: func(r *response) bool {
@@ -154,7 +155,7 @@
 	return true
 }
 
-// reset makes the coming close of the connection send a TCP reset. It returns false, so that the caller closes the connection.
+// reset makes closing the connection send a TCP reset. It returns false, so the caller closes the connection.
 func (r *response) reset() bool {
 	r.conn.SetLinger(0)
 	return false
--- a/internal/soak/doc.go
+++ b/internal/soak/doc.go
@@ -8,9 +8,9 @@
 //     depends on timing, so two runs of the same plan differ.
 //   - [Run] starts the processes (topology.go), injects the faults (inject.go) and lets the clients send requests (client.go).
 //   - The checker (checker.go and check_*.go) compares the [Request] that a client recorded with each [Attempt] that a backend
-//     recorded and with the lists that the discovery services sent, and reports each [Violation]. It relies on nothing that an agent
-//     says: the soak test's own clients, backends and discovery services record all events, with times of the machine's monotonic
-//     clock. The agents' own counts of violated invariants are checked in addition.
+//     recorded and with the lists that the discovery services sent, and reports each [Violation]. It does not rely on reports of
+//     the agents: the soak test's own clients, backends and discovery services record all events, with times of the machine's
+//     monotonic clock. The agents' own counts of violated invariants are checked in addition.
 //
 // A rule is not checked where an injected fault explains the observation, such as a pause of the agent, a stalled system call or a cut
 // path. Each check names the faults that it excuses.
--- a/internal/soak/topology.go
+++ b/internal/soak/topology.go
@@ -58,8 +58,7 @@
 	return nil
 }
 
-// agentArgs returns the additional arguments of an agent's process: the offset of the time of day, and the planted
-// faults.
+// agentArgs returns the additional arguments of an agent's process: the offset of the time of day, and the planted faults.
 func (r *soakRun) agentArgs() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
