--- a/internal/experiment/byzantine.go
+++ b/internal/experiment/byzantine.go
@@ -27,7 +27,7 @@
 	topPriorityWeight float64 // highest priority weight of all classes
 }
 
-// byzantineName is the host name of a day's i-th byzantine peer.
+// byzantineName is the host name of a scenario's i-th byzantine peer.
 func byzantineName(i int) string { return fmt.Sprint("liar-", i) }
 
 const falseFactInterval = 100 * time.Millisecond
@@ -45,61 +45,61 @@
 }
 
 // MergeFacts, Facts and UpdatePeerState ignore what the other peers send, and have nothing of their own.
-func (l *byzantinePeer) MergeFacts([]fleetstate.Fact) []fleetstate.Fact   { return nil }
-func (l *byzantinePeer) Facts() []fleetstate.Fact                         { return nil }
-func (l *byzantinePeer) UpdatePeerState(string, uint64, budget.PeerState) {}
+func (b *byzantinePeer) MergeFacts([]fleetstate.Fact) []fleetstate.Fact   { return nil }
+func (b *byzantinePeer) Facts() []fleetstate.Fact                         { return nil }
+func (b *byzantinePeer) UpdatePeerState(string, uint64, budget.PeerState) {}
 
-// run is a member until the context ends, and sends its false facts and state in the interval that the day has for it.
-func (l *byzantinePeer) run(ctx context.Context) {
+// run is a member until the context ends, and sends its false facts and state in the interval that the scenario has for it.
+func (b *byzantinePeer) run(ctx context.Context) {
 	ended := make(chan struct{})
-	go func() { l.member.Run(ctx); close(ended) }()
+	go func() { b.member.Run(ctx); close(ended) }()
 	defer func() { <-ended }()
-	if !callers.Sleep(ctx, l.spec.From.D()-l.world.Now()) {
+	if !callers.Sleep(ctx, b.spec.From.D()-b.world.Now()) {
 		return
 	}
-	l.world.RecordEvent(l.spec.From.D(), l.spec.To.D(), l.name, fmt.Sprint("lies: ", l.spec.Says))
-	for l.world.Now() < l.spec.To.D() && callers.Sleep(ctx, falseFactInterval) {
-		l.member.Broadcast(l.falseFacts(time.Now()))
-		if p := l.falseState(); p.Rate > 0 || len(p.Demand) > 0 {
-			l.member.SendPeerState(p, emulator.MaxProcesses)
+	b.world.RecordEvent(b.spec.From.D(), b.spec.To.D(), b.name, fmt.Sprint("lies: ", b.spec.Says))
+	for b.world.Now() < b.spec.To.D() && callers.Sleep(ctx, falseFactInterval) {
+		b.member.Broadcast(b.falseFacts(time.Now()))
+		if p := b.falseState(); p.Rate > 0 || len(p.Demand) > 0 {
+			b.member.SendPeerState(p, emulator.MaxProcesses)
 		}
 	}
 	<-ctx.Done()
 }
 
-// claims reports whether the day has the peer send this kind of false claim.
-func (l *byzantinePeer) claims(lie string) bool { return slices.Contains(l.spec.Says, lie) }
+// claims reports whether the scenario has the peer send this kind of false claim.
+func (b *byzantinePeer) claims(claim string) bool { return slices.Contains(b.spec.Says, claim) }
 
 // falseFacts are what it says of the servers.
-func (l *byzantinePeer) falseFacts(now time.Time) (out []fleetstate.Fact) {
-	servers := l.world.EndpointList(0).Servers
+func (b *byzantinePeer) falseFacts(now time.Time) (out []fleetstate.Fact) {
+	servers := b.world.EndpointList(0).Servers
 	servers = slices.DeleteFunc(servers, func(e discovery.Entry) bool { return e.State != discovery.Ready })
 	for i, e := range servers {
 		key := fleetstate.Key{Server: e.ID, Started: e.StartedMS}
-		if l.claims(emulator.FalseSuspicion) {
-			for _, who := range append([]string{l.name}, l.world.Scenario.Agents...) {
+		if b.claims(emulator.FalseSuspicion) {
+			for _, who := range append([]string{b.name}, b.world.Scenario.Agents...) {
 				k := key
 				k.Kind, k.Origin = fleetstate.Suspicion, who
 				// As far ahead as is believed, so that what the agents say themselves sorts before it.
-				out = append(out, fleetstate.Fact{Key: k, Value: math.MaxInt32, Timestamp: l.clock.Next(now.Add(fleetstate.MaxClockSkew * 9 / 10)), Reporter: who})
+				out = append(out, fleetstate.Fact{Key: k, Value: math.MaxInt32, Timestamp: b.clock.Next(now.Add(fleetstate.MaxClockSkew * 9 / 10)), Reporter: who})
 			}
 		}
-		if l.claims(emulator.FalseRemoval) && i < len(servers)/2 {
+		if b.claims(emulator.FalseRemoval) && i < len(servers)/2 {
 			k := key
-			k.Kind, k.Origin = fleetstate.Notice, l.name
-			out = append(out, fleetstate.Fact{Key: k, Value: fleetstate.Removed, Timestamp: l.clock.Next(now), Reporter: l.name})
+			k.Kind, k.Origin = fleetstate.Notice, b.name
+			out = append(out, fleetstate.Fact{Key: k, Value: fleetstate.Removed, Timestamp: b.clock.Next(now), Reporter: b.name})
 		}
 	}
 	return out
 }
 
 // falseState is what it says of the fleet's level.
-func (l *byzantinePeer) falseState() (p budget.PeerState) {
+func (b *byzantinePeer) falseState() (p budget.PeerState) {
 	const all = 1e6
-	if l.claims(emulator.FalseDemand) {
-		p.Demand = []budget.Demand{{Priority: l.topPriorityWeight, Rate: all}}
+	if b.claims(emulator.FalseDemand) {
+		p.Demand = []budget.Demand{{Priority: b.topPriorityWeight, Rate: all}}
 	}
-	if l.claims(emulator.FalseRate) {
+	if b.claims(emulator.FalseRate) {
 		p.Rate = all
 	}
 	return p
--- a/internal/experiment/choose.go
+++ b/internal/experiment/choose.go
@@ -11,13 +11,13 @@
 
 // View is a node as a client-side chooser sees it.
 type View struct {
-	ID       string
-	InFlight int // the chooser's own requests at the node
-	Truth    *Truth
+	ID        string
+	InFlight  int // the chooser's own requests at the node
+	TrueState *TrueState
 }
 
 // Truth is what only the emulator knows of a node.
-type Truth struct {
+type TrueState struct {
 	Capacity        float64 // cores' worth of work that it can do at present, in seconds a second
 	Cores           int
 	Backlog         time.Duration // time until all requests that it holds are done
@@ -134,7 +134,7 @@
 	best, shortest := -1, math.Inf(1)
 	var wait time.Duration
 	for _, i := range untried(nodes, tried) {
-		truth := nodes[i].Truth
+		truth := nodes[i].TrueState
 		if truth == nil || truth.Capacity <= 0 || truth.FailureFraction >= 1 || !truth.HasCapacity {
 			continue
 		}
--- a/internal/experiment/choosers.go
+++ b/internal/experiment/choosers.go
@@ -19,8 +19,8 @@
 	return p.world.Scenario.Agents[c.Agent], p.clients[c.Agent], func(referee.Outcome) {}
 }
 
-// clientSideChoosers route the calls of one agent's callers, who choose nodes by themselves.
-type clientSideChoosers struct {
+// clientSideChooser route the calls of one agent's callers, who choose nodes by themselves.
+type clientSideChooser struct {
 	run       *scenarioRun
 	agent     int
 	seesTruth bool // the true state
@@ -45,7 +45,7 @@
 		if p.variant.Chooser != Oracle {
 			chooser = NewChooser(p.variant.Chooser, p.world.Scenario.Seed+uint64(i))
 		}
-		c := &clientSideChoosers{run: p, agent: i, seesTruth: p.variant.Chooser == Oracle, chooser: chooser, mu: &mu,
+		c := &clientSideChooser{run: p, agent: i, seesTruth: p.variant.Chooser == Oracle, chooser: chooser, mu: &mu,
 			clients: map[string]*callers.Client{}, inFlight: map[string]int{}}
 		if c.chooser == nil {
 			return fmt.Errorf("arm %s: %q is no way to choose", p.variant.Name, p.variant.Chooser)
@@ -56,7 +56,7 @@
 }
 
 // route does the same by the chooser, and counts the request as in flight until its end.
-func (c *clientSideChoosers) route(planned callers.PlannedRequest, tried []string) (string, *callers.Client, func(referee.Outcome)) {
+func (c *clientSideChooser) route(planned callers.PlannedRequest, tried []string) (string, *callers.Client, func(referee.Outcome)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.seesTruth || time.Since(c.viewedAt) > viewInterval {
@@ -87,12 +87,12 @@
 }
 
 // refresh reads the endpoint list, which lags, and for the oracle the true state, which does not.
-func (c *clientSideChoosers) refresh() {
-	truth := map[string]*Truth{}
+func (c *clientSideChooser) refresh() {
+	truth := map[string]*TrueState{}
 	if c.seesTruth {
 		for _, s := range c.run.world.NodeStates() {
 			if s.Up {
-				truth[s.ID] = &Truth{Capacity: s.Capacity, Cores: s.Cores, Backlog: s.Backlog, HasCapacity: s.HasCapacity, FailureFraction: s.FailureFraction}
+				truth[s.ID] = &TrueState{Capacity: s.Capacity, Cores: s.Cores, Backlog: s.Backlog, HasCapacity: s.HasCapacity, FailureFraction: s.FailureFraction}
 			}
 		}
 	}
@@ -103,7 +103,7 @@
 		}
 		if e.State == discovery.Ready {
 			c.addrs = append(c.addrs, e.Addr)
-			c.nodes = append(c.nodes, View{ID: e.ID, Truth: truth[e.ID]})
+			c.nodes = append(c.nodes, View{ID: e.ID, TrueState: truth[e.ID]})
 		}
 	}
 }
--- a/internal/experiment/compare.go
+++ b/internal/experiment/compare.go
@@ -42,10 +42,10 @@
 }
 
 const (
-	loadConnections = 32
-	instantNodes    = 4
-	warmUpTime      = time.Second
-	sliceLength     = time.Second // both are loaded in turn for so long, so that what else the machine does meets both
+	loadConnections    = 32
+	instantServerCount = 4
+	warmUpTime         = time.Second
+	sliceLength        = time.Second // both are loaded in turn for so long, so that what else the machine does meets both
 )
 
 // PlainProxy is Go's reverse proxy before some backends, in turn, until the context ends.
@@ -71,9 +71,9 @@
 }
 
 // serveInstantly answers each request at once. Nothing is modelled: what is measured is what stands before it.
-func serveInstantly(c net.Conn, most <-chan struct{}) {
+func serveInstantly(c net.Conn, done <-chan struct{}) {
 	defer c.Close()
-	go func() { <-most; c.Close() }()
+	go func() { <-done; c.Close() }()
 	in := bufio.NewReader(c)
 	answer := "HTTP/1.1 200 OK\r\nContent-Length: 400\r\n\r\n" + strings.Repeat("x", 400)
 	for {
@@ -95,20 +95,20 @@
 
 // Compare measures the agent beside a plain proxy before the same instant stand-ins, each with one core of its own to run on,
 // in slices that take turns. Per rate it returns the two, and the interval of the agent's processor time over the proxy's.
-func Compare(ctx context.Context, self string, each time.Duration) ([]Cost, []Interval, error) {
+func Compare(ctx context.Context, self string, duration time.Duration) ([]Cost, []Interval, error) {
 	dir, err := os.MkdirTemp("", "ryeweir-compare-")
 	if err != nil {
 		return nil, nil, err
 	}
 	defer os.RemoveAll(dir)
-	nodes, err := startInstantNodes()
+	servers, err := startInstantServers()
 	if err != nil {
 		return nil, nil, err
 	}
-	defer nodes.close()
-	both, err := startBoth(ctx, self, dir, nodes)
+	defer servers.close()
+	processes, err := startProcesses(ctx, self, dir, servers)
 	defer func() {
-		for _, process := range both {
+		for _, process := range processes {
 			process.stop()
 		}
 	}()
@@ -118,11 +118,11 @@
 	var costs []Cost
 	var ratios []Interval
 	for _, rate := range compareRates() {
-		ratio, err := measureInTurn(ctx, both, rate, max(2, int(each/sliceLength)))
+		ratio, err := measureInTurn(ctx, processes, rate, max(2, int(duration/sliceLength)))
 		if err != nil {
 			return costs, ratios, err
 		}
-		for _, process := range both {
+		for _, process := range processes {
 			cost, err := process.cost(rate)
 			if err != nil {
 				return costs, ratios, err
@@ -134,8 +134,8 @@
 	return costs, ratios, nil
 }
 
-// instantFleet is instant stand-ins and the discovery that lists them.
-type instantFleet struct {
+// instantServers is instant stand-ins and the discovery that lists them.
+type instantServers struct {
 	addrs     []string
 	discovery string // its address
 	registry  *discovery.Server
@@ -144,10 +144,10 @@
 	running   sync.WaitGroup
 }
 
-// startInstantNodes starts the stand-ins and their discovery on loopback.
-func startInstantNodes() (*instantFleet, error) {
-	f := &instantFleet{registry: discovery.New(discovery.Config{}), done: make(chan struct{})}
-	for i := range instantNodes {
+// startInstantServers starts the stand-ins and their discovery on loopback.
+func startInstantServers() (*instantServers, error) {
+	f := &instantServers{registry: discovery.New(discovery.Config{}), done: make(chan struct{})}
+	for i := range instantServerCount {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			f.close()
@@ -170,7 +170,7 @@
 }
 
 // accept serves the connections of one stand-in until its listener closes.
-func (f *instantFleet) accept(l net.Listener) {
+func (f *instantServers) accept(l net.Listener) {
 	for {
 		c, err := l.Accept()
 		if err != nil {
@@ -181,7 +181,7 @@
 }
 
 // close ends the stand-ins and their discovery.
-func (f *instantFleet) close() {
+func (f *instantServers) close() {
 	for _, l := range f.listeners {
 		l.Close()
 	}
@@ -190,41 +190,41 @@
 	f.running.Wait()
 }
 
-// startBoth starts the agent and the plain proxy before the stand-ins. With an error it returns those that run.
-func startBoth(ctx context.Context, self, dir string, nodes *instantFleet) (both []*measuredProcess, err error) {
+// startProcesses starts the agent and the plain proxy before the stand-ins. With an error it returns those that run.
+func startProcesses(ctx context.Context, self, dir string, servers *instantServers) (processes []*measuredProcess, err error) {
 	for i, name := range []string{"agent", "proxy"} {
 		listen, control, err := processrig.FreePortPair("127.0.0.1", i)
 		if err != nil {
-			return both, err
+			return processes, err
 		}
-		command := exec.Command(self, "proxy", "--listen", listen, "--target", strings.Join(nodes.addrs, ","))
+		command := exec.Command(self, "proxy", "--listen", listen, "--target", strings.Join(servers.addrs, ","))
 		if name == "agent" {
-			if command, err = agentCommand(self, dir, listen, control, nodes.discovery); err != nil {
-				return both, err
+			if command, err = agentCommand(self, dir, listen, control, servers.discovery); err != nil {
+				return processes, err
 			}
 		}
 		process, err := startMeasured(ctx, name, command, listen)
 		if err != nil {
-			return both, err
+			return processes, err
 		}
 		if name == "agent" {
 			process.control = control
 		}
-		both = append(both, process)
+		processes = append(processes, process)
 	}
-	return both, nil
+	return processes, nil
 }
 
-// agentCommand is an agent at these addresses, with the settings of the default day.
-func agentCommand(self, dir, listen, control, disco string) (*exec.Cmd, error) {
+// agentCommand is an agent at these addresses, with the settings of the default scenario.
+func agentCommand(self, dir, listen, control, discoveryAddr string) (*exec.Cmd, error) {
 	spec := emulator.DefaultScenario()
 	spec.Agents = 1
 	spec.Length = config.Duration(time.Second)
-	day, err := spec.Draw(1)
+	scenario, err := spec.Draw(1)
 	if err != nil {
 		return nil, err
 	}
-	text, err := day.AgentConfig(0, listen, control, disco, emulator.DefaultLimits(), nil)
+	text, err := scenario.AgentConfig(0, listen, control, discoveryAddr, emulator.DefaultLimits(), nil)
 	if err != nil {
 		return nil, err
 	}
@@ -238,22 +238,22 @@
 }
 
 // measureInTurn measures both in slices that take turns, and returns the interval of the agent's processor time over the proxy's.
-func measureInTurn(ctx context.Context, both []*measuredProcess, rate, rounds int) (Interval, error) {
-	for _, process := range both {
-		process.reset(ctx, rate)
+func measureInTurn(ctx context.Context, processes []*measuredProcess, rate, rounds int) (Interval, error) {
+	for _, process := range processes {
+		process.warmUp(ctx, rate)
 	}
-	quotients := make([]float64, rounds)
+	ratios := make([]float64, rounds)
 	for round := range rounds {
 		var cpu [2]float64
-		for k := range both {
+		for k := range processes {
 			i := (k + round) % 2
-			used, err := both[i].measureSlice(ctx, rate)
+			used, err := processes[i].measureSlice(ctx, rate)
 			if err != nil {
-				return Interval{}, fmt.Errorf("%s: %w", both[i].name, err)
+				return Interval{}, fmt.Errorf("%s: %w", processes[i].name, err)
 			}
 			cpu[i] = used
 		}
-		quotients[round] = cpu[0] / cpu[1]
+		ratios[round] = cpu[0] / cpu[1]
 	}
-	return bootstrap(quotients), nil
+	return bootstrap(ratios), nil
 }
--- a/internal/experiment/drill.go
+++ b/internal/experiment/drill.go
@@ -12,7 +12,7 @@
 	"ryeweir/internal/emulator"
 )
 
-// DrillSpec is the file of a drill: one day of a fleet of agent processes, with faults of and between them, and the expected outcome.
+// DrillSpec is the file of a drill: one scenario of a fleet of agent processes, with faults of and between them, and the expected outcome.
 type DrillSpec struct {
 	Name     string                `toml:"name"`
 	Question string                `toml:"question"`
@@ -27,7 +27,7 @@
 // LongSpec is what a drill's long form has in place of its short one's.
 type LongSpec struct {
 	Agents int     `toml:"agents"` // 0: as many
-	Times  float64 `toml:"times"`  // that all times of the day are multiplied with; 0: 1
+	Times  float64 `toml:"times"`  // that all times of the scenario are multiplied with; 0: 1
 }
 
 // Expect is what a drill expects besides the rules, one answer each and no stranger, which hold in any. What is not stated is
@@ -41,8 +41,8 @@
 	MaxServed          map[string]float64 `toml:"served_most"`      // by class
 	MaxPassedOver      float64            `toml:"passed_over_most"` // see Outcome
 	MinSpared          float64            `toml:"spared_least"`     // likewise
-	AllSeeAll          bool               `toml:"whole"`            // at the end all agents see all others, and after each fault each does at least once
-	SplitTo            float64            `toml:"split_to"`         // some agent sees no more than this share of the others in a fault: it did bite
+	FullMembership     bool               `toml:"whole"`            // at the end all agents see all others, and after each fault each does at least once
+	MaxSplitFraction   float64            `toml:"split_to"`         // some agent sees no more than this share of the others in a fault: it did bite
 	MinWithheld        int64              `toml:"held_back_least"`
 	MinReplicaStates   int                `toml:"copies_least"`   // different ones that agents held at once: the faults did set them apart
 	ReplicasAgree      bool               `toml:"copies_agree"`   // at the end all agents hold the same
@@ -142,14 +142,14 @@
 			spec.Scenario.ScaleTimes(spec.Long.Times)
 		}
 	}
-	day, err := spec.Scenario.Draw(spec.Seed)
+	scenario, err := spec.Scenario.Draw(spec.Seed)
 	if err != nil {
 		return nil, DrillResult{}, err
 	}
-	outcome, err := RunScenario(ctx, day, variant, nil)
+	outcome, err := RunScenario(ctx, scenario, variant, nil)
 	if err != nil {
 		return nil, DrillResult{}, err
 	}
-	wrong, broken := spec.judge(outcome)
+	wrong, broken := spec.evaluate(outcome)
 	return &spec, DrillResult{Outcome: outcome, FailedExpectations: wrong, RuleBroken: broken, MachineOverloaded: machineOverloaded(outcome)}, nil
 }
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -62,13 +62,13 @@
 	return f.Outcomes, nil
 }
 
-// Run runs an experiment: each day with each variant, repeated. The runs of one repeat have the same seed, and with it the same arrivals,
+// Run runs an experiment: each scenario with each variant, repeated. The runs of one repeat have the same seed, and with it the same arrivals,
 // work and faults. self is the path of this program. figures.json in dir is rewritten after each run, so that an interruption, a full disk
 // or a failed run keeps what is finished. Progress goes to out, one line per run. against, where it is not empty, is the folder of an
-// earlier run of the same days: each variant is then compared with itself there, too.
+// earlier run of the same scenarios: each variant is then compared with itself there, too.
 func Run(ctx context.Context, spec *Spec, self, dir, against string, out io.Writer) (Findings, error) {
 	findings := Findings{Name: spec.Name, Question: spec.Question, Simulated: spec.Simulated, Began: time.Now().UTC(),
-		Planned: spec.Repeats * len(spec.Variants) * spec.dayCount(), agents: map[string]bool{}}
+		Planned: spec.Repeats * len(spec.Variants) * spec.scenarioCount(), agents: map[string]bool{}}
 	for _, a := range spec.Variants {
 		findings.agents[a.Name] = a.Kind == AgentKind
 	}
@@ -96,7 +96,7 @@
 		}
 		outcome, err := results(i)
 		if err != nil {
-			findings.Failures = append(findings.Failures, fmt.Sprintf("%s with %s, repeat %d: %v", spec.dayNames()[run.day], spec.Variants[run.variant].Name, run.repeat+1, err))
+			findings.Failures = append(findings.Failures, fmt.Sprintf("%s with %s, repeat %d: %v", spec.scenarioNames()[run.scenario], spec.Variants[run.variant].Name, run.repeat+1, err))
 			fmt.Fprintln(out, "FAILED:", findings.Failures[len(findings.Failures)-1])
 			continue
 		}
@@ -116,14 +116,14 @@
 }
 
 // runIndex is a run of an experiment, by index.
-type runIndex struct{ repeat, day, variant int }
+type runIndex struct{ repeat, scenario, variant int }
 
-// runs lists the runs in their order: by repeat, then day, then variant.
+// runs lists the runs in their order: by repeat, then scenario, then variant.
 func (s *Spec) runs() (out []runIndex) {
 	for repeat := range s.Repeats {
-		for day := range s.dayCount() {
+		for scenario := range s.scenarioCount() {
 			for variant := range s.Variants {
-				out = append(out, runIndex{repeat, day, variant})
+				out = append(out, runIndex{repeat, scenario, variant})
 			}
 		}
 	}
@@ -139,7 +139,7 @@
 		if err := ctx.Err(); err != nil {
 			return Outcome{}, err
 		}
-		return f.execute(ctx, spec, self, runs[i].repeat, runs[i].day, runs[i].variant)
+		return f.execute(ctx, spec, self, runs[i].repeat, runs[i].scenario, runs[i].variant)
 	}
 	if !spec.Simulated {
 		return execute, cancel
@@ -172,28 +172,28 @@
 	}
 }
 
-// execute draws the day of a run and runs it, on sockets or in simulated time.
-func (f *Findings) execute(ctx context.Context, spec *Spec, self string, repeat, dayIndex, variantIndex int) (Outcome, error) {
-	day, err := spec.draw(dayIndex, spec.Seed+uint64(repeat))
+// execute draws the scenario of a run and runs it, on sockets or in simulated time.
+func (f *Findings) execute(ctx context.Context, spec *Spec, self string, repeat, scenarioIndex, variantIndex int) (Outcome, error) {
+	scenario, err := spec.draw(scenarioIndex, spec.Seed+uint64(repeat))
 	if err != nil {
 		return Outcome{}, err
 	}
 	variant := spec.Variants[variantIndex].resolve(self)
 	if spec.Simulated {
-		return Simulate(day, variant)
+		return Simulate(scenario, variant)
 	}
-	return RunScenario(ctx, day, variant, nil)
+	return RunScenario(ctx, scenario, variant, nil)
 }
 
 // save writes the figures.
 func (f *Findings) save(spec *Spec, dir string) error {
-	f.Rows, f.Differences = rows(f.Outcomes, spec.dayNames(), spec.variantNames()), nil
+	f.Rows, f.Differences = rows(f.Outcomes, spec.scenarioNames(), spec.variantNames()), nil
 	if len(spec.Variants) > 1 {
-		f.Differences = differences(f.Outcomes, spec.dayNames(), spec.variantNames())
+		f.Differences = differences(f.Outcomes, spec.scenarioNames(), spec.variantNames())
 	}
-	f.Differences = append(f.Differences, differencesFromBaseline(f.baseline, f.Outcomes, spec.dayNames(), spec.variantNames())...)
+	f.Differences = append(f.Differences, differencesFromBaseline(f.baseline, f.Outcomes, spec.scenarioNames(), spec.variantNames())...)
 	if spec.Gate {
-		f.Gate = gate(f.Outcomes, spec.Variants, spec.faultFreeDays())
+		f.Gate = gate(f.Outcomes, spec.Variants, spec.faultFreeScenarios())
 	}
 	text, err := json.MarshalIndent(f, "", " ")
 	if err != nil {
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -16,8 +16,8 @@
 	"ryeweir/internal/emulator"
 )
 
-// drawDay draws a day of 15 s with the default specification, changed by change where it is not nil.
-func drawDay(t *testing.T, change func(*emulator.ScenarioSpec)) *emulator.Scenario {
+// drawScenario draws a scenario of 15 s with the default specification, changed by change where it is not nil.
+func drawScenario(t *testing.T, change func(*emulator.ScenarioSpec)) *emulator.Scenario {
 	t.Helper()
 	spec := emulator.DefaultScenario()
 	spec.Length = config.Duration(15 * time.Second)
@@ -34,19 +34,19 @@
 // agentVariant is the agent's decision module; simulated time starts no program.
 var agentVariant = Variant{Name: "agent", Command: []string{"-", "agent"}}
 
-// simulate runs a day in simulated time and fails the test on an error.
-func simulate(t *testing.T, day *emulator.Scenario, variant Variant) Outcome {
+// simulate runs a scenario in simulated time and fails the test on an error.
+func simulate(t *testing.T, scenario *emulator.Scenario, variant Variant) Outcome {
 	t.Helper()
-	outcome, err := Simulate(day, variant)
+	outcome, err := Simulate(scenario, variant)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return outcome
 }
 
-// A failure found in simulated time is debugged by running it again. That works only where the same day and variant give the same
+// A failure found in simulated time is debugged by running it again. That works only where the same scenario and variant give the same
 // outcome, down to the last call, also through slow, unresponsive, replaced and draining nodes and an outage of discovery.
-func TestEqualDaysAndVariantsGiveEqualOutcomes(t *testing.T) {
+func TestEqualScenariosAndVariantsGiveEqualOutcomes(t *testing.T) {
 	withFaults := func(d *emulator.ScenarioSpec) {
 		d.Faults = []emulator.FaultSpec{
 			{Kind: "slow", Nodes: 2, From: config.Duration(2 * time.Second), To: config.Duration(9 * time.Second), Size: 5},
@@ -57,7 +57,7 @@
 		d.Outages = []emulator.OutageSpec{{From: config.Duration(7 * time.Second), To: config.Duration(9 * time.Second)}}
 	}
 	for _, variant := range []Variant{agentVariant, {Name: "r", Chooser: Random}, {Name: "o", Chooser: Oracle}} {
-		first, second := simulate(t, drawDay(t, withFaults), variant), simulate(t, drawDay(t, withFaults), variant)
+		first, second := simulate(t, drawScenario(t, withFaults), variant), simulate(t, drawScenario(t, withFaults), variant)
 		if !reflect.DeepEqual(first, second) {
 			t.Errorf("%s: %+v and %+v", variant.Name, first.Account, second.Account)
 		}
@@ -67,14 +67,14 @@
 	}
 }
 
-// On a loaded day with slow nodes a variant that knows more about the nodes must serve more: random less than two choices, that
+// On a loaded scenario with slow nodes a variant that knows more about the nodes must serve more: random less than two choices, that
 // less than the agent, and the agent no more than the oracle by a margin. If not, the comparison of variants says nothing.
 func TestVariantsRankByWhatTheyKnow(t *testing.T) {
 	withFaults := func(d *emulator.ScenarioSpec) {
 		d.Load = 0.7
 		d.Faults = []emulator.FaultSpec{{Kind: "slow", Nodes: 3, From: config.Duration(2 * time.Second), To: config.Duration(14 * time.Second), Size: 6}}
 	}
-	service := func(variant Variant) float64 { return simulate(t, drawDay(t, withFaults), variant).Overall }
+	service := func(variant Variant) float64 { return simulate(t, drawScenario(t, withFaults), variant).Overall }
 	random, twoChoices, agent, oracle := service(Variant{Chooser: Random}), service(Variant{Chooser: TwoChoices}), service(agentVariant), service(Variant{Chooser: Oracle})
 	if !(random < twoChoices && twoChoices < agent && agent <= oracle+0.02) {
 		t.Errorf("random %.3f, two choices %.3f, agent %.3f, oracle %.3f", random, twoChoices, agent, oracle)
--- a/internal/experiment/fleet.go
+++ b/internal/experiment/fleet.go
@@ -179,8 +179,8 @@
 
 // scheduleArrivals are an agent's requests, a Poisson process.
 func (f *fleetModel) scheduleArrivals(a *fleetAgent, end time.Duration) {
-	each := float64(f.spec.Agents) / f.spec.Rate
-	f.schedule(f.now+time.Duration(f.rng.ExpFloat64()*each*float64(time.Second)), func() {
+	meanInterval := float64(f.spec.Agents) / f.spec.Rate
+	f.schedule(f.now+time.Duration(f.rng.ExpFloat64()*meanInterval*float64(time.Second)), func() {
 		if f.now >= end {
 			return
 		}
--- a/internal/experiment/fleet_days_test.go
+++ b/internal/experiment/fleet_days_test.go
@@ -41,11 +41,11 @@
 			if err := spec.Check("day."); err != nil {
 				t.Fatal(err)
 			}
-			day, err := spec.Draw(3)
+			scenario, err := spec.Draw(3)
 			if err != nil {
 				t.Fatal(err)
 			}
-			outcome, err := Simulate(day, Variant{Name: "agent", Command: []string{"agent"}})
+			outcome, err := Simulate(scenario, Variant{Name: "agent", Command: []string{"agent"}})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -55,7 +55,7 @@
 			if outcome.Overall < tc.minService || outcome.HealthCheckWork > 0.01 {
 				t.Errorf("service %.3f, health checks took %.4f of the nodes' work", outcome.Overall, outcome.HealthCheckWork)
 			}
-			if again, err := Simulate(day, Variant{Name: "agent", Command: []string{"agent"}}); err != nil || fmt.Sprint(again.Overall, again.GroundTruth) != fmt.Sprint(outcome.Overall, outcome.GroundTruth) {
+			if again, err := Simulate(scenario, Variant{Name: "agent", Command: []string{"agent"}}); err != nil || fmt.Sprint(again.Overall, again.GroundTruth) != fmt.Sprint(outcome.Overall, outcome.GroundTruth) {
 				t.Errorf("second run: service %v, error %v", again.Overall, err)
 			}
 		})
--- a/internal/experiment/fleet_spec.go
+++ b/internal/experiment/fleet_spec.go
@@ -12,7 +12,7 @@
 )
 
 // FleetSpec is the file of a model of many agents' connections in simulated time. Each agent has a connection table of package pool, and
-// sends at a steady rate to its subset of the servers. One server restarts during the day, and another is partitioned for a while.
+// sends at a steady rate to its subset of the servers. One server restarts during the scenario, and another is partitioned for a while.
 type FleetSpec struct {
 	Name                     string          `toml:"name"`
 	Agents                   int             `toml:"agents"`
@@ -20,7 +20,7 @@
 	Subset                   int             `toml:"subset"`    // servers that an agent sends to
 	Rate                     float64         `toml:"rate"`      // requests a second of all agents
 	NonIdempotentFraction    float64         `toml:"careful"`   // fraction of them that are not idempotent
-	Length                   config.Duration `toml:"length"`    // of the day
+	Length                   config.Duration `toml:"length"`    // of the scenario
 	Cores                    int             `toml:"cores"`     // of a server
 	Work                     config.Duration `toml:"work"`      // mean processor time of a request
 	Handshake                config.Duration `toml:"handshake"` // and of a handshake
--- a/internal/experiment/gate.go
+++ b/internal/experiment/gate.go
@@ -4,7 +4,7 @@
 	"fmt"
 )
 
-// GateRow compares what an agent served in a run with what the delayed oracle served in the same day and seed.
+// GateRow compares what an agent served in a run with what the delayed oracle served in the same scenario and seed.
 type GateRow struct {
 	Scenario      string  `json:"day"`
 	Variant       string  `json:"arm"`
@@ -15,7 +15,7 @@
 	FailureReason string  `json:"why,omitempty"` // empty where it passed
 }
 
-// The least that an agent must serve: a fraction of what the delayed oracle serves; on a day without faults also the random variant's
+// The least that an agent must serve: a fraction of what the delayed oracle serves; on a scenario without faults also the random variant's
 // service, or the delayed oracle's where that is lower, each less a margin.
 const (
 	delayedOracleFraction = 0.5
@@ -24,11 +24,11 @@
 )
 
 // gate judges each run of an agent that the delayed oracle ran, too: no rule may break, each request must have one end, and enough must
-// be served. calm names the days without a fault.
-func gate(outcomes []Outcome, variants []VariantSpec, calm map[string]bool) (rows []GateRow) {
+// be served. calm names the scenarios without a fault.
+func gate(outcomes []Outcome, variants []VariantSpec, faultFree map[string]bool) (rows []GateRow) {
 	type run struct {
-		day  string
-		seed uint64
+		scenario string
+		seed     uint64
 	}
 	kinds := map[string]string{}
 	for _, variant := range variants {
@@ -49,7 +49,7 @@
 			continue
 		}
 		row := GateRow{Scenario: outcome.Scenario, Variant: outcome.Variant, Seed: outcome.Seed, Served: outcome.Overall, Wanted: delayedOracleFraction * reference}
-		if randomServed, ok := random[run{outcome.Scenario, outcome.Seed}]; ok && calm[outcome.Scenario] {
+		if randomServed, ok := random[run{outcome.Scenario, outcome.Seed}]; ok && faultFree[outcome.Scenario] {
 			row.Wanted = max(row.Wanted, min(randomServed-randomMargin, reference-delayedOracleMargin))
 		}
 		switch {
--- a/internal/experiment/hunt.go
+++ b/internal/experiment/hunt.go
@@ -24,32 +24,32 @@
 	Errors          []error          `json:"-"` // runs that ended with an error
 }
 
-// FailedScenario is a day that did not pass, with the experiment's file that reproduces it.
+// FailedScenario is a scenario that did not pass, with the experiment's file that reproduces it.
 type FailedScenario struct {
 	Seed     uint64 `json:"seed"`
 	Scenario string `json:"day"`
-	Why      string `json:"why"`
+	Reason   string `json:"why"`
 	File     string `json:"file"`
 }
 
-// maxFound is the number of days that did not pass after which a hunt ends.
-const maxFound = 50
+// maxFailedScenarios is the number of scenarios that did not pass after which a hunt ends.
+const maxFailedScenarios = 50
 
-// randomFleet is the day of a seed: a random mixture of faults in a fleet of random size, small enough to run within seconds.
+// randomFleet is the scenario of a seed: a random mixture of faults in a fleet of random size, small enough to run within seconds.
 func randomFleet(seed uint64) emulator.FleetScenario {
 	rng := rand.New(rand.NewPCG(seed, 0x70726579))
 	return emulator.FleetScenario{Name: fmt.Sprintf("mixed-%d", seed), Kind: emulator.MixedScenario, Agents: 20 + rng.IntN(180), Nodes: 12 + rng.IntN(88)}
 }
 
-// Hunt runs random days of whole fleets with the agent's decisions in simulated time, for seed and those after it. It ends with the context,
-// after maxRuns days (0: no limit), or when maxFound did not pass the gate. Each of these is left in dir as an experiment's file that
+// Hunt runs random scenarios of whole fleets with the agent's decisions in simulated time, for seed and those after it. It ends with the context,
+// after maxRuns scenarios (0: no limit), or when maxFailedScenarios did not pass the gate. Each of these is left in dir as an experiment's file that
 // reproduces it. Progress goes to out.
 func Hunt(ctx context.Context, seed, maxRuns uint64, dir string, out io.Writer) (HuntResult, error) {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return HuntResult{}, fmt.Errorf("the folder for what is found: %w", err)
 	}
 	var mu sync.Mutex
-	var hunted HuntResult
+	var result HuntResult
 	var next atomic.Uint64
 	var workers sync.WaitGroup
 	for range runtime.GOMAXPROCS(0) {
@@ -59,22 +59,22 @@
 				if maxRuns > 0 && number > maxRuns {
 					return
 				}
-				daySeed := seed + number - 1
-				why, err := runRandomFleet(daySeed)
+				scenarioSeed := seed + number - 1
+				reason, err := runRandomFleet(scenarioSeed)
 				mu.Lock()
-				hunted.Runs++
+				result.Runs++
 				switch {
 				case err != nil:
-					hunted.Errors = append(hunted.Errors, fmt.Errorf("seed %d: %w", daySeed, err))
-				case why != "" && len(hunted.FailedScenarios) < maxFound:
-					found, err := saveFound(daySeed, why, dir)
+					result.Errors = append(result.Errors, fmt.Errorf("seed %d: %w", scenarioSeed, err))
+				case reason != "" && len(result.FailedScenarios) < maxFailedScenarios:
+					failed, err := saveFailedScenario(scenarioSeed, reason, dir)
 					if err != nil {
-						hunted.Errors = append(hunted.Errors, err)
+						result.Errors = append(result.Errors, err)
 					}
-					hunted.FailedScenarios = append(hunted.FailedScenarios, found)
-					fmt.Fprintf(out, "FOUND seed %d, %s: %s (%s)\n", daySeed, found.Scenario, why, found.File)
+					result.FailedScenarios = append(result.FailedScenarios, failed)
+					fmt.Fprintf(out, "FOUND seed %d, %s: %s (%s)\n", scenarioSeed, failed.Scenario, reason, failed.File)
 				}
-				full := len(hunted.FailedScenarios) == maxFound || len(hunted.Errors) == maxFound
+				full := len(result.FailedScenarios) == maxFailedScenarios || len(result.Errors) == maxFailedScenarios
 				mu.Unlock()
 				if full {
 					return
@@ -83,27 +83,27 @@
 		})
 	}
 	workers.Wait()
-	fmt.Fprintf(out, "%d days played, %d did not pass\n", hunted.Runs, len(hunted.FailedScenarios))
-	return hunted, errors.Join(hunted.Errors...)
+	fmt.Fprintf(out, "%d days played, %d did not pass\n", result.Runs, len(result.FailedScenarios))
+	return result, errors.Join(result.Errors...)
 }
 
-// runRandomFleet runs the day of a seed and returns why it did not pass the gate, or "". A panic of the decision module is a reason, too.
-func runRandomFleet(seed uint64) (why string, err error) {
+// runRandomFleet runs the scenario of a seed and returns why it did not pass the gate, or "". A panic of the decision module is a reason, too.
+func runRandomFleet(seed uint64) (reason string, err error) {
 	defer func() {
 		if panicValue := recover(); panicValue != nil {
-			why = fmt.Sprintf("the decisions crashed: %v\n%s", panicValue, debug.Stack())
+			reason = fmt.Sprintf("the decisions crashed: %v\n%s", panicValue, debug.Stack())
 		}
 	}()
 	fleet := randomFleet(seed)
 	spec := fleet.Spec(seed)
-	day, err := spec.Draw(seed)
+	scenario, err := spec.Draw(seed)
 	if err != nil {
 		return "", err
 	}
 	variants := []VariantSpec{{Name: "agent", Kind: AgentKind}, {Name: "late", Kind: DelayedOracle}}
 	var outcomes []Outcome
 	for _, variant := range variants {
-		outcome, err := Simulate(day, variant.resolve("agent"))
+		outcome, err := Simulate(scenario, variant.resolve("agent"))
 		if err != nil {
 			return "", err
 		}
@@ -117,7 +117,7 @@
 	return "", nil
 }
 
-const foundFile = `# Found by a hunt: %s
+const failedScenarioFile = `# Found by a hunt: %s
 name = "found-%d"
 repeats = 1
 seed = %d
@@ -139,11 +139,11 @@
 nodes = %d
 `
 
-// saveFound writes the experiment's file that reproduces a day.
-func saveFound(seed uint64, why, dir string) (FailedScenario, error) {
+// saveFailedScenario writes the experiment's file that reproduces a scenario.
+func saveFailedScenario(seed uint64, reason, dir string) (FailedScenario, error) {
 	fleet := randomFleet(seed)
 	file := filepath.Join(dir, fmt.Sprintf("found-%d.toml", seed))
-	first, _, _ := strings.Cut(why, "\n")
-	text := fmt.Sprintf(foundFile, first, seed, seed, fleet.Name, fleet.Kind, fleet.Agents, fleet.Nodes)
-	return FailedScenario{Seed: seed, Scenario: fleet.String(), Why: why, File: file}, replace(file, []byte(text))
+	first, _, _ := strings.Cut(reason, "\n")
+	text := fmt.Sprintf(failedScenarioFile, first, seed, seed, fleet.Name, fleet.Kind, fleet.Agents, fleet.Nodes)
+	return FailedScenario{Seed: seed, Scenario: fleet.String(), Reason: reason, File: file}, replace(file, []byte(text))
 }
--- a/internal/experiment/levels.go
+++ b/internal/experiment/levels.go
@@ -7,7 +7,7 @@
 	"ryeweir/internal/emulator"
 )
 
-// AdmissionSummary sums up the admission budgets of a day's agent processes, as their metrics reported them.
+// AdmissionSummary sums up the admission budgets of a scenario's agent processes, as their metrics reported them.
 type AdmissionSummary struct {
 	Least          float64 `json:"least"`    // fraction of its demand that an agent admitted one second before the surge ended: the lowest of all agents
 	Median         float64 `json:"median"`   //
@@ -25,31 +25,31 @@
 	SelfOverloaded int64 `json:"Pressed"`
 }
 
-// summarizeLevels sums up the budget metrics of all agents; nil where no agent has a budget.
-func summarizeLevels(day *emulator.Scenario, peerViews [][]peerView) *AdmissionSummary {
-	end := day.Length
-	if i := surgeShift(day); i >= 0 {
-		end = day.Spec.Fleet.TrafficShifts[i].To.D()
+// summarizeAdmission sums up the budget metrics of all agents; nil where no agent has a budget.
+func summarizeAdmission(scenario *emulator.Scenario, peerSamples [][]peerSample) *AdmissionSummary {
+	end := scenario.Length
+	if i := surgeShift(scenario); i >= 0 {
+		end = scenario.Spec.Fleet.TrafficShifts[i].To.D()
 	}
-	levels := &AdmissionSummary{}
+	summary := &AdmissionSummary{}
 	var shares []float64
-	for _, agentViews := range peerViews {
+	for _, samples := range peerSamples {
 		var last overloadMetrics // of the present process
 		admitted, at := 0.0, time.Duration(-1)
-		for _, view := range agentViews {
-			metrics := view.overload
+		for _, sample := range samples {
+			metrics := sample.overload
 			if metrics == nil {
 				continue
 			}
 			if metrics.Shed < last.Shed || metrics.SelfOverloaded < last.SelfOverloaded { // another process began in between
-				levels.add(last)
+				summary.add(last)
 			}
 			last = *metrics
-			if view.at <= end-time.Second {
-				admitted, at = metrics.Admitted, view.at
+			if sample.at <= end-time.Second {
+				admitted, at = metrics.Admitted, sample.at
 			}
 		}
-		levels.add(last)
+		summary.add(last)
 		if at >= 0 {
 			shares = append(shares, admitted)
 		}
@@ -58,8 +58,8 @@
 		return nil
 	}
 	slices.Sort(shares)
-	levels.Least, levels.Median, levels.Most = shares[0], shares[len(shares)/2], shares[len(shares)-1]
-	return levels
+	summary.Least, summary.Median, summary.Most = shares[0], shares[len(shares)/2], shares[len(shares)-1]
+	return summary
 }
 
 // add adds the counters of one process.
--- a/internal/experiment/load.go
+++ b/internal/experiment/load.go
@@ -32,10 +32,10 @@
 // Check finds nothing wrong.
 func (*anyKeys) Check() error { return nil }
 
-// RunLoad sends a day's plan to agents that run already. Their nodes are out of sight: that an answer was made by a node, and
+// RunLoad sends a scenario's plan to agents that run already. Their nodes are out of sight: that an answer was made by a node, and
 // what ran there, is not checked.
 func RunLoad(ctx context.Context, spec *LoadSpec) (Outcome, error) {
-	day, err := spec.Scenario.Draw(spec.Seed)
+	scenario, err := spec.Scenario.Draw(spec.Seed)
 	if err != nil {
 		return Outcome{}, err
 	}
@@ -53,9 +53,9 @@
 	route := func(p callers.PlannedRequest, _ []string) (string, *callers.Client, func(referee.Outcome)) {
 		return spec.Targets[p.Agent], clients[p.Agent], func(referee.Outcome) {}
 	}
-	calls, figures := callers.Run(ctx, callers.Config{Plan: day.Plan, Classes: day.Classes, Tenants: day.Tenants, ClientProfileAt: day.ClientProfileAt, Route: route,
-		Referee: ref, Epoch: time.Now(), ResponseBytes: day.Spec.ResponseBytes, RequestBytes: day.Spec.RequestBytes, SlowFraction: day.Spec.Clients.SlowFraction, IDPrefix: uint64(time.Now().UnixNano())})
-	record := runRecord{day: day, calls: calls, figures: figures, account: ref.Account(), violations: ref.Violations()}
+	calls, figures := callers.Run(ctx, callers.Config{Plan: scenario.Plan, Classes: scenario.Classes, Tenants: scenario.Tenants, ClientProfileAt: scenario.ClientProfileAt, Route: route,
+		Referee: ref, Epoch: time.Now(), ResponseBytes: scenario.Spec.ResponseBytes, RequestBytes: scenario.Spec.RequestBytes, SlowFraction: scenario.Spec.Clients.SlowFraction, IDPrefix: uint64(time.Now().UnixNano())})
+	record := runRecord{scenario: scenario, calls: calls, figures: figures, account: ref.Account(), violations: ref.Violations()}
 	outcome := record.outcome("load", false)
 	outcome.Interrupted = ctx.Err() != nil
 	return outcome, nil
--- a/internal/experiment/measured.go
+++ b/internal/experiment/measured.go
@@ -38,8 +38,8 @@
 }
 
 // startMeasured starts a process and waits until it serves.
-func startMeasured(ctx context.Context, through string, cmd *exec.Cmd, addr string) (*measuredProcess, error) {
-	s := &measuredProcess{name: through, cmd: cmd, ended: make(chan error, 1), client: &callers.Client{Addr: addr, Dial: (&emulator.LoopbackNetwork{}).Dialer("")}}
+func startMeasured(ctx context.Context, processName string, cmd *exec.Cmd, addr string) (*measuredProcess, error) {
+	s := &measuredProcess{name: processName, cmd: cmd, ended: make(chan error, 1), client: &callers.Client{Addr: addr, Dial: (&emulator.LoopbackNetwork{}).Dialer("")}}
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
 	cmd.Stderr = &s.log
 	if err := cmd.Start(); err != nil {
@@ -49,7 +49,7 @@
 	for end := time.Now().Add(processrig.ReadyTimeout); s.send(ctx).Outcome != referee.Served; {
 		if time.Now().After(end) || ctx.Err() != nil {
 			s.stop()
-			return nil, fmt.Errorf("%s serves nothing\n%s", through, s.log.String())
+			return nil, fmt.Errorf("%s serves nothing\n%s", processName, s.log.String())
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
@@ -78,7 +78,7 @@
 }
 
 // reset forgets what was measured and warms up.
-func (s *measuredProcess) reset(ctx context.Context, rate int) {
+func (s *measuredProcess) warmUp(ctx context.Context, rate int) {
 	s.cpu, s.latencies, s.elapsed = nil, nil, 0
 	sendAtRate(ctx, rate, warmUpTime, s.send)
 	s.opened, _, _ = s.connections() // 0 without: the end says what is wrong
@@ -162,7 +162,7 @@
 }
 
 // sendAtRate sends at a steady rate, open loop, or over so many connections as fast as answers come.
-func sendAtRate(ctx context.Context, rate int, each time.Duration, send func(context.Context) callers.Response) (latencies []time.Duration, failed int, elapsed time.Duration) {
+func sendAtRate(ctx context.Context, rate int, duration time.Duration, send func(context.Context) callers.Response) (latencies []time.Duration, failed int, elapsed time.Duration) {
 	var mu sync.Mutex
 	record := func(from time.Time, a callers.Response) {
 		mu.Lock()
@@ -178,7 +178,7 @@
 	if rate == 0 {
 		for range loadConnections {
 			all.Go(func() {
-				for time.Since(began) < each && ctx.Err() == nil {
+				for time.Since(began) < duration && ctx.Err() == nil {
 					at := time.Now()
 					record(at, send(ctx))
 				}
@@ -187,7 +187,7 @@
 	} else {
 		for n := 0; ; n++ {
 			at := began.Add(time.Duration(n) * time.Second / time.Duration(rate))
-			if at.Sub(began) >= each || ctx.Err() != nil {
+			if at.Sub(began) >= duration || ctx.Err() != nil {
 				break
 			}
 			time.Sleep(time.Until(at))
--- a/internal/experiment/order.go
+++ b/internal/experiment/order.go
@@ -10,17 +10,17 @@
 // passedOver returns the fraction of the top-priority class's work that was answered, and the fraction that was not while, in the same
 // second, nodes answered as much work of lower classes. A strict priority order across the fleet brings the second to 0. Requests lost for
 // other reasons, such as a killed agent, count too.
-func passedOver(day *emulator.Scenario, calls []referee.CallResult) (served, missedFraction float64) {
+func passedOver(scenario *emulator.Scenario, calls []referee.CallResult) (served, missedFraction float64) {
 	top := 0
-	for i, c := range day.Classes {
-		if c.PriorityWeight > day.Classes[top].PriorityWeight {
+	for i, c := range scenario.Classes {
+		if c.PriorityWeight > scenario.Classes[top].PriorityWeight {
 			top = i
 		}
 	}
 	var asked, lost float64
 	var missed, lesser []float64 // work by second
 	for _, c := range calls {
-		work, second := day.Classes[c.Class].Work.Seconds(), int(c.At/time.Second)
+		work, second := scenario.Classes[c.Class].Work.Seconds(), int(c.At/time.Second)
 		for len(missed) <= second {
 			missed, lesser = append(missed, 0), append(lesser, 0)
 		}
@@ -31,7 +31,7 @@
 				missed[second] += work
 				lost += work
 			}
-		case c.Answered && day.Classes[c.Class].PriorityWeight < day.Classes[top].PriorityWeight:
+		case c.Answered && scenario.Classes[c.Class].PriorityWeight < scenario.Classes[top].PriorityWeight:
 			lesser[second] += work
 		}
 	}
--- a/internal/experiment/outcome.go
+++ b/internal/experiment/outcome.go
@@ -42,7 +42,7 @@
 	return Percentiles{Count: h.TotalCount(), Mean: h.Mean() / 1e3, P50: at(50), P90: at(90), P99: at(99), P999: at(99.9), Max: float64(h.Max()) / 1e3}
 }
 
-// Outcome is the result of one run: a day with a variant.
+// Outcome is the result of one run: a scenario with a variant.
 type Outcome struct {
 	Scenario   string              `json:"day"`
 	Variant    string              `json:"arm"`
@@ -65,7 +65,7 @@
 	SlowStartPeak     float64                    `json:"cold_peak"`                          // highest load of a node in slow start, as a fraction of what overloads it
 	NodesUsed         []float64                  `json:"nodes_used,omitempty"`               // of a simulation: share of the nodes, a second each
 	NodesBusy         []float64                  `json:"nodes_busy,omitempty"`               // of a simulation: work done of what could be, a second each
-	Priced            float64                    `json:"priced"`                             // the goal less the day's prices
+	Priced            float64                    `json:"priced"`                             // the goal less the scenario's prices
 	HealthCheckWork   float64                    `json:"probe_work"`                         // as a share of what the nodes could do
 	CPU               float64                    `json:"agent_cpu_us_per_request,omitempty"` // of all agents' processes
 	Skipped           int                        `json:"skipped"`                            // calls that were not sent, as too many were open
@@ -78,7 +78,7 @@
 	TopPriorityServed float64                    `json:"worthiest_served"` // fraction of the top-priority class that was answered
 	PassedOver        float64                    `json:"passed_over"`      // fraction of the top-priority class that was not answered while lower classes were
 	UnaffectedService float64                    `json:"spared"`           // service of the requests at agents without a fault of their own; 1 where there are none
-	Surge             *Surge                     `json:"surge,omitempty"`  // of a day whose traffic shifts upwards at all agents
+	Surge             *Surge                     `json:"surge,omitempty"`  // of a scenario whose traffic shifts upwards at all agents
 	Series            Series                     `json:"series"`
 	Events            []emulator.Event           `json:"marks"`
 }
@@ -95,7 +95,7 @@
 
 // runRecord is what a run has recorded, from which its outcome is computed.
 type runRecord struct {
-	day        *emulator.Scenario
+	scenario   *emulator.Scenario
 	calls      []referee.CallResult
 	figures    callers.Figures
 	account    referee.Account
@@ -111,21 +111,21 @@
 const settleTime = time.Second
 
 // outcome computes the outcome of a run.
-func (t runRecord) outcome(variant string, simulated bool) Outcome {
-	slices.SortFunc(t.calls, func(a, b referee.CallResult) int { return int(a.At - b.At) })
-	outcome := Outcome{Scenario: t.day.Spec.Name, Variant: variant, Seed: t.day.Seed, Simulated: simulated, Seconds: t.day.Length.Seconds(), Calls: len(t.calls),
-		Account: t.account, Violations: t.violations, Service: referee.MeasureService(t.calls, settleTime, len(t.day.Classes), len(t.day.Tenants)),
-		Latency: map[string]Percentiles{"all": percentiles(referee.Latencies(t.calls, -1))}, ListCalls: t.lists, Events: t.marks,
-		Skipped: t.figures.Skipped, Lag: float64(t.figures.Lag.Microseconds()) / 1e3}
+func (r runRecord) outcome(variant string, simulated bool) Outcome {
+	slices.SortFunc(r.calls, func(a, b referee.CallResult) int { return int(a.At - b.At) })
+	outcome := Outcome{Scenario: r.scenario.Spec.Name, Variant: variant, Seed: r.scenario.Seed, Simulated: simulated, Seconds: r.scenario.Length.Seconds(), Calls: len(r.calls),
+		Account: r.account, Violations: r.violations, Service: referee.MeasureService(r.calls, settleTime, len(r.scenario.Classes), len(r.scenario.Tenants)),
+		Latency: map[string]Percentiles{"all": percentiles(referee.Latencies(r.calls, -1))}, ListCalls: r.lists, Events: r.marks,
+		Skipped: r.figures.Skipped, Lag: float64(r.figures.Lag.Microseconds()) / 1e3}
 	outcome.Goal = outcome.Service.Goal()
-	for i, c := range t.day.Classes {
-		outcome.Latency[c.Name] = percentiles(referee.Latencies(t.calls, i))
+	for i, c := range r.scenario.Classes {
+		outcome.Latency[c.Name] = percentiles(referee.Latencies(r.calls, i))
 	}
-	if t.account.Requests > 0 {
-		outcome.Attempts = float64(t.account.Attempts) / float64(t.account.Requests)
+	if r.account.Requests > 0 {
+		outcome.Attempts = float64(r.account.Attempts) / float64(r.account.Requests)
 	}
 	var nodeTotals node.Figures
-	for _, f := range t.nodes {
+	for _, f := range r.nodes {
 		nodeTotals = nodeTotals.Add(f)
 	}
 	if nodeTotals.Work > 0 {
@@ -133,17 +133,17 @@
 	}
 	outcome.HealthChecks, outcome.Handshakes, outcome.Degradations = nodeTotals.HealthChecks, nodeTotals.Handshakes, nodeTotals.Degradations
 	outcome.SlowStartPeak = nodeTotals.SlowStartPeak
-	prices, perCall := t.day.Spec.Fleet.Prices, 1/max(1, float64(len(t.calls)))
+	prices, perCall := r.scenario.Spec.Fleet.Prices, 1/max(1, float64(len(r.calls)))
 	outcome.Priced = outcome.Goal - prices.HealthCheck*float64(outcome.HealthChecks)*perCall - prices.Handshake*float64(outcome.Handshakes)*perCall - prices.List*float64(outcome.ListCalls)*perCall - prices.Waste*outcome.Waste
-	outcome.HealthCheckWork = float64(nodeTotals.HealthChecks) * t.day.Nodes[0].HealthCheckWork.Seconds() / (t.day.Capacity * t.day.Length.Seconds())
-	outcome.Series = summarizeSeries(t.calls)
-	outcome.Series.Load, outcome.Series.Goodput = t.load, t.goodput
-	outcome.Surge = summarizeSurge(t.day, outcome)
-	outcome.TopPriorityServed, outcome.PassedOver = passedOver(t.day, t.calls)
-	affected := t.day.AffectedAgents()
-	spared := slices.DeleteFunc(slices.Clone(t.calls), func(c referee.CallResult) bool { return affected[c.Agent] })
+	outcome.HealthCheckWork = float64(nodeTotals.HealthChecks) * r.scenario.Nodes[0].HealthCheckWork.Seconds() / (r.scenario.Capacity * r.scenario.Length.Seconds())
+	outcome.Series = summarizeSeries(r.calls)
+	outcome.Series.Load, outcome.Series.Goodput = r.load, r.goodput
+	outcome.Surge = summarizeSurge(r.scenario, outcome)
+	outcome.TopPriorityServed, outcome.PassedOver = passedOver(r.scenario, r.calls)
+	affected := r.scenario.AffectedAgents()
+	spared := slices.DeleteFunc(slices.Clone(r.calls), func(c referee.CallResult) bool { return affected[c.Agent] })
 	outcome.UnaffectedService = referee.MeasureService(spared, settleTime, 0, 0).Overall
-	for _, n := range t.day.Nodes {
+	for _, n := range r.scenario.Nodes {
 		outcome.Series.Nodes = append(outcome.Series.Nodes, n.ID)
 	}
 	return outcome
--- a/internal/experiment/report.go
+++ b/internal/experiment/report.go
@@ -51,17 +51,17 @@
 	}
 	var figures []figure
 	var errs []error
-	for _, day := range spec.dayNames() {
+	for _, scenario := range spec.scenarioNames() {
 		first := map[string]Outcome{}
 		for _, outcome := range findings.Outcomes {
-			if _, ok := first[outcome.Variant]; outcome.Scenario == day && !ok {
+			if _, ok := first[outcome.Variant]; outcome.Scenario == scenario && !ok {
 				first[outcome.Variant] = outcome
 			}
 		}
 		if len(first) == 0 {
 			continue
 		}
-		for _, named := range dayPlots(day, first, spec.variantNames()) {
+		for _, named := range scenarioPlots(scenario, first, spec.variantNames()) {
 			svg, err := renderPlot(named.plot, filepath.Join(dir, "plots", fileName(named.name)+".png"))
 			if err != nil {
 				errs = append(errs, err)
@@ -70,7 +70,7 @@
 			figures = append(figures, figure{named.name, named.plot.Title.Text, svg})
 		}
 	}
-	if svg, err := renderPlot(serviceByDay(findings.Rows, spec.dayNames(), spec.variantNames()), filepath.Join(dir, "plots", "days.png")); err != nil {
+	if svg, err := renderPlot(serviceByScenario(findings.Rows, spec.scenarioNames(), spec.variantNames()), filepath.Join(dir, "plots", "days.png")); err != nil {
 		errs = append(errs, err)
 	} else {
 		figures = append([]figure{{Name: "days", SVG: svg}}, figures...)
@@ -113,16 +113,16 @@
 	plot *plot.Plot
 }
 
-// serviceByDay plots the service of each variant on each day, with its interval.
-func serviceByDay(rows []Row, days, variants []string) *plot.Plot {
+// serviceByScenario plots the service of each variant on each scenario, with its interval.
+func serviceByScenario(rows []Row, scenarios, variants []string) *plot.Plot {
 	chart := newPlot("service by day, with 95% intervals", "share of worth")
 	chart.X.Label.Text = ""
 	chart.Legend.Top = false
 	for i, variant := range variants {
 		var at intervals
-		for d, day := range days {
+		for d, scenario := range scenarios {
 			for _, row := range rows {
-				if row.Scenario == day && row.Variant == variant {
+				if row.Scenario == scenario && row.Variant == variant {
 					at.XYs = append(at.XYs, plotter.XY{X: float64(d) + 0.04*float64(i), Y: row.Service.Mean})
 					at.YErrors = append(at.YErrors, struct{ Low, High float64 }{row.Service.Mean - row.Service.Low, row.Service.High - row.Service.Mean})
 				}
@@ -140,9 +140,9 @@
 		}
 		chart.Legend.Add(variant, line)
 	}
-	chart.NominalX(days...)
+	chart.NominalX(scenarios...)
 	chart.X.Tick.Label.Font.Size = vg.Points(7)
-	chart.X.Max = float64(len(days)-1) * legendRoom
+	chart.X.Max = float64(len(scenarios)-1) * legendRoom
 	return chart
 }
 
@@ -152,12 +152,12 @@
 	plotter.YErrors
 }
 
-// dayPlots plots one day: service and latency over time by variant, and for each variant the load of each node.
-func dayPlots(day string, outcomes map[string]Outcome, variants []string) []namedPlot {
-	service, latency := newPlot(day+": service, by the second asked in", "share of worth"), newPlot(day+": latency, p50 and p99 (dashed)", "ms")
+// scenarioPlots plots one scenario: service and latency over time by variant, and for each variant the load of each node.
+func scenarioPlots(scenario string, outcomes map[string]Outcome, variants []string) []namedPlot {
+	service, latency := newPlot(scenario+": service, by the second asked in", "share of worth"), newPlot(scenario+": latency, p50 and p99 (dashed)", "ms")
 	service.Y.Min, service.Y.Max = 0, 1.05
 	latency.Y.Scale, latency.Y.Tick.Marker = plot.LogScale{}, plot.LogTicks{Prec: -1}
-	out := []namedPlot{{day + "-service", service}, {day + "-latency", latency}}
+	out := []namedPlot{{scenario + "-service", service}, {scenario + "-latency", latency}}
 	for i, variant := range variants {
 		outcome, ok := outcomes[variant]
 		if !ok {
@@ -173,7 +173,7 @@
 		if len(outcome.Series.Nodes) > maxLines {
 			continue // nobody can tell so many lines apart
 		}
-		load := newPlot(day+", "+variant+": requests held at each node", "requests")
+		load := newPlot(scenario+", "+variant+": requests held at each node", "requests")
 		mark(load, outcome)
 		for nodeIndex := range outcome.Series.Nodes {
 			var points plotter.XYs
@@ -191,7 +191,7 @@
 				load.Legend.Add(outcome.Series.Nodes[nodeIndex], line)
 			}
 		}
-		out = append(out, namedPlot{day + "-" + variant + "-load", load})
+		out = append(out, namedPlot{scenario + "-" + variant + "-load", load})
 	}
 	for _, named := range out {
 		named.plot.X.Max *= legendRoom
@@ -199,7 +199,7 @@
 	return out
 }
 
-// newPlot returns an empty plot over the seconds of a day.
+// newPlot returns an empty plot over the seconds of a scenario.
 func newPlot(title, y string) *plot.Plot {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, "seconds", y
--- a/internal/experiment/scenario.go
+++ b/internal/experiment/scenario.go
@@ -25,9 +25,9 @@
 	Limits   emulator.Limits
 }
 
-// RunScenario runs a day with a variant on loopback sockets. watch, where it is not nil, gets a sample each second. When the context ends the
-// day ends early, and the outcome so far is returned, marked as interrupted. The error names agents whose processes misbehaved.
-func RunScenario(ctx context.Context, day *emulator.Scenario, variant Variant, watch func(LiveSample)) (outcome Outcome, err error) {
+// RunScenario runs a scenario with a variant on loopback sockets. watch, where it is not nil, gets a sample each second. When the context ends the
+// scenario ends early, and the outcome so far is returned, marked as interrupted. The error names agents whose processes misbehaved.
+func RunScenario(ctx context.Context, scenario *emulator.Scenario, variant Variant, watch func(LiveSample)) (outcome Outcome, err error) {
 	dir, err := os.MkdirTemp("", "ryeweir-")
 	if err != nil {
 		return outcome, err
@@ -42,16 +42,16 @@
 		return outcome, err
 	}
 	sockets := &emulator.LoopbackNetwork{}
-	peers, err := peerNetwork(day, operators, sockets)
+	peers, err := peerNetwork(scenario, operators, sockets)
 	if err != nil {
 		return outcome, err
 	}
-	world, err := emulator.Start(context.WithoutCancel(ctx), day, sockets, true)
+	world, err := emulator.Start(context.WithoutCancel(ctx), scenario, sockets, true)
 	if err != nil {
 		return outcome, err
 	}
 	defer world.Close()
-	run := &scenarioRun{world: world, variant: variant, operators: operators, away: make([]bool, len(day.Agents)), peers: peers}
+	run := &scenarioRun{world: world, variant: variant, operators: operators, unavailable: make([]bool, len(scenario.Agents)), peers: peers}
 	byzantine, err := run.start(ctx, dir)
 	if err != nil {
 		return outcome, errors.Join(err, run.stopAgents())
@@ -74,15 +74,15 @@
 	return outcome, errors.Join(stopped, world.Err(), errors.Join(run.faults...))
 }
 
-// peerNetwork gives the agents, and the day's byzantine peers, addresses in a mesh where the operators' file has agents gossip; nil where
+// peerNetwork gives the agents, and the scenario's byzantine peers, addresses in a mesh where the operators' file has agents gossip; nil where
 // it does not.
-func peerNetwork(day *emulator.Scenario, operators operator.File, sockets *emulator.LoopbackNetwork) (*processrig.Peers, error) {
+func peerNetwork(scenario *emulator.Scenario, operators operator.File, sockets *emulator.LoopbackNetwork) (*processrig.Peers, error) {
 	if !operators.Peers.Enabled {
 		return nil, nil
 	}
-	sockets.Mesh = link.NewMesh(day.Seed)
-	hosts := slices.Clone(day.Agents)
-	for i := range day.Spec.Fleet.ByzantinePeers {
+	sockets.Mesh = link.NewMesh(scenario.Seed)
+	hosts := slices.Clone(scenario.Agents)
+	for i := range scenario.Spec.Fleet.ByzantinePeers {
 		hosts = append(hosts, byzantineName(i))
 	}
 	peers, err := processrig.NewPeers(sockets.Mesh, hosts)
@@ -92,23 +92,23 @@
 	return peers, nil
 }
 
-// scenarioRun is a day on sockets while it runs.
+// scenarioRun is a scenario on sockets while it runs.
 type scenarioRun struct {
-	world     *emulator.World
-	variant   Variant
-	operators operator.File
-	peers     *processrig.Peers
-	agents    []*processrig.Process
-	cpu       time.Duration
-	load      [][]float64
-	goodput   []float64
-	peerViews [][]peerView // of each agent's peers
-	choosers  []*clientSideChoosers
+	world       *emulator.World
+	variant     Variant
+	operators   operator.File
+	peers       *processrig.Peers
+	agents      []*processrig.Process
+	cpu         time.Duration
+	load        [][]float64
+	goodput     []float64
+	peerSamples [][]peerSample // of each agent's peers
+	choosers    []*clientSideChooser
 
 	mu          sync.Mutex
 	misbehaving callers.MisbehavingFigures
 	faults      []error // what could not be done to agents' processes
-	away        []bool  // by agent: killed, ended or paused, and not yet back
+	unavailable []bool  // by agent: killed, ended or paused, and not yet back
 	clients     []*callers.Client
 	ended       []referee.CallResult // that ended since the last sample
 }
@@ -152,9 +152,9 @@
 
 // result sums up a run that has ended.
 func (p *scenarioRun) result(calls []referee.CallResult, figures callers.Figures, processorWait time.Duration) Outcome {
-	day := p.world.Scenario
-	t := runRecord{
-		day:        day,
+	scenario := p.world.Scenario
+	record := runRecord{
+		scenario:   scenario,
 		calls:      calls,
 		figures:    figures,
 		account:    p.world.Referee.Account(),
@@ -165,14 +165,14 @@
 		goodput:    p.goodput,
 		marks:      p.world.Events(),
 	}
-	outcome := t.outcome(p.variant.Name, false)
+	outcome := record.outcome(p.variant.Name, false)
 	outcome.ProcessorWait = float64(processorWait.Microseconds()) / 1e3
 	if p.peers != nil {
-		outcome.Peers = summarizeViews(day, p.peerViews)
+		outcome.Peers = summarizePeers(scenario, p.peerSamples)
 	}
-	outcome.Admission = summarizeLevels(day, p.peerViews)
+	outcome.Admission = summarizeAdmission(scenario, p.peerSamples)
 	outcome.Misbehaving = p.misbehaving
-	if requests := t.account.Requests; requests > 0 {
+	if requests := record.account.Requests; requests > 0 {
 		outcome.CPU = float64(p.cpu.Microseconds()) / float64(requests)
 	}
 	return outcome
--- a/internal/experiment/scenario_agents.go
+++ b/internal/experiment/scenario_agents.go
@@ -13,7 +13,7 @@
 	"ryeweir/internal/processrig"
 )
 
-// startAgents starts an agent's process for each agent of the day, and waits until all are ready.
+// startAgents starts an agent's process for each agent of the scenario, and waits until all are ready.
 func (p *scenarioRun) startAgents(ctx context.Context, dir string) error {
 	limits := p.variant.Limits
 	if limits == (emulator.Limits{}) {
@@ -35,7 +35,7 @@
 	return nil
 }
 
-// startByzantinePeers starts the day's byzantine peers, if there are any.
+// startByzantinePeers starts the scenario's byzantine peers, if there are any.
 func (p *scenarioRun) startByzantinePeers(set operator.Peers) (out []*byzantinePeer, err error) {
 	if p.peers == nil {
 		return nil, nil
@@ -52,7 +52,7 @@
 	return out, nil
 }
 
-// faultAgent does to an agent's process what the day has for it, at its time: it kills it, ends it in order, pauses it or slows it, and
+// faultAgent does to an agent's process what the scenario has for it, at its time: it kills it, ends it in order, pauses it or slows it, and
 // after the time away starts the next or lets it go on. A killed agent's requests are nobody's fault; a paused or slow one still
 // owes each of its requests an answer.
 func (p *scenarioRun) faultAgent(ctx context.Context, fault emulator.AgentFault) {
@@ -61,15 +61,15 @@
 	}
 	agent, name := p.agents[fault.Agent], p.world.Scenario.Agents[fault.Agent]
 	p.mu.Lock()
-	away := p.away[fault.Agent]
-	p.away[fault.Agent] = true
+	unavailable := p.unavailable[fault.Agent]
+	p.unavailable[fault.Agent] = true
 	p.mu.Unlock()
-	if away {
+	if unavailable {
 		return // as in simulated time: an agent that is away gets no second fault
 	}
 	defer func() {
 		p.mu.Lock()
-		p.away[fault.Agent] = false
+		p.unavailable[fault.Agent] = false
 		p.mu.Unlock()
 	}()
 	now := p.world.Now()
@@ -95,7 +95,7 @@
 			err = agent.Ready(ctx)
 		}
 	}
-	if err != nil && ctx.Err() == nil { // one that the end of the day finds on its way back is stopped as it is
+	if err != nil && ctx.Err() == nil { // one that the end of the scenario finds on its way back is stopped as it is
 		p.mu.Lock()
 		p.faults = append(p.faults, fmt.Errorf("%s: %w", name, err))
 		p.mu.Unlock()
--- a/internal/experiment/scenario_watch.go
+++ b/internal/experiment/scenario_watch.go
@@ -12,7 +12,7 @@
 
 // LiveSample is the state of a run in progress, sampled each second.
 type LiveSample struct {
-	At      time.Duration // since the day began
+	At      time.Duration // since the scenario began
 	Account referee.Account
 	Calls   []referee.CallResult // that ended since the last sample
 	States  []backend.State
@@ -37,10 +37,10 @@
 	p.misbehaving.Ignored += f.Ignored
 }
 
-// watch notes the nodes' load each second, and shows what has come of the day.
+// watch notes the nodes' load each second, and shows what has come of the scenario.
 func (p *scenarioRun) watch(ctx context.Context, show func(LiveSample)) {
 	began := time.Now()
-	last, done := began, time.Duration(0)
+	lastSample, lastUseful := began, time.Duration(0)
 	tick := time.NewTicker(time.Second)
 	defer tick.Stop()
 	for {
@@ -59,14 +59,14 @@
 		for _, s := range states {
 			useful += s.Figures.Work - s.Figures.Wasted
 		}
-		p.goodput = append(p.goodput, (useful-done).Seconds()/(p.world.Scenario.Capacity*now.Sub(last).Seconds()))
-		last, done = now, useful
+		p.goodput = append(p.goodput, (useful-lastUseful).Seconds()/(p.world.Scenario.Capacity*now.Sub(lastSample).Seconds()))
+		lastSample, lastUseful = now, useful
 		p.mu.Lock()
-		fresh := p.ended
+		newResults := p.ended
 		p.ended = nil
 		p.mu.Unlock()
 		if show != nil {
-			show(LiveSample{At: time.Since(began), Account: p.world.Referee.Account(), Calls: fresh, States: states, Events: p.world.Events()})
+			show(LiveSample{At: time.Since(began), Account: p.world.Referee.Account(), Calls: newResults, States: states, Events: p.world.Events()})
 		}
 	}
 }
--- a/internal/experiment/simulation.go
+++ b/internal/experiment/simulation.go
@@ -15,17 +15,17 @@
 	"ryeweir/logic"
 )
 
-// Simulate runs a day in simulated time: the decision module, or a chooser, on the node models, with delays but without sockets.
-// Equal days and variants give equal outcomes. What only real processes can do (shaped paths, pauses, kept state) is an error.
-func Simulate(day *emulator.Scenario, variant Variant) (Outcome, error) {
-	if err := checkSimulable(day); err != nil {
+// Simulate runs a scenario in simulated time: the decision module, or a chooser, on the node models, with delays but without sockets.
+// Equal scenarios and variants give equal outcomes. What only real processes can do (shaped paths, pauses, kept state) is an error.
+func Simulate(scenario *emulator.Scenario, variant Variant) (Outcome, error) {
+	if err := checkSimulable(scenario); err != nil {
 		return Outcome{}, err
 	}
-	s, err := newSimulation(day, variant)
+	s, err := newSimulation(scenario, variant)
 	if err != nil {
 		return Outcome{}, err
 	}
-	s.scheduleDay()
+	s.scheduleEvents()
 	s.run()
 	if s.err != nil {
 		return Outcome{}, s.err
@@ -33,12 +33,12 @@
 	return s.result(variant.Name), nil
 }
 
-// checkSimulable says what of a day only real processes can run.
-func checkSimulable(day *emulator.Scenario) error {
-	if len(day.Spec.Fleet.Paths)+len(day.Spec.Fleet.ByzantinePeers) > 0 {
+// checkSimulable says what of a scenario only real processes can run.
+func checkSimulable(scenario *emulator.Scenario) error {
+	if len(scenario.Spec.Fleet.Paths)+len(scenario.Spec.Fleet.ByzantinePeers) > 0 {
 		return errors.New("ways between chosen hosts and liars are played by real processes only")
 	}
-	for _, fault := range day.AgentFaults {
+	for _, fault := range scenario.AgentFaults {
 		if fault.Survives() || fault.WithState {
 			return errors.New("paused and slow agents and those that keep what they learnt are played by real processes only")
 		}
@@ -46,18 +46,18 @@
 	return nil
 }
 
-// newSimulation places the day's nodes and agents.
-func newSimulation(day *emulator.Scenario, variant Variant) (*simulation, error) {
+// newSimulation places the scenario's nodes and agents.
+func newSimulation(scenario *emulator.Scenario, variant Variant) (*simulation, error) {
 	sim := &simulation{
-		day:     day,
-		referee: referee.New(referee.DefaultRules()),
-		rng:     rand.New(rand.NewPCG(day.Seed, 0x73696d)),
-		waiting: map[ticket]*simAttempt{},
-		open:    map[string]*clientRequest{},
-		byID:    map[string]*simNode{},
+		scenario: scenario,
+		referee:  referee.New(referee.DefaultRules()),
+		rng:      rand.New(rand.NewPCG(scenario.Seed, 0x73696d)),
+		waiting:  map[ticket]*simAttempt{},
+		open:     map[string]*clientRequest{},
+		byID:     map[string]*simNode{},
 	}
-	for i, spec := range day.Nodes {
-		n := &simNode{Node: node.New(spec, day.Seed*1000+uint64(i)), number: i, up: true, nextAdvance: -1}
+	for i, spec := range scenario.Nodes {
+		n := &simNode{Node: node.New(spec, scenario.Seed*1000+uint64(i)), number: i, up: true, nextAdvance: -1}
 		sim.nodes, sim.byID[n.ID] = append(sim.nodes, n), n
 		sim.list.entries = append(sim.list.entries, sim.entry(i, logic.Ready))
 	}
@@ -65,21 +65,21 @@
 	if sim.operators, err = operator.Load(variant.Operator); err != nil {
 		return nil, err
 	}
-	for i := range day.Agents {
+	for i := range scenario.Agents {
 		agent := sim.newProcess(i)
-		if err := sim.equip(agent, variant); err != nil {
+		if err := sim.initDecisions(agent, variant); err != nil {
 			return nil, err
 		}
 		sim.agents = append(sim.agents, agent)
 	}
 	sim.delayed.on, sim.delayed.sent = variant.Chooser == DelayedOracle, make([]float64, len(sim.nodes))
-	sim.viewTruths = make([]Truth, 0, len(sim.nodes)) // views point into it
+	sim.viewTruths = make([]TrueState, 0, len(sim.nodes)) // views point into it
 	return sim, nil
 }
 
 // equip gives an agent the decision module, or the variant's chooser. Choosers that see the true state see all agents' sends, so that
 // one serves for all.
-func (s *simulation) equip(agent *simAgent, variant Variant) error {
+func (s *simulation) initDecisions(agent *simAgent, variant Variant) error {
 	if len(variant.Command) > 0 {
 		return s.newBalancer(agent)
 	}
@@ -87,7 +87,7 @@
 		agent.chooser = s.agents[0].chooser
 		return nil
 	}
-	agent.chooser = NewChooser(variant.Chooser, s.day.Seed+uint64(agent.number))
+	agent.chooser = NewChooser(variant.Chooser, s.scenario.Seed+uint64(agent.number))
 	if agent.chooser == nil {
 		return fmt.Errorf("arm %s: %q is no way to choose", variant.Name, variant.Chooser)
 	}
@@ -96,8 +96,8 @@
 
 // result sums up a simulation that has ended.
 func (s *simulation) result(variant string) Outcome {
-	t := runRecord{
-		day:        s.day,
+	record := runRecord{
+		scenario:   s.scenario,
 		calls:      s.calls,
 		account:    s.referee.Account(),
 		violations: s.referee.Violations(),
@@ -107,14 +107,14 @@
 		marks:      s.marks,
 	}
 	for _, n := range s.nodes {
-		t.nodes = append(t.nodes, n.earlierIncarnations.Add(n.Figures()))
+		record.nodes = append(record.nodes, n.earlierIncarnations.Add(n.Figures()))
 	}
-	outcome := t.outcome(variant, true)
-	outcome.GroundTruth, outcome.NodesUsed, outcome.NodesBusy = &s.truths, s.used, s.busy
+	outcome := record.outcome(variant, true)
+	outcome.GroundTruth, outcome.NodesUsed, outcome.NodesBusy = &s.groundTruth, s.nodesUsed, s.nodesBusy
 	return outcome
 }
 
-// moduleStart is where the module's clock stands when the day begins: 0 means never there.
+// moduleStart is where the module's clock stands when the scenario begins: 0 means never there.
 const moduleStart = time.Second
 
 // deadlineMargin is how long before its client's deadline an agent ends a request.
@@ -124,7 +124,7 @@
 const watchDelay = 10 * time.Millisecond
 
 type simulation struct {
-	day          *emulator.Scenario
+	scenario     *emulator.Scenario
 	referee      *referee.Referee
 	rng          *rand.Rand
 	now          time.Duration
@@ -137,7 +137,7 @@
 	delayed      delayedView
 	views        []View // of the choice at hand, with what follows
 	viewNodes    []*simNode
-	viewTruths   []Truth
+	viewTruths   []TrueState
 	incarnations int
 	lastTicket   uint64
 	waiting      map[ticket]*simAttempt
@@ -146,17 +146,17 @@
 	load         [][]float64
 	goodput      []float64 // as Series has it
 	useful       time.Duration
-	busy         []float64 // work done of what the nodes that are up could do at present, a second each
-	used         []float64 // share of the listed nodes that something came to, a second each
+	nodesBusy    []float64 // work done of what the nodes that are up could do at present, a second each
+	nodesUsed    []float64 // share of the listed nodes that something came to, a second each
 	marks        []emulator.Event
 	callsLeft    int // calls that have not ended
-	truths       GroundTruth
+	groundTruth  GroundTruth
 	operators    operator.File
 	err          error
 }
 
-// scheduleDay schedules the day's events: agents, faults, outages, calls, and a sample of all nodes each second.
-func (s *simulation) scheduleDay() {
+// scheduleEvents schedules the scenario's events: agents, faults, outages, calls, and a sample of all nodes each second.
+func (s *simulation) scheduleEvents() {
 	for _, agent := range s.agents {
 		if agent.balancer != nil {
 			s.apply(agent, agent.balancer.Start(s.clock()))
@@ -164,26 +164,26 @@
 			s.startGossip(agent)
 		}
 	}
-	for _, fault := range s.day.AgentFaults {
+	for _, fault := range s.scenario.AgentFaults {
 		s.schedule(fault.At, func() { s.faultAgent(fault) })
 	}
 	for _, n := range s.nodes {
 		s.advanceNode(n)
 	}
-	for _, fault := range s.day.Faults {
+	for _, fault := range s.scenario.Faults {
 		s.scheduleFault(fault)
 	}
 	s.scheduleOutages()
-	for _, cut := range s.day.Spec.Fleet.Partitions {
+	for _, cut := range s.scenario.Spec.Fleet.Partitions {
 		s.schedule(cut.From.D(), func() {
 			s.marks = append(s.marks, emulator.Event{At: cut.From.D(), To: cut.To.D(), Node: cut.Zone, Text: "cut off"})
 		})
 	}
-	s.callsLeft = len(s.day.Plan)
-	for _, planned := range s.day.Plan {
+	s.callsLeft = len(s.scenario.Plan)
+	for _, planned := range s.scenario.Plan {
 		s.schedule(planned.At, func() {
-			journey := callers.NewCall(planned, s.day.Classes[planned.Class], s.day.ClientProfileAt(planned.At))
-			s.beginAttempt(journey, nil)
+			call := callers.NewCall(planned, s.scenario.Classes[planned.Class], s.scenario.ClientProfileAt(planned.At))
+			s.beginAttempt(call, nil)
 		})
 	}
 	s.schedule(sampleInterval, s.sample)
@@ -194,7 +194,7 @@
 
 // scheduleOutages schedules the times in which discovery is down.
 func (s *simulation) scheduleOutages() {
-	for _, outage := range s.day.Spec.Outages {
+	for _, outage := range s.scenario.Spec.Outages {
 		s.schedule(outage.From.D(), func() {
 			s.list.down = true
 			s.marks = append(s.marks, emulator.Event{At: outage.From.D(), To: outage.To.D(), Node: "discovery", Text: "outage"})
@@ -215,7 +215,7 @@
 // sample appends one point to each series, and schedules the next.
 func (s *simulation) sample() {
 	inFlight := make([]float64, len(s.nodes))
-	listed, used := 0, 0
+	listed, nodesUsed := 0, 0
 	done, capacity := 0.0, 0.0
 	useful := time.Duration(0)
 	for i, n := range s.nodes {
@@ -226,17 +226,17 @@
 			listed++
 			done, capacity = done+(work-n.workBefore).Seconds(), capacity+n.Capacity()
 			if offered > n.offeredBefore {
-				used++
+				nodesUsed++
 			}
 		}
 		n.offeredBefore, n.workBefore = offered, work
 	}
-	s.busy = append(s.busy, done/max(minCapacity, capacity))
-	s.goodput = append(s.goodput, (useful-s.useful).Seconds()/s.day.Capacity)
+	s.nodesBusy = append(s.nodesBusy, done/max(minCapacity, capacity))
+	s.goodput = append(s.goodput, (useful-s.useful).Seconds()/s.scenario.Capacity)
 	s.useful = useful
 	s.load = append(s.load, inFlight)
-	s.used = append(s.used, float64(used)/max(1, float64(listed)))
-	if s.now < s.day.Length {
+	s.nodesUsed = append(s.nodesUsed, float64(nodesUsed)/max(1, float64(listed)))
+	if s.now < s.scenario.Length {
 		s.schedule(s.now+sampleInterval, s.sample)
 	}
 }
@@ -244,9 +244,9 @@
 // maxTail is how long after the last call a simulation goes on at most.
 const maxTail = time.Minute
 
-// run handles events in order of time until all calls have ended, or maxTail after the day.
+// run handles events in order of time until all calls have ended, or maxTail after the scenario.
 func (s *simulation) run() {
-	for len(s.events) > 0 && (s.callsLeft > 0 || len(s.open) > 0) && s.now < s.day.Length+maxTail {
+	for len(s.events) > 0 && (s.callsLeft > 0 || len(s.open) > 0) && s.now < s.scenario.Length+maxTail {
 		e := heap.Pop(&s.events).(simEvent)
 		s.now = e.at
 		e.do()
--- a/internal/experiment/simulation_agent.go
+++ b/internal/experiment/simulation_agent.go
@@ -27,7 +27,7 @@
 	chooser     Chooser
 	conns       map[int]int // to each node
 	connsInUse  map[int]int // of those, in use
-	away        bool        // it takes no clients
+	unavailable bool        // it takes no clients
 	ended       bool        // it has ended
 	version     int         // of the endpoint list that it has
 	subscribed  bool        // for the list, once
@@ -38,8 +38,8 @@
 
 // newProcess returns a process in the i-th agent's place, without decisions yet.
 func (s *simulation) newProcess(i int) *simAgent {
-	return &simAgent{number: i, zone: s.day.AgentZone(i), conns: map[int]int{}, connsInUse: map[int]int{},
-		rng: rand.New(rand.NewPCG(s.day.Seed*64+uint64(i)+1, 0x6c697374))}
+	return &simAgent{number: i, zone: s.scenario.AgentZone(i), conns: map[int]int{}, connsInUse: map[int]int{},
+		rng: rand.New(rand.NewPCG(s.scenario.Seed*64+uint64(i)+1, 0x6c697374))}
 }
 
 // notifiedOf reports whether the agent has been notified of a node's present incarnation. Choosers read the list itself.
@@ -51,7 +51,7 @@
 
 // newBalancer gives a process its decisions.
 func (s *simulation) newBalancer(a *simAgent) error {
-	text, err := json.Marshal(s.day.Settings(a.number))
+	text, err := json.Marshal(s.scenario.Settings(a.number))
 	if err != nil {
 		return err
 	}
@@ -62,7 +62,7 @@
 	site.Logic.MaxRetryAfter = site.MaxRetryAfter
 	s.operators.HealthChecks.Apply(&site.Logic)
 	site.Logic.ExternalAdmission = s.operators.Overload.Enabled
-	seed := (s.day.Seed*64 + uint64(a.number) + 1) ^ uint64(a.incarnation)<<48
+	seed := (s.scenario.Seed*64 + uint64(a.number) + 1) ^ uint64(a.incarnation)<<48
 	if a.balancer, err = logic.New(site.Logic, seed); err != nil {
 		return err
 	}
@@ -77,11 +77,11 @@
 // nothing else.
 func (s *simulation) faultAgent(fault emulator.AgentFault) {
 	previous := s.agents[fault.Agent]
-	if previous.balancer == nil || previous.away {
+	if previous.balancer == nil || previous.unavailable {
 		return // choosers have no processes; an agent that is away gets no second fault
 	}
-	previous.away = true
-	name := s.day.Agents[fault.Agent]
+	previous.unavailable = true
+	name := s.scenario.Agents[fault.Agent]
 	text := emulator.AgentRestart
 	if fault.Kind == emulator.AgentKill {
 		text = emulator.AgentKill
--- a/internal/experiment/simulation_attempts.go
+++ b/internal/experiment/simulation_attempts.go
@@ -99,7 +99,7 @@
 	oneWay := s.oneWay(agent, target)
 	s.schedule(s.now+oneWay, func() {
 		switch {
-		case target.Node != incarnation || !target.up || target.Unresponsive() || s.day.Partitioned(agent.zone, target.Zone, s.now):
+		case target.Node != incarnation || !target.up || target.Unresponsive() || s.scenario.Partitioned(agent.zone, target.Zone, s.now):
 			s.schedule(began+emulator.HealthCheckTimeout, func() { finish(logic.TimedOut, logic.NoLoadReport) })
 			return
 		case !target.HealthCheck(s.now):
@@ -127,17 +127,17 @@
 	}
 	s.schedule(until, func() { s.abandon(attempt) })
 	oneWay := s.oneWay(agent, target)
-	fresh := agent.connsInUse[target.number] > agent.conns[target.number]
+	newConnection := agent.connsInUse[target.number] > agent.conns[target.number]
 	switch {
 	case !target.up:
 		s.schedule(s.now+2*oneWay, func() { s.endAttempt(attempt, logic.ConnectFailed) })
 		return
-	case fresh && (target.Unresponsive() || s.day.Partitioned(agent.zone, target.Zone, s.now)):
+	case newConnection && (target.Unresponsive() || s.scenario.Partitioned(agent.zone, target.Zone, s.now)):
 		s.schedule(s.now+emulator.ConnectTimeout, func() { s.endAttempt(attempt, logic.ConnectFailed) })
 		return
 	}
 	arrive := s.now + oneWay
-	if fresh {
+	if newConnection {
 		arrive += 2 * oneWay
 		s.schedule(s.now+oneWay, func() {
 			if target.Node == attempt.incarnation && target.up && target.Connect(s.now) == node.ConnAccepted {
@@ -151,7 +151,7 @@
 // arriveAtNode offers an attempt to its node.
 func (s *simulation) arriveAtNode(attempt *simAttempt) {
 	request, target := attempt.request, attempt.node
-	if attempt.ended || request.agent.ended || s.day.Partitioned(request.agent.zone, target.Zone, s.now) {
+	if attempt.ended || request.agent.ended || s.scenario.Partitioned(request.agent.zone, target.Zone, s.now) {
 		return
 	}
 	if !target.up || target.Node != attempt.incarnation {
@@ -179,7 +179,7 @@
 // sendBack delivers the result of an attempt to the agent, after a delay and the way back.
 func (s *simulation) sendBack(attempt *simAttempt, result logic.Result, delay time.Duration) {
 	delete(s.waiting, attempt.ticket)
-	if s.day.Partitioned(attempt.request.agent.zone, attempt.node.Zone, s.now) {
+	if s.scenario.Partitioned(attempt.request.agent.zone, attempt.node.Zone, s.now) {
 		return // nothing comes of it: the agent gives up by itself
 	}
 	s.schedule(s.now+delay+s.oneWay(attempt.request.agent, attempt.node), func() { s.endAttempt(attempt, result) })
@@ -219,7 +219,7 @@
 		request.agent.connsInUse[attempt.node.number]--
 	}
 	if request.agent.ended {
-		s.forget(request)
+		s.removeIfDone(request)
 		return
 	}
 	if request.agent.balancer == nil {
@@ -229,7 +229,7 @@
 			outcome = referee.Failed
 		}
 		s.answer(request, outcome, attempt.ticket.number, 0)
-		s.forget(request)
+		s.removeIfDone(request)
 		return
 	}
 	if result == logic.OK {
@@ -239,5 +239,5 @@
 		fleetBudget.AttemptEnded(s.clock(), budget.Outcome{Overloaded: result == logic.Rejected || result == logic.TimedOut, SentAt: attempt.sentAt + moduleStart})
 	}
 	s.handle(request.agent, logic.Outcome{Request: request.id, Attempt: attempt.number, Endpoint: attempt.id, Result: result, Latency: s.now - attempt.sentAt, Closed: request.ended, LoadReport: logic.NoLoadReport})
-	s.forget(request)
+	s.removeIfDone(request)
 }
--- a/internal/experiment/simulation_callers.go
+++ b/internal/experiment/simulation_callers.go
@@ -28,13 +28,13 @@
 		return
 	}
 	agent := s.agents[call.Agent]
-	if agent.away { // nobody listens: the client learns it at once
-		s.truths.AgentNotRunning++
+	if agent.unavailable { // nobody listens: the client learns it at once
+		s.groundTruth.AgentNotRunning++
 		s.reconnectLater(call, tried)
 		return
 	}
-	request := &clientRequest{id: callers.RequestID(s.day.Seed, call.Number, call.Attempts), agent: agent, call: call, triedNodes: tried, deadline: s.now + wait}
-	sent := referee.Request{ID: request.id, Agent: s.day.Agents[call.Agent], NonIdempotent: call.Class.NonIdempotent, At: s.now, Class: call.Class.Name}
+	request := &clientRequest{id: callers.RequestID(s.scenario.Seed, call.Number, call.Attempts), agent: agent, call: call, triedNodes: tried, deadline: s.now + wait}
+	sent := referee.Request{ID: request.id, Agent: s.scenario.Agents[call.Agent], NonIdempotent: call.Class.NonIdempotent, At: s.now, Class: call.Class.Name}
 	if agent.balancer == nil {
 		sent.Agent = ""
 	}
@@ -95,7 +95,7 @@
 	}
 	request.ended = true
 	s.referee.RequestEnded(request.id, outcome, checksum, s.now)
-	s.forget(request)
+	s.removeIfDone(request)
 	next, over := request.call.Ended(s.now, outcome, retryAfter)
 	if over {
 		s.finishCall(request.call)
@@ -105,7 +105,7 @@
 }
 
 // forget drops a request that has ended for its client and has no attempt in flight.
-func (s *simulation) forget(request *clientRequest) {
+func (s *simulation) removeIfDone(request *clientRequest) {
 	if request.ended && request.inFlight == 0 {
 		delete(s.open, request.id)
 	}
@@ -121,10 +121,10 @@
 			continue
 		}
 		view := View{ID: candidate.ID, InFlight: agent.connsInUse[candidate.number]}
-		if candidate.up && !s.day.Partitioned(agent.zone, candidate.Zone, s.now) {
+		if candidate.up && !s.scenario.Partitioned(agent.zone, candidate.Zone, s.now) {
 			truths = append(truths, s.visibleState(candidate))
-			view.Truth = &truths[len(truths)-1]
-			view.Truth.OneWayDelay = s.day.LinkTo(agent.zone, candidate.Zone).Delay
+			view.TrueState = &truths[len(truths)-1]
+			view.TrueState.OneWayDelay = s.scenario.LinkTo(agent.zone, candidate.Zone).Delay
 		}
 		views, candidates = append(views, view), append(candidates, candidate)
 	}
--- a/internal/experiment/simulation_delayed.go
+++ b/internal/experiment/simulation_delayed.go
@@ -20,14 +20,14 @@
 
 type stateSnapshot struct {
 	at    time.Duration
-	truth []Truth // a node each
+	truth []TrueState // a node each
 	ids   []string
 	sent  []float64
 }
 
 // state is a node's state now.
-func (n *simNode) state() Truth {
-	return Truth{Capacity: n.Capacity(), Cores: n.Cores, Backlog: n.Backlog(), HasCapacity: n.HasCapacity(), FailureFraction: n.FailureFraction()}
+func (n *simNode) state() TrueState {
+	return TrueState{Capacity: n.Capacity(), Cores: n.Cores, Backlog: n.Backlog(), HasCapacity: n.HasCapacity(), FailureFraction: n.FailureFraction()}
 }
 
 // recordState records the state of all nodes, and schedules the next record.
@@ -41,13 +41,13 @@
 	for len(view.snapshots) > 1 && view.snapshots[1].at <= s.now-delayedViewAge {
 		view.snapshots = view.snapshots[1:]
 	}
-	if s.now < s.day.Length+maxTail {
+	if s.now < s.scenario.Length+maxTail {
 		s.schedule(s.now+snapshotInterval, s.recordState)
 	}
 }
 
 // visibleState is a node's state as the variant sees it: the present one, or a delayed one with the work that was sent there since.
-func (s *simulation) visibleState(n *simNode) Truth {
+func (s *simulation) visibleState(n *simNode) TrueState {
 	if !s.delayed.on {
 		return n.state()
 	}
--- a/internal/experiment/simulation_discovery.go
+++ b/internal/experiment/simulation_discovery.go
@@ -20,9 +20,9 @@
 // maxQueueTime is how long a call waits its turn at most.
 const maxQueueTime = time.Second
 
-// changeList applies a change of the endpoint list after a delay, and notifies the watching agents.
-func (s *simulation) changeList(delay time.Duration, changed logic.Endpoint) {
-	s.schedule(s.now+delay+s.day.ListDelay(s.now), func() {
+// changeEndpoint applies a change of the endpoint list after a delay, and notifies the watching agents.
+func (s *simulation) changeEndpoint(delay time.Duration, changed logic.Endpoint) {
+	s.schedule(s.now+delay+s.scenario.ListDelay(s.now), func() {
 		list := &s.list
 		list.changes = append(list.changes, changed)
 		i := slices.IndexFunc(list.entries, func(o logic.Endpoint) bool { return o.ID == changed.ID })
@@ -50,7 +50,7 @@
 		return
 	}
 	wait := time.Duration(0)
-	if rate := s.day.Spec.Discovery.Rate; rate > 0 {
+	if rate := s.scenario.Spec.Discovery.Rate; rate > 0 {
 		wait = max(s.list.busyUntil, s.now) + time.Duration(float64(time.Second)/rate) - s.now
 		if wait > maxQueueTime {
 			s.schedule(s.now+maxQueueTime, func() { then(false) })
@@ -64,7 +64,7 @@
 // subscribe lets an agent follow the list, as the agent's client of discovery does: in a large fleet the first call of a process that
 // has a list comes within a while, and a watch that brought nothing is made anew.
 func (s *simulation) subscribe(agent *simAgent) {
-	timing := discovery.FleetTimingFor(len(s.day.Agents))
+	timing := discovery.FleetTimingFor(len(s.scenario.Agents))
 	spread := time.Duration(0)
 	if !agent.subscribed {
 		agent.subscribed = true
@@ -119,10 +119,10 @@
 			if entry.State != logic.Removed {
 				agent.known = append(agent.known, entry)
 			}
-			s.referee.Notified(s.day.Agents[agent.number], entry.ID, entry.State == logic.Ready, s.now)
+			s.referee.Notified(s.scenario.Agents[agent.number], entry.ID, entry.State == logic.Ready, s.now)
 		}
 		s.handle(agent, logic.EndpointList{Endpoints: entries})
-		s.watch(agent, discovery.FleetTimingFor(len(s.day.Agents)))
+		s.watch(agent, discovery.FleetTimingFor(len(s.scenario.Agents)))
 	})
 }
 
@@ -130,7 +130,7 @@
 func (s *simulation) sendFullList(agent *simAgent, entries []logic.Endpoint) {
 	agent.known = slices.Clone(entries)
 	for _, entry := range entries {
-		s.referee.Notified(s.day.Agents[agent.number], entry.ID, entry.State == logic.Ready, s.now)
+		s.referee.Notified(s.scenario.Agents[agent.number], entry.ID, entry.State == logic.Ready, s.now)
 	}
 	s.handle(agent, logic.EndpointList{Full: true, Endpoints: slices.Clone(entries)})
 }
--- a/internal/experiment/simulation_gossip.go
+++ b/internal/experiment/simulation_gossip.go
@@ -25,7 +25,7 @@
 			return
 		}
 		var states []budget.PeerState
-		for i := range s.agents { // in order, so that equal days have equal outcomes
+		for i := range s.agents { // in order, so that equal scenarios have equal outcomes
 			received, ok := agent.peerStates[i]
 			switch {
 			case !ok:
--- a/internal/experiment/simulation_nodes.go
+++ b/internal/experiment/simulation_nodes.go
@@ -29,7 +29,7 @@
 // entry is the endpoint list's entry of the i-th node.
 func (s *simulation) entry(i int, state logic.EndpointState) logic.Endpoint {
 	spec := s.nodes[i].Spec
-	e := logic.Endpoint{ID: spec.ID, State: state, Zone: slices.Index(s.day.Spec.Zones, spec.Zone), Cell: i / 8, Weight: 1}
+	e := logic.Endpoint{ID: spec.ID, State: state, Zone: slices.Index(s.scenario.Spec.Zones, spec.Zone), Cell: i / 8, Weight: 1}
 	if spec.Started >= 0 {
 		e.StartedAt = spec.Started + moduleStart
 	}
@@ -38,7 +38,7 @@
 
 // scheduleFault schedules the beginning and the end of a node's fault.
 func (s *simulation) scheduleFault(fault emulator.NodeFault) {
-	discovery := s.day.Spec.Discovery
+	discovery := s.scenario.Spec.Discovery
 	target := s.nodes[fault.Node]
 	name := target.ID
 	s.schedule(fault.From, func() {
@@ -46,11 +46,11 @@
 		switch fault.Kind {
 		case node.Drain:
 			target.AddFault(fault.Fault)
-			s.changeList(discovery.RemovalDelay.D(), s.entry(fault.Node, logic.Draining))
+			s.changeEndpoint(discovery.RemovalDelay.D(), s.entry(fault.Node, logic.Draining))
 		case node.Restart, node.Replace:
 			s.killNode(target)
 			if fault.Kind == node.Replace || discovery.RemovalDelay.D() < fault.To-fault.From+discovery.AdditionDelay.D() {
-				s.changeList(discovery.RemovalDelay.D(), s.entry(fault.Node, logic.Removed))
+				s.changeEndpoint(discovery.RemovalDelay.D(), s.entry(fault.Node, logic.Removed))
 			}
 		default:
 			target.AddFault(fault.Fault)
@@ -61,7 +61,7 @@
 		switch fault.Kind {
 		case node.Drain:
 			s.killNode(target)
-			s.changeList(discovery.RemovalDelay.D(), s.entry(fault.Node, logic.Removed))
+			s.changeEndpoint(discovery.RemovalDelay.D(), s.entry(fault.Node, logic.Removed))
 		case node.Restart, node.Replace:
 			spec := target.Spec
 			s.incarnations++
@@ -71,11 +71,11 @@
 			spec.Started = s.now
 			target.earlierIncarnations = target.earlierIncarnations.Add(target.Figures())
 			delete(s.byID, target.ID)
-			target.Node, target.up, target.overloadReported, target.offeredBefore, target.workBefore = node.New(spec, s.day.Seed*1000+uint64(len(s.nodes)+target.number)), true, false, 0, 0
+			target.Node, target.up, target.overloadReported, target.offeredBefore, target.workBefore = node.New(spec, s.scenario.Seed*1000+uint64(len(s.nodes)+target.number)), true, false, 0, 0
 			s.byID[target.ID] = target
 			target.Advance(s.now)
 			s.advanceNode(target)
-			s.changeList(discovery.AdditionDelay.D(), s.entry(fault.Node, logic.Ready))
+			s.changeEndpoint(discovery.AdditionDelay.D(), s.entry(fault.Node, logic.Ready))
 		}
 	})
 }
@@ -153,7 +153,7 @@
 
 // oneWay draws a one-way network delay between an agent and a node.
 func (s *simulation) oneWay(agent *simAgent, n *simNode) time.Duration {
-	conditions := s.day.LinkTo(agent.zone, n.Zone)
+	conditions := s.scenario.LinkTo(agent.zone, n.Zone)
 	delay := conditions.Delay
 	if conditions.Jitter > 0 {
 		delay += time.Duration(s.rng.Int64N(int64(conditions.Jitter)))
--- a/internal/experiment/simulation_truths.go
+++ b/internal/experiment/simulation_truths.go
@@ -34,21 +34,21 @@
 
 // classifyRejection counts a request that was rejected without an attempt, by the true state of the nodes.
 func (s *simulation) classifyRejection(agent *simAgent) {
-	s.truths.Rejected++
+	s.groundTruth.Rejected++
 	if !s.idleCore() {
 		return
 	}
-	s.truths.RejectedWithCapacity++
+	s.groundTruth.RejectedWithCapacity++
 	near, slowStart := false, true
 	for _, id := range agent.balancer.SubsetIDs() {
-		if n := s.byID[id]; n != nil && n.idle() && !s.day.Partitioned(agent.zone, n.Zone, s.now) {
+		if n := s.byID[id]; n != nil && n.idle() && !s.scenario.Partitioned(agent.zone, n.Zone, s.now) {
 			near, slowStart = true, slowStart && n.SlowStartFraction() < 1
 		}
 	}
 	if near {
-		s.truths.RejectedNearCapacity++
+		s.groundTruth.RejectedNearCapacity++
 		if slowStart {
-			s.truths.RejectedInSlowStart++
+			s.groundTruth.RejectedInSlowStart++
 		}
 	}
 }
@@ -56,16 +56,16 @@
 // classifySend counts an attempt that has arrived at a node, by the true state of the node.
 func (s *simulation) classifySend(attempt *simAttempt) {
 	n := attempt.node
-	s.truths.Sent++
+	s.groundTruth.Sent++
 	if n.Unresponsive() {
-		s.truths.ToUnresponsive++
+		s.groundTruth.ToUnresponsive++
 		return
 	}
 	if n.HasCapacity() && n.Backlog() <= attempt.request.call.Class.LatencyObjective {
 		return
 	}
-	s.truths.SentIntoOverload++
+	s.groundTruth.SentIntoOverload++
 	if s.idleCore() {
-		s.truths.SentDespiteCapacity++
+		s.groundTruth.SentDespiteCapacity++
 	}
 }
--- a/internal/experiment/spec.go
+++ b/internal/experiment/spec.go
@@ -56,12 +56,12 @@
 	for i, variant := range s.Variants {
 		errs = append(errs, variant.check(fmt.Sprintf("arm[%d].", i), s.Simulated, variantNames))
 	}
-	dayNames := map[string]bool{}
+	scenarioNames := map[string]bool{}
 	for i := range s.Scenarios {
-		errs = append(errs, s.checkDay(i, dayNames))
+		errs = append(errs, s.checkScenario(i, scenarioNames))
 	}
 	for i := range s.Fleets {
-		errs = append(errs, s.checkFleet(i, dayNames))
+		errs = append(errs, s.checkFleet(i, scenarioNames))
 	}
 	delayed := slices.ContainsFunc(s.Variants, func(v VariantSpec) bool { return v.Kind == DelayedOracle })
 	if s.Gate && !delayed {
@@ -76,10 +76,10 @@
 	if s.Repeats < 1 || s.Repeats > maxRepeats {
 		errs = append(errs, config.Wrong("repeats", "must be from 1 to %d, not %d", maxRepeats, s.Repeats))
 	}
-	if len(s.Variants) == 0 || s.dayCount() == 0 {
+	if len(s.Variants) == 0 || s.scenarioCount() == 0 {
 		errs = append(errs, config.Wrong("name", "an experiment needs an [[arm]], and a [[day]] or a [[fleet_day]]"))
 	}
-	if n := s.Repeats * len(s.Variants) * s.dayCount(); n > maxRuns {
+	if n := s.Repeats * len(s.Variants) * s.scenarioCount(); n > maxRuns {
 		errs = append(errs, config.Wrong("repeats", "%d runs are more than %d", n, maxRuns))
 	}
 	return errors.Join(errs...)
@@ -114,23 +114,23 @@
 	return errors.Join(errs...)
 }
 
-// checkDay applies a day's defaults, checks it, and adds its name to those in use.
-func (s *Spec) checkDay(index int, names map[string]bool) error {
+// checkScenario applies a scenario's defaults, checks it, and adds its name to those in use.
+func (s *Spec) checkScenario(index int, names map[string]bool) error {
 	var errs []error
-	day, prefix := &s.Scenarios[index], fmt.Sprintf("day[%d].", index)
-	day.ApplyDefaults()
-	if names[day.Name] {
-		errs = append(errs, config.Wrong(prefix+"name", "%q is there already", day.Name))
+	scenario, prefix := &s.Scenarios[index], fmt.Sprintf("day[%d].", index)
+	scenario.ApplyDefaults()
+	if names[scenario.Name] {
+		errs = append(errs, config.Wrong(prefix+"name", "%q is there already", scenario.Name))
 	}
-	names[day.Name] = true
-	errs = append(errs, day.Check(prefix))
+	names[scenario.Name] = true
+	errs = append(errs, scenario.Check(prefix))
 	if !s.Simulated {
-		errs = append(errs, checkProcesses(prefix, day))
+		errs = append(errs, checkProcesses(prefix, scenario))
 	}
 	return errors.Join(errs...)
 }
 
-// checkFleet does the same for the day of a whole fleet.
+// checkFleet does the same for the scenario of a whole fleet.
 func (s *Spec) checkFleet(index int, names map[string]bool) error {
 	fleet, prefix := &s.Fleets[index], fmt.Sprintf("fleet_day[%d].", index)
 	errs := []error{fleet.Check(prefix)} // it applies the default name, too
@@ -144,10 +144,10 @@
 	return errors.Join(errs...)
 }
 
-// dayCount is how many there are, those of fleets behind the others.
-func (s *Spec) dayCount() int { return len(s.Scenarios) + len(s.Fleets) }
+// scenarioCount is how many there are, those of fleets behind the others.
+func (s *Spec) scenarioCount() int { return len(s.Scenarios) + len(s.Fleets) }
 
-// draw draws a day by its number.
+// draw draws a scenario by its number.
 func (s *Spec) draw(index int, seed uint64) (*emulator.Scenario, error) {
 	if index < len(s.Scenarios) {
 		return s.Scenarios[index].Draw(seed)
@@ -156,8 +156,8 @@
 	return spec.Draw(seed)
 }
 
-// faultFreeDays are the days without a fault, for the gate.
-func (s *Spec) faultFreeDays() map[string]bool {
+// faultFreeScenarios are the scenarios without a fault, for the gate.
+func (s *Spec) faultFreeScenarios() map[string]bool {
 	out := map[string]bool{}
 	for _, f := range s.Fleets {
 		out[f.Name] = f.Kind == emulator.CalmScenario
@@ -165,7 +165,7 @@
 	return out
 }
 
-// checkProcesses rejects a day with more agents than emulator.MaxProcesses.
+// checkProcesses rejects a scenario with more agents than emulator.MaxProcesses.
 func checkProcesses(prefix string, d *emulator.ScenarioSpec) error {
 	if d.Agents > emulator.MaxProcesses {
 		return config.Wrong(prefix+"agents", "more than %d need simulated time", emulator.MaxProcesses)
@@ -200,8 +200,8 @@
 	return variant
 }
 
-// dayNames are the names of all days, in the order of their numbers.
-func (s *Spec) dayNames() (out []string) {
+// scenarioNames are the names of all scenarios, in the order of their numbers.
+func (s *Spec) scenarioNames() (out []string) {
 	for _, d := range s.Scenarios {
 		out = append(out, d.Name)
 	}
--- a/internal/experiment/statistics.go
+++ b/internal/experiment/statistics.go
@@ -53,7 +53,7 @@
 	return sum / float64(len(xs))
 }
 
-// Difference is one figure of a variant less that of the baseline, on the same day and seeds.
+// Difference is one figure of a variant less that of the baseline, on the same scenario and seeds.
 type Difference struct {
 	Scenario string `json:"day"`
 	Variant  string `json:"arm"`
@@ -100,7 +100,7 @@
 	{"surge_goodput", func(o Outcome) float64 { return o.surgeOrZero().Goodput }},
 }
 
-// surgeOrZero is the day's surge; nothing of a day without one.
+// surgeOrZero is the scenario's surge; nothing of a scenario without one.
 func (o Outcome) surgeOrZero() Surge {
 	if o.Surge == nil {
 		return Surge{}
@@ -145,27 +145,27 @@
 	return float64(o.GroundTruth.SentIntoOverload) / max(1, float64(o.GroundTruth.Sent))
 }
 
-// differences compares every variant with the first, by day, in pairs of one seed.
-func differences(outcomes []Outcome, days, variants []string) (out []Difference) {
-	for _, day := range days {
+// differences compares every variant with the first, by scenario, in pairs of one seed.
+func differences(outcomes []Outcome, scenarios, variants []string) (out []Difference) {
+	for _, scenario := range scenarios {
 		for _, variant := range variants[1:] {
-			out = append(out, pairedDifferences(bySeed(outcomes, day, variants[0]), bySeed(outcomes, day, variant), Difference{Scenario: day, Variant: variant, Baseline: variants[0]})...)
+			out = append(out, pairedDifferences(bySeed(outcomes, scenario, variants[0]), bySeed(outcomes, scenario, variant), Difference{Scenario: scenario, Variant: variant, Baseline: variants[0]})...)
 		}
 	}
 	return out
 }
 
-// differencesFromBaseline compares each variant with itself in the outcomes of an earlier run of the same days and seeds.
-func differencesFromBaseline(baseline, outcomes []Outcome, days, variants []string) (out []Difference) {
-	for _, day := range days {
+// differencesFromBaseline compares each variant with itself in the outcomes of an earlier run of the same scenarios and seeds.
+func differencesFromBaseline(baseline, outcomes []Outcome, scenarios, variants []string) (out []Difference) {
+	for _, scenario := range scenarios {
 		for _, variant := range variants {
-			out = append(out, pairedDifferences(bySeed(baseline, day, variant), bySeed(outcomes, day, variant), Difference{Scenario: day, Variant: variant, Baseline: variant + " before"})...)
+			out = append(out, pairedDifferences(bySeed(baseline, scenario, variant), bySeed(outcomes, scenario, variant), Difference{Scenario: scenario, Variant: variant, Baseline: variant + " before"})...)
 		}
 	}
 	return out
 }
 
-// pairedDifferences compares two variants of a day by all figures, in pairs of one seed.
+// pairedDifferences compares two variants of a scenario by all figures, in pairs of one seed.
 func pairedDifferences(base, variant map[uint64]Outcome, difference Difference) (out []Difference) {
 	for _, figure := range comparedFigures {
 		var diffs []float64
@@ -185,18 +185,18 @@
 	return out
 }
 
-// bySeed returns the outcomes of a variant on a day by seed, without the interrupted ones.
-func bySeed(outcomes []Outcome, day, variant string) map[uint64]Outcome {
+// bySeed returns the outcomes of a variant on a scenario by seed, without the interrupted ones.
+func bySeed(outcomes []Outcome, scenario, variant string) map[uint64]Outcome {
 	out := map[uint64]Outcome{}
 	for _, outcome := range outcomes {
-		if outcome.Scenario == day && outcome.Variant == variant && !outcome.Interrupted {
+		if outcome.Scenario == scenario && outcome.Variant == variant && !outcome.Interrupted {
 			out[outcome.Seed] = outcome
 		}
 	}
 	return out
 }
 
-// Row summarizes a variant on a day, over its repeats. Figures without an interval are means.
+// Row summarizes a variant on a scenario, over its repeats. Figures without an interval are means.
 type Row struct {
 	Scenario             string   `json:"day"`
 	Variant              string   `json:"arm"`
@@ -219,7 +219,7 @@
 	RejectedNearCapacity float64  `json:"refused_near"`      // fraction rejected without an attempt while a node in the agent's subset had a free core
 	NodesUsed            float64  `json:"nodes_used"`        // share of the nodes in use, in the worst ten seconds
 	SlowStartPeak        float64  `json:"cold_peak"`         // the highest of all runs
-	Priced               float64  `json:"priced"`            // the goal less the day's prices
+	Priced               float64  `json:"priced"`            // the goal less the scenario's prices
 	Degradations         float64  `json:"chokes"`            // nodes that choked
 	Goodput              Interval `json:"surge_goodput"`     // see Surge; 0 without one
 	RecoverySeconds      float64  `json:"surge_back_s"`      // the longest of all runs; below 0 where one never recovered
@@ -229,14 +229,14 @@
 	Unnotified           float64  `json:"unheard"`          // requests sent to draining nodes by agents that were not notified; see referee.Account
 }
 
-// rows summarizes each variant on each day.
-func rows(outcomes []Outcome, days, variants []string) (out []Row) {
-	for _, day := range days {
+// rows summarizes each variant on each scenario.
+func rows(outcomes []Outcome, scenarios, variants []string) (out []Row) {
+	for _, scenario := range scenarios {
 		for _, variant := range variants {
-			row := Row{Scenario: day, Variant: variant, RulesHeld: true}
+			row := Row{Scenario: scenario, Variant: variant, RulesHeld: true}
 			var service, goodput []float64
 			for _, outcome := range outcomes {
-				if outcome.Scenario != day || outcome.Variant != variant || outcome.Interrupted {
+				if outcome.Scenario != scenario || outcome.Variant != variant || outcome.Interrupted {
 					continue
 				}
 				row.Runs++
--- a/internal/experiment/surge.go
+++ b/internal/experiment/surge.go
@@ -11,7 +11,7 @@
 	"ryeweir/internal/emulator"
 )
 
-// Surge has the figures of a day's first upward shift of the traffic at all agents.
+// Surge has the figures of a scenario's first upward shift of the traffic at all agents.
 type Surge struct {
 	Offered         float64 `json:"offered"` // asked for while it lasted, as a multiple of what the nodes can do
 	Goodput         float64 `json:"goodput"` // work done for answers that somebody got, of what the nodes can do; from a second in
@@ -27,19 +27,19 @@
 	recoveredSeconds  = 3 // seconds in a row
 )
 
-// surgeShift is the index of the traffic shift that is a day's surge; -1 where it has none.
-func surgeShift(day *emulator.Scenario) int {
-	return slices.IndexFunc(day.Spec.Fleet.TrafficShifts, func(s emulator.TrafficShiftSpec) bool { return s.Zone == "" && s.Factor > 1 })
+// surgeShift is the index of the traffic shift that is a scenario's surge; -1 where it has none.
+func surgeShift(scenario *emulator.Scenario) int {
+	return slices.IndexFunc(scenario.Spec.Fleet.TrafficShifts, func(s emulator.TrafficShiftSpec) bool { return s.Zone == "" && s.Factor > 1 })
 }
 
-// summarizeSurge computes the figures of a day's surge; nil where it has none, or where the nodes were not sampled.
-func summarizeSurge(day *emulator.Scenario, outcome Outcome) *Surge {
-	shiftIndex := surgeShift(day)
+// summarizeSurge computes the figures of a scenario's surge; nil where it has none, or where the nodes were not sampled.
+func summarizeSurge(scenario *emulator.Scenario, outcome Outcome) *Surge {
+	shiftIndex := surgeShift(scenario)
 	if shiftIndex < 0 || len(outcome.Series.Goodput) == 0 {
 		return nil
 	}
-	shift := day.Spec.Fleet.TrafficShifts[shiftIndex]
-	result := &Surge{Offered: day.Spec.Load * shift.Factor, RecoverySeconds: -1}
+	shift := scenario.Spec.Fleet.TrafficShifts[shiftIndex]
+	result := &Surge{Offered: scenario.Spec.Load * shift.Factor, RecoverySeconds: -1}
 	fromSecond, toSecond := int((shift.From.D()+goodputWarmUp)/time.Second), int(shift.To.D()/time.Second)
 	if goodput := outcome.Series.Goodput; fromSecond < toSecond && fromSecond < len(goodput) {
 		result.Goodput = mean(goodput[fromSecond:min(toSecond, len(goodput))])
@@ -65,8 +65,8 @@
 	return result
 }
 
-// offeredPlots plots goodput, and attempts at nodes a request, against what was offered in the days' surges, a line per variant; none
-// where fewer than two days have a surge.
+// offeredPlots plots goodput, and attempts at nodes a request, against what was offered in the scenarios' surges, a line per variant; none
+// where fewer than two scenarios have a surge.
 func offeredPlots(outcomes []Outcome, variants []string) []namedPlot {
 	goodput, attempts := newPlot("goodput in the surge, of what the nodes can do", "share"), newPlot("attempts at nodes, a request", "attempts")
 	points := 0
--- a/internal/experiment/views.go
+++ b/internal/experiment/views.go
@@ -14,11 +14,11 @@
 	"ryeweir/internal/emulator"
 )
 
-// PeerSummary sums up what agents that gossip saw of their peers in a day.
+// PeerSummary sums up what agents that gossip saw of their peers in a scenario.
 type PeerSummary struct {
 	Agents             int        `json:"agents"`
 	Recoveries         []Recovery `json:"healed"`                // after each fault has ended
-	AllSeenAtEnd       float64    `json:"whole_at_end"`          // share of the agents that saw all others when the day ended
+	AllSeenAtEnd       float64    `json:"whole_at_end"`          // share of the agents that saw all others when the scenario ended
 	MeanBytesPerSecond float64    `json:"bytes_per_second"`      // sent by an agent, mean
 	MaxBytesPerSecond  float64    `json:"bytes_per_second_most"` // by the one that sent most
 	Notices            int64      `json:"notices"`               // of servers' ends that came by a peer first
@@ -35,16 +35,16 @@
 // Recovery is how long the agents took to see all others after a fault had ended, in seconds.
 type Recovery struct {
 	Fault          string  `json:"fault"`
-	At             float64 `json:"at_s"` // of the day: when it ended
+	At             float64 `json:"at_s"` // of the scenario: when it ended
 	Median         float64 `json:"median_s"`
 	Worst          float64 `json:"worst_s"`
 	NeverRecovered int     `json:"never"` // agents that did not before the next fault had ended
 	MinPeersSeen   int     `json:"least"` // fewest peers that an agent saw in the fault and since the one before had ended
 }
 
-// peerView is a sample of what an agent sees of its peers.
-type peerView struct {
-	at        time.Duration // of the day
+// peerSample is a sample of what an agent sees of its peers.
+type peerSample struct {
+	at        time.Duration // of the scenario
 	names     []string
 	bytesSent int64
 	metrics   peerMetrics
@@ -78,7 +78,7 @@
 func (p *scenarioRun) samplePeers(ctx context.Context) {
 	client := &http.Client{Timeout: peerSampleTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: 1}}
 	defer client.CloseIdleConnections()
-	p.peerViews = make([][]peerView, len(p.agents))
+	p.peerSamples = make([][]peerSample, len(p.agents))
 	began := time.Now()
 	var all sync.WaitGroup
 	defer all.Wait()
@@ -87,9 +87,9 @@
 			tick := time.NewTicker(peerSampleInterval)
 			defer tick.Stop()
 			for {
-				if view, err := fetchPeerView(ctx, client, agent.Control); err == nil {
-					view.at = time.Since(began)
-					p.peerViews[i] = append(p.peerViews[i], view)
+				if sample, err := fetchPeerSample(ctx, client, agent.Control); err == nil {
+					sample.at = time.Since(began)
+					p.peerSamples[i] = append(p.peerSamples[i], sample)
 				}
 				select {
 				case <-ctx.Done():
@@ -101,15 +101,15 @@
 	}
 }
 
-// fetchPeerView reads what an agent sees of its peers from its metrics.
-func fetchPeerView(ctx context.Context, client *http.Client, control string) (view peerView, err error) {
+// fetchPeerSample reads what an agent sees of its peers from its metrics.
+func fetchPeerSample(ctx context.Context, client *http.Client, control string) (sample peerSample, err error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+control+"/v1/metrics", nil)
 	if err != nil {
-		return view, err
+		return sample, err
 	}
 	resp, err := client.Do(req)
 	if err != nil {
-		return view, err
+		return sample, err
 	}
 	defer resp.Body.Close()
 	var metrics struct {
@@ -117,13 +117,13 @@
 		Overload *overloadMetrics `json:"overload"`
 	}
 	if err := json.NewDecoder(resp.Body).Decode(&metrics); err != nil {
-		return view, err
+		return sample, err
 	}
-	view.overload = metrics.Overload
+	sample.overload = metrics.Overload
 	if metrics.Peers != nil {
-		view.names, view.bytesSent, view.metrics = metrics.Peers.Names, metrics.Peers.Bytes, *metrics.Peers
+		sample.names, sample.bytesSent, sample.metrics = metrics.Peers.Names, metrics.Peers.Bytes, *metrics.Peers
 	}
-	return view, nil
+	return sample, nil
 }
 
 // faultEnd is the end of a fault.
@@ -132,14 +132,14 @@
 	at    time.Duration
 }
 
-// faultEnds are those of the day's faults between and of agents, in order; the beginning of the day is the first.
-func faultEnds(day *emulator.Scenario) []faultEnd {
+// faultEnds are those of the scenario's faults between and of agents, in order; the beginning of the scenario is the first.
+func faultEnds(scenario *emulator.Scenario) []faultEnd {
 	out := []faultEnd{{"the start", 0}}
-	for _, p := range day.Spec.Fleet.Paths {
+	for _, p := range scenario.Spec.Fleet.Paths {
 		out = append(out, faultEnd{p.String(), p.To.D()})
 	}
 	agentFaults := map[faultEnd]int{}
-	for _, t := range day.AgentFaults {
+	for _, t := range scenario.AgentFaults {
 		agentFaults[faultEnd{t.Kind, t.At + t.Duration}]++
 	}
 	for e, n := range agentFaults {
@@ -149,81 +149,83 @@
 	return out
 }
 
-// summarizeViews summarizes what the agents saw of each other.
-func summarizeViews(day *emulator.Scenario, peerViews [][]peerView) *PeerSummary {
-	views := &PeerSummary{Agents: len(day.Agents), Recoveries: healedAfterFaults(day, peerViews)}
+// summarizePeers summarizes what the agents saw of each other.
+func summarizePeers(scenario *emulator.Scenario, peerSamples [][]peerSample) *PeerSummary {
+	peers := &PeerSummary{Agents: len(scenario.Agents), Recoveries: recoveriesAfterFaults(scenario, peerSamples)}
 	var noticeSum time.Duration
-	for _, agentViews := range peerViews {
-		if len(agentViews) < 2 {
+	for _, samples := range peerSamples {
+		if len(samples) < 2 {
 			continue
 		}
-		views.addAgent(day, agentViews)
-		noticeSum += agentViews[len(agentViews)-1].metrics.Notices.Sum
+		peers.addAgent(scenario, samples)
+		noticeSum += samples[len(samples)-1].metrics.Notices.Sum
 	}
-	views.MaxReplicaStates, views.ReplicaStatesAtEnd = countCopies(peerViews)
-	if views.Notices > 0 {
-		views.NoticeMeanMS = float64(noticeSum.Microseconds()) / 1e3 / float64(views.Notices)
+	peers.MaxReplicaStates, peers.ReplicaStatesAtEnd = countReplicaStates(peerSamples)
+	if peers.Notices > 0 {
+		peers.NoticeMeanMS = float64(noticeSum.Microseconds()) / 1e3 / float64(peers.Notices)
 	}
-	return views
+	return peers
 }
 
-// members is the number of a day's peers, the byzantine ones among them.
-func members(day *emulator.Scenario) int {
-	return len(day.Agents) + len(day.Spec.Fleet.ByzantinePeers)
+// members is the number of a scenario's peers, the byzantine ones among them.
+func members(scenario *emulator.Scenario) int {
+	return len(scenario.Agents) + len(scenario.Spec.Fleet.ByzantinePeers)
 }
 
 // seesAll reports whether an agent saw all its peers.
-func (v peerView) seesAll(day *emulator.Scenario) bool { return len(v.names) == members(day)-1 }
+func (v peerSample) seesAll(scenario *emulator.Scenario) bool {
+	return len(v.names) == members(scenario)-1
+}
 
-// healedAfterFaults returns, for each fault, how long the agents took to see all others after it had ended. Only the time until the next
+// recoveriesAfterFaults returns, for each fault, how long the agents took to see all others after it had ended. Only the time until the next
 // fault ends counts.
-func healedAfterFaults(day *emulator.Scenario, peerViews [][]peerView) (out []Recovery) {
-	ends := faultEnds(day)
+func recoveriesAfterFaults(scenario *emulator.Scenario, peerSamples [][]peerSample) (out []Recovery) {
+	ends := faultEnds(scenario)
 	for i, end := range ends {
-		since, limit := time.Duration(0), day.Length
+		since, limit := time.Duration(0), scenario.Length
 		if i > 0 {
 			since = ends[i-1].at
 		}
 		if i+1 < len(ends) {
 			limit = ends[i+1].at
 		}
-		out = append(out, healedAfter(day, peerViews, end, since, limit))
+		out = append(out, recoveryAfter(scenario, peerSamples, end, since, limit))
 	}
 	return out
 }
 
-// healedAfter is the same for one fault: since is when the one before it ended, limit when the next one does.
-func healedAfter(day *emulator.Scenario, peerViews [][]peerView, end faultEnd, since, limit time.Duration) Recovery {
-	healed := Recovery{Fault: end.fault, At: end.at.Seconds(), MinPeersSeen: members(day) - 1}
+// recoveryAfter is the same for one fault: since is when the one before it ended, limit when the next one does.
+func recoveryAfter(scenario *emulator.Scenario, peerSamples [][]peerSample, end faultEnd, since, limit time.Duration) Recovery {
+	recovery := Recovery{Fault: end.fault, At: end.at.Seconds(), MinPeersSeen: members(scenario) - 1}
 	var delays []float64
-	for _, agentViews := range peerViews {
-		for _, view := range agentViews {
-			if view.at >= since && view.at < end.at {
-				healed.MinPeersSeen = min(healed.MinPeersSeen, len(view.names))
+	for _, samples := range peerSamples {
+		for _, sample := range samples {
+			if sample.at >= since && sample.at < end.at {
+				recovery.MinPeersSeen = min(recovery.MinPeersSeen, len(sample.names))
 			}
 		}
-		first := slices.IndexFunc(agentViews, func(v peerView) bool { return v.at >= end.at && v.at < limit && v.seesAll(day) })
+		first := slices.IndexFunc(samples, func(v peerSample) bool { return v.at >= end.at && v.at < limit && v.seesAll(scenario) })
 		if first < 0 {
-			healed.NeverRecovered++
+			recovery.NeverRecovered++
 			continue
 		}
-		delays = append(delays, (agentViews[first].at - end.at).Seconds())
+		delays = append(delays, (samples[first].at - end.at).Seconds())
 	}
 	if len(delays) > 0 {
 		slices.Sort(delays)
-		healed.Median, healed.Worst = delays[len(delays)/2], delays[len(delays)-1]
+		recovery.Median, recovery.Worst = delays[len(delays)/2], delays[len(delays)-1]
 	}
-	return healed
+	return recovery
 }
 
 // addAgent adds one agent's samples, of which there are two at least.
-func (v *PeerSummary) addAgent(day *emulator.Scenario, agentViews []peerView) {
-	last := agentViews[len(agentViews)-1]
-	agents := float64(len(day.Agents))
-	if last.seesAll(day) {
+func (v *PeerSummary) addAgent(scenario *emulator.Scenario, samples []peerSample) {
+	last := samples[len(samples)-1]
+	agents := float64(len(scenario.Agents))
+	if last.seesAll(scenario) {
 		v.AllSeenAtEnd += 1 / agents
 	}
-	bytes, seconds := bytesSent(agentViews)
+	bytes, seconds := bytesSent(samples)
 	v.MeanBytesPerSecond += bytes / seconds / agents
 	v.MaxBytesPerSecond = max(v.MaxBytesPerSecond, bytes/seconds)
 	v.Notices += last.metrics.Notices.Count
@@ -231,16 +233,16 @@
 	v.Withheld += last.metrics.HeldBack
 	v.FactsRejected += last.metrics.Facts.Rejected
 	v.FactsEvicted += last.metrics.Facts.Evicted
-	for _, view := range agentViews {
-		v.MaxFacts = max(v.MaxFacts, view.metrics.Facts.Held)
+	for _, sample := range samples {
+		v.MaxFacts = max(v.MaxFacts, sample.metrics.Facts.Held)
 	}
 }
 
 // bytesSent is what an agent sent its peers, and over how many seconds. A pair of samples between which another process began is left
 // out: its counter began at 0.
-func bytesSent(agentViews []peerView) (bytes, seconds float64) {
-	for i := 1; i < len(agentViews); i++ {
-		before, after := agentViews[i-1], agentViews[i]
+func bytesSent(samples []peerSample) (bytes, seconds float64) {
+	for i := 1; i < len(samples); i++ {
+		before, after := samples[i-1], samples[i]
 		if sent := after.bytesSent - before.bytesSent; sent >= 0 {
 			bytes += float64(sent)
 			seconds += (after.at - before.at).Seconds()
@@ -249,12 +251,12 @@
 	return bytes, seconds
 }
 
-// countCopies returns how many different states of the facts on servers' ends the agents held: in the sample with the most, and in the
+// countReplicaStates returns how many different states of the facts on servers' ends the agents held: in the sample with the most, and in the
 // last sample that all agents have.
-func countCopies(peerViews [][]peerView) (most, last int) {
+func countReplicaStates(peerSamples [][]peerSample) (most, last int) {
 	digestsByTick := map[int]map[string]int{}
-	for _, agentViews := range peerViews {
-		for _, s := range agentViews {
+	for _, samples := range peerSamples {
+		for _, s := range samples {
 			tick := int(s.at / peerSampleInterval)
 			if digestsByTick[tick] == nil {
 				digestsByTick[tick] = map[string]int{}
@@ -269,7 +271,7 @@
 		for _, k := range digests {
 			reporting += k
 		}
-		if reporting >= len(peerViews) && tick > lastTick {
+		if reporting >= len(peerSamples) && tick > lastTick {
 			lastTick, last = tick, len(digests)
 		}
 	}
--- a/internal/experiment/whole_fleet_test.go
+++ b/internal/experiment/whole_fleet_test.go
@@ -12,28 +12,28 @@
 	"ryeweir/internal/emulator/referee"
 )
 
-// Each kind of a whole fleet's day, in a small size: calm, rollout, thundering herd, zone outage, partition and churn. The agent
+// Each kind of a whole fleet's scenario, in a small size: calm, rollout, thundering herd, zone outage, partition and churn. The agent
 // passes the gate; nodes in slow start get work, but less than overloads them.
 func TestAgentPassesGateOnEachFleetScenario(t *testing.T) {
 	variants := []VariantSpec{{Name: "agent", Kind: AgentKind}, {Name: "late", Kind: DelayedOracle}, {Name: "random", Kind: Random}}
 	for _, kind := range []string{emulator.CalmScenario, emulator.RolloutScenario, emulator.ThunderingHerdScenario, emulator.ZoneOutageScenario, emulator.PartitionScenario, emulator.ChurnScenario} {
 		t.Run(kind, func(t *testing.T) {
 			t.Parallel()
-			scenario := emulator.FleetScenario{Kind: kind, Agents: 24, Nodes: 16}
-			if err := scenario.Check(""); err != nil {
+			fleetScenario := emulator.FleetScenario{Kind: kind, Agents: 24, Nodes: 16}
+			if err := fleetScenario.Check(""); err != nil {
 				t.Fatal(err)
 			}
-			spec := scenario.Spec(2)
-			day, err := spec.Draw(2)
+			spec := fleetScenario.Spec(2)
+			scenario, err := spec.Draw(2)
 			if err != nil {
 				t.Fatal(err)
 			}
 			var outcomes []Outcome
 			for _, variant := range variants {
 				if variant.Kind == Random && kind != emulator.CalmScenario {
-					continue // the gate compares with it on calm days only
+					continue // the gate compares with it on calm scenarios only
 				}
-				outcomes = append(outcomes, simulate(t, day, variant.resolve("agent")))
+				outcomes = append(outcomes, simulate(t, scenario, variant.resolve("agent")))
 			}
 			for _, row := range gate(outcomes, variants, map[string]bool{kind: kind == emulator.CalmScenario}) {
 				if !row.Passed {
@@ -49,7 +49,7 @@
 }
 
 // A gate that passes a bad run hides a fault of the agent. It must fail a run that broke a rule, left a request without an end,
-// or served less than half of what the delayed oracle served; on a calm day it must ask for more.
+// or served less than half of what the delayed oracle served; on a calm scenario it must ask for more.
 func TestGateFailsBrokenRulesMissingEndsAndLowService(t *testing.T) {
 	variants := []VariantSpec{{Name: "a", Kind: AgentKind}, {Name: "l", Kind: DelayedOracle}, {Name: "r", Kind: Random}}
 	judge := func(calm bool, served float64, change func(*referee.Account)) GateRow {
@@ -84,37 +84,37 @@
 	}
 }
 
-// A hunt runs as many random days as it was asked for. The file that it leaves of a day that did not pass must draw the very same
-// day, or the failure can't be debugged.
-func TestHuntSavesDaysThatReproduce(t *testing.T) {
+// A hunt runs as many random scenarios as it was asked for. The file that it leaves of a scenario that did not pass must draw the very same
+// scenario, or the failure can't be debugged.
+func TestHuntSavesScenariosThatReproduce(t *testing.T) {
 	dir := t.TempDir()
 	var progress string
-	hunted, err := Hunt(t.Context(), 1591, 2, dir, writer(func(line string) { progress += line }))
-	if err != nil || hunted.Runs != 2 || !strings.Contains(progress, "2 days played") {
-		t.Fatalf("%+v, %v: %s", hunted, err, progress)
+	result, err := Hunt(t.Context(), 1591, 2, dir, writer(func(line string) { progress += line }))
+	if err != nil || result.Runs != 2 || !strings.Contains(progress, "2 days played") {
+		t.Fatalf("%+v, %v: %s", result, err, progress)
 	}
-	found, err := saveFound(7, "too little\nbecause", dir)
+	failed, err := saveFailedScenario(7, "too little\nbecause", dir)
 	if err != nil {
 		t.Fatal(err)
 	}
-	text, err := os.ReadFile(found.File)
+	text, err := os.ReadFile(failed.File)
 	if err != nil || strings.Contains(string(text), "\nbecause") {
 		t.Fatalf("%s, %v", text, err)
 	}
 	spec := readSpec(t, string(text))
-	day, err := spec.draw(0, spec.Seed)
+	scenario, err := spec.draw(0, spec.Seed)
 	if err != nil {
 		t.Fatal(err)
 	}
 	fleet := randomFleet(7)
 	firstSpec := fleet.Spec(7)
-	if want, err := firstSpec.Draw(7); err != nil || len(day.Plan) != len(want.Plan) || !slices.Equal(day.Faults, want.Faults) || !slices.Equal(day.AgentFaults, want.AgentFaults) {
+	if want, err := firstSpec.Draw(7); err != nil || len(scenario.Plan) != len(want.Plan) || !slices.Equal(scenario.Faults, want.Faults) || !slices.Equal(scenario.AgentFaults, want.AgentFaults) {
 		t.Errorf("the file draws another day: %v", err)
 	}
 }
 
 // A fault of the emulator that has no effect makes every test with it pass. Killed and restarted agents, traffic shifts,
-// partitions, delayed endpoint lists and retry storms must each show in the account of the day.
+// partitions, delayed endpoint lists and retry storms must each show in the account of the scenario.
 func TestFleetFaultsHaveTheirEffect(t *testing.T) {
 	second := func(x float64) time.Duration { return time.Duration(x * float64(time.Second)) }
 	base := func(d *emulator.ScenarioSpec) { d.Agents, d.Length = 12, secondsOf(12) }
@@ -126,8 +126,8 @@
 		}
 		return n, served / max(1, float64(n))
 	}
-	quiet := simulate(t, drawDay(t, base), agentVariant)
-	killed := simulate(t, drawDay(t, func(d *emulator.ScenarioSpec) {
+	quiet := simulate(t, drawScenario(t, base), agentVariant)
+	killed := simulate(t, drawScenario(t, func(d *emulator.ScenarioSpec) {
 		base(d)
 		d.Fleet.AgentFaults = []emulator.AgentFaultSpec{{Kind: emulator.AgentKill, Share: 1, From: secondsOf(4), Duration: secondsOf(2)}}
 	}), agentVariant)
@@ -137,21 +137,21 @@
 	if _, s := service(killed, 8, 12); s < 0.9 || !killed.Account.RulesHold() {
 		t.Errorf("after their return service is %.2f; %v", s, killed.Violations)
 	}
-	restarted := simulate(t, drawDay(t, func(d *emulator.ScenarioSpec) {
+	restarted := simulate(t, drawScenario(t, func(d *emulator.ScenarioSpec) {
 		base(d)
 		d.Fleet.AgentFaults = []emulator.AgentFaultSpec{{Kind: emulator.AgentRestart, Share: 1, Groups: 4, From: secondsOf(2), To: secondsOf(8), Duration: secondsOf(0.3)}}
 	}), agentVariant)
 	if restarted.Overall < quiet.Overall-0.05 || !restarted.Account.Balanced() {
 		t.Errorf("restarts one after the other cost %.3f of %.3f", quiet.Overall-restarted.Overall, quiet.Overall)
 	}
-	shifted := simulate(t, drawDay(t, func(d *emulator.ScenarioSpec) {
+	shifted := simulate(t, drawScenario(t, func(d *emulator.ScenarioSpec) {
 		base(d)
 		d.Fleet.TrafficShifts = []emulator.TrafficShiftSpec{{From: secondsOf(3), To: secondsOf(9), Factor: 2}}
 	}), agentVariant)
 	if ratio := float64(shifted.Calls) / float64(quiet.Calls); ratio < 1.4 || ratio > 1.6 {
 		t.Errorf("twice the traffic for half of the day is %.2f times the calls", ratio)
 	}
-	cut := simulate(t, drawDay(t, func(d *emulator.ScenarioSpec) {
+	cut := simulate(t, drawScenario(t, func(d *emulator.ScenarioSpec) {
 		base(d)
 		d.Fleet.Partitions = []emulator.PartitionSpec{{Zone: "kandy", From: secondsOf(4), To: secondsOf(8)}}
 	}), agentVariant)
@@ -159,7 +159,7 @@
 		t.Errorf("a partitioned zone has no effect: %+v", cut.Account)
 	}
 	withListDelay := func(by float64) Outcome {
-		return simulate(t, drawDay(t, func(d *emulator.ScenarioSpec) {
+		return simulate(t, drawScenario(t, func(d *emulator.ScenarioSpec) {
 			base(d)
 			d.Faults = []emulator.FaultSpec{{Kind: "replace", Nodes: 5, From: secondsOf(2), To: secondsOf(2.5)}}
 			d.Fleet.ListDelays = []emulator.ListDelaySpec{{From: secondsOf(0), To: secondsOf(12), By: secondsOf(by)}}
@@ -168,12 +168,12 @@
 	if prompt, delayed := withListDelay(0), withListDelay(20); delayed.NodesUsed[8] >= prompt.NodesUsed[8] {
 		t.Errorf("with the list delayed by 20 s %.2f of the nodes are in use, without delay %.2f", delayed.NodesUsed[8], prompt.NodesUsed[8])
 	}
-	storm := simulate(t, drawDay(t, func(d *emulator.ScenarioSpec) {
+	storm := simulate(t, drawScenario(t, func(d *emulator.ScenarioSpec) {
 		base(d)
 		d.Load = 1.3
 		d.Fleet.RetryStorms = []emulator.RetryStormSpec{{From: secondsOf(2), To: secondsOf(10), Retries: 9}}
 	}), agentVariant)
-	if plain := simulate(t, drawDay(t, func(d *emulator.ScenarioSpec) { base(d); d.Load = 1.3 }), agentVariant); storm.Account.Requests <= plain.Account.Requests {
+	if plain := simulate(t, drawScenario(t, func(d *emulator.ScenarioSpec) { base(d); d.Load = 1.3 }), agentVariant); storm.Account.Requests <= plain.Account.Requests {
 		t.Errorf("clients that retry nine times send %d requests, others %d", storm.Account.Requests, plain.Account.Requests)
 	}
 }
@@ -181,11 +181,11 @@
 // A node may be replaced faster than discovery removes entries. Its old entry must be removed nevertheless, as the successor has another id;
 // else agents go on to send to a node that is gone.
 func TestReplacedNodeIsRemovedFromEndpointList(t *testing.T) {
-	day := drawDay(t, func(day *emulator.ScenarioSpec) {
-		day.Discovery.RemovalDelay, day.Discovery.AdditionDelay = secondsOf(2), secondsOf(0.2)
-		day.Faults = []emulator.FaultSpec{{Kind: "replace", Nodes: 3, From: secondsOf(2), To: secondsOf(2.5)}}
+	scenario := drawScenario(t, func(scenario *emulator.ScenarioSpec) {
+		scenario.Discovery.RemovalDelay, scenario.Discovery.AdditionDelay = secondsOf(2), secondsOf(0.2)
+		scenario.Faults = []emulator.FaultSpec{{Kind: "replace", Nodes: 3, From: secondsOf(2), To: secondsOf(2.5)}}
 	})
-	outcome := simulate(t, day, agentVariant)
+	outcome := simulate(t, scenario, agentVariant)
 	if outcome.Attempts <= 0.9 || outcome.GroundTruth.ToUnresponsive > outcome.Account.Requests/20 {
 		t.Errorf("%+v", outcome.GroundTruth)
 	}
