--- a/internal/experiment/byzantine.go
+++ b/internal/experiment/byzantine.go
@@ -17,7 +17,7 @@
 	"ryeweir/internal/fleetstate/membership"
 )
 
-// byzantinePeer is a member of the agents' fleet without an agent: all that it sends is false.
+// byzantinePeer is a member of the agents' gossip that is no agent and sends false facts and a false budget state.
 type byzantinePeer struct {
 	spec              emulator.ByzantinePeerSpec
 	name              string
@@ -27,12 +27,13 @@
 	topPriorityWeight float64 // highest priority weight of all classes
 }
 
-// byzantineName is the host name of a scenario's i-th byzantine peer.
+// byzantineName returns the host name of a scenario's i-th byzantine peer.
 func byzantineName(i int) string { return fmt.Sprint("liar-", i) }
 
+// falseFactInterval is how often a byzantine peer sends its false facts and state.
 const falseFactInterval = 100 * time.Millisecond
 
-// newByzantinePeer starts a byzantine peer. cfg is its membership configuration, as an agent would get it.
+// newByzantinePeer starts a byzantine peer. cfg has its addresses and seeds, as an agent's membership configuration would.
 func newByzantinePeer(world *emulator.World, spec emulator.ByzantinePeerSpec, name string, cfg membership.Config, settings operator.Peers) (*byzantinePeer, error) {
 	peer := &byzantinePeer{spec: spec, name: name, world: world}
 	for _, c := range world.Scenario.Classes {
@@ -44,12 +45,12 @@
 	return peer, err
 }
 
-// MergeFacts, Facts and UpdatePeerState ignore what the other peers send, and have nothing of their own.
+// MergeFacts, Facts and UpdatePeerState implement the member's handler. They ignore what other peers send and provide no facts.
 func (b *byzantinePeer) MergeFacts([]fleetstate.Fact) []fleetstate.Fact   { return nil }
 func (b *byzantinePeer) Facts() []fleetstate.Fact                         { return nil }
 func (b *byzantinePeer) UpdatePeerState(string, uint64, budget.PeerState) {}
 
-// run is a member until the context ends, and sends its false facts and state in the interval that the scenario has for it.
+// run takes part in the gossip until ctx ends, and sends false facts and states from spec.From to spec.To.
 func (b *byzantinePeer) run(ctx context.Context) {
 	ended := make(chan struct{})
 	go func() { b.member.Run(ctx); close(ended) }()
@@ -67,10 +68,10 @@
 	<-ctx.Done()
 }
 
-// claims reports whether the scenario has the peer send this kind of false claim.
+// claims reports whether the specification has the peer send this kind of false claim.
 func (b *byzantinePeer) claims(claim string) bool { return slices.Contains(b.spec.Says, claim) }
 
-// falseFacts are what it says of the servers.
+// falseFacts returns false facts about the ready servers, according to the specification.
 func (b *byzantinePeer) falseFacts(now time.Time) (out []fleetstate.Fact) {
 	servers := b.world.EndpointList(0).Servers
 	servers = slices.DeleteFunc(servers, func(e discovery.Entry) bool { return e.State != discovery.Ready })
@@ -80,7 +81,7 @@
 			for _, who := range append([]string{b.name}, b.world.Scenario.Agents...) {
 				k := key
 				k.Kind, k.Origin = fleetstate.Suspicion, who
-				// As far ahead as is believed, so that what the agents say themselves sorts before it.
+				// Within the clock skew that agents accept, but so far in the future that the facts override the agents' own.
 				out = append(out, fleetstate.Fact{Key: k, Value: math.MaxInt32, Timestamp: b.clock.Next(now.Add(fleetstate.MaxClockSkew * 9 / 10)), Reporter: who})
 			}
 		}
@@ -93,14 +94,14 @@
 	return out
 }
 
-// falseState is what it says of the fleet's level.
+// falseState returns a false budget state, according to the specification.
 func (b *byzantinePeer) falseState() (p budget.PeerState) {
-	const all = 1e6
+	const excessiveRate = 1e6 // requests per second, far beyond the capacity of the nodes
 	if b.claims(emulator.FalseDemand) {
-		p.Demand = []budget.Demand{{Priority: b.topPriorityWeight, Rate: all}}
+		p.Demand = []budget.Demand{{Priority: b.topPriorityWeight, Rate: excessiveRate}}
 	}
 	if b.claims(emulator.FalseRate) {
-		p.Rate = all
+		p.Rate = excessiveRate
 	}
 	return p
 }
--- a/internal/experiment/choose.go
+++ b/internal/experiment/choose.go
@@ -9,39 +9,39 @@
 	"ryeweir/internal/emulator/callers"
 )
 
-// View is a node as a client-side chooser sees it.
+// View is a node as a Chooser sees it.
 type View struct {
 	ID        string
-	InFlight  int // the chooser's own requests at the node
+	InFlight  int // requests in flight at the node that this chooser's callers sent
 	TrueState *TrueState
 }
 
-// Truth is what only the emulator knows of a node.
+// TrueState is the state of a node, which only the emulator knows.
 type TrueState struct {
-	Capacity        float64 // cores' worth of work that it can do at present, in seconds a second
+	Capacity        float64 // current capacity, in core-seconds of work per second
 	Cores           int
-	Backlog         time.Duration // time until all requests that it holds are done
-	HasCapacity     bool          // its queue has room for another request
-	FailureFraction float64       // fraction of the requests that fail
-	OneWayDelay     time.Duration // of the network, from the caller
+	Backlog         time.Duration // time until the node has finished all requests that it holds
+	HasCapacity     bool          // whether its queue has room for another request
+	FailureFraction float64       // fraction of its requests that fail
+	OneWayDelay     time.Duration // network delay from the caller to the node
 }
 
-// Chooser returns the index of a node for an attempt, or -1 for none. tried are the nodes of the request's earlier attempts. It is used by
-// one goroutine at a time.
+// Chooser is a reference policy that selects nodes. A Chooser must not be used by more than one goroutine at a time.
 type Chooser interface {
+	// Choose returns the index in nodes for the next attempt of p, or -1 for none. tried has the ids of the nodes of p's earlier attempts.
 	Choose(nodes []View, p callers.PlannedRequest, tried []string) int
 }
 
-// The kinds of reference variants.
+// The kinds of Choosers.
 const (
-	Random        = "random"      // any node
+	Random        = "random"      // a random node that was not tried
 	RoundRobin    = "round-robin" // each node in turn
-	TwoChoices    = "two-choices" // of two random nodes the one with fewer of its own requests in flight
-	Oracle        = "oracle"      // sees the true state of all nodes; one chooser serves all callers
-	DelayedOracle = "late"        // the oracle with a state of delayedViewAge ago and the work sent since; in simulated time only
+	TwoChoices    = "two-choices" // of two random nodes that were not tried, the one with fewer of the caller's requests in flight
+	Oracle        = "oracle"      // uses the true state of all nodes; all callers share one Chooser
+	DelayedOracle = "late"        // the oracle with the state of delayedViewAge ago and the work sent since; in simulated time only
 )
 
-// NewChooser returns the chooser of a reference variant, or nil for an unknown kind.
+// NewChooser returns a Chooser of a kind, or nil for an unknown kind.
 func NewChooser(name string, seed uint64) Chooser {
 	rng := rand.New(rand.NewPCG(seed, 0x63686f6f))
 	switch name {
@@ -57,7 +57,7 @@
 	return nil
 }
 
-// untried returns the indices of the nodes that were not tried, or of all where all were.
+// untried returns the indices of the nodes that were not tried, or of all nodes if all were tried.
 func untried(nodes []View, tried []string) []int {
 	var out, all []int
 	for i, n := range nodes {
@@ -85,7 +85,7 @@
 
 type roundRobin struct{ next int }
 
-// Choose returns the next node.
+// Choose returns the next node in turn.
 func (c *roundRobin) Choose(nodes []View, _ callers.PlannedRequest, _ []string) int {
 	if len(nodes) == 0 {
 		return -1
@@ -109,27 +109,31 @@
 	return a
 }
 
-// oracle chooses the node with the lowest expected latency, by the true state, the true work and the keys that it sent there itself.
-// A request of low priority weight for its work is not sent to a queue: it would delay the others.
+// oracle chooses the node with the lowest expected latency, which it computes from the node's true state, the request's true work and the
+// keys that it sent to the node before. A request with a low ratio of priority weight to work is rejected rather than queued for long,
+// as it would delay the other requests.
 type oracle struct {
-	lastByKey   map[string]keySighting // where and when a key was sent last
+	lastByKey   map[string]keySighting // the last request with each key
 	meanDensity float64                // moving average of priority weight over seconds of work
 }
 
+// keySighting is when and to which node a key was last sent.
 type keySighting struct {
 	node   string
 	sentAt time.Duration
 }
 
 const (
-	keyLifetime        = 5 * time.Second // how long after a request the oracle takes its key as cached at the node
-	keyedWorkReduction = 0.5
+	keyLifetime        = 5 * time.Second // how long after a request the oracle assumes that its key is cached at the node
+	keyedWorkReduction = 0.5             // fraction of the work that the oracle assumes a cached key to save
 	maxKeys            = 1 << 16
-	// Requests below half of the mean density wait for no longer than this: more would delay the rest beyond its latency objective.
+	// A request below half of the mean density is not queued for longer than this. Longer queues would delay the other requests beyond
+	// their latency objectives.
 	maxLowDensityWait = 60 * time.Millisecond
 )
 
-// Choose returns the node with the lowest expected latency, or -1 where none is fit or the request is not worth the delay of others.
+// Choose returns the node with the lowest expected latency, or -1 if no node can serve the request or the request is of low density and
+// would wait too long.
 func (c *oracle) Choose(nodes []View, planned callers.PlannedRequest, tried []string) int {
 	best, shortest := -1, math.Inf(1)
 	var wait time.Duration
--- a/internal/experiment/choosers.go
+++ b/internal/experiment/choosers.go
@@ -10,8 +10,8 @@
 	"ryeweir/internal/emulator/referee"
 )
 
-// route returns where a planned request goes: the id of the agent or node, the client of its address, and what to call at its end. The
-// client is nil where the chooser chose no node.
+// route returns the id of the agent or node for a planned request, the client that is connected to it, and a function to call when the
+// request ends. The client is nil if the chooser returned no node.
 func (p *scenarioRun) route(c callers.PlannedRequest, tried []string) (string, *callers.Client, func(referee.Outcome)) {
 	if p.choosers != nil {
 		return p.choosers[c.Agent].route(c, tried)
@@ -19,26 +19,26 @@
 	return p.world.Scenario.Agents[c.Agent], p.clients[c.Agent], func(referee.Outcome) {}
 }
 
-// clientSideChooser route the calls of one agent's callers, who choose nodes by themselves.
+// clientSideChooser routes the requests of one agent's callers directly to nodes.
 type clientSideChooser struct {
 	run       *scenarioRun
 	agent     int
-	seesTruth bool // the true state
-	mu        *sync.Mutex
+	seesTruth bool        // the chooser gets the true state of the nodes
+	mu        *sync.Mutex // shared by all agents' choosers
 	chooser   Chooser
 	clients   map[string]*callers.Client // by address
-	inFlight  map[string]int             // in flight, by id
-	addrs     []string
-	nodes     []View
-	viewedAt  time.Time
+	inFlight  map[string]int             // requests in flight, by node id
+	addrs     []string                   // of nodes
+	nodes     []View                     // the ready nodes of the endpoint list
+	viewedAt  time.Time                  // when addrs and nodes were read
 }
 
-// viewInterval is how often the endpoint list is read; the oracle reads it, and the true state, for each request.
+// viewInterval is how often choosers read the endpoint list. The oracle reads it, with the true state of the nodes, for each request.
 const viewInterval = 50 * time.Millisecond
 
-// startChoosers makes a chooser for each agent's callers. The oracle is one for all, behind one mutex.
+// startChoosers creates a chooser for each agent's callers. All agents share one oracle.
 func (p *scenarioRun) startChoosers() error {
-	var mu sync.Mutex // of the one who sees all there is only one
+	var mu sync.Mutex // one for all agents, as they may share one oracle
 	shared := NewChooser(p.variant.Chooser, p.world.Scenario.Seed)
 	for i := range p.world.Scenario.Agents {
 		chooser := shared
@@ -48,14 +48,14 @@
 		c := &clientSideChooser{run: p, agent: i, seesTruth: p.variant.Chooser == Oracle, chooser: chooser, mu: &mu,
 			clients: map[string]*callers.Client{}, inFlight: map[string]int{}}
 		if c.chooser == nil {
-			return fmt.Errorf("arm %s: %q is no way to choose", p.variant.Name, p.variant.Chooser)
+			return fmt.Errorf("arm %s: unknown kind %q", p.variant.Name, p.variant.Chooser)
 		}
 		p.choosers = append(p.choosers, c)
 	}
 	return nil
 }
 
-// route does the same by the chooser, and counts the request as in flight until its end.
+// route is scenarioRun.route for the callers of one agent. It counts the request as in flight until the returned function is called.
 func (c *clientSideChooser) route(planned callers.PlannedRequest, tried []string) (string, *callers.Client, func(referee.Outcome)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -86,7 +86,7 @@
 	}
 }
 
-// refresh reads the endpoint list, which lags, and for the oracle the true state, which does not.
+// refresh reads the endpoint list and, for the oracle, the true state of the nodes. The list lags behind changes; the true state does not.
 func (c *clientSideChooser) refresh() {
 	truth := map[string]*TrueState{}
 	if c.seesTruth {
--- a/internal/experiment/demo.go
+++ b/internal/experiment/demo.go
@@ -8,7 +8,7 @@
 	"ryeweir/internal/emulator/node"
 )
 
-// DemoScenario is a scenario on which a node turns slow, another fails fast and a third drains.
+// DemoScenario returns a scenario in which one node becomes slow, another fails fast and a third drains.
 func DemoScenario(length time.Duration) emulator.ScenarioSpec {
 	d := emulator.DefaultScenario()
 	d.Name, d.Length = "demo", config.Duration(length)
--- a/internal/experiment/drill_judge.go
+++ b/internal/experiment/drill_judge.go
@@ -2,8 +2,8 @@
 
 import "fmt"
 
-// judge compares an outcome with what the drill expects. It returns the expectations that failed, and whether a rule is among them. Where
-// a rule broke, or the machine was overloaded, nothing but the rules is judged.
+// evaluate compares an outcome with what the drill expects. It returns the expectations that failed, and whether a rule is among them. If a
+// rule was violated or the machine was overloaded, only the rules are checked.
 func (s *DrillSpec) evaluate(outcome Outcome) (failed []string, broken bool) {
 	j := &drillEvaluator{spec: s, outcome: outcome}
 	j.checkRules()
@@ -13,98 +13,98 @@
 	j.checkNodes()
 	j.checkSurge()
 	j.checkPriorities()
-	j.checkLevels()
+	j.checkAdmission()
 	j.checkServedByClass()
 	j.checkPeers()
 	return j.failed, false
 }
 
-// drillEvaluator collects the expectations that an outcome failed.
+// drillEvaluator collects the expectations that an outcome does not meet.
 type drillEvaluator struct {
 	spec    *DrillSpec
 	outcome Outcome
 	failed  []string
 }
 
-// expect notes an expectation that failed.
+// expect adds an expectation that failed, unless ok.
 func (j *drillEvaluator) expect(ok bool, format string, args ...any) {
 	if !ok {
 		j.failed = append(j.failed, fmt.Sprintf(format, args...))
 	}
 }
 
-// checkRules checks what must hold in any drill.
+// checkRules checks what must hold in each drill.
 func (j *drillEvaluator) checkRules() {
 	account := j.outcome.Account
 	held := account.Balanced() && account.RulesHold() && account.UnknownRequests == 0
-	j.expect(held, "the rules, one answer each and no stranger: %+v %v", account, j.outcome.Violations)
-	j.expect(!j.outcome.Interrupted, "it was interrupted")
+	j.expect(held, "a rule was violated, a request has no or several outcomes, or a node got an unknown request: %+v %v", account, j.outcome.Violations)
+	j.expect(!j.outcome.Interrupted, "the drill was interrupted")
 }
 
-// checkNodes checks what the nodes were sent.
+// checkNodes checks the attempts and health checks that the nodes received, and their degradation.
 func (j *drillEvaluator) checkNodes() {
 	e, o := j.spec.Expect, j.outcome
-	j.expect(e.MaxChokes == nil || o.Degradations <= *e.MaxChokes, "%d nodes choked", o.Degradations)
-	j.expect(e.MaxAttempts == 0 || o.Attempts <= e.MaxAttempts, "%.2f attempts a request", o.Attempts)
-	j.expect(e.MaxSlowStartPeak == 0 || o.SlowStartPeak <= e.MaxSlowStartPeak, "a cold node got %.2f of what topples it", o.SlowStartPeak)
-	j.expect(e.MaxHealthCheckWork == 0 || o.HealthCheckWork <= e.MaxHealthCheckWork, "probes took %.4f of the nodes' work", o.HealthCheckWork)
+	j.expect(e.MaxDegradations == nil || o.Degradations <= *e.MaxDegradations, "nodes degraded %d times", o.Degradations)
+	j.expect(e.MaxAttempts == 0 || o.Attempts <= e.MaxAttempts, "%.2f attempts per request", o.Attempts)
+	j.expect(e.MaxSlowStartPeak == 0 || o.SlowStartPeak <= e.MaxSlowStartPeak, "a node in slow start got %.2f of the load that overloads it", o.SlowStartPeak)
+	j.expect(e.MaxHealthCheckWork == 0 || o.HealthCheckWork <= e.MaxHealthCheckWork, "health checks took %.4f of the nodes' capacity", o.HealthCheckWork)
 	unnotified := o.Account.Unnotified
-	j.expect(e.MaxUnnotified == nil || unnotified <= *e.MaxUnnotified, "%d requests came to ending nodes from agents that were not told", unnotified)
+	j.expect(e.MaxUnnotified == nil || unnotified <= *e.MaxUnnotified, "%d requests arrived at draining nodes from agents that had not been notified", unnotified)
 }
 
 // checkSurge checks goodput in the surge and recovery after it.
 func (j *drillEvaluator) checkSurge() {
 	e, surge := j.spec.Expect, j.outcome.Surge
 	if surge == nil {
-		j.expect(e.MinGoodput <= 0 && e.RecoveredWithin <= 0, "the day has no surge")
+		j.expect(e.MinGoodput <= 0 && e.RecoveredWithin <= 0, "goodput_least or back_within is set, but the day has no surge")
 		return
 	}
 	j.expect(surge.Goodput >= e.MinGoodput, "goodput %.3f in the surge", surge.Goodput)
 	recovered := surge.RecoverySeconds >= 0 && surge.RecoverySeconds <= e.RecoveredWithin.D().Seconds()
-	j.expect(e.RecoveredWithin == 0 || recovered, "service came back %.0f s after the surge (-1: never)", surge.RecoverySeconds)
+	j.expect(e.RecoveredWithin == 0 || recovered, "service recovered %.0f s after the surge (-1: never)", surge.RecoverySeconds)
 }
 
-// checkPriorities checks the agents without faults, and the order by priority weight.
+// checkPriorities checks the service of the agents without faults, and that requests are served in the order of priority.
 func (j *drillEvaluator) checkPriorities() {
 	e, o := j.spec.Expect, j.outcome
-	j.expect(o.UnaffectedService >= e.MinSpared, "agents that nothing befell served %.3f", o.UnaffectedService)
-	j.expect(e.MaxPassedOver == 0 || o.PassedOver <= e.MaxPassedOver, "%.3f of the worthiest were passed over", o.PassedOver)
+	j.expect(o.UnaffectedService >= e.MinUnaffectedService, "service of the agents without faults was %.3f", o.UnaffectedService)
+	j.expect(e.MaxPassedOver == 0 || o.PassedOver <= e.MaxPassedOver, "%.3f of the top-priority class's work was passed over for lower classes", o.PassedOver)
 }
 
-// checkLevels checks what the agents reported of their budgets.
-func (j *drillEvaluator) checkLevels() {
+// checkAdmission checks the metrics of the agents' admission budgets.
+func (j *drillEvaluator) checkAdmission() {
 	least := j.spec.Expect.MinSelfOverloaded
 	if admission := j.outcome.Admission; admission != nil {
-		j.expect(admission.SelfOverloaded >= least, "agents were over themselves at %d looks", admission.SelfOverloaded)
+		j.expect(admission.SelfOverloaded >= least, "agents found themselves overloaded in %d samples", admission.SelfOverloaded)
 		return
 	}
-	j.expect(least == 0, "the agents told nothing of budgets")
+	j.expect(least == 0, "the agents reported no admission budgets")
 }
 
-// checkServedByClass checks the fraction served of each class.
+// checkServedByClass checks the fraction of each class that was served.
 func (j *drillEvaluator) checkServedByClass() {
 	for name, least := range j.spec.Expect.MinServed {
 		served := j.outcome.ByClass[j.spec.class(name)]
-		j.expect(served >= least, "%s was served %.3f", name, served)
+		j.expect(served >= least, "class %s: the fraction served is %.3f", name, served)
 	}
 	for name, most := range j.spec.Expect.MaxServed {
 		served := j.outcome.ByClass[j.spec.class(name)]
-		j.expect(served <= most, "%s was served %.3f", name, served)
+		j.expect(served <= most, "class %s: the fraction served is %.3f", name, served)
 	}
 }
 
-// checkPeers checks what the agents reported of their peers.
+// checkPeers checks the agents' metrics of their peers.
 func (j *drillEvaluator) checkPeers() {
 	e, peers := j.spec.Expect, j.outcome.Peers
 	if peers == nil {
 		none := !e.FullMembership && e.MaxSplitFraction == 0 && e.MinWithheld == 0 && e.MaxNoticeMS == 0 && e.MinReplicaStates == 0 && !e.ReplicasAgree
-		j.expect(none, "the agents told nothing of their peers")
+		j.expect(none, "the agents reported no peers")
 		return
 	}
-	j.expect(peers.MaxReplicaStates >= e.MinReplicaStates, "agents held %d different copies at the most", peers.MaxReplicaStates)
-	j.expect(!e.ReplicasAgree || peers.ReplicaStatesAtEnd == 1, "agents held %d different copies at the end", peers.ReplicaStatesAtEnd)
-	j.expect(peers.Withheld >= e.MinWithheld, "nodes were held back %d times on peers' word", peers.Withheld)
-	j.expect(e.MaxNoticeMS == 0 || peers.NoticeMaxMS <= e.MaxNoticeMS, "a notice took %.0f ms", peers.NoticeMaxMS)
+	j.expect(peers.MaxReplicaStates >= e.MinReplicaStates, "agents held at most %d different replica states", peers.MaxReplicaStates)
+	j.expect(!e.ReplicasAgree || peers.ReplicaStatesAtEnd == 1, "agents held %d different replica states at the end", peers.ReplicaStatesAtEnd)
+	j.expect(peers.Withheld >= e.MinWithheld, "agents withheld requests from nodes %d times on a peer's notice", peers.Withheld)
+	j.expect(e.MaxNoticeMS == 0 || peers.NoticeMaxMS <= e.MaxNoticeMS, "a notice from a peer took %.0f ms", peers.NoticeMaxMS)
 	if e.FullMembership {
 		j.checkMembershipHealed(peers)
 	}
@@ -117,19 +117,19 @@
 func (j *drillEvaluator) checkMembershipHealed(peers *PeerSummary) {
 	j.expect(peers.AllSeenAtEnd >= 1-1e-9, "%.2f of the agents saw all others at the end", peers.AllSeenAtEnd)
 	for i, recovery := range peers.Recoveries {
-		// Where the next fault ends at the same time there is no interval to see it in.
+		// If the next fault ends at the same time, no sample lies between the two ends.
 		if i+1 == len(peers.Recoveries) || peers.Recoveries[i+1].At > recovery.At {
-			j.expect(recovery.NeverRecovered == 0, "after %s %d agents never saw all others", recovery.Fault, recovery.NeverRecovered)
+			j.expect(recovery.NeverRecovered == 0, "after the fault %s, %d agents never saw all others", recovery.Fault, recovery.NeverRecovered)
 		}
 	}
 }
 
-// checkMembershipSplit checks that a fault did separate the agents.
+// checkMembershipSplit checks that a fault did separate an agent from others.
 func (j *drillEvaluator) checkMembershipSplit(peers *PeerSummary) {
 	least := j.spec.Scenario.Agents
 	for _, recovery := range peers.Recoveries {
 		least = min(least, recovery.MinPeersSeen)
 	}
 	most := j.spec.Expect.MaxSplitFraction * float64(j.spec.Scenario.Agents-1)
-	j.expect(float64(least) <= most, "no agent saw fewer than %d others: the cut did not bite", least)
+	j.expect(float64(least) <= most, "every agent saw at least %d others during the faults: they did not split the membership", least)
 }
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -15,7 +15,7 @@
 	"time"
 )
 
-// Findings are the results of an experiment, as figures.json holds them.
+// Findings are the results of an experiment. figures.json holds them as JSON.
 type Findings struct {
 	Name        string       `json:"name"`
 	Question    string       `json:"question"`
@@ -25,16 +25,16 @@
 	Rows        []Row        `json:"rows"`
 	Differences []Difference `json:"differences"`
 	Outcomes    []Outcome    `json:"outcomes"`
-	Gate        []GateRow    `json:"gate,omitempty"`     // where the file asks for it
-	Against     string       `json:"against,omitempty"`  // the folder of the earlier run that it is compared with
+	Gate        []GateRow    `json:"gate,omitempty"`     // if Spec.Gate is set
+	Against     string       `json:"against,omitempty"`  // the folder of the earlier run with which this one is compared
 	Failures    []string     `json:"failures,omitempty"` // runs that ended with an error
 	Unfinished  bool         `json:"unfinished,omitempty"`
 
-	baseline []Outcome       // the outcomes in that folder
-	agents   map[string]bool // names of the variants that are agents
+	baseline []Outcome       // the outcomes in the folder Against
+	agents   map[string]bool // by name of a variant: whether it is the agent
 }
 
-// RulesHeld reports whether the rules held in all runs with an agent.
+// RulesHeld reports whether the referee's rules held in all runs with an agent.
 func (f Findings) RulesHeld() bool {
 	for _, o := range f.Outcomes {
 		if f.agents[o.Variant] && !o.Account.RulesHold() {
@@ -44,28 +44,30 @@
 	return true
 }
 
-// Passed reports whether each run that was to be judged has passed the gate.
+// Passed reports whether all runs in Gate passed.
 func (f Findings) Passed() bool {
 	return !slices.ContainsFunc(f.Gate, func(r GateRow) bool { return !r.Passed })
 }
 
-// readOutcomes reads the outcomes that an earlier run of an experiment left in its folder.
+// readOutcomes reads the outcomes of an earlier run of an experiment from figures.json in its folder.
 func readOutcomes(dir string) ([]Outcome, error) {
 	text, err := os.ReadFile(filepath.Join(dir, "figures.json"))
 	if err != nil {
-		return nil, fmt.Errorf("the play to compare with: %w", err)
+		return nil, fmt.Errorf("reading the earlier run to compare with: %w", err)
 	}
 	var f Findings
 	if err := json.Unmarshal(text, &f); err != nil {
-		return nil, fmt.Errorf("the play to compare with: %s: %w", dir, err)
+		return nil, fmt.Errorf("parsing figures.json of the earlier run to compare with, in %s: %w", dir, err)
 	}
 	return f.Outcomes, nil
 }
 
-// Run runs an experiment: each scenario with each variant, repeated. The runs of one repeat have the same seed, and with it the same arrivals,
-// work and faults. self is the path of this program. figures.json in dir is rewritten after each run, so that an interruption, a full disk
-// or a failed run keeps what is finished. Progress goes to out, one line per run. against, where it is not empty, is the folder of an
-// earlier run of the same scenarios: each variant is then compared with itself there, too.
+// Run runs an experiment: each scenario with each variant, repeated. The runs of one repeat have the same seed, and therefore the same
+// arrivals, work and faults. self is the path of this program. Run writes a line of progress to out for each run, and rewrites figures.json
+// in dir after each run, so that finished runs survive an interruption, a full disk and a failed run. A run that ends with an error is
+// listed in Findings.Failures. When ctx ends, Run returns the finished runs with Unfinished set and no error.
+//
+// against, unless empty, is the folder of an earlier run of the same scenarios: each variant is then also compared with its outcomes there.
 func Run(ctx context.Context, spec *Spec, self, dir, against string, out io.Writer) (Findings, error) {
 	findings := Findings{Name: spec.Name, Question: spec.Question, Simulated: spec.Simulated, Began: time.Now().UTC(),
 		Planned: spec.Repeats * len(spec.Variants) * spec.scenarioCount(), agents: map[string]bool{}}
@@ -74,15 +76,15 @@
 	}
 	if against != "" {
 		var err error
-		if findings.baseline, err = readOutcomes(against); err != nil { // before it is overwritten, where it is the same folder
+		if findings.baseline, err = readOutcomes(against); err != nil { // dir may be the same folder: read figures.json before it is overwritten
 			return findings, err
 		}
 		findings.Against = against
 	}
 	if err := os.MkdirAll(dir, 0o755); err != nil {
-		return findings, fmt.Errorf("the folder for the report: %w", err)
+		return findings, fmt.Errorf("creating the folder for the report: %w", err)
 	}
-	if err := findings.save(spec, dir); err != nil { // before an hour of runs finds that it can't
+	if err := findings.save(spec, dir); err != nil { // fail now rather than after an hour of runs if the folder is not writable
 		return findings, err
 	}
 	began := time.Now()
@@ -115,10 +117,10 @@
 	return findings, findings.write(spec, dir)
 }
 
-// runIndex is a run of an experiment, by index.
+// runIndex identifies a run of an experiment by its repeat, and by the indices of its scenario and its variant.
 type runIndex struct{ repeat, scenario, variant int }
 
-// runs lists the runs in their order: by repeat, then scenario, then variant.
+// runs returns all runs in the order of execution: by repeat, then scenario, then variant.
 func (s *Spec) runs() (out []runIndex) {
 	for repeat := range s.Repeats {
 		for scenario := range s.scenarioCount() {
@@ -130,9 +132,9 @@
 	return out
 }
 
-// startRuns returns a function that gives the outcome of each run, to be called in order, and one that stops the runs in progress. Runs on
-// sockets run when they are asked for, one by one, as they would disturb each other; simulated ones run side by side, one per
-// processor.
+// startRuns returns two functions. next returns the outcome of the i-th run and must be called in the order of the runs. stop cancels the
+// runs in progress and must be called at the end. Runs on sockets would disturb each other, so next executes them one at a time; simulated
+// runs execute concurrently, one per processor.
 func (f *Findings) startRuns(ctx context.Context, spec *Spec, self string, runs []runIndex) (next func(i int) (Outcome, error), stop func()) {
 	ctx, cancel := context.WithCancel(ctx)
 	execute := func(i int) (Outcome, error) {
@@ -172,7 +174,7 @@
 	}
 }
 
-// execute draws the scenario of a run and runs it, on sockets or in simulated time.
+// execute draws the scenario of a run and runs it with its variant, on sockets or in simulated time.
 func (f *Findings) execute(ctx context.Context, spec *Spec, self string, repeat, scenarioIndex, variantIndex int) (Outcome, error) {
 	scenario, err := spec.draw(scenarioIndex, spec.Seed+uint64(repeat))
 	if err != nil {
@@ -185,7 +187,7 @@
 	return RunScenario(ctx, scenario, variant, nil)
 }
 
-// save writes the figures.
+// save recomputes the rows, differences and gate from the outcomes, and writes figures.json.
 func (f *Findings) save(spec *Spec, dir string) error {
 	f.Rows, f.Differences = rows(f.Outcomes, spec.scenarioNames(), spec.variantNames()), nil
 	if len(spec.Variants) > 1 {
@@ -197,17 +199,17 @@
 	}
 	text, err := json.MarshalIndent(f, "", " ")
 	if err != nil {
-		return fmt.Errorf("figures: %w", err)
+		return fmt.Errorf("encoding figures.json: %w", err)
 	}
 	return replace(filepath.Join(dir, "figures.json"), text)
 }
 
-// write writes the figures, the report and the plots.
+// write writes figures.json, report.html and the plots.
 func (f *Findings) write(spec *Spec, dir string) error {
 	return errors.Join(f.save(spec, dir), report(f, spec, dir))
 }
 
-// replace writes a file whole, or leaves the one that was there.
+// replace writes a file atomically: after an error the old content is still there.
 func replace(file string, text []byte) error {
 	part := file + ".part"
 	if err := os.WriteFile(part, text, 0o644); err != nil {
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -16,7 +16,7 @@
 	"ryeweir/internal/emulator"
 )
 
-// drawScenario draws a scenario of 15 s with the default specification, changed by change where it is not nil.
+// drawScenario draws a scenario of 15 s from the default specification, to which change, unless nil, is applied.
 func drawScenario(t *testing.T, change func(*emulator.ScenarioSpec)) *emulator.Scenario {
 	t.Helper()
 	spec := emulator.DefaultScenario()
@@ -31,7 +31,7 @@
 	return d
 }
 
-// agentVariant is the agent's decision module; simulated time starts no program.
+// agentVariant is the agent. Simulated time runs its decision module and ignores the path of the program.
 var agentVariant = Variant{Name: "agent", Command: []string{"-", "agent"}}
 
 // simulate runs a scenario in simulated time and fails the test on an error.
@@ -44,8 +44,8 @@
 	return outcome
 }
 
-// A failure found in simulated time is debugged by running it again. That works only where the same scenario and variant give the same
-// outcome, down to the last call, also through slow, unresponsive, replaced and draining nodes and an outage of discovery.
+// A failure in simulated time is debugged by running it again. Therefore the same scenario and variant must give exactly the same outcome,
+// also with slow, unresponsive, replaced and draining nodes and an outage of discovery.
 func TestEqualScenariosAndVariantsGiveEqualOutcomes(t *testing.T) {
 	withFaults := func(d *emulator.ScenarioSpec) {
 		d.Faults = []emulator.FaultSpec{
@@ -67,8 +67,8 @@
 	}
 }
 
-// On a loaded scenario with slow nodes a variant that knows more about the nodes must serve more: random less than two choices, that
-// less than the agent, and the agent no more than the oracle by a margin. If not, the comparison of variants says nothing.
+// Under high load with slow nodes, a variant that knows more about the nodes must serve more: two choices more than random, the agent more
+// than two choices, and the agent at most 0.02 more than the oracle. Otherwise comparisons between variants are meaningless.
 func TestVariantsRankByWhatTheyKnow(t *testing.T) {
 	withFaults := func(d *emulator.ScenarioSpec) {
 		d.Load = 0.7
@@ -81,9 +81,8 @@
 	}
 }
 
-// A report that calls chance a difference leads to a wrong decision. Differences around 0 are noise, those clearly on one side
-// are higher or lower, and fewer than three pairs are too few. The 95% intervals of samples with a known mean cover it about that
-// often.
+// A report that takes chance for a difference leads to a wrong decision. Differences on both sides of 0 are noise, those on one side are
+// higher or lower, and fewer than three pairs are too few.
 func TestVerdictTellsDifferencesFromNoise(t *testing.T) {
 	for want, diffs := range map[string][]float64{
 		"noise":   {0.02, -0.01, 0.015, -0.02, 0.005},
@@ -95,7 +94,7 @@
 			t.Errorf("%v: %s, not %s", diffs, got, want)
 		}
 	}
-	// 95% intervals of 20 normal samples cover the true mean about that often.
+	// The 95% intervals of 20 normal samples must cover the true mean in at least 85% of the cases.
 	covered, rng := 0, rand.New(rand.NewPCG(1, 2))
 	for range 200 {
 		var samples []float64
@@ -132,7 +131,7 @@
 size = 5.0
 `
 
-// readSpec parses and checks an experiment's file.
+// readSpec parses and checks the text of an experiment's file.
 func readSpec(t *testing.T, text string) *Spec {
 	t.Helper()
 	var s Spec
@@ -142,8 +141,8 @@
 	return &s
 }
 
-// An experiment of two variants and three repeats leaves figures.json, one plot per view, and a report.html that needs no other
-// file and escapes the names that users gave.
+// An experiment must write figures.json, the plots, and a report.html that needs no other file and escapes the names from the
+// specification. Here it has two variants, one scenario and three repeats.
 func TestExperimentWritesFiguresReportAndPlots(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "out")
 	findings, err := Run(t.Context(), readSpec(t, experimentText), "", dir, "", io.Discard)
@@ -154,7 +153,7 @@
 		t.Errorf("%d outcomes, %d rows, %d differences", len(findings.Outcomes), len(findings.Rows), len(findings.Differences))
 	}
 	if findings.Outcomes[0].Calls != findings.Outcomes[1].Calls {
-		t.Error("the variants of a repeat got different calls")
+		t.Error("the variants of a repeat got different numbers of calls")
 	}
 	page, err := os.ReadFile(filepath.Join(dir, "report.html"))
 	if err != nil {
@@ -162,11 +161,11 @@
 	}
 	for _, want := range []string{"<svg", "short &amp; odd", "two-choices"[:3], "verdict"} {
 		if !strings.Contains(string(page), want) {
-			t.Errorf("the report has no %q", want)
+			t.Errorf("report.html has no %q", want)
 		}
 	}
 	if strings.Contains(string(page), "src=") || strings.Contains(string(page), "href=\"http") {
-		t.Error("the report needs other files")
+		t.Error("report.html refers to other files")
 	}
 	plots, _ := filepath.Glob(filepath.Join(dir, "plots", "*.png"))
 	if len(plots) != 5 {
@@ -179,8 +178,9 @@
 	}
 }
 
-// An experiment may run for hours. When it is interrupted, its report holds the runs that were finished and says so. When its
-// folder can't be written, it ends before the first run. When a program does not start, only the runs with that program fail.
+// An experiment may run for hours, and a failure must not lose finished runs. After an interruption, the report holds the finished runs and
+// says that it was interrupted. If the folder is not writable, the experiment ends before the first run. If a program does not start, only
+// the runs with that program fail.
 func TestExperimentKeepsFinishedRunsAfterFailure(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	dir := t.TempDir()
@@ -194,14 +194,14 @@
 		t.Errorf("%d outcomes, unfinished %v, %v", len(findings.Outcomes), findings.Unfinished, err)
 	}
 	if page, err := os.ReadFile(filepath.Join(dir, "report.html")); err != nil || !strings.Contains(string(page), "interrupted") {
-		t.Error("the report does not say that the experiment was interrupted")
+		t.Error("report.html does not say that the experiment was interrupted")
 	}
 	file := filepath.Join(dir, "a-file")
 	if err := os.WriteFile(file, nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if findings, err := Run(t.Context(), readSpec(t, experimentText), "", file, "", io.Discard); err == nil || len(findings.Outcomes) > 0 {
-		t.Errorf("%d runs into a file, %v", len(findings.Outcomes), err)
+		t.Errorf("%d runs with a file in place of the folder, error %v", len(findings.Outcomes), err)
 	}
 	// A binary that does not exist fails its own runs only.
 	spec := readSpec(t, strings.Replace(strings.Replace(experimentText, "simulated = true", "", 1), `kind = "random"`, "kind = \"agent\"\nbinary = \"/no/such/program\"", 1))
@@ -222,16 +222,16 @@
 	return len(p), nil
 }
 
-// A user who mistypes a key or value of an experiment's file gets an error that names the place. Each case replaces one string in
-// a valid file and expects the place or the reason in the error.
+// Each wrong key or value in an experiment's file must give an error with its place. Each case replaces one string in a valid file and
+// states a part of the expected error.
 func TestSpecErrorsNameFileLineAndKey(t *testing.T) {
 	for want, change := range map[string][2]string{
-		"x.toml:7: arm[0].kind":      {`"two-choices"`, `"best"`},
-		"x.toml:3: repeats":          {"repeats = 3", "repeats = 5000"},
-		"day[0].trouble[0].kind":     {`"slow"`, `"plague"`},
-		"x.toml:13: day.legnth":      {"length =", "legnth ="},
-		"x.toml:9: arm[1].name":      {`name = "any"`, `name = "two"`},
-		"only an agent is a program": {`kind = "random"`, "kind = \"random\"\nbinary = \"x\""},
+		"x.toml:7: arm[0].kind":  {`"two-choices"`, `"best"`},
+		"x.toml:3: repeats":      {"repeats = 3", "repeats = 5000"},
+		"day[0].trouble[0].kind": {`"slow"`, `"plague"`},
+		"x.toml:13: day.legnth":  {"length =", "legnth ="},
+		"x.toml:9: arm[1].name":  {`name = "any"`, `name = "two"`},
+		"arm[1].binary: binary, flags and operator are allowed for the kind agent only": {`kind = "random"`, "kind = \"random\"\nbinary = \"x\""},
 	} {
 		var s Spec
 		err := config.TOML("x.toml", []byte(strings.Replace(experimentText, change[0], change[1], 1)), &s)
--- a/internal/experiment/fleet.go
+++ b/internal/experiment/fleet.go
@@ -13,30 +13,30 @@
 )
 
 const (
-	maxFleetRequests   = 5_000_000
-	restartObservation = 5 * time.Second        // how long after its start a server's handshakes are counted
-	peakWindow         = 100 * time.Millisecond // over which handshakes are counted for their peak
+	maxFleetRequests   = 5_000_000              // in all repeats of a variant
+	restartObservation = 5 * time.Second        // how long after the restart of a server its handshakes are counted
+	peakWindow         = 100 * time.Millisecond // the interval over which handshakes are counted for their peak
 )
 
-// FleetFigures are the results of one variant, over its repeats.
+// FleetFigures are the results of one variant of the fleet model, over its repeats.
 type FleetFigures struct {
 	Variant              string   `json:"arm"`
 	Handshakes           Interval `json:"handshakes_per_request"`
-	Open                 Interval `json:"connections_open"`        // of all agents, on average
-	Crossed              Interval `json:"crossed_per_million"`     // requests that a server's close crossed
-	CrossedNonIdempotent Interval `json:"crossed_must_not_repeat"` // and those of them that must not repeat
-	TimedOut             Interval `json:"timed_out_after_the_cut"` // requests sent on dead connections after the server was back
-	Peak                 Interval `json:"start_peak_handshakes"`   // at the started server, in a tenth of a second
-	SlowStartShare       Interval `json:"start_cold_share"`        // of its capacity in the first 5 s that handshakes took
+	Open                 Interval `json:"connections_open"`        // of all agents together, mean over time
+	Crossed              Interval `json:"crossed_per_million"`     // requests lost because the server closed the idle connection meanwhile
+	CrossedNonIdempotent Interval `json:"crossed_must_not_repeat"` // number of these that were not idempotent
+	TimedOut             Interval `json:"timed_out_after_the_cut"` // requests sent on dead connections after the partition had healed
+	Peak                 Interval `json:"start_peak_handshakes"`   // most handshakes of the restarted server within peakWindow
+	SlowStartShare       Interval `json:"start_cold_share"`        // fraction of the restarted server's capacity within restartObservation that handshakes took
 	Mean                 Interval `json:"mean_ms"`
 	P99                  Interval `json:"p99_ms"`
 }
 
-// RunFleetModel runs the model with each variant and prints a table of the figures to out.
+// RunFleetModel runs the model with each variant, repeated with successive seeds, and prints a table of the figures to out.
 func RunFleetModel(spec *FleetSpec, out io.Writer) ([]FleetFigures, error) {
 	var all []FleetFigures
 	table := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
-	fmt.Fprintln(table, "arm\thandshakes/request\topen\tcrossed/million\tof these once only\ttimed out after cut\tpeak/100 ms at start\tcold share\tmean ms\tp99 ms")
+	fmt.Fprintln(table, "arm\thandshakes/request\topen\tcrossed/million\tof these not idempotent\ttimed out after partition\tpeak/100 ms at restart\tslow start share\tmean ms\tp99 ms")
 	for _, variant := range spec.Variants {
 		runs := make([]fleetRun, spec.Repeats)
 		for i := range runs {
@@ -82,7 +82,7 @@
 	mean, p99                                       float64
 }
 
-// fleetModel is the state of one run in simulated time.
+// fleetModel is the state of one run of the model in simulated time.
 type fleetModel struct {
 	spec                *FleetSpec
 	rng                 *rand.Rand
@@ -92,29 +92,30 @@
 	servers             []*fleetServer
 	latencies           []float64
 	totals              fleetRun
-	samples             int
-	scheduled           int
-	handshakesPerWindow map[time.Duration]int
+	samples             int                   // of open connections, added up in totals.openConnections
+	scheduled           int                   // events scheduled so far
+	handshakesPerWindow map[time.Duration]int // by the number of the peakWindow
 }
 
-// fleetAgent is an agent: its table, and its servers as nodes of that.
+// fleetAgent is an agent with its connection table. nodes[i] is the table's endpoint for servers[i].
 type fleetAgent struct {
 	table   *pool.Table
 	nodes   []*pool.Endpoint
-	servers []*fleetServer
+	servers []*fleetServer // the agent's subset
 	waiting map[*pool.Waiter]*fleetRequest
 	conns   map[*pool.Slot]*fleetConn
 }
 
+// fleetRequest is a request that arrived at an agent.
 type fleetRequest struct {
 	at            time.Duration
 	nonIdempotent bool
-	server        int // of the agent's
+	server        int // index in fleetAgent.servers
 }
 
-const fleetStart = time.Second // times of 0 mean never
+const fleetStart = time.Second // when a run begins; a time of 0 means never
 
-// newFleet places the servers, and the agents with random subsets of them.
+// newFleet creates the servers, and the agents with random subsets of the servers.
 func newFleet(spec *FleetSpec, variant FleetVariant, seed uint64) (*fleetModel, error) {
 	model := &fleetModel{spec: spec, rng: rand.New(rand.NewPCG(seed, 0x666c6565)), now: fleetStart, handshakesPerWindow: map[time.Duration]int{}}
 	for range spec.Servers {
@@ -138,13 +139,13 @@
 	return model, nil
 }
 
-// schedule adds an event.
+// schedule adds an event at the time t.
 func (f *fleetModel) schedule(t time.Duration, action func()) {
 	f.scheduled++
 	heap.Push(&f.events, simEvent{at: t, seq: f.scheduled, do: action})
 }
 
-// run handles all events in order of time and returns the figures.
+// run handles all events in the order of their times and returns the figures.
 func (f *fleetModel) run() fleetRun {
 	end := fleetStart + f.spec.Length.D()
 	for _, a := range f.agents {
@@ -177,7 +178,7 @@
 	return f.totals
 }
 
-// scheduleArrivals are an agent's requests, a Poisson process.
+// scheduleArrivals schedules an agent's next request. The arrivals are a Poisson process that ends at end.
 func (f *fleetModel) scheduleArrivals(a *fleetAgent, end time.Duration) {
 	meanInterval := float64(f.spec.Agents) / f.spec.Rate
 	f.schedule(f.now+time.Duration(f.rng.ExpFloat64()*meanInterval*float64(time.Second)), func() {
@@ -190,7 +191,8 @@
 	})
 }
 
-// scheduleMaintenance lets an agent's table drop stale connections about every second, and samples the open ones.
+// scheduleMaintenance schedules the next maintenance of an agent's table, in 0.5 to 1.5 s. It discards stale connections and samples the
+// number of open ones.
 func (f *fleetModel) scheduleMaintenance(a *fleetAgent, end time.Duration) {
 	f.schedule(f.now+time.Duration((0.5+f.rng.Float64())*float64(time.Second)), func() {
 		if f.now >= end {
@@ -209,12 +211,13 @@
 	})
 }
 
-// send picks a server, warming ones with a probability of their speed as the decision module does, and acquires a connection.
+// send selects a server for a request and acquires a connection to it. As in the decision module, the probability of a warming server is
+// reduced to its fraction of full speed.
 func (f *fleetModel) send(agent *fleetAgent, request *fleetRequest) {
 	request.server = f.rng.IntN(len(agent.nodes))
 	for range 50 {
 		server := agent.servers[request.server]
-		ejected := f.now >= server.partitionedFrom+f.spec.ClientTimeout.D() && f.now < server.partitionedTo // the module notices when nothing answers
+		ejected := f.now >= server.partitionedFrom+f.spec.ClientTimeout.D() && f.now < server.partitionedTo // the decision module ejects a server once its requests have timed out
 		if !ejected && (server.started == 0 || f.rng.Float64() < f.speedFraction(f.now-server.started)) {
 			break
 		}
--- a/internal/experiment/fleet_days_test.go
+++ b/internal/experiment/fleet_days_test.go
@@ -9,9 +9,9 @@
 	"ryeweir/internal/emulator"
 )
 
-// Some faults meet all agents of a fleet at once: a start of all of them, an outage of discovery, a traffic wave, an unresponsive
-// node, an overload. Agents that react alike can turn such a fault into an outage. The rules must hold, service must stay above a
-// limit, health checks must stay cheap, and a second run must give the same outcome.
+// Some faults affect all agents of a fleet at once: their simultaneous start, an outage of discovery, a traffic wave, unresponsive nodes,
+// an overload. If all agents react in the same way at the same time, they can turn such a fault into an outage. The rules must hold, service
+// must stay above a minimum, health checks must take at most 1% of the nodes' capacity, and a second run must give the same outcome.
 func TestAgentsKeepRulesAndServiceThroughFleetWideFaults(t *testing.T) {
 	seconds := func(n int) config.Duration { return config.Duration(time.Duration(n) * time.Second) }
 	for name, tc := range map[string]struct {
@@ -50,10 +50,10 @@
 				t.Fatal(err)
 			}
 			if !outcome.Account.RulesHold() {
-				t.Errorf("rules broke: %v", outcome.Violations)
+				t.Errorf("rules violated: %v", outcome.Violations)
 			}
 			if outcome.Overall < tc.minService || outcome.HealthCheckWork > 0.01 {
-				t.Errorf("service %.3f, health checks took %.4f of the nodes' work", outcome.Overall, outcome.HealthCheckWork)
+				t.Errorf("service %.3f, health checks took %.4f of the nodes' capacity", outcome.Overall, outcome.HealthCheckWork)
 			}
 			if again, err := Simulate(scenario, Variant{Name: "agent", Command: []string{"agent"}}); err != nil || fmt.Sprint(again.Overall, again.GroundTruth) != fmt.Sprint(outcome.Overall, outcome.GroundTruth) {
 				t.Errorf("second run: service %v, error %v", again.Overall, err)
@@ -62,9 +62,9 @@
 	}
 }
 
-// A variant's operators' file applies in simulated time, too: without health checks there are none in the figures. A second run
-// of the same experiment, compared with the folder of the first, shows no difference in any figure. A folder without figures is
-// an error.
+// A variant's operators' file must also apply in simulated time: if it disables health checks, the figures have none. A second run of the
+// same experiment, compared with the folder of the first, must show no difference in any figure. Comparing with a folder without
+// figures.json is an error.
 func TestRunsAreComparedWithThoseOfAnEarlierRun(t *testing.T) {
 	text := `name = "probes"
 repeats = 3
@@ -101,9 +101,9 @@
 		}
 	}
 	if same != 2*len(comparedFigures) {
-		t.Errorf("%d of %d figures are the same in an equal run", same, 2*len(comparedFigures))
+		t.Errorf("%d of %d figures are equal in the second run", same, 2*len(comparedFigures))
 	}
 	if _, err := Run(t.Context(), readSpec(t, text), "", second, t.TempDir(), writer(func(string) {})); err == nil {
-		t.Error("a folder without figures was compared with")
+		t.Error("comparing with a folder without figures.json gave no error")
 	}
 }
--- a/internal/experiment/fleet_servers.go
+++ b/internal/experiment/fleet_servers.go
@@ -7,22 +7,22 @@
 	"ryeweir/internal/pool"
 )
 
-// fleetServer does work in order of arrival on its cores.
+// fleetServer is a server that executes work on its cores in the order of arrival.
 type fleetServer struct {
-	coreFreeAt      []time.Duration // by core
-	started         time.Duration   // 0: long ago
-	partitionedFrom time.Duration
+	coreFreeAt      []time.Duration // by core: when it has finished its work
+	started         time.Duration   // time of the restart; 0: none so far
+	partitionedFrom time.Duration   // no packet passes from then until partitionedTo
 	partitionedTo   time.Duration
-	handshakeTime   time.Duration // processor time of handshakes within restartObservation after its start
+	handshakeTime   time.Duration // processor time of handshakes within restartObservation after the restart
 }
 
-// fleetConn is the far end of a connection.
+// fleetConn is the server's end of a connection.
 type fleetConn struct {
 	opened   time.Duration
-	closesAt time.Duration // when the server closes it, as things stand; it is idle from idle on
+	closesAt time.Duration // when the server closes the connection if no further request is sent on it
 }
 
-// capacity is the processor time that a server has in the time after a start.
+// capacity returns the processor time, in seconds, that a server has from its restart until over has passed.
 func (f *fleetModel) capacity(from, over time.Duration) float64 {
 	sum := 0.0
 	for t := time.Duration(0); t < over; t += 10 * time.Millisecond {
@@ -31,7 +31,7 @@
 	return sum * float64(f.spec.Cores)
 }
 
-// speedFraction is the fraction of its full speed that a server has at an age since its start.
+// speedFraction returns the speed of a server at an age since its restart, as a fraction of its full speed.
 func (f *fleetModel) speedFraction(age time.Duration) float64 {
 	if f.spec.SlowStartWindow <= 0 || age >= f.spec.SlowStartWindow.D() {
 		return 1
@@ -39,7 +39,7 @@
 	return f.spec.SlowStartInitialFraction + (1-f.spec.SlowStartInitialFraction)*float64(age)/float64(f.spec.SlowStartWindow.D())
 }
 
-// restart starts the first server anew: all agents hear of it at once.
+// restart restarts the first server. All agents are notified at once.
 func (f *fleetModel) restart() {
 	s := f.servers[0]
 	s.started = f.now
@@ -57,17 +57,17 @@
 	}
 }
 
-// serverOf returns the server behind a table's endpoint, or nil for one that was retired.
+// serverOf returns the server of an endpoint in an agent's table, or nil if the endpoint has been retired.
 func (f *fleetModel) serverOf(a *fleetAgent, n *pool.Endpoint) *fleetServer {
 	for i, have := range a.nodes {
 		if have == n {
 			return a.servers[i]
 		}
 	}
-	return nil // an incarnation that has ended
+	return nil // the endpoint is the server's incarnation before the restart
 }
 
-// process does something on a server's first free core and returns when it is done.
+// process executes work of amount processor time on the core that is free first, not before from. It returns when the work is done.
 func (f *fleetModel) process(s *fleetServer, from, amount time.Duration) time.Duration {
 	core := 0
 	for i := range s.coreFreeAt {
@@ -84,7 +84,7 @@
 	return s.coreFreeAt[core]
 }
 
-// open begins a handshake. To a partitioned or retired server it fails.
+// open begins a handshake. It fails after 100 ms if the server is partitioned or the endpoint retired.
 func (f *fleetModel) open(agent *fleetAgent, slot *pool.Slot) {
 	f.totals.handshakes++
 	server := f.serverOf(agent, slot.Endpoint)
@@ -104,7 +104,7 @@
 	})
 }
 
-// scheduleIdleClose sets when the server closes a connection that is idle from now on.
+// scheduleIdleClose sets when the server will close a connection that is idle from now on.
 func (f *fleetModel) scheduleIdleClose(conn *fleetConn) {
 	conn.closesAt = f.now + f.spec.IdleTimeout.D()
 	if f.spec.ActualIdleTimeout > 0 {
@@ -115,7 +115,7 @@
 	}
 }
 
-// transmit sends a request on a connection, and releases the connection when the request has ended.
+// transmit sends a request on a connection, and schedules the end of the request, which releases the connection.
 func (f *fleetModel) transmit(agent *fleetAgent, slot *pool.Slot, request *fleetRequest) {
 	server, conn := f.serverOf(agent, slot.Endpoint), agent.conns[slot]
 	oneWay := f.spec.RTT.D() / 2
@@ -136,7 +136,7 @@
 			f.totals.timedOutAfterCut++
 		}
 		finish(f.spec.ClientTimeout.D(), pool.Broken)
-	case conn.closesAt < f.now+oneWay: // the close crosses the request
+	case conn.closesAt < f.now+oneWay: // the server closes the connection while the request is on its way
 		f.totals.crossed++
 		if request.nonIdempotent {
 			f.totals.crossedNonIdempotent++
--- a/internal/experiment/fleet_test.go
+++ b/internal/experiment/fleet_test.go
@@ -9,7 +9,7 @@
 	"ryeweir/internal/config"
 )
 
-// smallFleet is a model of 30 agents and 6 servers with the variants of a file's text.
+// smallFleet returns the specification of a model of 30 agents and 6 servers. variants is TOML text with the variants.
 func smallFleet(t *testing.T, variants string) FleetSpec {
 	t.Helper()
 	spec := DefaultFleet()
@@ -20,9 +20,9 @@
 	return spec
 }
 
-// When a server starts, all agents connect to it. Agents that open connections ahead of their need must show as more handshakes
-// at its start and as more open connections than agents that open what they need; else the model can't tell the two apart. The
-// same file gives the same figures.
+// When a server restarts, all agents connect to it. In the model, agents that open connections ahead of demand must cause more handshakes
+// at the restart and more open connections than agents that open connections on demand; otherwise the model can't tell the two apart. A
+// second run of the same file must give the same figures.
 func TestConnectionModelRepeatsAndShowsCostOfOpeningAhead(t *testing.T) {
 	spec := smallFleet(t, "[[fleet_arm]]\nname = \"needed\"\n[[fleet_arm]]\nname = \"ahead\"\n[fleet_arm.connections]\nahead_per_second = 1000000.0\nahead_keep = 4\n")
 	first, err := RunFleetModel(&spec, io.Discard)
@@ -46,11 +46,11 @@
 	}
 }
 
-// Servers may close idle connections earlier than the settings say, and a request sent at that moment is lost. An agent that
-// learns the real timeout must lose fewer requests to it than one that trusts the settings.
+// Servers may close idle connections earlier than the settings say, and a request sent at that moment is lost. Agents that learn the
+// actual timeout must lose fewer requests than agents that rely on the settings.
 func TestLearningTheIdleTimeoutLosesFewerRequests(t *testing.T) {
 	spec := smallFleet(t, "closes = \"3s\"\nrtt = \"20ms\"\n[[fleet_arm]]\nname = \"learns\"\n[[fleet_arm]]\nname = \"trusts\"\n[fleet_arm.connections]\nidle_least = \"10s\"\nsure_part = 1.0\n")
-	spec.Length = config.Duration(300 * time.Second) // in 30 s an arm has one such close or none
+	spec.Length = config.Duration(300 * time.Second) // in 30 s a variant loses at most one such request
 	figures, err := RunFleetModel(&spec, io.Discard)
 	if err != nil {
 		t.Fatal(err)
@@ -60,11 +60,11 @@
 	}
 }
 
-// A user who mistypes a key or value of a fleet's file gets an error that names the place and the bounds.
+// Each wrong key or value in the file of a fleet model must give an error with its place and the allowed values.
 func TestFleetSpecErrorsNameFileLineAndKey(t *testing.T) {
 	for text, want := range map[string]string{
 		"agents = 0\n[[fleet_arm]]\nname = \"a\"": "f.toml:1: agents: must be from 1 to 20000",
-		"agents = 3": "a model needs a [[fleet_arm]]",
+		"agents = 3": "a fleet model needs at least one [[fleet_arm]]",
 		"[[fleet_arm]]\nname = \"a\"\n[fleet_arm.connections]\nreuse = \"x\"":           `"x" is not newest, oldest or fewest`,
 		"[[fleet_arm]]\nname = \"a\"\n[fleet_arm.connections]\npool = 1":                "connections.pool: no such key",
 		"rate = 1e9\n[[fleet_arm]]\nname = \"a\"":                                       "f.toml:1: rate: ",
--- a/internal/experiment/gate.go
+++ b/internal/experiment/gate.go
@@ -4,27 +4,28 @@
 	"fmt"
 )
 
-// GateRow compares what an agent served in a run with what the delayed oracle served in the same scenario and seed.
+// GateRow is the gate's verdict on one run of an agent. The gate compares the service with that of the delayed oracle in the same scenario
+// and seed.
 type GateRow struct {
 	Scenario      string  `json:"day"`
 	Variant       string  `json:"arm"`
 	Seed          uint64  `json:"seed"`
-	Served        float64 `json:"served"` // fraction of the priority weight asked for
-	Wanted        float64 `json:"wanted"`
+	Served        float64 `json:"served"` // fraction of the requested priority weight that was served
+	Wanted        float64 `json:"wanted"` // the minimum of Served to pass
 	Passed        bool    `json:"passed"`
-	FailureReason string  `json:"why,omitempty"` // empty where it passed
+	FailureReason string  `json:"why,omitempty"` // empty if Passed
 }
 
-// The least that an agent must serve: a fraction of what the delayed oracle serves; on a scenario without faults also the random variant's
-// service, or the delayed oracle's where that is lower, each less a margin.
+// An agent must serve delayedOracleFraction of what the delayed oracle serves. In a scenario without faults it must also serve the lower of
+// two values: the service of the random variant less randomMargin, and that of the delayed oracle less delayedOracleMargin.
 const (
 	delayedOracleFraction = 0.5
 	randomMargin          = 0.05
 	delayedOracleMargin   = 0.1
 )
 
-// gate judges each run of an agent that the delayed oracle ran, too: no rule may break, each request must have one end, and enough must
-// be served. calm names the scenarios without a fault.
+// gate checks each run of an agent that also ran with the delayed oracle: no rule may be violated, each request must have exactly one
+// outcome, and enough must be served. faultFree has the names of the scenarios without faults.
 func gate(outcomes []Outcome, variants []VariantSpec, faultFree map[string]bool) (rows []GateRow) {
 	type run struct {
 		scenario string
@@ -54,11 +55,11 @@
 		}
 		switch {
 		case !outcome.Account.RulesHold():
-			row.FailureReason = fmt.Sprintf("a rule broke: %v", outcome.Violations[0])
+			row.FailureReason = fmt.Sprintf("rule violated: %v", outcome.Violations[0])
 		case !outcome.Account.Balanced():
-			row.FailureReason = "not each request has one end"
+			row.FailureReason = "not every request has exactly one outcome"
 		case row.Served < row.Wanted:
-			row.FailureReason = "too little was served"
+			row.FailureReason = "service below the minimum"
 		}
 		row.Passed = row.FailureReason == ""
 		rows = append(rows, row)
--- a/internal/experiment/hunt.go
+++ b/internal/experiment/hunt.go
@@ -21,32 +21,32 @@
 type HuntResult struct {
 	Runs            int              `json:"played"`
 	FailedScenarios []FailedScenario `json:"found,omitempty"`
-	Errors          []error          `json:"-"` // runs that ended with an error
+	Errors          []error          `json:"-"` // of runs that could not be completed, and of writing files
 }
 
-// FailedScenario is a scenario that did not pass, with the experiment's file that reproduces it.
+// FailedScenario is a random scenario that did not pass the gate.
 type FailedScenario struct {
 	Seed     uint64 `json:"seed"`
 	Scenario string `json:"day"`
 	Reason   string `json:"why"`
-	File     string `json:"file"`
+	File     string `json:"file"` // an experiment's file that reproduces it
 }
 
-// maxFailedScenarios is the number of scenarios that did not pass after which a hunt ends.
+// maxFailedScenarios is the number of scenarios that did not pass, or of errors, after which a hunt ends.
 const maxFailedScenarios = 50
 
-// randomFleet is the scenario of a seed: a random mixture of faults in a fleet of random size, small enough to run within seconds.
+// randomFleet returns the scenario for a seed: random faults in a fleet of random size, small enough to run within seconds.
 func randomFleet(seed uint64) emulator.FleetScenario {
 	rng := rand.New(rand.NewPCG(seed, 0x70726579))
 	return emulator.FleetScenario{Name: fmt.Sprintf("mixed-%d", seed), Kind: emulator.MixedScenario, Agents: 20 + rng.IntN(180), Nodes: 12 + rng.IntN(88)}
 }
 
-// Hunt runs random scenarios of whole fleets with the agent's decisions in simulated time, for seed and those after it. It ends with the context,
-// after maxRuns scenarios (0: no limit), or when maxFailedScenarios did not pass the gate. Each of these is left in dir as an experiment's file that
-// reproduces it. Progress goes to out.
+// Hunt runs random fleet scenarios with the agent's decisions in simulated time, with the seeds from seed on. It ends when ctx ends, after
+// maxRuns scenarios (0: no limit), or when maxFailedScenarios did not pass the gate. For each of these Hunt writes an experiment's file
+// that reproduces it to dir. Hunt writes its progress to out.
 func Hunt(ctx context.Context, seed, maxRuns uint64, dir string, out io.Writer) (HuntResult, error) {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
-		return HuntResult{}, fmt.Errorf("the folder for what is found: %w", err)
+		return HuntResult{}, fmt.Errorf("creating the folder for the files of failed scenarios: %w", err)
 	}
 	var mu sync.Mutex
 	var result HuntResult
@@ -83,15 +83,16 @@
 		})
 	}
 	workers.Wait()
-	fmt.Fprintf(out, "%d days played, %d did not pass\n", result.Runs, len(result.FailedScenarios))
+	fmt.Fprintf(out, "%d scenarios run, %d did not pass the gate\n", result.Runs, len(result.FailedScenarios))
 	return result, errors.Join(result.Errors...)
 }
 
-// runRandomFleet runs the scenario of a seed and returns why it did not pass the gate, or "". A panic of the decision module is a reason, too.
+// runRandomFleet runs the scenario for a seed and returns why it did not pass the gate, or "" if it passed. A panic of the decision module
+// counts as not passed.
 func runRandomFleet(seed uint64) (reason string, err error) {
 	defer func() {
 		if panicValue := recover(); panicValue != nil {
-			reason = fmt.Sprintf("the decisions crashed: %v\n%s", panicValue, debug.Stack())
+			reason = fmt.Sprintf("panic in the decision module: %v\n%s", panicValue, debug.Stack())
 		}
 	}()
 	fleet := randomFleet(seed)
@@ -111,13 +112,13 @@
 	}
 	for _, row := range gate(outcomes, variants, nil) {
 		if !row.Passed {
-			return fmt.Sprintf("%s: served %.3f, wanted %.3f", row.FailureReason, row.Served, row.Wanted), nil
+			return fmt.Sprintf("%s: served %.3f, want at least %.3f", row.FailureReason, row.Served, row.Wanted), nil
 		}
 	}
 	return "", nil
 }
 
-const failedScenarioFile = `# Found by a hunt: %s
+const failedScenarioFile = `# A hunt found that this scenario does not pass the gate: %s
 name = "found-%d"
 repeats = 1
 seed = %d
@@ -139,7 +140,7 @@
 nodes = %d
 `
 
-// saveFailedScenario writes the experiment's file that reproduces a scenario.
+// saveFailedScenario writes the experiment's file that reproduces the scenario for a seed to dir.
 func saveFailedScenario(seed uint64, reason, dir string) (FailedScenario, error) {
 	fleet := randomFleet(seed)
 	file := filepath.Join(dir, fmt.Sprintf("found-%d.toml", seed))
--- a/internal/experiment/keys_test.go
+++ b/internal/experiment/keys_test.go
@@ -10,9 +10,8 @@
 	"ryeweir/internal/testkit"
 )
 
-// A field that is renamed in Go but has no tag changes a key of a report or of a file that users have written, and nothing fails:
-// the old key is an error or reads as zero. The golden lists hold every key that the release of 2 December 2026 read from TOML
-// files and wrote into JSON reports.
+// Renaming a Go field without a tag changes a key of reports or of users' files, which no other test notices: the old key then is an error
+// or reads as zero. The golden lists have all keys that the release of 2 December 2026 read from TOML files and wrote to JSON reports.
 func TestKeysOfFilesAndReportsStay(t *testing.T) {
 	for name, got := range map[string][]string{
 		"findings":      testkit.EncodedKeys(Findings{}, "json"),
@@ -33,7 +32,7 @@
 			}
 			for _, key := range strings.Fields(string(golden)) {
 				if !slices.Contains(got, key) {
-					t.Errorf("the key %q is gone", key)
+					t.Errorf("the key %q is missing", key)
 				}
 			}
 			if want := len(strings.Fields(string(golden))); len(got) != want {
--- a/internal/experiment/levels.go
+++ b/internal/experiment/levels.go
@@ -7,17 +7,17 @@
 	"ryeweir/internal/emulator"
 )
 
-// AdmissionSummary sums up the admission budgets of a scenario's agent processes, as their metrics reported them.
+// AdmissionSummary summarizes the metrics of the admission budgets of a run's agent processes.
 type AdmissionSummary struct {
-	Least          float64 `json:"least"`    // fraction of its demand that an agent admitted one second before the surge ended: the lowest of all agents
-	Median         float64 `json:"median"`   //
-	Most           float64 `json:"most"`     //
-	Shed           int64   `json:"shed"`     // requests rejected by the budget; a killed process counts with its last sample
-	Withheld       int64   `json:"withheld"` // retries not sent
+	Least          float64 `json:"least"`    // fraction of its demand that an agent admitted one second before the surge ended, or the run if it has none: the lowest of all agents
+	Median         float64 `json:"median"`   // the median of all agents
+	Most           float64 `json:"most"`     // the highest of all agents
+	Shed           int64   `json:"shed"`     // requests rejected by the budget; of a killed process as of its last sample
+	Withheld       int64   `json:"withheld"` // retries that the budget did not allow
 	SelfOverloaded int64   `json:"pressed"`  // samples in which an agent found itself overloaded
 }
 
-// overloadMetrics are an agent's figures of its budget.
+// overloadMetrics are the "overload" metrics of an agent, whose keys are the names of the fields unless tagged.
 type overloadMetrics struct {
 	Admitted       float64
 	Shed           int64
@@ -25,7 +25,7 @@
 	SelfOverloaded int64 `json:"Pressed"`
 }
 
-// summarizeAdmission sums up the budget metrics of all agents; nil where no agent has a budget.
+// summarizeAdmission summarizes the budget metrics of all agents. It returns nil if no agent has a budget.
 func summarizeAdmission(scenario *emulator.Scenario, peerSamples [][]peerSample) *AdmissionSummary {
 	end := scenario.Length
 	if i := surgeShift(scenario); i >= 0 {
@@ -34,14 +34,14 @@
 	summary := &AdmissionSummary{}
 	var shares []float64
 	for _, samples := range peerSamples {
-		var last overloadMetrics // of the present process
+		var last overloadMetrics // the last sample of the current process
 		admitted, at := 0.0, time.Duration(-1)
 		for _, sample := range samples {
 			metrics := sample.overload
 			if metrics == nil {
 				continue
 			}
-			if metrics.Shed < last.Shed || metrics.SelfOverloaded < last.SelfOverloaded { // another process began in between
+			if metrics.Shed < last.Shed || metrics.SelfOverloaded < last.SelfOverloaded { // the counters restarted: this sample is of another process
 				summary.add(last)
 			}
 			last = *metrics
@@ -62,7 +62,7 @@
 	return summary
 }
 
-// add adds the counters of one process.
+// add adds the counters of one process to the totals.
 func (l *AdmissionSummary) add(o overloadMetrics) {
 	l.Shed, l.Withheld, l.SelfOverloaded = l.Shed+o.Shed, l.Withheld+o.Withheld, l.SelfOverloaded+o.SelfOverloaded
 }
--- a/internal/experiment/load.go
+++ b/internal/experiment/load.go
@@ -14,7 +14,7 @@
 	"ryeweir/internal/emulator/referee"
 )
 
-// DetectFileKind says what a TOML file is: experiment, load, world, or nothing of ours.
+// DetectFileKind returns the kind of a TOML file as FileKind does. The error names the place of a syntax error.
 func DetectFileKind(file string, data []byte) (string, error) {
 	top := map[string]any{}
 	if err := toml.Unmarshal(data, &top); err != nil {
@@ -26,14 +26,14 @@
 	return FileKind(top), nil
 }
 
-// anyKeys takes every key, for the place of a syntax error.
+// anyKeys accepts all keys. Decoding into it finds the place of a syntax error.
 type anyKeys map[string]any
 
-// Check finds nothing wrong.
+// Check returns nil, as all keys are valid.
 func (*anyKeys) Check() error { return nil }
 
-// RunLoad sends a scenario's plan to agents that run already. Their nodes are out of sight: that an answer was made by a node, and
-// what ran there, is not checked.
+// RunLoad sends the planned requests of a scenario to agents that already run. It cannot see their nodes, and so does not check that
+// responses were produced by a node or which requests the nodes executed.
 func RunLoad(ctx context.Context, spec *LoadSpec) (Outcome, error) {
 	scenario, err := spec.Scenario.Draw(spec.Seed)
 	if err != nil {
--- a/internal/experiment/order.go
+++ b/internal/experiment/order.go
@@ -7,9 +7,10 @@
 	"ryeweir/internal/emulator/referee"
 )
 
-// passedOver returns the fraction of the top-priority class's work that was answered, and the fraction that was not while, in the same
-// second, nodes answered as much work of lower classes. A strict priority order across the fleet brings the second to 0. Requests lost for
-// other reasons, such as a killed agent, count too.
+// passedOver returns two fractions of the work of the class with the highest priority weight. served is the fraction that was answered.
+// missedFraction is the fraction that was not answered while, in the same second, nodes answered as much work of classes with a lower
+// weight; a strict priority order across the fleet brings it to 0. Requests that were lost for other reasons, such as a killed agent, count
+// as not answered, too.
 func passedOver(scenario *emulator.Scenario, calls []referee.CallResult) (served, missedFraction float64) {
 	top := 0
 	for i, c := range scenario.Classes {
@@ -18,7 +19,7 @@
 		}
 	}
 	var asked, lost float64
-	var missed, lesser []float64 // work by second
+	var missed, lesser []float64 // by second: unanswered work of the top class, and answered work of lower classes
 	for _, c := range calls {
 		work, second := scenario.Classes[c.Class].Work.Seconds(), int(c.At/time.Second)
 		for len(missed) <= second {
--- a/internal/experiment/scenario.go
+++ b/internal/experiment/scenario.go
@@ -16,24 +16,24 @@
 	"ryeweir/internal/processrig"
 )
 
-// Variant is a way to route requests to nodes: the agent's processes, or a client-side chooser.
+// Variant is a way to route requests to nodes: through the agent's processes, or by a Chooser at the callers.
 type Variant struct {
 	Name     string
-	Command  []string // of an agent's process; empty for callers that choose by themselves
-	Chooser  string   // kind of the reference variant; empty for an agent
-	Operator string   // of an agent: its operators' file; empty for the defaults
-	Limits   emulator.Limits
+	Command  []string        // of an agent's process; empty if the callers choose nodes themselves
+	Chooser  string          // kind of the Chooser; empty for an agent
+	Operator string          // of an agent: the path of its operators' file; empty for the defaults
+	Limits   emulator.Limits // of an agent's process
 }
 
-// RunScenario runs a scenario with a variant on loopback sockets. watch, where it is not nil, gets a sample each second. When the context ends the
-// scenario ends early, and the outcome so far is returned, marked as interrupted. The error names agents whose processes misbehaved.
+// RunScenario runs a scenario with a variant on loopback sockets. watch, unless nil, is called with a sample each second. When ctx ends, the
+// scenario ends early and RunScenario returns the outcome so far, marked as interrupted. The error names agents whose processes misbehaved.
 func RunScenario(ctx context.Context, scenario *emulator.Scenario, variant Variant, watch func(LiveSample)) (outcome Outcome, err error) {
 	dir, err := os.MkdirTemp("", "ryeweir-")
 	if err != nil {
 		return outcome, err
 	}
 	defer func() {
-		if err == nil { // else the logs are needed
+		if err == nil { // after an error the agents' logs are kept
 			os.RemoveAll(dir)
 		}
 	}()
@@ -74,8 +74,8 @@
 	return outcome, errors.Join(stopped, world.Err(), errors.Join(run.faults...))
 }
 
-// peerNetwork gives the agents, and the scenario's byzantine peers, addresses in a mesh where the operators' file has agents gossip; nil where
-// it does not.
+// peerNetwork assigns the agents and the scenario's byzantine peers addresses in a mesh. It returns nil if gossip is disabled in the
+// operators' file.
 func peerNetwork(scenario *emulator.Scenario, operators operator.File, sockets *emulator.LoopbackNetwork) (*processrig.Peers, error) {
 	if !operators.Peers.Enabled {
 		return nil, nil
@@ -92,7 +92,7 @@
 	return peers, nil
 }
 
-// scenarioRun is a scenario on sockets while it runs.
+// scenarioRun is the state of a scenario that runs on sockets.
 type scenarioRun struct {
 	world       *emulator.World
 	variant     Variant
@@ -102,21 +102,21 @@
 	cpu         time.Duration
 	load        [][]float64
 	goodput     []float64
-	peerSamples [][]peerSample // of each agent's peers
+	peerSamples [][]peerSample // by agent
 	choosers    []*clientSideChooser
 
 	mu          sync.Mutex
 	misbehaving callers.MisbehavingFigures
-	faults      []error // what could not be done to agents' processes
-	unavailable []bool  // by agent: killed, ended or paused, and not yet back
+	faults      []error // errors of injecting faults into agents' processes
+	unavailable []bool  // by agent: a fault of its process is in progress
 	clients     []*callers.Client
-	ended       []referee.CallResult // that ended since the last sample
+	ended       []referee.CallResult // calls that ended since the last sample
 }
 
-// usesAgents reports whether agents' processes stand between callers and nodes; else the callers choose nodes by themselves.
+// usesAgents reports whether callers send their requests to agents' processes. If not, the callers choose nodes themselves.
 func (p *scenarioRun) usesAgents() bool { return len(p.variant.Command) > 0 }
 
-// start starts the agents or the choosers, and the byzantine peers.
+// start starts the agents' processes or creates the choosers, and starts the byzantine peers.
 func (p *scenarioRun) start(ctx context.Context, dir string) ([]*byzantinePeer, error) {
 	if !p.usesAgents() {
 		if err := p.startChoosers(); err != nil {
@@ -128,8 +128,8 @@
 	return p.startByzantinePeers(p.operators.Peers)
 }
 
-// startBackground starts what goes on beside the calls until the context ends: byzantine peers, samples, faults of agents' processes and
-// misbehaving clients.
+// startBackground starts the goroutines that run until ctx ends: byzantine peers, samples, faults of agents' processes and misbehaving
+// clients. all counts these goroutines.
 func (p *scenarioRun) startBackground(ctx context.Context, all *sync.WaitGroup, byzantine []*byzantinePeer, watch func(LiveSample)) {
 	for _, peer := range byzantine {
 		all.Go(func() { peer.run(ctx) })
@@ -150,7 +150,7 @@
 	}
 }
 
-// result sums up a run that has ended.
+// result returns the outcome of a run that has ended.
 func (p *scenarioRun) result(calls []referee.CallResult, figures callers.Figures, processorWait time.Duration) Outcome {
 	scenario := p.world.Scenario
 	record := runRecord{
--- a/internal/experiment/scenario_agents.go
+++ b/internal/experiment/scenario_agents.go
@@ -13,7 +13,7 @@
 	"ryeweir/internal/processrig"
 )
 
-// startAgents starts an agent's process for each agent of the scenario, and waits until all are ready.
+// startAgents starts a process for each agent of the scenario, and waits until all are ready.
 func (p *scenarioRun) startAgents(ctx context.Context, dir string) error {
 	limits := p.variant.Limits
 	if limits == (emulator.Limits{}) {
@@ -35,7 +35,7 @@
 	return nil
 }
 
-// startByzantinePeers starts the scenario's byzantine peers, if there are any.
+// startByzantinePeers starts the scenario's byzantine peers, if gossip is enabled.
 func (p *scenarioRun) startByzantinePeers(set operator.Peers) (out []*byzantinePeer, err error) {
 	if p.peers == nil {
 		return nil, nil
@@ -52,9 +52,9 @@
 	return out, nil
 }
 
-// faultAgent does to an agent's process what the scenario has for it, at its time: it kills it, ends it in order, pauses it or slows it, and
-// after the time away starts the next or lets it go on. A killed agent's requests are nobody's fault; a paused or slow one still
-// owes each of its requests an answer.
+// faultAgent waits until a fault begins and injects it into the agent's process: it kills, terminates, pauses or throttles the process.
+// After the fault's duration it starts a new process or resumes the old one. Requests that a killed process leaves unanswered violate no
+// rule; a paused or throttled process must still answer each of its requests.
 func (p *scenarioRun) faultAgent(ctx context.Context, fault emulator.AgentFault) {
 	if !callers.Sleep(ctx, fault.At-p.world.Now()) {
 		return
@@ -65,7 +65,7 @@
 	p.unavailable[fault.Agent] = true
 	p.mu.Unlock()
 	if unavailable {
-		return // as in simulated time: an agent that is away gets no second fault
+		return // an earlier fault is still in progress: skip this one, as simulated time does
 	}
 	defer func() {
 		p.mu.Lock()
@@ -86,7 +86,7 @@
 	default:
 		err = agent.Terminate()
 		now = p.world.Now()
-		p.world.Referee.AgentKilled(name, now, now+fault.Duration) // no process listens until the next one does
+		p.world.Referee.AgentKilled(name, now, now+fault.Duration) // no process listens until the next one has started
 	}
 	if err == nil && callers.Sleep(ctx, now+fault.Duration-p.world.Now()) {
 		if fault.Survives() {
@@ -95,14 +95,14 @@
 			err = agent.Ready(ctx)
 		}
 	}
-	if err != nil && ctx.Err() == nil { // one that the end of the scenario finds on its way back is stopped as it is
+	if err != nil && ctx.Err() == nil { // once ctx has ended, stopAgents stops the process in whatever state it is
 		p.mu.Lock()
-		p.faults = append(p.faults, fmt.Errorf("%s: %w", name, err))
+		p.faults = append(p.faults, fmt.Errorf("%s: injecting %s: %w", name, fault.Kind, err))
 		p.mu.Unlock()
 	}
 }
 
-// stopAgents stops all agents, adds up their processor time, and returns the errors of those that misbehaved.
+// stopAgents stops all agents, adds their processor time to p.cpu, and returns the errors of those that misbehaved.
 func (p *scenarioRun) stopAgents() error {
 	var mu sync.Mutex
 	var errs []error
--- a/internal/experiment/scenario_watch.go
+++ b/internal/experiment/scenario_watch.go
@@ -10,16 +10,16 @@
 	"ryeweir/internal/emulator/referee"
 )
 
-// LiveSample is the state of a run in progress, sampled each second.
+// LiveSample is a sample of a run in progress. One is taken each second.
 type LiveSample struct {
 	At      time.Duration // since the scenario began
 	Account referee.Account
-	Calls   []referee.CallResult // that ended since the last sample
+	Calls   []referee.CallResult // those that ended since the last sample
 	States  []backend.State
 	Events  []emulator.Event
 }
 
-// callEnded keeps a call's result for the next sample.
+// callEnded keeps a call's result for the next sample. It keeps at most callers.DefaultMaxRequests results.
 func (p *scenarioRun) callEnded(c referee.CallResult) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -28,7 +28,7 @@
 	}
 }
 
-// addMisbehaving adds the figures of a run of misbehaving clients.
+// addMisbehaving adds the figures of the misbehaving clients of one agent.
 func (p *scenarioRun) addMisbehaving(f callers.MisbehavingFigures) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -37,7 +37,7 @@
 	p.misbehaving.Ignored += f.Ignored
 }
 
-// watch notes the nodes' load each second, and shows what has come of the scenario.
+// watch records the load and the goodput of the nodes each second until ctx ends, and calls show, unless nil, with a LiveSample.
 func (p *scenarioRun) watch(ctx context.Context, show func(LiveSample)) {
 	began := time.Now()
 	lastSample, lastUseful := began, time.Duration(0)
--- a/internal/experiment/spec.go
+++ b/internal/experiment/spec.go
@@ -10,22 +10,22 @@
 	"ryeweir/internal/emulator"
 )
 
-// VariantSpec is a variant in an experiment's file, an [[arm]] there.
+// VariantSpec is the [[arm]] of an experiment's file: it specifies a variant.
 type VariantSpec struct {
 	Name     string   `toml:"name"`
 	Kind     string   `toml:"kind"`     // agent, random, round-robin, two-choices, oracle or late
-	Binary   string   `toml:"binary"`   // of an agent: another build of this program; empty for this one
-	Flags    []string `toml:"flags"`    // of an agent: more arguments
-	Operator string   `toml:"operator"` // of an agent: its operators' file
+	Binary   string   `toml:"binary"`   // of an agent: the path of another build of this program; empty for this one
+	Flags    []string `toml:"flags"`    // of an agent: additional arguments
+	Operator string   `toml:"operator"` // of an agent: the path of its operators' file
 	MemoryMB int      `toml:"memory_mb"`
 	Sockets  int      `toml:"sockets"`
 	Cores    float64  `toml:"cores"`
 }
 
-// AgentKind is the kind of a variant that is the agent.
+// AgentKind is the VariantSpec.Kind of the agent.
 const AgentKind = "agent"
 
-// Spec is an experiment's file.
+// Spec is the content of an experiment's file.
 type Spec struct {
 	Name      string                   `toml:"name"`
 	Question  string                   `toml:"question"`
@@ -34,8 +34,8 @@
 	Simulated bool                     `toml:"simulated"`
 	Variants  []VariantSpec            `toml:"arm"`
 	Scenarios []emulator.ScenarioSpec  `toml:"day"`
-	Fleets    []emulator.FleetScenario `toml:"fleet_day"` // drawn anew for each seed; in simulated time
-	Gate      bool                     `toml:"gate"`      // judge the agents' runs against the delayed oracle
+	Fleets    []emulator.FleetScenario `toml:"fleet_day"` // drawn anew for each seed; in simulated time only
+	Gate      bool                     `toml:"gate"`      // compare the agents' runs with those of the delayed oracle; see GateRow
 }
 
 const (
@@ -43,7 +43,7 @@
 	maxRuns    = 2000
 )
 
-// Check applies the defaults and reports all that is wrong.
+// Check applies the defaults and returns an error that names all wrong keys.
 func (s *Spec) Check() error {
 	if s.Repeats == 0 {
 		s.Repeats = 5
@@ -65,62 +65,62 @@
 	}
 	delayed := slices.ContainsFunc(s.Variants, func(v VariantSpec) bool { return v.Kind == DelayedOracle })
 	if s.Gate && !delayed {
-		errs = append(errs, config.Wrong("gate", "needs an arm of the kind %q", DelayedOracle))
+		errs = append(errs, config.Wrong("gate", "true needs an [[arm]] of kind %q to compare the agents with", DelayedOracle))
 	}
 	return errors.Join(errs...)
 }
 
-// checkRuns checks the number of runs.
+// checkRuns checks the numbers of variants, scenarios, repeats and runs.
 func (s *Spec) checkRuns() error {
 	var errs []error
 	if s.Repeats < 1 || s.Repeats > maxRepeats {
 		errs = append(errs, config.Wrong("repeats", "must be from 1 to %d, not %d", maxRepeats, s.Repeats))
 	}
 	if len(s.Variants) == 0 || s.scenarioCount() == 0 {
-		errs = append(errs, config.Wrong("name", "an experiment needs an [[arm]], and a [[day]] or a [[fleet_day]]"))
+		errs = append(errs, config.Wrong("name", "an experiment needs at least one [[arm]] and at least one [[day]] or [[fleet_day]]"))
 	}
 	if n := s.Repeats * len(s.Variants) * s.scenarioCount(); n > maxRuns {
-		errs = append(errs, config.Wrong("repeats", "%d runs are more than %d", n, maxRuns))
+		errs = append(errs, config.Wrong("repeats", "%d runs (repeats times arms times days) exceed the maximum of %d", n, maxRuns))
 	}
 	return errors.Join(errs...)
 }
 
-// check checks one variant, whose keys begin with prefix, and adds its name to those in use.
+// check checks one variant, whose keys begin with prefix, and adds its name to names, which holds those of the variants before it.
 func (spec VariantSpec) check(prefix string, simulated bool, names map[string]bool) error {
 	var errs []error
 	wrong := func(key, format string, args ...any) { errs = append(errs, config.Wrong(prefix+key, format, args...)) }
 	if spec.Name == "" || names[spec.Name] {
-		wrong("name", "%q is missing or there already", spec.Name)
+		wrong("name", "%q is empty or the name of another arm", spec.Name)
 	}
 	names[spec.Name] = true
 	if spec.Kind != AgentKind && NewChooser(spec.Kind, 1) == nil {
-		wrong("kind", "%q is none of agent, random, round-robin, two-choices, oracle and late", spec.Kind)
+		wrong("kind", "%q is not one of agent, random, round-robin, two-choices, oracle and late", spec.Kind)
 	}
 	if spec.Kind == DelayedOracle && !simulated {
-		wrong("kind", "only simulated time knows what was true before")
+		wrong("kind", "late needs simulated = true: past states of the nodes are recorded in simulated time only")
 	}
 	if spec.Kind != AgentKind && (spec.Binary != "" || len(spec.Flags) > 0 || spec.Operator != "") {
-		wrong("binary", "only an agent is a program")
+		wrong("binary", "binary, flags and operator are allowed for the kind agent only, not for %q", spec.Kind)
 	}
 	if simulated && spec.Binary != "" {
-		wrong("binary", "simulated time has no processes")
+		wrong("binary", "%q is not allowed with simulated = true, which starts no processes", spec.Binary)
 	}
 	if _, err := operator.Load(spec.Operator); err != nil {
 		wrong("operator", "%v", err)
 	}
 	if spec.MemoryMB < 0 || spec.Sockets < 0 || spec.Cores < 0 {
-		wrong("memory_mb", "limits must not be below 0")
+		wrong("memory_mb", "memory_mb, sockets and cores must be at least 0, not %d, %d and %v", spec.MemoryMB, spec.Sockets, spec.Cores)
 	}
 	return errors.Join(errs...)
 }
 
-// checkScenario applies a scenario's defaults, checks it, and adds its name to those in use.
+// checkScenario applies the defaults of one [[day]], checks it, and adds its name to names, which holds those of the scenarios before it.
 func (s *Spec) checkScenario(index int, names map[string]bool) error {
 	var errs []error
 	scenario, prefix := &s.Scenarios[index], fmt.Sprintf("day[%d].", index)
 	scenario.ApplyDefaults()
 	if names[scenario.Name] {
-		errs = append(errs, config.Wrong(prefix+"name", "%q is there already", scenario.Name))
+		errs = append(errs, config.Wrong(prefix+"name", "%q is the name of another day", scenario.Name))
 	}
 	names[scenario.Name] = true
 	errs = append(errs, scenario.Check(prefix))
@@ -130,24 +130,24 @@
 	return errors.Join(errs...)
 }
 
-// checkFleet does the same for the scenario of a whole fleet.
+// checkFleet does for one [[fleet_day]] what checkScenario does for a [[day]].
 func (s *Spec) checkFleet(index int, names map[string]bool) error {
 	fleet, prefix := &s.Fleets[index], fmt.Sprintf("fleet_day[%d].", index)
-	errs := []error{fleet.Check(prefix)} // it applies the default name, too
+	errs := []error{fleet.Check(prefix)} // also applies the default name
 	if names[fleet.Name] {
-		errs = append(errs, config.Wrong(prefix+"name", "%q is there already", fleet.Name))
+		errs = append(errs, config.Wrong(prefix+"name", "%q is the name of another day", fleet.Name))
 	}
 	names[fleet.Name] = true
 	if !s.Simulated {
-		errs = append(errs, config.Wrong(prefix+"kind", "a fleet's days need simulated time"))
+		errs = append(errs, config.Wrong(prefix+"kind", "a [[fleet_day]] needs simulated = true"))
 	}
 	return errors.Join(errs...)
 }
 
-// scenarioCount is how many there are, those of fleets behind the others.
+// scenarioCount returns the number of scenarios: those of Scenarios, then those of Fleets.
 func (s *Spec) scenarioCount() int { return len(s.Scenarios) + len(s.Fleets) }
 
-// draw draws a scenario by its number.
+// draw draws the scenario with an index from 0 to scenarioCount()-1.
 func (s *Spec) draw(index int, seed uint64) (*emulator.Scenario, error) {
 	if index < len(s.Scenarios) {
 		return s.Scenarios[index].Draw(seed)
@@ -156,7 +156,7 @@
 	return spec.Draw(seed)
 }
 
-// faultFreeScenarios are the scenarios without a fault, for the gate.
+// faultFreeScenarios returns the names of the fleet scenarios, with true for those without faults. The gate expects more of these.
 func (s *Spec) faultFreeScenarios() map[string]bool {
 	out := map[string]bool{}
 	for _, f := range s.Fleets {
@@ -168,12 +168,12 @@
 // checkProcesses rejects a scenario with more agents than emulator.MaxProcesses.
 func checkProcesses(prefix string, d *emulator.ScenarioSpec) error {
 	if d.Agents > emulator.MaxProcesses {
-		return config.Wrong(prefix+"agents", "more than %d need simulated time", emulator.MaxProcesses)
+		return config.Wrong(prefix+"agents", "must be at most %d where agents run as processes, not %d", emulator.MaxProcesses, d.Agents)
 	}
 	return nil
 }
 
-// resolve returns the variant with its defaults; self is the path of this program.
+// resolve returns the variant with its defaults. self is the path of this program.
 func (spec VariantSpec) resolve(self string) Variant {
 	variant := Variant{Name: spec.Name, Chooser: spec.Kind}
 	if spec.Kind == AgentKind {
@@ -200,7 +200,7 @@
 	return variant
 }
 
-// scenarioNames are the names of all scenarios, in the order of their numbers.
+// scenarioNames returns the names of all scenarios, in the order of their indices.
 func (s *Spec) scenarioNames() (out []string) {
 	for _, d := range s.Scenarios {
 		out = append(out, d.Name)
@@ -211,7 +211,7 @@
 	return out
 }
 
-// variantNames are the names of all variants.
+// variantNames returns the names of all variants.
 func (s *Spec) variantNames() (out []string) {
 	for _, a := range s.Variants {
 		out = append(out, a.Name)
@@ -219,14 +219,14 @@
 	return out
 }
 
-// WorldSpec is the file of nodes and discovery without agents or callers.
+// WorldSpec is the content of a file that specifies nodes and discovery, without agents or callers.
 type WorldSpec struct {
 	Seed     uint64                `toml:"seed"`
-	Dir      string                `toml:"dir"` // where the agents' configurations are written
+	Dir      string                `toml:"dir"` // the folder to which the agents' configurations are written
 	Scenario emulator.ScenarioSpec `toml:"day"`
 }
 
-// Check applies the defaults and reports all that is wrong.
+// Check applies the defaults and returns an error that names all wrong keys.
 func (s *WorldSpec) Check() error {
 	if s.Seed == 0 {
 		s.Seed = 1
@@ -235,22 +235,23 @@
 	return errors.Join(s.Scenario.Check("day."), checkProcesses("day.", &s.Scenario), checkStandalone(&s.Scenario))
 }
 
-// checkStandalone rejects faults of agents, which only an experiment can inject: it starts their processes.
+// checkStandalone rejects faults of agents and of the paths between them. Only experiments and drills can inject these, as they start the
+// agents' processes.
 func checkStandalone(d *emulator.ScenarioSpec) error {
 	if len(d.Fleet.AgentFaults) > 0 || len(d.Fleet.Paths) > 0 {
-		return config.Wrong("day.fleet", "what befalls agents and the ways between them is played by experiments, which start the agents")
+		return config.Wrong("day.fleet", "faults of agents and of the paths between them are allowed in experiments and drills only, which start the agents")
 	}
 	return nil
 }
 
-// LoadSpec is the file of callers for an agent that runs already.
+// LoadSpec is the content of a file that specifies callers for agents that already run.
 type LoadSpec struct {
 	Seed     uint64                `toml:"seed"`
-	Targets  []string              `toml:"targets"` // an agent's clients' address each
+	Targets  []string              `toml:"targets"` // the client address of each agent, as host:port
 	Scenario emulator.ScenarioSpec `toml:"day"`
 }
 
-// Check applies the defaults and reports all that is wrong.
+// Check applies the defaults and returns an error that names all wrong keys.
 func (s *LoadSpec) Check() error {
 	if s.Seed == 0 {
 		s.Seed = 1
@@ -262,7 +263,8 @@
 	return errors.Join(s.Scenario.Check("day."), checkProcesses("day.", &s.Scenario), checkStandalone(&s.Scenario))
 }
 
-// FileKind is what a TOML file is, by its first tables: an experiment, a model of a fleet, an operators' file, a drill, a world or load.
+// FileKind returns the kind of a TOML file by its top-level keys: "fleet", "operator", "drill", "experiment", "load" or "world", or "" for
+// none of these.
 func FileKind(top map[string]any) string {
 	keys := make([]string, 0, len(top))
 	for k := range top {
--- a/internal/experiment/surge.go
+++ b/internal/experiment/surge.go
@@ -11,28 +11,29 @@
 	"ryeweir/internal/emulator"
 )
 
-// Surge has the figures of a scenario's first upward shift of the traffic at all agents.
+// Surge has the figures of a scenario's surge: its first traffic shift that multiplies the traffic of all agents by more than 1.
 type Surge struct {
-	Offered         float64 `json:"offered"` // asked for while it lasted, as a multiple of what the nodes can do
-	Goodput         float64 `json:"goodput"` // work done for answers that somebody got, of what the nodes can do; from a second in
-	Before          float64 `json:"before"`  // service in the second before it, and the two before that
-	RecoverySeconds float64 `json:"back_s"`  // seconds from its end until service is at 0.9 of Before for three seconds on end; below 0 where it never is
+	Offered         float64 `json:"offered"` // load offered during the surge, as a multiple of the nodes' capacity
+	Goodput         float64 `json:"goodput"` // work for responses that were received, as a fraction of the nodes' capacity; without the first second
+	Before          float64 `json:"before"`  // mean service in the three seconds before the surge
+	RecoverySeconds float64 `json:"back_s"`  // seconds from the end of the surge until service is at least 0.9 of Before for three seconds in a row; -1: never
 }
 
-// goodputWarmUp is how much of the beginning of a surge is left out of its goodput.
+// goodputWarmUp is the time from the beginning of a surge that its goodput leaves out.
 const goodputWarmUp = time.Second
 
+// Service has recovered when it is at least recoveredFraction of Surge.Before for recoveredSeconds in a row.
 const (
 	recoveredFraction = 0.9
-	recoveredSeconds  = 3 // seconds in a row
+	recoveredSeconds  = 3
 )
 
-// surgeShift is the index of the traffic shift that is a scenario's surge; -1 where it has none.
+// surgeShift returns the index of the traffic shift that is the scenario's surge, or -1 if it has none.
 func surgeShift(scenario *emulator.Scenario) int {
 	return slices.IndexFunc(scenario.Spec.Fleet.TrafficShifts, func(s emulator.TrafficShiftSpec) bool { return s.Zone == "" && s.Factor > 1 })
 }
 
-// summarizeSurge computes the figures of a scenario's surge; nil where it has none, or where the nodes were not sampled.
+// summarizeSurge computes the figures of a scenario's surge. It returns nil if there is no surge or the nodes were not sampled.
 func summarizeSurge(scenario *emulator.Scenario, outcome Outcome) *Surge {
 	shiftIndex := surgeShift(scenario)
 	if shiftIndex < 0 || len(outcome.Series.Goodput) == 0 {
@@ -65,10 +66,10 @@
 	return result
 }
 
-// offeredPlots plots goodput, and attempts at nodes a request, against what was offered in the scenarios' surges, a line per variant; none
-// where fewer than two scenarios have a surge.
+// offeredPlots plots goodput and attempts per request against the load offered in the scenarios' surges, with a line for each variant. It
+// returns nil unless the surges offer at least two different loads.
 func offeredPlots(outcomes []Outcome, variants []string) []namedPlot {
-	goodput, attempts := newPlot("goodput in the surge, of what the nodes can do", "share"), newPlot("attempts at nodes, a request", "attempts")
+	goodput, attempts := newPlot("goodput in the surge, as a fraction of the nodes' capacity", "fraction"), newPlot("attempts per request", "attempts")
 	points := 0
 	for i, variant := range variants {
 		good, sent := map[float64][]float64{}, map[float64][]float64{}
@@ -87,14 +88,14 @@
 	}
 	goodput.Y.Max = 1.05
 	for _, p := range []*plot.Plot{goodput, attempts} {
-		p.X.Label.Text = "offered, times what the nodes can do"
+		p.X.Label.Text = "offered load, as a multiple of the nodes' capacity"
 		p.Y.Min = 0
 		p.X.Max *= legendRoom
 	}
 	return []namedPlot{{"surge-goodput", goodput}, {"surge-attempts", attempts}}
 }
 
-// addMeans adds a line through the means by x, and each sample as a point.
+// addMeans adds a line through the mean for each x, and each sample as a point.
 func addMeans(p *plot.Plot, name string, c color.Color, by map[float64][]float64) {
 	var line, all plotter.XYs
 	for x, ys := range by {
--- a/internal/experiment/whole_fleet_test.go
+++ b/internal/experiment/whole_fleet_test.go
@@ -12,8 +12,8 @@
 	"ryeweir/internal/emulator/referee"
 )
 
-// Each kind of a whole fleet's scenario, in a small size: calm, rollout, thundering herd, zone outage, partition and churn. The agent
-// passes the gate; nodes in slow start get work, but less than overloads them.
+// In a small fleet scenario of each kind (calm, rollout, thundering herd, zone outage, partition and churn) the agent must pass the gate.
+// Nodes in slow start must get requests, but fewer than overload them.
 func TestAgentPassesGateOnEachFleetScenario(t *testing.T) {
 	variants := []VariantSpec{{Name: "agent", Kind: AgentKind}, {Name: "late", Kind: DelayedOracle}, {Name: "random", Kind: Random}}
 	for _, kind := range []string{emulator.CalmScenario, emulator.RolloutScenario, emulator.ThunderingHerdScenario, emulator.ZoneOutageScenario, emulator.PartitionScenario, emulator.ChurnScenario} {
@@ -31,7 +31,7 @@
 			var outcomes []Outcome
 			for _, variant := range variants {
 				if variant.Kind == Random && kind != emulator.CalmScenario {
-					continue // the gate compares with it on calm scenarios only
+					continue // the gate compares with the random variant in calm scenarios only
 				}
 				outcomes = append(outcomes, simulate(t, scenario, variant.resolve("agent")))
 			}
@@ -48,8 +48,8 @@
 	}
 }
 
-// A gate that passes a bad run hides a fault of the agent. It must fail a run that broke a rule, left a request without an end,
-// or served less than half of what the delayed oracle served; on a calm scenario it must ask for more.
+// A gate that passes a bad run hides a fault of the agent. It must fail a run that violated a rule, that left a request without an
+// outcome, or that served less than half of what the delayed oracle served; in a calm scenario it must demand more.
 func TestGateFailsBrokenRulesMissingEndsAndLowService(t *testing.T) {
 	variants := []VariantSpec{{Name: "a", Kind: AgentKind}, {Name: "l", Kind: DelayedOracle}, {Name: "r", Kind: Random}}
 	judge := func(calm bool, served float64, change func(*referee.Account)) GateRow {
@@ -71,12 +71,12 @@
 		row    GateRow
 		passed bool
 	}{
-		"above half of the delayed oracle's":                 {judge(false, 0.41, nil), true},
-		"below half":                                         {judge(false, 0.39, nil), false},
-		"calm day, below both limits":                        {judge(true, 0.69, nil), false},
-		"calm day, above the delayed oracle's less a margin": {judge(true, 0.71, nil), true},
-		"a rule broke":                                       {judge(false, 0.9, func(a *referee.Account) { a.AfterDrain = 1 }), false},
-		"a request without an end":                           {judge(false, 0.9, func(a *referee.Account) { a.Completed = 0 }), false},
+		"above half of the delayed oracle's":                      {judge(false, 0.41, nil), true},
+		"below half":                                              {judge(false, 0.39, nil), false},
+		"calm scenario, below both limits":                        {judge(true, 0.69, nil), false},
+		"calm scenario, above the delayed oracle's less a margin": {judge(true, 0.71, nil), true},
+		"a rule was violated":                                     {judge(false, 0.9, func(a *referee.Account) { a.AfterDrain = 1 }), false},
+		"a request without an outcome":                            {judge(false, 0.9, func(a *referee.Account) { a.Completed = 0 }), false},
 	} {
 		if tc.row.Passed != tc.passed {
 			t.Errorf("%s: %+v", name, tc.row)
@@ -84,13 +84,13 @@
 	}
 }
 
-// A hunt runs as many random scenarios as it was asked for. The file that it leaves of a scenario that did not pass must draw the very same
-// scenario, or the failure can't be debugged.
+// A hunt must run the number of random scenarios that it was asked for. The file that it writes for a scenario that did not pass must draw
+// the same scenario again, or the failure can't be debugged.
 func TestHuntSavesScenariosThatReproduce(t *testing.T) {
 	dir := t.TempDir()
 	var progress string
 	result, err := Hunt(t.Context(), 1591, 2, dir, writer(func(line string) { progress += line }))
-	if err != nil || result.Runs != 2 || !strings.Contains(progress, "2 days played") {
+	if err != nil || result.Runs != 2 || !strings.Contains(progress, "2 scenarios run, ") {
 		t.Fatalf("%+v, %v: %s", result, err, progress)
 	}
 	failed, err := saveFailedScenario(7, "too little\nbecause", dir)
@@ -109,12 +109,12 @@
 	fleet := randomFleet(7)
 	firstSpec := fleet.Spec(7)
 	if want, err := firstSpec.Draw(7); err != nil || len(scenario.Plan) != len(want.Plan) || !slices.Equal(scenario.Faults, want.Faults) || !slices.Equal(scenario.AgentFaults, want.AgentFaults) {
-		t.Errorf("the file draws another day: %v", err)
+		t.Errorf("the file draws a different scenario: %v", err)
 	}
 }
 
-// A fault of the emulator that has no effect makes every test with it pass. Killed and restarted agents, traffic shifts,
-// partitions, delayed endpoint lists and retry storms must each show in the account of the scenario.
+// If an emulated fault had no effect, every test that relies on it would pass. Killed and restarted agents, traffic shifts, partitions,
+// delayed endpoint lists and retry storms must each change the outcome of a scenario.
 func TestFleetFaultsHaveTheirEffect(t *testing.T) {
 	second := func(x float64) time.Duration { return time.Duration(x * float64(time.Second)) }
 	base := func(d *emulator.ScenarioSpec) { d.Agents, d.Length = 12, secondsOf(12) }
@@ -132,24 +132,24 @@
 		d.Fleet.AgentFaults = []emulator.AgentFaultSpec{{Kind: emulator.AgentKill, Share: 1, From: secondsOf(4), Duration: secondsOf(2)}}
 	}), agentVariant)
 	if _, s := service(killed, 4, 6); killed.GroundTruth.AgentNotRunning == 0 || s > 0.8 {
-		t.Errorf("with all agents away for 2 s, %d connections failed and service was %.2f", killed.GroundTruth.AgentNotRunning, s)
+		t.Errorf("with all agents down for 2 s, %d connections failed and service was %.2f", killed.GroundTruth.AgentNotRunning, s)
 	}
 	if _, s := service(killed, 8, 12); s < 0.9 || !killed.Account.RulesHold() {
-		t.Errorf("after their return service is %.2f; %v", s, killed.Violations)
+		t.Errorf("after the agents' restart service is %.2f; %v", s, killed.Violations)
 	}
 	restarted := simulate(t, drawScenario(t, func(d *emulator.ScenarioSpec) {
 		base(d)
 		d.Fleet.AgentFaults = []emulator.AgentFaultSpec{{Kind: emulator.AgentRestart, Share: 1, Groups: 4, From: secondsOf(2), To: secondsOf(8), Duration: secondsOf(0.3)}}
 	}), agentVariant)
 	if restarted.Overall < quiet.Overall-0.05 || !restarted.Account.Balanced() {
-		t.Errorf("restarts one after the other cost %.3f of %.3f", quiet.Overall-restarted.Overall, quiet.Overall)
+		t.Errorf("restarting the agents group by group lowers service by %.3f from %.3f", quiet.Overall-restarted.Overall, quiet.Overall)
 	}
 	shifted := simulate(t, drawScenario(t, func(d *emulator.ScenarioSpec) {
 		base(d)
 		d.Fleet.TrafficShifts = []emulator.TrafficShiftSpec{{From: secondsOf(3), To: secondsOf(9), Factor: 2}}
 	}), agentVariant)
 	if ratio := float64(shifted.Calls) / float64(quiet.Calls); ratio < 1.4 || ratio > 1.6 {
-		t.Errorf("twice the traffic for half of the day is %.2f times the calls", ratio)
+		t.Errorf("twice the traffic for half of the time gives %.2f times the calls", ratio)
 	}
 	cut := simulate(t, drawScenario(t, func(d *emulator.ScenarioSpec) {
 		base(d)
@@ -166,7 +166,7 @@
 		}), agentVariant)
 	}
 	if prompt, delayed := withListDelay(0), withListDelay(20); delayed.NodesUsed[8] >= prompt.NodesUsed[8] {
-		t.Errorf("with the list delayed by 20 s %.2f of the nodes are in use, without delay %.2f", delayed.NodesUsed[8], prompt.NodesUsed[8])
+		t.Errorf("with the list delayed by 20 s, %.2f of the nodes are used; without delay, %.2f", delayed.NodesUsed[8], prompt.NodesUsed[8])
 	}
 	storm := simulate(t, drawScenario(t, func(d *emulator.ScenarioSpec) {
 		base(d)
@@ -174,12 +174,12 @@
 		d.Fleet.RetryStorms = []emulator.RetryStormSpec{{From: secondsOf(2), To: secondsOf(10), Retries: 9}}
 	}), agentVariant)
 	if plain := simulate(t, drawScenario(t, func(d *emulator.ScenarioSpec) { base(d); d.Load = 1.3 }), agentVariant); storm.Account.Requests <= plain.Account.Requests {
-		t.Errorf("clients that retry nine times send %d requests, others %d", storm.Account.Requests, plain.Account.Requests)
+		t.Errorf("clients that retry nine times send %d requests; clients without a retry storm send %d", storm.Account.Requests, plain.Account.Requests)
 	}
 }
 
-// A node may be replaced faster than discovery removes entries. Its old entry must be removed nevertheless, as the successor has another id;
-// else agents go on to send to a node that is gone.
+// A node may be replaced faster than discovery removes entries. The replacement has a different id, so the old entry must still be removed;
+// otherwise agents continue to send to the old node.
 func TestReplacedNodeIsRemovedFromEndpointList(t *testing.T) {
 	scenario := drawScenario(t, func(scenario *emulator.ScenarioSpec) {
 		scenario.Discovery.RemovalDelay, scenario.Discovery.AdditionDelay = secondsOf(2), secondsOf(0.2)
@@ -191,5 +191,5 @@
 	}
 }
 
-// secondsOf is a duration of so many seconds.
+// secondsOf returns a duration of x seconds.
 func secondsOf(x float64) config.Duration { return config.Duration(x * float64(time.Second)) }
