--- a/internal/experiment/compare.go
+++ b/internal/experiment/compare.go
@@ -25,33 +25,33 @@
 	"ryeweir/internal/processrig"
 )
 
-// Cost is what it takes to pass a request through.
+// Cost has the figures of one process, the agent or the plain proxy, at one rate.
 type Cost struct {
 	Process               string  `json:"through"`
 	Rate                  string  `json:"rate"`
 	PerSecond             float64 `json:"answers_per_second"`
 	CPU                   float64 `json:"cpu_us_per_answer"`
-	Low                   float64 `json:"cpu_low"` // of its 95% interval over slices
+	Low                   float64 `json:"cpu_low"` // bounds of the 95% interval of CPU over slices
 	High                  float64 `json:"cpu_high"`
-	MemoryMB              float64 `json:"memory_mb"`               // resident, at the end
-	OpenConnections       int     `json:"connections"`             // of the agent to the stand-ins, at the end
-	HandshakesPerThousand float64 `json:"handshakes_per_thousand"` // answers
+	MemoryMB              float64 `json:"memory_mb"`               // resident memory at the end of the measurement
+	OpenConnections       int     `json:"connections"`             // open connections from the agent to the servers at the end; 0 for the proxy
+	HandshakesPerThousand float64 `json:"handshakes_per_thousand"` // handshakes of the agent per thousand answers; 0 for the proxy
 	P50                   float64 `json:"p50_ms"`
 	P99                   float64 `json:"p99_ms"`
 	P999                  float64 `json:"p99_9_ms"`
 }
 
 const (
-	loadConnections    = 32
+	loadConnections    = 32 // requests in flight at full speed
 	instantServerCount = 4
 	warmUpTime         = time.Second
-	sliceLength        = time.Second // both are loaded in turn for so long, so that what else the machine does meets both
+	sliceLength        = time.Second // the processes are loaded alternately for this long, so that other load on the machine affects both
 )
 
-// PlainProxy is Go's reverse proxy before some backends, in turn, until the context ends.
+// PlainProxy serves l with Go's reverse proxy on one processor core, with the targets in turn, until ctx ends. Each target is a host:port.
 func PlainProxy(ctx context.Context, l net.Listener, targets []string) error {
 	if len(targets) == 0 {
-		return errors.New("a proxy needs a target")
+		return errors.New("the proxy needs at least one target")
 	}
 	runtime.GOMAXPROCS(1)
 	var next atomic.Uint64
@@ -70,7 +70,8 @@
 	return nil
 }
 
-// serveInstantly answers each request at once. Nothing is modelled: what is measured is what stands before it.
+// serveInstantly answers the requests on a connection at once, without any model of work, until done is closed. The time that is measured
+// is thus that of the process in front of the server.
 func serveInstantly(c net.Conn, done <-chan struct{}) {
 	defer c.Close()
 	go func() { <-done; c.Close() }()
@@ -90,11 +91,12 @@
 	}
 }
 
-// compareRates are the rates at which both are measured, in answers a second; 0 is full speed.
+// compareRates returns the rates at which both processes are measured, in requests per second; 0 is full speed.
 func compareRates() []int { return []int{300, 1200, 0} }
 
-// Compare measures the agent beside a plain proxy before the same instant stand-ins, each with one core of its own to run on,
-// in slices that take turns. Per rate it returns the two, and the interval of the agent's processor time over the proxy's.
+// Compare measures the agent and a plain proxy, with one core each, in front of the same servers, which answer at once. The two are
+// measured in alternating slices for about the given duration per rate. For each rate Compare returns the Cost of the agent and that of the
+// proxy, and the interval of the ratio of the agent's processor time to the proxy's. self is the path of this program.
 func Compare(ctx context.Context, self string, duration time.Duration) ([]Cost, []Interval, error) {
 	dir, err := os.MkdirTemp("", "ryeweir-compare-")
 	if err != nil {
@@ -134,17 +136,17 @@
 	return costs, ratios, nil
 }
 
-// instantServers is instant stand-ins and the discovery that lists them.
+// instantServers are servers that answer at once, and the discovery service that lists them.
 type instantServers struct {
 	addrs     []string
-	discovery string // its address
+	discovery string // address of the discovery service
 	registry  *discovery.Server
 	listeners []net.Listener
 	done      chan struct{}
 	running   sync.WaitGroup
 }
 
-// startInstantServers starts the stand-ins and their discovery on loopback.
+// startInstantServers starts the servers and their discovery service on loopback.
 func startInstantServers() (*instantServers, error) {
 	f := &instantServers{registry: discovery.New(discovery.Config{}), done: make(chan struct{})}
 	for i := range instantServerCount {
@@ -169,7 +171,7 @@
 	return f, nil
 }
 
-// accept serves the connections of one stand-in until its listener closes.
+// accept serves the connections of one server until its listener is closed.
 func (f *instantServers) accept(l net.Listener) {
 	for {
 		c, err := l.Accept()
@@ -180,7 +182,7 @@
 	}
 }
 
-// close ends the stand-ins and their discovery.
+// close stops the servers and their discovery service.
 func (f *instantServers) close() {
 	for _, l := range f.listeners {
 		l.Close()
@@ -190,7 +192,8 @@
 	f.running.Wait()
 }
 
-// startProcesses starts the agent and the plain proxy before the stand-ins. With an error it returns those that run.
+// startProcesses starts the agent and the plain proxy in front of the servers. With an error it returns the processes that it has started,
+// which the caller must stop.
 func startProcesses(ctx context.Context, self, dir string, servers *instantServers) (processes []*measuredProcess, err error) {
 	for i, name := range []string{"agent", "proxy"} {
 		listen, control, err := processrig.FreePortPair("127.0.0.1", i)
@@ -215,7 +218,8 @@
 	return processes, nil
 }
 
-// agentCommand is an agent at these addresses, with the settings of the default scenario.
+// agentCommand writes the configuration of an agent with these addresses and the settings of the default scenario to dir, and returns the
+// command that runs the agent.
 func agentCommand(self, dir, listen, control, discoveryAddr string) (*exec.Cmd, error) {
 	spec := emulator.DefaultScenario()
 	spec.Agents = 1
@@ -237,7 +241,8 @@
 	return command, nil
 }
 
-// measureInTurn measures both in slices that take turns, and returns the interval of the agent's processor time over the proxy's.
+// measureInTurn measures the agent and the proxy in alternating slices, and returns the interval of the ratio of the agent's processor time
+// to the proxy's. The one that goes first changes each round.
 func measureInTurn(ctx context.Context, processes []*measuredProcess, rate, rounds int) (Interval, error) {
 	for _, process := range processes {
 		process.warmUp(ctx, rate)
@@ -249,7 +254,7 @@
 			i := (k + round) % 2
 			used, err := processes[i].measureSlice(ctx, rate)
 			if err != nil {
-				return Interval{}, fmt.Errorf("%s: %w", processes[i].name, err)
+				return Interval{}, fmt.Errorf("measuring the %s: %w", processes[i].name, err)
 			}
 			cpu[i] = used
 		}
--- a/internal/experiment/measured.go
+++ b/internal/experiment/measured.go
@@ -22,7 +22,7 @@
 	"ryeweir/internal/processrig"
 )
 
-// measuredProcess is a process that is measured.
+// measuredProcess is the agent or the plain proxy while its cost is measured.
 type measuredProcess struct {
 	name      string
 	cmd       *exec.Cmd
@@ -30,14 +30,14 @@
 	log       strings.Builder
 	client    *callers.Client
 	number    atomic.Uint64
-	control   string    // the operators' address; empty without one
-	opened    int64     // handshakes before what is measured
-	cpu       []float64 // microseconds an answer, a slice each
-	latencies []time.Duration
-	elapsed   time.Duration
+	control   string          // the address of the agent's metrics; empty for the proxy
+	opened    int64           // handshakes before the measurement
+	cpu       []float64       // by slice: microseconds of processor time per answer
+	latencies []time.Duration // of the answers in all slices
+	elapsed   time.Duration   // of all slices
 }
 
-// startMeasured starts a process and waits until it serves.
+// startMeasured starts a process that listens on addr, and waits until it serves a request.
 func startMeasured(ctx context.Context, processName string, cmd *exec.Cmd, addr string) (*measuredProcess, error) {
 	s := &measuredProcess{name: processName, cmd: cmd, ended: make(chan error, 1), client: &callers.Client{Addr: addr, Dial: (&emulator.LoopbackNetwork{}).Dialer("")}}
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
@@ -49,14 +49,14 @@
 	for end := time.Now().Add(processrig.ReadyTimeout); s.send(ctx).Outcome != referee.Served; {
 		if time.Now().After(end) || ctx.Err() != nil {
 			s.stop()
-			return nil, fmt.Errorf("%s serves nothing\n%s", processName, s.log.String())
+			return nil, fmt.Errorf("the %s served no request within the time for its start; its log:\n%s", processName, s.log.String())
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
 	return s, nil
 }
 
-// stop terminates the process, and kills it after processrig.StopTimeout.
+// stop terminates the process, and kills it if it has not ended after processrig.StopTimeout.
 func (s *measuredProcess) stop() {
 	s.client.Close()
 	s.cmd.Process.Signal(syscall.SIGTERM)
@@ -77,21 +77,21 @@
 		CostHint: 20 * time.Millisecond}, func() bool { return true })
 }
 
-// reset forgets what was measured and warms up.
+// warmUp discards the measurements so far and loads the process for warmUpTime.
 func (s *measuredProcess) warmUp(ctx context.Context, rate int) {
 	s.cpu, s.latencies, s.elapsed = nil, nil, 0
 	sendAtRate(ctx, rate, warmUpTime, s.send)
-	s.opened, _, _ = s.connections() // 0 without: the end says what is wrong
+	s.opened, _, _ = s.connections() // on an error opened is 0, and cost returns the error when it reads the metrics again
 }
 
-// connections are how many an agent has opened so far, and how many are open.
+// connections returns how many connections to servers the agent has opened so far, and how many are open. It returns 0 for the proxy.
 func (s *measuredProcess) connections() (opened int64, open int, err error) {
 	if s.control == "" {
 		return 0, 0, nil
 	}
 	resp, err := http.Get("http://" + s.control + "/v1/metrics")
 	if err != nil {
-		return 0, 0, fmt.Errorf("figures: %w", err)
+		return 0, 0, fmt.Errorf("reading the agent's metrics: %w", err)
 	}
 	defer resp.Body.Close()
 	var all struct {
@@ -101,12 +101,12 @@
 		} `json:"connections"`
 	}
 	if err := json.NewDecoder(resp.Body).Decode(&all); err != nil {
-		return 0, 0, fmt.Errorf("figures: %w", err)
+		return 0, 0, fmt.Errorf("parsing the agent's metrics: %w", err)
 	}
 	return all.Connections.Opened, all.Connections.Open, nil
 }
 
-// measureSlice loads it for a while and returns the microseconds of processor time that an answer took.
+// measureSlice loads the process for sliceLength and returns its processor time per answer, in microseconds.
 func (s *measuredProcess) measureSlice(ctx context.Context, rate int) (float64, error) {
 	before, err := processorTime(s.cmd.Process.Pid)
 	if err != nil {
@@ -118,14 +118,14 @@
 		return 0, err
 	}
 	if len(latencies) == 0 || failed > len(latencies)/100 {
-		return 0, fmt.Errorf("%d answers and %d failures\n%s", len(latencies), failed, s.log.String())
+		return 0, fmt.Errorf("got %d answers and %d failures, with at most 1%% failures allowed; the process's log:\n%s", len(latencies), failed, s.log.String())
 	}
 	cpu := float64((after - before).Microseconds()) / float64(len(latencies))
 	s.cpu, s.latencies, s.elapsed = append(s.cpu, cpu), append(s.latencies, latencies...), s.elapsed+elapsed
 	return cpu, nil
 }
 
-// cost sums up the slices.
+// cost returns the figures of all slices since warmUp.
 func (s *measuredProcess) cost(rate int) (Cost, error) {
 	memory, err := residentMB(s.cmd.Process.Pid)
 	if err != nil {
@@ -144,7 +144,7 @@
 	return c, nil
 }
 
-// residentMB is what a process holds of memory (the second figure of statm, in pages: proc(5)).
+// residentMB returns the resident memory of a process in MB (the second field of statm, in pages: proc(5)).
 func residentMB(pid int) (float64, error) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", pid))
 	if err != nil {
@@ -152,7 +152,7 @@
 	}
 	fields := strings.Fields(string(text))
 	if len(fields) < 2 {
-		return 0, fmt.Errorf("memory: statm of process %d has another form", pid)
+		return 0, fmt.Errorf("memory: unexpected format of statm of process %d", pid)
 	}
 	pages, err := strconv.ParseFloat(fields[1], 64)
 	if err != nil {
@@ -161,7 +161,8 @@
 	return pages * float64(os.Getpagesize()) / (1 << 20), nil
 }
 
-// sendAtRate sends at a steady rate, open loop, or over so many connections as fast as answers come.
+// sendAtRate sends requests for a duration: at a constant rate, open loop, or, if rate is 0, with loadConnections goroutines that each send
+// the next request as soon as the last is answered.
 func sendAtRate(ctx context.Context, rate int, duration time.Duration, send func(context.Context) callers.Response) (latencies []time.Duration, failed int, elapsed time.Duration) {
 	var mu sync.Mutex
 	record := func(from time.Time, a callers.Response) {
@@ -198,8 +199,8 @@
 	return latencies, failed, time.Since(began)
 }
 
-// processorTime is what a process's threads have used of the processor so far (the first figure of schedstat, in
-// nanoseconds: Documentation/scheduler/sched-stats.rst of Linux). A tick of proc(5)'s stat is too coarse for a quiet agent.
+// processorTime returns the processor time that a process's threads have used so far (the first field of schedstat, in nanoseconds:
+// Documentation/scheduler/sched-stats.rst of Linux). The clock ticks of stat (proc(5)) are too coarse for an agent with little load.
 func processorTime(pid int) (sum time.Duration, err error) {
 	files, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", pid))
 	if err != nil || len(files) == 0 {
@@ -208,7 +209,7 @@
 	for _, file := range files {
 		text, err := os.ReadFile(file)
 		if errors.Is(err, os.ErrNotExist) {
-			continue // a thread that has ended meanwhile
+			continue // the thread has ended meanwhile
 		}
 		if err != nil {
 			return 0, fmt.Errorf("processor time: %w", err)
@@ -216,7 +217,7 @@
 		first, _, _ := strings.Cut(string(text), " ")
 		ns, err := strconv.ParseInt(first, 10, 64)
 		if err != nil {
-			return 0, fmt.Errorf("processor time: %s has another form: %w", file, err)
+			return 0, fmt.Errorf("processor time: unexpected format of %s: %w", file, err)
 		}
 		sum += time.Duration(ns)
 	}
--- a/internal/experiment/outcome.go
+++ b/internal/experiment/outcome.go
@@ -14,7 +14,7 @@
 	"ryeweir/internal/emulator/referee"
 )
 
-// Percentiles of a latency, in milliseconds from the intended send to the answer's last byte.
+// Percentiles summarize latencies in milliseconds, measured from the planned time of the request to the last byte of the response.
 type Percentiles struct {
 	Count int64   `json:"count"`
 	Mean  float64 `json:"mean_ms"`
@@ -25,16 +25,16 @@
 	Max   float64 `json:"max_ms"`
 }
 
-// Histogram bounds: 10 µs to 10 minutes with three figures.
+// The histogram of latencies ranges from 10 µs to 10 minutes with three significant figures.
 const (
-	minLatencyUS = 10
-	maxLatencyUS = int64(10 * time.Minute / time.Microsecond)
-	figures      = 3
+	minLatencyUS       = 10
+	maxLatencyUS       = int64(10 * time.Minute / time.Microsecond)
+	significantFigures = 3
 )
 
-// percentiles sums up latencies in a histogram of high dynamic range.
+// percentiles summarizes latencies with a high dynamic range histogram.
 func percentiles(latencies []time.Duration) Percentiles {
-	h := hdrhistogram.New(minLatencyUS, maxLatencyUS, figures)
+	h := hdrhistogram.New(minLatencyUS, maxLatencyUS, significantFigures)
 	for _, l := range latencies {
 		h.RecordValue(min(maxLatencyUS, max(minLatencyUS, l.Microseconds())))
 	}
@@ -49,51 +49,51 @@
 	Seed       uint64              `json:"seed"`
 	Simulated  bool                `json:"simulated"`
 	Seconds    float64             `json:"seconds"`
-	Calls      int                 `json:"calls"` // callers' requests, with all attempts of a client counted as one
+	Calls      int                 `json:"calls"` // requests of callers; all attempts of a caller for one request count once
 	Account    referee.Account     `json:"account"`
 	Violations []referee.Violation `json:"breaches,omitempty"`
 	referee.Service
-	Goal              float64                    `json:"goal"`
-	Latency           map[string]Percentiles     `json:"latency"`              // a class each, and "all"
-	Attempts          float64                    `json:"attempts_per_request"` // that reached nodes
-	Waste             float64                    `json:"waste"`                // work for answers that nobody got, as a fraction of all work done
-	HealthChecks      int                        `json:"probes"`
+	Goal              float64                    `json:"goal"`                 // see referee.Service
+	Latency           map[string]Percentiles     `json:"latency"`              // by class, and of all classes under "all"
+	Attempts          float64                    `json:"attempts_per_request"` // attempts that reached nodes
+	Waste             float64                    `json:"waste"`                // work for responses that nobody received, as a fraction of all work done
+	HealthChecks      int                        `json:"probes"`               // health checks that nodes received
 	Handshakes        int                        `json:"handshakes"`
-	ListCalls         int                        `json:"list_calls"`
-	Degradations      int                        `json:"chokes"`
-	GroundTruth       *GroundTruth               `json:"truths,omitempty"`                   // of a simulation
-	SlowStartPeak     float64                    `json:"cold_peak"`                          // highest load of a node in slow start, as a fraction of what overloads it
-	NodesUsed         []float64                  `json:"nodes_used,omitempty"`               // of a simulation: share of the nodes, a second each
-	NodesBusy         []float64                  `json:"nodes_busy,omitempty"`               // of a simulation: work done of what could be, a second each
-	Priced            float64                    `json:"priced"`                             // the goal less the scenario's prices
-	HealthCheckWork   float64                    `json:"probe_work"`                         // as a share of what the nodes could do
-	CPU               float64                    `json:"agent_cpu_us_per_request,omitempty"` // of all agents' processes
-	Skipped           int                        `json:"skipped"`                            // calls that were not sent, as too many were open
-	Lag               float64                    `json:"lag_ms"`                             // longest delay of a call behind its planned time
-	ProcessorWait     float64                    `json:"starved_ms"`                         // mean wait of the rig's threads for a processor; on sockets
-	Admission         *AdmissionSummary          `json:"levels,omitempty"`                   // of agents with the fleet's budgets
-	Misbehaving       callers.MisbehavingFigures `json:"rude"`                               // clients that sent no requests
+	ListCalls         int                        `json:"list_calls"`                         // calls of discovery
+	Degradations      int                        `json:"chokes"`                             // how often a node became degraded by overload
+	GroundTruth       *GroundTruth               `json:"truths,omitempty"`                   // in simulated time only
+	SlowStartPeak     float64                    `json:"cold_peak"`                          // highest load of a node in slow start, as a fraction of the load that overloads it
+	NodesUsed         []float64                  `json:"nodes_used,omitempty"`               // in simulated time only, by second: fraction of the running nodes that got a request
+	NodesBusy         []float64                  `json:"nodes_busy,omitempty"`               // in simulated time only, by second: work done, as a fraction of the running nodes' capacity
+	Priced            float64                    `json:"priced"`                             // Goal less the costs at the scenario's prices of health checks, handshakes, discovery calls and waste
+	HealthCheckWork   float64                    `json:"probe_work"`                         // work of health checks, as a fraction of the nodes' capacity
+	CPU               float64                    `json:"agent_cpu_us_per_request,omitempty"` // processor time of all agents' processes
+	Skipped           int                        `json:"skipped"`                            // calls that were not sent because too many were open
+	Lag               float64                    `json:"lag_ms"`                             // longest delay of a call behind its planned time, in milliseconds
+	ProcessorWait     float64                    `json:"starved_ms"`                         // mean time that this process's threads waited for a processor, in milliseconds; on sockets only
+	Admission         *AdmissionSummary          `json:"levels,omitempty"`                   // of agents with admission budgets
+	Misbehaving       callers.MisbehavingFigures `json:"rude"`                               // figures of the misbehaving clients
 	Interrupted       bool                       `json:"interrupted,omitempty"`
 	Peers             *PeerSummary               `json:"views,omitempty"`  // of agents that gossip
-	TopPriorityServed float64                    `json:"worthiest_served"` // fraction of the top-priority class that was answered
-	PassedOver        float64                    `json:"passed_over"`      // fraction of the top-priority class that was not answered while lower classes were
-	UnaffectedService float64                    `json:"spared"`           // service of the requests at agents without a fault of their own; 1 where there are none
-	Surge             *Surge                     `json:"surge,omitempty"`  // of a scenario whose traffic shifts upwards at all agents
+	TopPriorityServed float64                    `json:"worthiest_served"` // fraction of the top-priority class's work that was answered
+	PassedOver        float64                    `json:"passed_over"`      // fraction of the top-priority class's work that was not answered while lower classes were; see passedOver
+	UnaffectedService float64                    `json:"spared"`           // service of the requests at agents that no agent fault affects; 1 if there are none
+	Surge             *Surge                     `json:"surge,omitempty"`  // of a scenario with a surge
 	Series            Series                     `json:"series"`
 	Events            []emulator.Event           `json:"marks"`
 }
 
-// Series are figures over time, one a second. NaN and absent values are null in JSON.
+// Series are figures over time, one for each second. Seconds without a value have nil, which is null in JSON.
 type Series struct {
 	Service []*float64  `json:"service"`
 	P50     []*float64  `json:"p50_ms"`
 	P99     []*float64  `json:"p99_ms"`
-	Load    [][]float64 `json:"load"`              // requests held at each node
-	Goodput []float64   `json:"goodput,omitempty"` // work for answers that somebody got, as a fraction of the warm nodes' capacity
-	Nodes   []string    `json:"nodes"`
+	Load    [][]float64 `json:"load"`              // by second, then by node: requests in flight
+	Goodput []float64   `json:"goodput,omitempty"` // work for responses that were received, as a fraction of the scenario's capacity (all nodes warm)
+	Nodes   []string    `json:"nodes"`             // ids
 }
 
-// runRecord is what a run has recorded, from which its outcome is computed.
+// runRecord is the data recorded during a run, from which its outcome is computed.
 type runRecord struct {
 	scenario   *emulator.Scenario
 	calls      []referee.CallResult
@@ -101,13 +101,13 @@
 	account    referee.Account
 	violations []referee.Violation
 	nodes      []node.Figures
-	lists      int
+	lists      int // calls of discovery
 	load       [][]float64
 	goodput    []float64
 	marks      []emulator.Event
 }
 
-// settleTime is how much of the beginning is left out of the service.
+// settleTime is the time from the beginning of a run that the service figures leave out.
 const settleTime = time.Second
 
 // outcome computes the outcome of a run.
@@ -149,7 +149,7 @@
 	return outcome
 }
 
-// summarizeSeries are the calls' figures by the second in which they were to be sent.
+// summarizeSeries computes service and latency by second. A call counts in the second of its planned time.
 func summarizeSeries(calls []referee.CallResult) (s Series) {
 	for _, x := range referee.BySecond(calls) {
 		if math.IsNaN(x) {
@@ -175,7 +175,7 @@
 	return s
 }
 
-// nodeFigures are the figures of all nodes, with those of their earlier incarnations.
+// nodeFigures returns the figures of all nodes, including those of their earlier incarnations.
 func nodeFigures(states []backend.State) (out []node.Figures) {
 	for _, s := range states {
 		out = append(out, s.Figures)
--- a/internal/experiment/report.go
+++ b/internal/experiment/report.go
@@ -28,26 +28,26 @@
 const (
 	plotWidth  = 8 * vg.Inch
 	plotHeight = 2.6 * vg.Inch
-	maxLines   = 40   // a line or a shade for each node up to so many
-	legendRoom = 1.18 // of the time axis: what is past the end has the names of the lines
+	maxLines   = 40   // maximum number of lines for nodes and of shaded intervals in a plot: more can't be told apart
+	legendRoom = 1.18 // factor that extends the x axis to make room for the legend
 )
 
-// palette has colours for the variants that colour-blind readers can tell apart (Okabe and Ito).
+// palette returns colours for lines that colour-blind readers can tell apart (Okabe and Ito).
 func palette() []color.Color {
 	return []color.Color{color.RGBA{0, 114, 178, 255}, color.RGBA{213, 94, 0, 255}, color.RGBA{0, 158, 115, 255}, color.RGBA{204, 121, 167, 255},
 		color.RGBA{230, 159, 0, 255}, color.RGBA{86, 180, 233, 255}, color.RGBA{0, 0, 0, 255}}
 }
 
-// figure is a plot in a report.
+// figure is a plot in report.html.
 type figure struct {
 	Name, Title string
 	SVG         template.HTML
 }
 
-// report writes report.html and the plots of the first repeat.
+// report writes report.html and the plots: of each scenario's first repeat, and of all runs.
 func report(findings *Findings, spec *Spec, dir string) error {
 	if err := os.MkdirAll(filepath.Join(dir, "plots"), 0o755); err != nil {
-		return fmt.Errorf("writing the report: %w", err)
+		return fmt.Errorf("creating the folder for the plots: %w", err)
 	}
 	var figures []figure
 	var errs []error
@@ -93,12 +93,12 @@
 	}
 	var text bytes.Buffer
 	if err := page.Execute(&text, map[string]any{"F": findings, "Spec": spec, "Figures": figures}); err != nil {
-		return fmt.Errorf("the report: %w", err)
+		return fmt.Errorf("rendering report.html: %w", err)
 	}
 	return errors.Join(append(errs, replace(filepath.Join(dir, "report.html"), text.Bytes()))...)
 }
 
-// fileName is a name that any file system takes.
+// fileName returns name in lower case, with "-" in place of all characters but letters, digits and "-", so that any file system accepts it.
 func fileName(name string) string {
 	return strings.Map(func(r rune) rune {
 		if r >= 'a' && r <= 'z' || r >= '0' && r <= '9' || r == '-' {
@@ -108,14 +108,15 @@
 	}, strings.ToLower(name))
 }
 
+// namedPlot is a plot with the name of its file, without the extension.
 type namedPlot struct {
 	name string
 	plot *plot.Plot
 }
 
-// serviceByScenario plots the service of each variant on each scenario, with its interval.
+// serviceByScenario plots the service of each variant in each scenario, with its interval.
 func serviceByScenario(rows []Row, scenarios, variants []string) *plot.Plot {
-	chart := newPlot("service by day, with 95% intervals", "share of worth")
+	chart := newPlot("service by scenario, with 95% intervals", "fraction of priority weight")
 	chart.X.Label.Text = ""
 	chart.Legend.Top = false
 	for i, variant := range variants {
@@ -146,15 +147,15 @@
 	return chart
 }
 
-// intervals are points with their intervals.
+// intervals are points with error bars.
 type intervals struct {
 	plotter.XYs
 	plotter.YErrors
 }
 
-// scenarioPlots plots one scenario: service and latency over time by variant, and for each variant the load of each node.
+// scenarioPlots plots one scenario: service and latency over time with a line for each variant, and for each variant the load of each node.
 func scenarioPlots(scenario string, outcomes map[string]Outcome, variants []string) []namedPlot {
-	service, latency := newPlot(scenario+": service, by the second asked in", "share of worth"), newPlot(scenario+": latency, p50 and p99 (dashed)", "ms")
+	service, latency := newPlot(scenario+": service, by planned time of the request", "fraction of priority weight"), newPlot(scenario+": latency, p50 and p99 (dashed)", "ms")
 	service.Y.Min, service.Y.Max = 0, 1.05
 	latency.Y.Scale, latency.Y.Tick.Marker = plot.LogScale{}, plot.LogTicks{Prec: -1}
 	out := []namedPlot{{scenario + "-service", service}, {scenario + "-latency", latency}}
@@ -171,9 +172,9 @@
 		addLine(latency, variant, lineColor, false, outcome.Series.P50)
 		addLine(latency, "", lineColor, true, outcome.Series.P99)
 		if len(outcome.Series.Nodes) > maxLines {
-			continue // nobody can tell so many lines apart
+			continue // more lines can't be told apart
 		}
-		load := newPlot(scenario+", "+variant+": requests held at each node", "requests")
+		load := newPlot(scenario+", "+variant+": requests in flight at each node", "requests")
 		mark(load, outcome)
 		for nodeIndex := range outcome.Series.Nodes {
 			var points plotter.XYs
@@ -199,7 +200,7 @@
 	return out
 }
 
-// newPlot returns an empty plot over the seconds of a scenario.
+// newPlot returns an empty plot with a label for the y axis. The x axis is in seconds.
 func newPlot(title, y string) *plot.Plot {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, "seconds", y
@@ -209,7 +210,7 @@
 	return p
 }
 
-// addLine adds a series with a point a second. Seconds without a value, and zeros in dashed or unnamed lines, are left out.
+// addLine adds a series with one point per second. It leaves out seconds without a value, and zeros in dashed or unnamed lines.
 func addLine(p *plot.Plot, name string, c color.Color, dashed bool, ys []*float64) {
 	var points plotter.XYs
 	for s, y := range ys {
@@ -231,7 +232,8 @@
 	}
 }
 
-// mark shades the intervals of faults. Where there are more than maxLines, each kind is shaded from its first to its last.
+// mark shades the intervals of the faults in an outcome. If there are more than maxLines, it shades one interval for each kind of fault, from
+// the first beginning to the last end.
 func mark(p *plot.Plot, o Outcome) {
 	marks := o.Events
 	if len(marks) > maxLines {
@@ -254,13 +256,13 @@
 	}
 }
 
-// shade is a stretch of time with its name.
+// shade is a shaded interval of the x axis with a text.
 type shade struct {
 	from, to float64
 	text     string
 }
 
-// Plot draws it over the whole height.
+// Plot draws the shade over the whole height of the plot.
 func (s shade) Plot(c draw.Canvas, p *plot.Plot) {
 	x, _ := p.Transforms(&c)
 	a, b := x(s.from), x(s.to)
@@ -272,23 +274,23 @@
 	c.FillText(style, vg.Point{X: a + vg.Points(6), Y: c.Min.Y + vg.Points(2)}, s.text)
 }
 
-// renderPlot draws a plot into a PNG file and returns it as SVG.
+// renderPlot writes a plot to a PNG file and returns it as SVG.
 func renderPlot(p *plot.Plot, file string) (template.HTML, error) {
 	svg := vgsvg.New(plotWidth, plotHeight)
 	p.Draw(draw.New(svg))
 	var text bytes.Buffer
 	if _, err := svg.WriteTo(&text); err != nil {
-		return "", fmt.Errorf("drawing %s: %w", p.Title.Text, err)
+		return "", fmt.Errorf("drawing the plot %q: %w", p.Title.Text, err)
 	}
 	img := vgimg.PngCanvas{Canvas: vgimg.New(plotWidth, plotHeight)}
 	p.Draw(draw.New(img))
 	var png bytes.Buffer
 	if _, err := img.WriteTo(&png); err != nil {
-		return "", fmt.Errorf("drawing %s: %w", p.Title.Text, err)
+		return "", fmt.Errorf("drawing the plot %q: %w", p.Title.Text, err)
 	}
 	if err := replace(file, png.Bytes()); err != nil {
 		return "", err
 	}
-	_, inner, _ := strings.Cut(text.String(), "<svg") // without the XML head, which HTML does not know
+	_, inner, _ := strings.Cut(text.String(), "<svg") // without the XML declaration, which is not valid in HTML
 	return template.HTML("<svg" + inner), nil
 }
--- a/internal/experiment/scenario_agents.go
+++ b/internal/experiment/scenario_agents.go
@@ -97,7 +97,7 @@
 	}
 	if err != nil && ctx.Err() == nil { // once ctx has ended, stopAgents stops the process in whatever state it is
 		p.mu.Lock()
-		p.faults = append(p.faults, fmt.Errorf("%s: injecting %s: %w", name, fault.Kind, err))
+		p.faults = append(p.faults, fmt.Errorf("%s: fault %q of the agent's process: %w", name, fault.Kind, err))
 		p.mu.Unlock()
 	}
 }
--- a/internal/experiment/simulation.go
+++ b/internal/experiment/simulation.go
@@ -15,8 +15,9 @@
 	"ryeweir/logic"
 )
 
-// Simulate runs a scenario in simulated time: the decision module, or a chooser, on the node models, with delays but without sockets.
-// Equal scenarios and variants give equal outcomes. What only real processes can do (shaped paths, pauses, kept state) is an error.
+// Simulate runs a scenario in simulated time: the decision module (package logic), or a Chooser, sends requests to node models with network
+// delays, without sockets. Equal scenarios and variants give equal outcomes. A scenario with faults that need real processes (faults of paths
+// between chosen hosts, byzantine peers, paused and throttled agents, agents that restore their state) gives an error.
 func Simulate(scenario *emulator.Scenario, variant Variant) (Outcome, error) {
 	if err := checkSimulable(scenario); err != nil {
 		return Outcome{}, err
@@ -33,20 +34,20 @@
 	return s.result(variant.Name), nil
 }
 
-// checkSimulable says what of a scenario only real processes can run.
+// checkSimulable returns an error if a scenario has faults that need real processes.
 func checkSimulable(scenario *emulator.Scenario) error {
 	if len(scenario.Spec.Fleet.Paths)+len(scenario.Spec.Fleet.ByzantinePeers) > 0 {
-		return errors.New("ways between chosen hosts and liars are played by real processes only")
+		return errors.New("fleet.path and fleet.liar (faults of paths between chosen hosts, and byzantine peers) need real processes, not simulated time")
 	}
 	for _, fault := range scenario.AgentFaults {
 		if fault.Survives() || fault.WithState {
-			return errors.New("paused and slow agents and those that keep what they learnt are played by real processes only")
+			return errors.New("agents that are paused, are throttled or restore their state need real processes, not simulated time")
 		}
 	}
 	return nil
 }
 
-// newSimulation places the scenario's nodes and agents.
+// newSimulation creates the scenario's nodes and agents.
 func newSimulation(scenario *emulator.Scenario, variant Variant) (*simulation, error) {
 	sim := &simulation{
 		scenario: scenario,
@@ -73,12 +74,12 @@
 		sim.agents = append(sim.agents, agent)
 	}
 	sim.delayed.on, sim.delayed.sent = variant.Chooser == DelayedOracle, make([]float64, len(sim.nodes))
-	sim.viewTruths = make([]TrueState, 0, len(sim.nodes)) // views point into it
+	sim.viewTruths = make([]TrueState, 0, len(sim.nodes)) // with its full capacity: the pointers in views must stay valid
 	return sim, nil
 }
 
-// equip gives an agent the decision module, or the variant's chooser. Choosers that see the true state see all agents' sends, so that
-// one serves for all.
+// initDecisions gives an agent the decision module or the variant's Chooser. An oracle also uses the requests that all agents sent, so that
+// all agents share one.
 func (s *simulation) initDecisions(agent *simAgent, variant Variant) error {
 	if len(variant.Command) > 0 {
 		return s.newBalancer(agent)
@@ -89,12 +90,12 @@
 	}
 	agent.chooser = NewChooser(variant.Chooser, s.scenario.Seed+uint64(agent.number))
 	if agent.chooser == nil {
-		return fmt.Errorf("arm %s: %q is no way to choose", variant.Name, variant.Chooser)
+		return fmt.Errorf("arm %s: unknown kind %q", variant.Name, variant.Chooser)
 	}
 	return nil
 }
 
-// result sums up a simulation that has ended.
+// result returns the outcome of a simulation that has ended.
 func (s *simulation) result(variant string) Outcome {
 	record := runRecord{
 		scenario:   s.scenario,
@@ -114,48 +115,49 @@
 	return outcome
 }
 
-// moduleStart is where the module's clock stands when the scenario begins: 0 means never there.
+// moduleStart is the time on the decision module's clock when the scenario begins. It is not 0 because there a time of 0 means never.
 const moduleStart = time.Second
 
-// deadlineMargin is how long before its client's deadline an agent ends a request.
+// deadlineMargin is how long before the client's deadline an agent ends a request, unless a quarter of the remaining time is less.
 const deadlineMargin = 20 * time.Millisecond
 
-// watchDelay is how long a change takes from the list to an agent that watches, and how soon a failed call is known.
+// watchDelay is how long a change of the endpoint list takes to a watching agent, and how long a failed call or connection takes.
 const watchDelay = 10 * time.Millisecond
 
+// simulation is the state of a scenario that runs in simulated time.
 type simulation struct {
 	scenario     *emulator.Scenario
 	referee      *referee.Referee
 	rng          *rand.Rand
 	now          time.Duration
 	events       simEvents
-	scheduled    int
+	scheduled    int // events scheduled so far
 	nodes        []*simNode
 	agents       []*simAgent
-	byID         map[string]*simNode // that live
+	byID         map[string]*simNode // the current incarnations, by id
 	list         discoveryModel
 	delayed      delayedView
-	views        []View // of the choice at hand, with what follows
+	views        []View // views, viewNodes and viewTruths are buffers that choose reuses
 	viewNodes    []*simNode
 	viewTruths   []TrueState
-	incarnations int
+	incarnations int // nodes restarted or replaced so far
 	lastTicket   uint64
-	waiting      map[ticket]*simAttempt
-	open         map[string]*clientRequest
+	waiting      map[ticket]*simAttempt    // attempts that nodes hold
+	open         map[string]*clientRequest // by id
 	calls        []referee.CallResult
 	load         [][]float64
-	goodput      []float64 // as Series has it
-	useful       time.Duration
-	nodesBusy    []float64 // work done of what the nodes that are up could do at present, a second each
-	nodesUsed    []float64 // share of the listed nodes that something came to, a second each
+	goodput      []float64     // see Series
+	useful       time.Duration // work for responses that were received, until the last sample
+	nodesBusy    []float64     // see Outcome
+	nodesUsed    []float64     // see Outcome
 	marks        []emulator.Event
 	callsLeft    int // calls that have not ended
 	groundTruth  GroundTruth
 	operators    operator.File
-	err          error
+	err          error // of creating the balancer of a restarted agent
 }
 
-// scheduleEvents schedules the scenario's events: agents, faults, outages, calls, and a sample of all nodes each second.
+// scheduleEvents starts the agents, and schedules the scenario's faults, outages and calls and the first sample.
 func (s *simulation) scheduleEvents() {
 	for _, agent := range s.agents {
 		if agent.balancer != nil {
@@ -192,7 +194,7 @@
 	}
 }
 
-// scheduleOutages schedules the times in which discovery is down.
+// scheduleOutages schedules the outages of discovery.
 func (s *simulation) scheduleOutages() {
 	for _, outage := range s.scenario.Spec.Outages {
 		s.schedule(outage.From.D(), func() {
@@ -209,10 +211,10 @@
 // sampleInterval is how often the series of an outcome are sampled.
 const sampleInterval = time.Second
 
-// minCapacity keeps a share of the capacity finite while no node is up, in cores.
+// minCapacity, in cores, is the minimum divisor for fractions of the capacity: it keeps them finite while no node is up.
 const minCapacity = 1e-9
 
-// sample appends one point to each series, and schedules the next.
+// sample appends one value to each series, and schedules the next sample.
 func (s *simulation) sample() {
 	inFlight := make([]float64, len(s.nodes))
 	listed, nodesUsed := 0, 0
@@ -241,10 +243,10 @@
 	}
 }
 
-// maxTail is how long after the last call a simulation goes on at most.
+// maxTail is how long after the end of the scenario a simulation continues at most.
 const maxTail = time.Minute
 
-// run handles events in order of time until all calls have ended, or maxTail after the scenario.
+// run handles the events in the order of their times until all calls and requests have ended, or until maxTail after the scenario.
 func (s *simulation) run() {
 	for len(s.events) > 0 && (s.callsLeft > 0 || len(s.open) > 0) && s.now < s.scenario.Length+maxTail {
 		e := heap.Pop(&s.events).(simEvent)
@@ -253,5 +255,5 @@
 	}
 }
 
-// clock is the time on the decision module's clock.
+// clock returns the current time on the decision module's clock.
 func (s *simulation) clock() time.Duration { return s.now + moduleStart }
--- a/internal/experiment/simulation_agent.go
+++ b/internal/experiment/simulation_agent.go
@@ -15,41 +15,42 @@
 	"ryeweir/logic"
 )
 
-// simAgent is one process of an agent. The next process in its place is another.
+// simAgent is one process of an agent. A restarted agent is a new simAgent with the same number.
 type simAgent struct {
 	number      int
 	incarnation int
 	zone        string
 	balancer    *logic.Balancer
-	budget      *budget.Budget // the fleet's, where the operators' file switches it on
+	budget      *budget.Budget // nil unless enabled in the operators' file
 	order       *budget.PriorityOrder
 	peerStates  map[int]peerState // received from other agents, by their number
 	chooser     Chooser
-	conns       map[int]int // to each node
-	connsInUse  map[int]int // of those, in use
-	unavailable bool        // it takes no clients
-	ended       bool        // it has ended
-	version     int         // of the endpoint list that it has
-	subscribed  bool        // for the list, once
-	watching    bool        // a watch call of its own is open
-	known       []logic.Endpoint
+	conns       map[int]int      // open connections, by number of the node
+	connsInUse  map[int]int      // attempts in flight, by number of the node
+	unavailable bool             // it accepts no clients: it is terminating or has ended
+	ended       bool             // the process has ended
+	version     int              // version of the endpoint list that it has
+	subscribed  bool             // whether it has subscribed to the endpoint list
+	watching    bool             // whether a watch call is open
+	known       []logic.Endpoint // the endpoint list that it has
 	rng         *rand.Rand
 }
 
-// newProcess returns a process in the i-th agent's place, without decisions yet.
+// newProcess returns a process of the i-th agent, without a balancer or Chooser.
 func (s *simulation) newProcess(i int) *simAgent {
 	return &simAgent{number: i, zone: s.scenario.AgentZone(i), conns: map[int]int{}, connsInUse: map[int]int{},
 		rng: rand.New(rand.NewPCG(s.scenario.Seed*64+uint64(i)+1, 0x6c697374))}
 }
 
-// notifiedOf reports whether the agent has been notified of a node's present incarnation. Choosers read the list itself.
+// notifiedOf reports whether the agent has been notified of a node's current incarnation. Choosers always are, as they read the endpoint
+// list directly.
 func (a *simAgent) notifiedOf(n *simNode) bool {
 	return a.balancer == nil || n.Started < 0 || slices.ContainsFunc(a.known, func(e logic.Endpoint) bool {
 		return e.ID == n.ID && e.StartedAt == n.Started+moduleStart
 	})
 }
 
-// newBalancer gives a process its decisions.
+// newBalancer creates the balancer of a process and, if enabled, its budget.
 func (s *simulation) newBalancer(a *simAgent) error {
 	text, err := json.Marshal(s.scenario.Settings(a.number))
 	if err != nil {
@@ -57,7 +58,7 @@
 	}
 	site, err := wire.DecodeSettings(text)
 	if err != nil {
-		return fmt.Errorf("settings: %w", err)
+		return fmt.Errorf("decoding the settings of agent %d: %w", a.number, err)
 	}
 	site.Logic.MaxRetryAfter = site.MaxRetryAfter
 	s.operators.HealthChecks.Apply(&site.Logic)
@@ -70,15 +71,15 @@
 	return err
 }
 
-// maxShutdown is how long a graceful shutdown may take for the requests in flight.
+// maxShutdown is how long a process that is shut down gracefully waits for the requests in flight.
 const maxShutdown = 3 * time.Second
 
-// faultAgent ends an agent's process, planned or not, and begins the next, which knows the list that the one before it had and
-// nothing else.
+// faultAgent kills an agent's process or shuts it down gracefully, and starts a new one after the fault's duration. The new process gets
+// the endpoint list of the old one and no other state.
 func (s *simulation) faultAgent(fault emulator.AgentFault) {
 	previous := s.agents[fault.Agent]
 	if previous.balancer == nil || previous.unavailable {
-		return // choosers have no processes; an agent that is away gets no second fault
+		return // choosers have no processes; a fault during another fault of the same agent is skipped
 	}
 	previous.unavailable = true
 	name := s.scenario.Agents[fault.Agent]
@@ -104,7 +105,7 @@
 	})
 }
 
-// endAgent ends a process: its connections break, at both sides.
+// endAgent ends a process: its connections to clients and nodes are closed.
 func (s *simulation) endAgent(agent *simAgent) {
 	agent.ended = true
 	var waiting []*simAttempt
@@ -145,7 +146,7 @@
 // reconnectDelay is how long a client whose connection failed waits before it connects again.
 const reconnectDelay = 50 * time.Millisecond
 
-// reconnectLater lets a client connect again when no process listens. It does not count as an attempt.
+// reconnectLater has a client connect again after reconnectDelay, as no process listens. This does not count as an attempt.
 func (s *simulation) reconnectLater(call *callers.Call, tried []string) {
 	s.schedule(s.now+reconnectDelay, func() { s.beginAttempt(call, tried) })
 }
--- a/internal/experiment/simulation_attempts.go
+++ b/internal/experiment/simulation_attempts.go
@@ -14,23 +14,23 @@
 // simAttempt is one attempt of a request at a node.
 type simAttempt struct {
 	request     *clientRequest
-	number      int
-	node        *simNode
+	number      int      // of the request's attempts, from 0
+	node        *simNode // nil if the attempt was not sent
 	incarnation *node.Node
 	id          string // of the node's incarnation
 	sentAt      time.Duration
 	ended       bool
-	ticket      ticket
+	ticket      ticket // set when it arrives at the node
 }
 
-// handle passes an event to an agent's decision module and executes the actions.
+// handle passes an event to an agent's balancer and executes the actions, unless the agent has ended.
 func (s *simulation) handle(agent *simAgent, event logic.Event) {
 	if !agent.ended {
 		s.apply(agent, agent.balancer.Handle(s.clock(), event))
 	}
 }
 
-// apply executes the decision module's actions as the agent does.
+// apply executes the balancer's actions as the agent does.
 func (s *simulation) apply(agent *simAgent, actions []logic.Action) {
 	for _, action := range slices.Clone(actions) {
 		request := s.open[action.Request]
@@ -49,7 +49,7 @@
 				})
 				continue
 			}
-			if target == nil { // an incarnation that has ended
+			if target == nil { // the node's incarnation has ended
 				n := request.sent
 				request.sent++
 				request.inFlight++
@@ -80,7 +80,7 @@
 	}
 }
 
-// healthCheck sends a node a health check and reports the result, with its load report, to the agent.
+// healthCheck sends a node a health check and reports the result to the agent's balancer, with the node's load report.
 func (s *simulation) healthCheck(agent *simAgent, nodeID string) {
 	began := s.now
 	finish := func(result logic.Result, report logic.LoadReport) {
@@ -114,7 +114,8 @@
 	})
 }
 
-// send sends an attempt on its way, over a connection that is free or a new one.
+// send sends an attempt to a node, over an idle connection if there is one or else a new one. after, if above 0, limits the time until the
+// attempt is abandoned.
 func (s *simulation) send(request *clientRequest, target *simNode, after time.Duration) {
 	agent := request.agent
 	attempt := &simAttempt{request: request, number: request.sent, node: target, incarnation: target.Node, id: target.ID, sentAt: s.now}
@@ -148,7 +149,7 @@
 	s.schedule(arrive, func() { s.arriveAtNode(attempt) })
 }
 
-// arriveAtNode offers an attempt to its node.
+// arriveAtNode offers an attempt to its node, unless the attempt has ended or the path is partitioned.
 func (s *simulation) arriveAtNode(attempt *simAttempt) {
 	request, target := attempt.request, attempt.node
 	if attempt.ended || request.agent.ended || s.scenario.Partitioned(request.agent.zone, target.Zone, s.now) {
@@ -176,16 +177,17 @@
 	}
 }
 
-// sendBack delivers the result of an attempt to the agent, after a delay and the way back.
+// sendBack delivers the result of an attempt to the agent, after a delay and the network delay. If the path is partitioned, the result is
+// lost.
 func (s *simulation) sendBack(attempt *simAttempt, result logic.Result, delay time.Duration) {
 	delete(s.waiting, attempt.ticket)
 	if s.scenario.Partitioned(attempt.request.agent.zone, attempt.node.Zone, s.now) {
-		return // nothing comes of it: the agent gives up by itself
+		return // the result is lost, and the attempt ends with its timeout
 	}
 	s.schedule(s.now+delay+s.oneWay(attempt.request.agent, attempt.node), func() { s.endAttempt(attempt, result) })
 }
 
-// abandon stops waiting for an attempt.
+// abandon ends an attempt with a timeout: it cancels it at the node and closes its connection.
 func (s *simulation) abandon(attempt *simAttempt) {
 	if attempt.ended {
 		return
@@ -197,7 +199,7 @@
 			s.advanceNode(attempt.node)
 		}
 	}
-	// A connection that is given up is closed.
+	// The connection of an abandoned attempt is closed rather than reused.
 	if conns := attempt.request.agent.conns; conns[attempt.node.number] > 0 {
 		conns[attempt.node.number]--
 		if attempt.node.Node == attempt.incarnation && attempt.node.up {
@@ -207,7 +209,7 @@
 	s.endAttempt(attempt, logic.TimedOut)
 }
 
-// endAttempt reports an attempt's result: to the agent, or to the client where it chose the node itself.
+// endAttempt reports the result of an attempt to the agent's balancer or, if the client chose the node itself, to the client.
 func (s *simulation) endAttempt(attempt *simAttempt, result logic.Result) {
 	if attempt.ended {
 		return
--- a/internal/experiment/simulation_callers.go
+++ b/internal/experiment/simulation_callers.go
@@ -8,44 +8,44 @@
 	"ryeweir/logic"
 )
 
-// clientRequest is one attempt of a client's call, as an agent or a chooser gets it.
+// clientRequest is one attempt of a client's call: a request to an agent, or to a node that a Chooser selects.
 type clientRequest struct {
 	id         string
 	agent      *simAgent
 	call       *callers.Call
-	triedNodes []string
-	deadline   time.Duration // when its agent stops, or its client where there is none
-	ended      bool          // for the client
-	sent       int
-	inFlight   int
+	triedNodes []string      // ids of the nodes that the Chooser selected for earlier attempts of the call
+	deadline   time.Duration // when its agent abandons it or, without an agent, its client
+	ended      bool          // the client has an outcome
+	sent       int           // attempts of the request so far
+	inFlight   int           // attempts of the request in flight
 }
 
-// beginAttempt begins a call's next attempt, or ends the call when its time is up.
+// beginAttempt begins a call's next attempt, or ends the call if its deadline has passed.
 func (s *simulation) beginAttempt(call *callers.Call, tried []string) {
-	wait, patience := call.Attempt(s.now)
-	if wait == 0 {
+	timeout, disconnectAfter := call.Attempt(s.now)
+	if timeout == 0 {
 		s.finishCall(call)
 		return
 	}
 	agent := s.agents[call.Agent]
-	if agent.unavailable { // nobody listens: the client learns it at once
+	if agent.unavailable { // no process listens: the connection fails at once
 		s.groundTruth.AgentNotRunning++
 		s.reconnectLater(call, tried)
 		return
 	}
-	request := &clientRequest{id: callers.RequestID(s.scenario.Seed, call.Number, call.Attempts), agent: agent, call: call, triedNodes: tried, deadline: s.now + wait}
+	request := &clientRequest{id: callers.RequestID(s.scenario.Seed, call.Number, call.Attempts), agent: agent, call: call, triedNodes: tried, deadline: s.now + timeout}
 	sent := referee.Request{ID: request.id, Agent: s.scenario.Agents[call.Agent], NonIdempotent: call.Class.NonIdempotent, At: s.now, Class: call.Class.Name}
 	if agent.balancer == nil {
 		sent.Agent = ""
 	}
 	s.referee.RequestSent(sent)
 	s.open[request.id] = request
-	s.schedule(s.now+patience, func() { s.disconnectClient(request) })
+	s.schedule(s.now+disconnectAfter, func() { s.disconnectClient(request) })
 	if agent.balancer == nil {
 		s.choose(request)
 		return
 	}
-	request.deadline -= min(deadlineMargin, wait/4)
+	request.deadline -= min(deadlineMargin, timeout/4)
 	if agent.budget != nil {
 		agent.budget.SetLatencyOverload(s.clock(), agent.balancer.OverloadLevel())
 		if verdict := agent.budget.Admit(s.clock(), agent.order.Priority(s.clock(), call.PlannedRequest.Class, call.Tenant)); !verdict.Admit {
@@ -63,7 +63,7 @@
 	s.calls = append(s.calls, call.Result())
 }
 
-// disconnectClient ends a request whose client no longer waits.
+// disconnectClient ends a request whose client has stopped waiting, unless it has ended already.
 func (s *simulation) disconnectClient(request *clientRequest) {
 	if request.ended {
 		return
@@ -78,7 +78,7 @@
 	}
 }
 
-// waitingAttempts returns a request's attempts that nodes hold.
+// waitingAttempts returns the attempts of a request that nodes hold.
 func (s *simulation) waitingAttempts(request *clientRequest) (out []*simAttempt) {
 	for _, attempt := range s.waiting {
 		if attempt.request == request {
@@ -88,7 +88,7 @@
 	return out
 }
 
-// answer ends a request for its client, which then retries or ends the call.
+// answer ends a request with an outcome for its client, which then retries or ends the call.
 func (s *simulation) answer(request *clientRequest, outcome referee.Outcome, checksum uint64, retryAfter time.Duration) {
 	if request.ended {
 		return
@@ -104,14 +104,14 @@
 	s.schedule(next, func() { s.beginAttempt(request.call, request.triedNodes) })
 }
 
-// forget drops a request that has ended for its client and has no attempt in flight.
+// removeIfDone removes a request that has ended for its client and has no attempt in flight.
 func (s *simulation) removeIfDone(request *clientRequest) {
 	if request.ended && request.inFlight == 0 {
 		delete(s.open, request.id)
 	}
 }
 
-// choose sends a request to the node that its chooser returns.
+// choose sends a request to the node that its Chooser selects.
 func (s *simulation) choose(request *clientRequest) {
 	agent := request.agent
 	views, candidates, truths := s.views[:0], s.viewNodes[:0], s.viewTruths[:0]
--- a/internal/experiment/simulation_discovery.go
+++ b/internal/experiment/simulation_discovery.go
@@ -11,16 +11,16 @@
 // discoveryModel models discovery: the endpoint list, its changes, and the queue of calls.
 type discoveryModel struct {
 	entries   []logic.Endpoint // in the order of the nodes
-	changes   []logic.Endpoint // the list's version is their number
+	changes   []logic.Endpoint // all changes so far; the list's version is their number
 	down      bool
-	busyUntil time.Duration // when the call that is handled last will be through
-	calls     int
+	busyUntil time.Duration // when the last queued call will have been served
+	calls     int           // calls so far
 }
 
-// maxQueueTime is how long a call waits its turn at most.
+// maxQueueTime is how long a call waits in the queue before it fails.
 const maxQueueTime = time.Second
 
-// changeEndpoint applies a change of the endpoint list after a delay, and notifies the watching agents.
+// changeEndpoint applies a change of one endpoint to the endpoint list after a delay, and notifies the watching agents.
 func (s *simulation) changeEndpoint(delay time.Duration, changed logic.Endpoint) {
 	s.schedule(s.now+delay+s.scenario.ListDelay(s.now), func() {
 		list := &s.list
@@ -41,8 +41,8 @@
 	})
 }
 
-// queueListCall queues a call of discovery, which serves calls one by one at a fixed rate. A call that would wait longer than
-// maxQueueTime fails.
+// queueListCall queues a call of discovery, which serves calls one at a time at a fixed rate, and calls then with the result. A call that
+// would wait longer than maxQueueTime fails after that time.
 func (s *simulation) queueListCall(then func(ok bool)) {
 	s.list.calls++
 	if s.list.down {
@@ -61,8 +61,8 @@
 	s.schedule(s.now+max(wait, watchDelay), func() { then(!s.list.down) })
 }
 
-// subscribe lets an agent follow the list, as the agent's client of discovery does: in a large fleet the first call of a process that
-// has a list comes within a while, and a watch that brought nothing is made anew.
+// subscribe starts an agent's watch of the endpoint list as the agent's discovery client does: in a large fleet, the first watch calls
+// of the processes, which start with a full list, are spread at random over timing.StartSpread.
 func (s *simulation) subscribe(agent *simAgent) {
 	timing := discovery.FleetTimingFor(len(s.scenario.Agents))
 	spread := time.Duration(0)
@@ -73,7 +73,7 @@
 	s.schedule(s.now+spread, func() { s.watch(agent, timing) })
 }
 
-// watch begins an agent's watch call. It is repeated after discovery.WatchTimeout without a change.
+// watch begins an agent's watch call. If discovery.WatchTimeout passes without a change, the call ends and the agent makes another.
 func (s *simulation) watch(agent *simAgent, timing discovery.FleetTiming) {
 	if agent.ended {
 		return
@@ -98,7 +98,7 @@
 	})
 }
 
-// notifyWatcher sends a watching agent the changes since its version of the list, and begins its next watch.
+// notifyWatcher sends a watching agent the changes since its version of the list, if there are any, and begins its next watch.
 func (s *simulation) notifyWatcher(agent *simAgent) {
 	if !agent.watching || s.list.down || agent.version == len(s.list.changes) || agent.balancer == nil {
 		return
@@ -135,7 +135,7 @@
 	s.handle(agent, logic.EndpointList{Full: true, Endpoints: slices.Clone(entries)})
 }
 
-// breakWatch breaks an agent's watch.
+// breakWatch fails an agent's open watch call, if there is one.
 func (s *simulation) breakWatch(agent *simAgent) {
 	if agent.watching {
 		agent.watching = false
--- a/internal/experiment/simulation_events.go
+++ b/internal/experiment/simulation_events.go
@@ -5,13 +5,14 @@
 	"time"
 )
 
-// simEvents is a heap by time, then by the order of making.
+// simEvent is a function that is called at a time.
 type simEvent struct {
 	at  time.Duration
-	seq int
+	seq int // orders events with equal times
 	do  func()
 }
 
+// simEvents is a heap of events, ordered by time and then by the order in which they were scheduled.
 type simEvents []simEvent
 
 func (e simEvents) Len() int { return len(e) }
@@ -32,7 +33,7 @@
 	return x
 }
 
-// schedule adds an event at a time, or now where that has passed.
+// schedule schedules an event at the time t, or now if t has passed.
 func (s *simulation) schedule(t time.Duration, do func()) {
 	s.scheduled++
 	heap.Push(&s.events, simEvent{max(t, s.now), s.scheduled, do})
--- a/internal/experiment/simulation_gossip.go
+++ b/internal/experiment/simulation_gossip.go
@@ -6,14 +6,14 @@
 	"ryeweir/internal/budget"
 )
 
-// peerState is what a peer sent of its budget, and when it was received.
+// peerState is the state of a peer's budget, with the time at which it was received.
 type peerState struct {
 	at    time.Duration
 	state budget.PeerState
 }
 
-// startGossip lets an agent send its budget's state to budget.GossipFanout peers every budget.GossipInterval, where the operators' file
-// enables it. Facts about servers are not gossiped in simulated time.
+// startGossip has an agent send the state of its budget to budget.GossipFanout random peers every budget.GossipInterval, if the operators'
+// file enables this. Facts about servers are not gossiped in simulated time.
 func (s *simulation) startGossip(agent *simAgent) {
 	if agent.budget == nil || !s.operators.Peers.Enabled || !s.operators.Peers.ShareBudget {
 		return
@@ -25,7 +25,7 @@
 			return
 		}
 		var states []budget.PeerState
-		for i := range s.agents { // in order, so that equal scenarios have equal outcomes
+		for i := range s.agents { // in a fixed order, so that equal scenarios have equal outcomes
 			received, ok := agent.peerStates[i]
 			switch {
 			case !ok:
--- a/internal/experiment/simulation_nodes.go
+++ b/internal/experiment/simulation_nodes.go
@@ -10,23 +10,25 @@
 	"ryeweir/logic"
 )
 
+// ticket identifies an attempt that has arrived at a node.
 type ticket struct {
-	node   int
+	node   int // number of the node
 	number uint64
 }
 
+// simNode is a node with the model of its current incarnation.
 type simNode struct {
 	*node.Node
 	number              int
 	up                  bool
 	nextAdvance         time.Duration // when it is advanced next; below 0: not scheduled
 	earlierIncarnations node.Figures
-	overloadReported    bool // to the referee
-	offeredBefore       int  // requests offered until the last sample
-	workBefore          time.Duration
+	overloadReported    bool          // the overload of this incarnation was reported to the referee
+	offeredBefore       int           // requests offered until the last sample
+	workBefore          time.Duration // work done until the last sample
 }
 
-// entry is the endpoint list's entry of the i-th node.
+// entry returns the entry of the i-th node in the endpoint list.
 func (s *simulation) entry(i int, state logic.EndpointState) logic.Endpoint {
 	spec := s.nodes[i].Spec
 	e := logic.Endpoint{ID: spec.ID, State: state, Zone: slices.Index(s.scenario.Spec.Zones, spec.Zone), Cell: i / 8, Weight: 1}
@@ -80,7 +82,7 @@
 	})
 }
 
-// killNode ends a node's process: the connections of its requests are reset.
+// killNode ends a node's process, which resets its connections.
 func (s *simulation) killNode(target *simNode) {
 	target.up = false
 	var waiting []*simAttempt
@@ -89,7 +91,7 @@
 			waiting = append(waiting, attempt)
 		}
 	}
-	slices.SortFunc(waiting, func(agent, b *simAttempt) int { return int(agent.ticket.number) - int(b.ticket.number) })
+	slices.SortFunc(waiting, func(a, b *simAttempt) int { return int(a.ticket.number) - int(b.ticket.number) })
 	for _, attempt := range waiting {
 		s.sendBack(attempt, logic.Reset, 0)
 	}
@@ -98,7 +100,7 @@
 	}
 }
 
-// advanceNode advances a node to the present, and schedules its next event.
+// advanceNode advances a node's model to the current time, and schedules the model's next event.
 func (s *simulation) advanceNode(target *simNode) {
 	s.settleNode(target)
 	next := target.NextEvent()
@@ -115,7 +117,8 @@
 	})
 }
 
-// settleNode advances a node's model and delivers the results of the requests that ended.
+// settleNode advances a node's model to the current time, reports to the referee which requests have started, and sends back the results of
+// those that have ended.
 func (s *simulation) settleNode(target *simNode) {
 	done := target.Advance(s.now)
 	for _, number := range target.TakeStarted() {
--- a/internal/experiment/simulation_truths.go
+++ b/internal/experiment/simulation_truths.go
@@ -6,25 +6,25 @@
 	"ryeweir/logic"
 )
 
-// GroundTruth compare an agent's decisions with the true state of the nodes at the time, which only a simulation knows.
+// GroundTruth compares agents' decisions with the true state of the nodes at that time, which is known in simulated time only.
 type GroundTruth struct {
 	Rejected             int `json:"refused"`       // requests rejected without an attempt
-	RejectedWithCapacity int `json:"refused_room"`  // of these, while a ready node of the list had a free core
-	RejectedNearCapacity int `json:"refused_near"`  // of these, while a node in the agent's subset had one
-	RejectedInSlowStart  int `json:"refused_cold"`  // of these, only nodes in slow start
+	RejectedWithCapacity int `json:"refused_room"`  // those of Rejected while a ready node of the endpoint list had a free core
+	RejectedNearCapacity int `json:"refused_near"`  // those of RejectedWithCapacity while a node in the agent's subset had a free core
+	RejectedInSlowStart  int `json:"refused_cold"`  // those of RejectedNearCapacity while all such nodes were in slow start
 	Sent                 int `json:"sent"`          // attempts that arrived at a node
-	SentIntoOverload     int `json:"sent_into_jam"` // of these, at a node that was full or whose backlog exceeded their latency objective
-	SentDespiteCapacity  int `json:"sent_aside"`    // of these, while another ready node had a free core
-	ToUnresponsive       int `json:"to_dead"`       // attempts at an unresponsive node
-	AgentNotRunning      int `json:"unheard"`       // connections while the agent's process was away
+	SentIntoOverload     int `json:"sent_into_jam"` // those of Sent that arrived at a node that was full or whose backlog exceeded their latency objective
+	SentDespiteCapacity  int `json:"sent_aside"`    // those of SentIntoOverload while another ready node had a free core
+	ToUnresponsive       int `json:"to_dead"`       // those of Sent that arrived at an unresponsive node
+	AgentNotRunning      int `json:"unheard"`       // connections of clients that failed because no process of the agent listened
 }
 
-// idle reports whether a node would start a request without queueing.
+// idle reports whether a node would start a request at once and fail none.
 func (n *simNode) idle() bool {
 	return n.up && !n.Unresponsive() && n.FailureFraction() == 0 && n.InFlight() < n.Cores
 }
 
-// idleCore reports whether some ready node of the list is idle.
+// idleCore reports whether a ready node of the endpoint list is idle.
 func (s *simulation) idleCore() bool {
 	return slices.ContainsFunc(s.list.entries, func(e logic.Endpoint) bool {
 		n := s.byID[e.ID]
--- a/internal/experiment/statistics.go
+++ b/internal/experiment/statistics.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// Interval is a mean with a bootstrap confidence interval (percentile method; Efron and Tibshirani, An Introduction to the
+// Interval is a mean of N samples with a bootstrap confidence interval (percentile method; Efron and Tibshirani, An Introduction to the
 // Bootstrap, chapter 13).
 type Interval struct {
 	Mean float64 `json:"mean"`
@@ -17,16 +17,16 @@
 const (
 	confidence = 0.95
 	resamples  = 4000
-	// With fewer pairs than this, resampling can't tell a difference from chance: the interval is too short.
+	// With fewer pairs than this the interval is too narrow, and resampling can't tell a difference from chance.
 	minPairs = 3
 )
 
-// bootstrap is the mean of samples and its interval. Equal samples give equal intervals.
+// bootstrap returns the mean of samples and its confidence interval. Equal samples give equal intervals.
 func bootstrap(samples []float64) Interval {
 	n := len(samples)
 	out := Interval{N: n, Mean: mean(samples)}
 	if n < 2 {
-		out.Low, out.High = out.Mean, out.Mean // no interval: the verdict says too few
+		out.Low, out.High = out.Mean, out.Mean // no interval; the verdict will be "too few"
 		return out
 	}
 	rng := rand.New(rand.NewPCG(uint64(n), 0x626f6f74))
@@ -44,7 +44,7 @@
 	return out
 }
 
-// mean is the arithmetic mean; NaN of none.
+// mean returns the arithmetic mean, or NaN if xs is empty.
 func mean(xs []float64) float64 {
 	sum := 0.0
 	for _, x := range xs {
@@ -53,7 +53,7 @@
 	return sum / float64(len(xs))
 }
 
-// Difference is one figure of a variant less that of the baseline, on the same scenario and seeds.
+// Difference is the interval of one figure of a variant minus that of the baseline, in the same scenario with the same seeds.
 type Difference struct {
 	Scenario string `json:"day"`
 	Variant  string `json:"arm"`
@@ -63,7 +63,7 @@
 	Verdict string `json:"verdict"` // higher, lower, noise, or too few
 }
 
-// verdict says what an interval of differences shows.
+// verdict returns the verdict on an interval of differences; see Difference.Verdict.
 func verdict(i Interval) string {
 	switch {
 	case i.N < minPairs:
@@ -76,7 +76,7 @@
 	return "noise"
 }
 
-// comparedFigures are the figures by which variants are compared.
+// comparedFigures are the figures by which variants are compared, with their names in figures.json.
 var comparedFigures = []struct {
 	name string
 	of   func(Outcome) float64
@@ -100,7 +100,7 @@
 	{"surge_goodput", func(o Outcome) float64 { return o.surgeOrZero().Goodput }},
 }
 
-// surgeOrZero is the scenario's surge; nothing of a scenario without one.
+// surgeOrZero returns the figures of the surge, or the zero value for a scenario without one.
 func (o Outcome) surgeOrZero() Surge {
 	if o.Surge == nil {
 		return Surge{}
@@ -108,12 +108,12 @@
 	return *o.Surge
 }
 
-// rejectedFraction is the fraction of the requests that were rejected.
+// rejectedFraction returns the fraction of the requests that were rejected.
 func (o Outcome) rejectedFraction() float64 {
 	return float64(o.Account.Rejected) / max(1, float64(o.Account.Requests))
 }
 
-// minNodesUsed is the share of the nodes that something came to, in the worst ten seconds on end.
+// minNodesUsed returns the mean fraction of nodes that got a request, in the worst ten consecutive seconds.
 func (o Outcome) minNodesUsed() float64 {
 	least := 1.0
 	for i := 10; i <= len(o.NodesUsed); i++ {
@@ -122,13 +122,13 @@
 	return least
 }
 
-// healthChecksPerRequest is the number of health checks over that of requests.
+// healthChecksPerRequest returns the number of health checks divided by the number of requests.
 func (o Outcome) healthChecksPerRequest() float64 {
 	return float64(o.HealthChecks) / max(1, float64(o.Account.Requests))
 }
 
-// rejectedWithCapacityFraction is the fraction of the requests that were rejected without an attempt while a ready node had a free core;
-// 0 where the truth is not known.
+// rejectedWithCapacityFraction returns the fraction of the requests that were rejected without an attempt while a ready node had a free core.
+// It is 0 for runs on sockets, where this is not known.
 func (o Outcome) rejectedWithCapacityFraction() float64 {
 	if o.GroundTruth == nil {
 		return 0
@@ -136,8 +136,8 @@
 	return float64(o.GroundTruth.RejectedWithCapacity) / max(1, float64(o.Account.Requests))
 }
 
-// sentIntoOverloadFraction is the fraction of the attempts that arrived at a full node or at one whose backlog exceeded their latency
-// objective.
+// sentIntoOverloadFraction returns the fraction of the attempts that arrived at a full node or at one whose backlog exceeded their latency
+// objective. It is 0 for runs on sockets, where this is not known.
 func (o Outcome) sentIntoOverloadFraction() float64 {
 	if o.GroundTruth == nil {
 		return 0
@@ -145,7 +145,7 @@
 	return float64(o.GroundTruth.SentIntoOverload) / max(1, float64(o.GroundTruth.Sent))
 }
 
-// differences compares every variant with the first, by scenario, in pairs of one seed.
+// differences compares each variant with the first, by scenario, in pairs of outcomes with the same seed.
 func differences(outcomes []Outcome, scenarios, variants []string) (out []Difference) {
 	for _, scenario := range scenarios {
 		for _, variant := range variants[1:] {
@@ -165,7 +165,8 @@
 	return out
 }
 
-// pairedDifferences compares two variants of a scenario by all figures, in pairs of one seed.
+// pairedDifferences compares two variants of a scenario by all figures, in pairs of outcomes with the same seed. difference has the other
+// fields of the results.
 func pairedDifferences(base, variant map[uint64]Outcome, difference Difference) (out []Difference) {
 	for _, figure := range comparedFigures {
 		var diffs []float64
@@ -177,7 +178,7 @@
 		if len(diffs) == 0 {
 			continue
 		}
-		slices.Sort(diffs) // the order of a map must not change the interval
+		slices.Sort(diffs) // make the interval independent of the iteration order of the map
 		difference.Figure, difference.Interval = figure.name, bootstrap(diffs)
 		difference.Verdict = verdict(difference.Interval)
 		out = append(out, difference)
@@ -185,7 +186,7 @@
 	return out
 }
 
-// bySeed returns the outcomes of a variant on a scenario by seed, without the interrupted ones.
+// bySeed returns the outcomes of a variant in a scenario by seed, without the interrupted ones.
 func bySeed(outcomes []Outcome, scenario, variant string) map[uint64]Outcome {
 	out := map[uint64]Outcome{}
 	for _, outcome := range outcomes {
@@ -196,7 +197,7 @@
 	return out
 }
 
-// Row summarizes a variant on a scenario, over its repeats. Figures without an interval are means.
+// Row summarizes the repeats of a variant in a scenario. Figures that are no Interval are means, unless their comment says otherwise.
 type Row struct {
 	Scenario             string   `json:"day"`
 	Variant              string   `json:"arm"`
@@ -211,25 +212,25 @@
 	Waste                float64  `json:"waste"`
 	CPU                  float64  `json:"agent_cpu_us_per_request"`
 	HealthChecks         float64  `json:"probes_per_request"`
-	HealthCheckWork      float64  `json:"probe_work"`        // as a share of what the nodes could do
-	ListCalls            float64  `json:"list_calls"`        // of all agents
+	HealthCheckWork      float64  `json:"probe_work"`        // work of health checks, as a fraction of the nodes' capacity
+	ListCalls            float64  `json:"list_calls"`        // calls of discovery by all agents
 	RejectedWithCapacity float64  `json:"refused_with_room"` // fraction of the requests rejected without an attempt while a ready node had a free core
-	SentIntoOverload     float64  `json:"sent_into_jam"`     // fraction of the attempts that arrived at a node
-	Rejected             float64  `json:"refused"`           // fraction of the requests
+	SentIntoOverload     float64  `json:"sent_into_jam"`     // fraction of the attempts at nodes that arrived at an overloaded one; see Outcome.sentIntoOverloadFraction
+	Rejected             float64  `json:"refused"`           // fraction of the requests that were rejected
 	RejectedNearCapacity float64  `json:"refused_near"`      // fraction rejected without an attempt while a node in the agent's subset had a free core
-	NodesUsed            float64  `json:"nodes_used"`        // share of the nodes in use, in the worst ten seconds
+	NodesUsed            float64  `json:"nodes_used"`        // see Outcome.minNodesUsed
 	SlowStartPeak        float64  `json:"cold_peak"`         // the highest of all runs
-	Priced               float64  `json:"priced"`            // the goal less the scenario's prices
-	Degradations         float64  `json:"chokes"`            // nodes that choked
-	Goodput              Interval `json:"surge_goodput"`     // see Surge; 0 without one
-	RecoverySeconds      float64  `json:"surge_back_s"`      // the longest of all runs; below 0 where one never recovered
+	Priced               float64  `json:"priced"`            // see Outcome
+	Degradations         float64  `json:"chokes"`            // how often a node became degraded by overload
+	Goodput              Interval `json:"surge_goodput"`     // see Surge; 0 without a surge
+	RecoverySeconds      float64  `json:"surge_back_s"`      // see Surge: the longest of all runs, or -1 if one never recovered
 	Completed            float64  `json:"completed"`
-	TopPriorityServed    float64  `json:"worthiest_served"` // fraction of the top-priority class that was answered
+	TopPriorityServed    float64  `json:"worthiest_served"` // see Outcome
 	PassedOver           float64  `json:"passed_over"`      // see Outcome
-	Unnotified           float64  `json:"unheard"`          // requests sent to draining nodes by agents that were not notified; see referee.Account
+	Unnotified           float64  `json:"unheard"`          // requests sent to draining nodes by agents that had not been notified; see referee.Account
 }
 
-// rows summarizes each variant on each scenario.
+// rows summarizes each variant in each scenario.
 func rows(outcomes []Outcome, scenarios, variants []string) (out []Row) {
 	for _, scenario := range scenarios {
 		for _, variant := range variants {
--- a/internal/experiment/views.go
+++ b/internal/experiment/views.go
@@ -14,44 +14,45 @@
 	"ryeweir/internal/emulator"
 )
 
-// PeerSummary sums up what agents that gossip saw of their peers in a scenario.
+// PeerSummary summarizes what agents that gossip reported of their peers during a run.
 type PeerSummary struct {
 	Agents             int        `json:"agents"`
-	Recoveries         []Recovery `json:"healed"`                // after each fault has ended
-	AllSeenAtEnd       float64    `json:"whole_at_end"`          // share of the agents that saw all others when the scenario ended
-	MeanBytesPerSecond float64    `json:"bytes_per_second"`      // sent by an agent, mean
-	MaxBytesPerSecond  float64    `json:"bytes_per_second_most"` // by the one that sent most
-	Notices            int64      `json:"notices"`               // of servers' ends that came by a peer first
-	NoticeMeanMS       float64    `json:"notice_mean_ms"`        // from the notification of the first agent until they arrived
-	NoticeMaxMS        float64    `json:"notice_worst_ms"`       //
-	Withheld           int64      `json:"held_back"`             // times that an agent sent a server nothing new on a peer's notice, before its own list said so
-	FactsRejected      int64      `json:"facts_refused"`         // malformed, or too many of one agent
-	FactsEvicted       int64      `json:"facts_evicted"`         // as a replica was full
-	MaxFacts           int        `json:"facts_most"`            // held by an agent at once
-	MaxReplicaStates   int        `json:"copies_most"`           // most different states of the facts on servers' ends that agents held in one sample
-	ReplicaStatesAtEnd int        `json:"copies_at_end"`         // likewise, in the last sample of all agents
+	Recoveries         []Recovery `json:"healed"`                // by fault
+	AllSeenAtEnd       float64    `json:"whole_at_end"`          // fraction of the agents that saw all others at the end of the run
+	MeanBytesPerSecond float64    `json:"bytes_per_second"`      // sent by an agent to its peers, mean of all agents
+	MaxBytesPerSecond  float64    `json:"bytes_per_second_most"` // by the agent that sent most
+	Notices            int64      `json:"notices"`               // notices of the end of a server that arrived from a peer before the agent's own endpoint list had it
+	NoticeMeanMS       float64    `json:"notice_mean_ms"`        // mean time from the notification of the first agent until the notice arrived
+	NoticeMaxMS        float64    `json:"notice_worst_ms"`       // maximum of this time
+	Withheld           int64      `json:"held_back"`             // how often an agent sent a server no new requests because of a peer's notice, before its own endpoint list had it
+	FactsRejected      int64      `json:"facts_refused"`         // facts that were malformed, or too many from one agent
+	FactsEvicted       int64      `json:"facts_evicted"`         // facts evicted from a full replica
+	MaxFacts           int        `json:"facts_most"`            // most facts that an agent held at once
+	MaxReplicaStates   int        `json:"copies_most"`           // most different replicas of the facts on servers' ends that agents held in one sample
+	ReplicaStatesAtEnd int        `json:"copies_at_end"`         // different replicas in the last sample that all agents have
 }
 
-// Recovery is how long the agents took to see all others after a fault had ended, in seconds.
+// Recovery is how long the agents took to see all others after a fault had ended.
 type Recovery struct {
 	Fault          string  `json:"fault"`
-	At             float64 `json:"at_s"` // of the scenario: when it ended
-	Median         float64 `json:"median_s"`
-	Worst          float64 `json:"worst_s"`
-	NeverRecovered int     `json:"never"` // agents that did not before the next fault had ended
-	MinPeersSeen   int     `json:"least"` // fewest peers that an agent saw in the fault and since the one before had ended
+	At             float64 `json:"at_s"`     // when the fault ended, in seconds since the beginning of the run
+	Median         float64 `json:"median_s"` // seconds that the median agent took
+	Worst          float64 `json:"worst_s"`  // seconds that the slowest agent took
+	NeverRecovered int     `json:"never"`    // agents that did not see all others before the next fault had ended
+	MinPeersSeen   int     `json:"least"`    // fewest peers that an agent saw from the end of the fault before until the end of this one
 }
 
-// peerSample is a sample of what an agent sees of its peers.
+// peerSample is a sample of an agent's metrics of its peers and its budget.
 type peerSample struct {
-	at        time.Duration // of the scenario
-	names     []string
+	at        time.Duration // since the beginning of the run
+	names     []string      // of the peers that the agent sees
 	bytesSent int64
 	metrics   peerMetrics
 
-	overload *overloadMetrics // of its budget; nil without one
+	overload *overloadMetrics // of the agent's budget; nil without one
 }
 
+// peerMetrics are the "peers" metrics of an agent.
 type peerMetrics struct {
 	Names    []string `json:"names"`
 	Bytes    int64    `json:"bytes_sent"`
@@ -71,10 +72,10 @@
 
 const (
 	peerSampleInterval = 250 * time.Millisecond
-	peerSampleTimeout  = 200 * time.Millisecond // at one agent: a paused one does not answer
+	peerSampleTimeout  = 200 * time.Millisecond // a paused agent does not answer
 )
 
-// samplePeers polls the metrics of each agent every peerSampleInterval until the context ends.
+// samplePeers reads the metrics of each agent every peerSampleInterval until ctx ends.
 func (p *scenarioRun) samplePeers(ctx context.Context) {
 	client := &http.Client{Timeout: peerSampleTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: 1}}
 	defer client.CloseIdleConnections()
@@ -101,7 +102,7 @@
 	}
 }
 
-// fetchPeerSample reads what an agent sees of its peers from its metrics.
+// fetchPeerSample reads the metrics of the agent with the address control.
 func fetchPeerSample(ctx context.Context, client *http.Client, control string) (sample peerSample, err error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+control+"/v1/metrics", nil)
 	if err != nil {
@@ -126,13 +127,14 @@
 	return sample, nil
 }
 
-// faultEnd is the end of a fault.
+// faultEnd is the end of a fault, with a description of the fault.
 type faultEnd struct {
 	fault string
 	at    time.Duration
 }
 
-// faultEnds are those of the scenario's faults between and of agents, in order; the beginning of the scenario is the first.
+// faultEnds returns the ends of the faults of agents and of the paths between them, in order. The first entry is the beginning of the
+// scenario.
 func faultEnds(scenario *emulator.Scenario) []faultEnd {
 	out := []faultEnd{{"the start", 0}}
 	for _, p := range scenario.Spec.Fleet.Paths {
@@ -149,7 +151,7 @@
 	return out
 }
 
-// summarizePeers summarizes what the agents saw of each other.
+// summarizePeers summarizes the agents' metrics of their peers.
 func summarizePeers(scenario *emulator.Scenario, peerSamples [][]peerSample) *PeerSummary {
 	peers := &PeerSummary{Agents: len(scenario.Agents), Recoveries: recoveriesAfterFaults(scenario, peerSamples)}
 	var noticeSum time.Duration
@@ -167,18 +169,17 @@
 	return peers
 }
 
-// members is the number of a scenario's peers, the byzantine ones among them.
+// members returns the number of members of the gossip: the agents and the byzantine peers.
 func members(scenario *emulator.Scenario) int {
 	return len(scenario.Agents) + len(scenario.Spec.Fleet.ByzantinePeers)
 }
 
-// seesAll reports whether an agent saw all its peers.
+// seesAll reports whether the agent saw all other members.
 func (v peerSample) seesAll(scenario *emulator.Scenario) bool {
 	return len(v.names) == members(scenario)-1
 }
 
-// recoveriesAfterFaults returns, for each fault, how long the agents took to see all others after it had ended. Only the time until the next
-// fault ends counts.
+// recoveriesAfterFaults returns a Recovery for each fault. An agent must see all others before the next fault ends.
 func recoveriesAfterFaults(scenario *emulator.Scenario, peerSamples [][]peerSample) (out []Recovery) {
 	ends := faultEnds(scenario)
 	for i, end := range ends {
@@ -194,7 +195,7 @@
 	return out
 }
 
-// recoveryAfter is the same for one fault: since is when the one before it ended, limit when the next one does.
+// recoveryAfter returns the Recovery for one fault. since is when the fault before it ended, limit when the next one ends.
 func recoveryAfter(scenario *emulator.Scenario, peerSamples [][]peerSample, end faultEnd, since, limit time.Duration) Recovery {
 	recovery := Recovery{Fault: end.fault, At: end.at.Seconds(), MinPeersSeen: members(scenario) - 1}
 	var delays []float64
@@ -218,7 +219,7 @@
 	return recovery
 }
 
-// addAgent adds one agent's samples, of which there are two at least.
+// addAgent adds the samples of one agent, of which there must be at least two.
 func (v *PeerSummary) addAgent(scenario *emulator.Scenario, samples []peerSample) {
 	last := samples[len(samples)-1]
 	agents := float64(len(scenario.Agents))
@@ -238,8 +239,8 @@
 	}
 }
 
-// bytesSent is what an agent sent its peers, and over how many seconds. A pair of samples between which another process began is left
-// out: its counter began at 0.
+// bytesSent returns how many bytes an agent sent its peers, and in how many seconds. It leaves out pairs of samples between which a new
+// process started, as its counter starts at 0.
 func bytesSent(samples []peerSample) (bytes, seconds float64) {
 	for i := 1; i < len(samples); i++ {
 		before, after := samples[i-1], samples[i]
@@ -251,8 +252,8 @@
 	return bytes, seconds
 }
 
-// countReplicaStates returns how many different states of the facts on servers' ends the agents held: in the sample with the most, and in the
-// last sample that all agents have.
+// countReplicaStates returns how many different replicas of the facts on servers' ends the agents held: most in the sample with most of
+// them, last in the last sample that all agents have.
 func countReplicaStates(peerSamples [][]peerSample) (most, last int) {
 	digestsByTick := map[int]map[string]int{}
 	for _, samples := range peerSamples {
@@ -278,10 +279,10 @@
 	return most, last
 }
 
-// gossipPlots are bytes a second of an agent, and how long the last agent took to see all others after a fault, against the number
-// of agents; none where fewer than two numbers ran.
+// gossipPlots plots two figures against the number of agents: bytes per second that an agent sent, and the time until agents saw all others
+// after a fault. It returns nil unless the outcomes have at least two different numbers of agents.
 func gossipPlots(outcomes []Outcome) []namedPlot {
-	bytes, heals := newPlot("bytes a second that an agent sent its peers", "bytes a second"), newPlot("after a fault: until all see all others", "seconds")
+	bytes, heals := newPlot("bytes per second that an agent sent its peers", "bytes per second"), newPlot("time after a fault until an agent sees all others", "seconds")
 	sent, last, median := map[float64][]float64{}, map[float64][]float64{}, map[float64][]float64{}
 	for _, outcome := range outcomes {
 		if outcome.Peers == nil || outcome.Interrupted {
