--- a/internal/experiment/drill.go
+++ b/internal/experiment/drill.go
@@ -43,7 +43,7 @@
 	MaxPassedOver        float64            `toml:"passed_over_most"` // see Outcome.PassedOver
 	MinUnaffectedService float64            `toml:"spared_least"`     // see Outcome.UnaffectedService
 	FullMembership       bool               `toml:"whole"`            // each agent sees all others at the end, and at least once after each fault
-	MaxSplitFraction     float64            `toml:"split_to"`         // during a fault some agent sees at most this fraction of the others: the fault has an effect
+	MaxSplitFraction     float64            `toml:"split_to"`         // in a fault some agent sees at most this fraction of the others, so the fault has an effect
 	MinWithheld          int64              `toml:"held_back_least"`  // see PeerSummary.Withheld
 	MinReplicaStates     int                `toml:"copies_least"`     // see PeerSummary.MaxReplicaStates: the faults make replicas diverge
 	ReplicasAgree        bool               `toml:"copies_agree"`     // at the end all agents' replicas are equal
--- a/internal/experiment/fleet.go
+++ b/internal/experiment/fleet.go
@@ -27,7 +27,7 @@
 	CrossedNonIdempotent Interval `json:"crossed_must_not_repeat"` // number of these that were not idempotent
 	TimedOut             Interval `json:"timed_out_after_the_cut"` // requests sent on dead connections after the partition had healed
 	Peak                 Interval `json:"start_peak_handshakes"`   // most handshakes of the restarted server within peakWindow
-	SlowStartShare       Interval `json:"start_cold_share"`        // fraction of the restarted server's capacity within restartObservation that handshakes took
+	SlowStartShare       Interval `json:"start_cold_share"`        // fraction of the restarted server's capacity that handshakes took within restartObservation
 	Mean                 Interval `json:"mean_ms"`
 	P99                  Interval `json:"p99_ms"`
 }
@@ -125,7 +125,7 @@
 	settings.ServerIdleTimeout, settings.AcquireTimeout, settings.Agents, settings.SlowStartInitialFraction, settings.SlowStartWindow = spec.IdleTimeout.D(), spec.ClientTimeout.D(), spec.Agents, spec.SlowStartInitialFraction, spec.SlowStartWindow.D()
 	settings = variant.read.Settings(settings)
 	if err := settings.Validate(); err != nil {
-		return nil, fmt.Errorf("arm %s: %w", variant.Name, err)
+		return nil, fmt.Errorf("fleet_arm %s: %w", variant.Name, err)
 	}
 	for i := range spec.Agents {
 		agent := &fleetAgent{table: pool.NewTable(settings, seed<<20+uint64(i)), waiting: map[*pool.Waiter]*fleetRequest{}, conns: map[*pool.Slot]*fleetConn{}}
--- a/internal/experiment/hunt.go
+++ b/internal/experiment/hunt.go
@@ -118,7 +118,8 @@
 	return "", nil
 }
 
-const failedScenarioFile = `# A hunt found that this scenario does not pass the gate: %s
+// failedScenarioFile is the format of the experiment's file for a scenario that did not pass the gate.
+const failedScenarioFile = `# Found by a hunt: %s
 name = "found-%d"
 repeats = 1
 seed = %d
--- a/internal/experiment/levels.go
+++ b/internal/experiment/levels.go
@@ -7,11 +7,12 @@
 	"ryeweir/internal/emulator"
 )
 
-// AdmissionSummary summarizes the metrics of the admission budgets of a run's agent processes.
+// AdmissionSummary summarizes the metrics of the admission budgets of a run's agent processes. The admitted fraction is the fraction of its
+// demand that an agent admitted one second before the surge ended or, in a scenario without a surge, before the run ended.
 type AdmissionSummary struct {
-	Least          float64 `json:"least"`    // fraction of its demand that an agent admitted one second before the surge ended, or the run if it has none: the lowest of all agents
-	Median         float64 `json:"median"`   // the median of all agents
-	Most           float64 `json:"most"`     // the highest of all agents
+	Least          float64 `json:"least"`    // lowest admitted fraction of all agents
+	Median         float64 `json:"median"`   // median admitted fraction of all agents
+	Most           float64 `json:"most"`     // highest admitted fraction of all agents
 	Shed           int64   `json:"shed"`     // requests rejected by the budget; of a killed process as of its last sample
 	Withheld       int64   `json:"withheld"` // retries that the budget did not allow
 	SelfOverloaded int64   `json:"pressed"`  // samples in which an agent found itself overloaded
--- a/internal/experiment/load.go
+++ b/internal/experiment/load.go
@@ -43,7 +43,7 @@
 	clients := make([]*callers.Client, len(spec.Targets))
 	for i, target := range spec.Targets {
 		if _, _, err := net.SplitHostPort(target); err != nil {
-			return Outcome{}, fmt.Errorf("target %q: %w", target, err)
+			return Outcome{}, fmt.Errorf("targets: %q is not host:port: %w", target, err)
 		}
 		clients[i] = &callers.Client{Addr: target, Dial: dial}
 		defer clients[i].Close()
--- a/internal/experiment/measured.go
+++ b/internal/experiment/measured.go
@@ -101,7 +101,7 @@
 		} `json:"connections"`
 	}
 	if err := json.NewDecoder(resp.Body).Decode(&all); err != nil {
-		return 0, 0, fmt.Errorf("parsing the agent's metrics: %w", err)
+		return 0, 0, fmt.Errorf("parsing the metrics of the agent at %s: %w", s.control, err)
 	}
 	return all.Connections.Opened, all.Connections.Open, nil
 }
@@ -118,7 +118,7 @@
 		return 0, err
 	}
 	if len(latencies) == 0 || failed > len(latencies)/100 {
-		return 0, fmt.Errorf("got %d answers and %d failures, with at most 1%% failures allowed; the process's log:\n%s", len(latencies), failed, s.log.String())
+		return 0, fmt.Errorf("no answers, or more than one failure per 100 answers: %d answers and %d failures; the process's log:\n%s", len(latencies), failed, s.log.String())
 	}
 	cpu := float64((after - before).Microseconds()) / float64(len(latencies))
 	s.cpu, s.latencies, s.elapsed = append(s.cpu, cpu), append(s.latencies, latencies...), s.elapsed+elapsed
@@ -148,15 +148,15 @@
 func residentMB(pid int) (float64, error) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", pid))
 	if err != nil {
-		return 0, fmt.Errorf("memory: %w", err)
+		return 0, fmt.Errorf("reading the resident memory: %w", err)
 	}
 	fields := strings.Fields(string(text))
 	if len(fields) < 2 {
-		return 0, fmt.Errorf("memory: unexpected format of statm of process %d", pid)
+		return 0, fmt.Errorf("reading the resident memory: unexpected format of statm of process %d", pid)
 	}
 	pages, err := strconv.ParseFloat(fields[1], 64)
 	if err != nil {
-		return 0, fmt.Errorf("memory: %w", err)
+		return 0, fmt.Errorf("reading the resident memory: %w", err)
 	}
 	return pages * float64(os.Getpagesize()) / (1 << 20), nil
 }
@@ -204,7 +204,7 @@
 func processorTime(pid int) (sum time.Duration, err error) {
 	files, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", pid))
 	if err != nil || len(files) == 0 {
-		return 0, fmt.Errorf("processor time: no schedstat of process %d", pid)
+		return 0, fmt.Errorf("reading the processor time: no schedstat of process %d", pid)
 	}
 	for _, file := range files {
 		text, err := os.ReadFile(file)
@@ -212,12 +212,12 @@
 			continue // the thread has ended meanwhile
 		}
 		if err != nil {
-			return 0, fmt.Errorf("processor time: %w", err)
+			return 0, fmt.Errorf("reading the processor time: %w", err)
 		}
 		first, _, _ := strings.Cut(string(text), " ")
 		ns, err := strconv.ParseInt(first, 10, 64)
 		if err != nil {
-			return 0, fmt.Errorf("processor time: unexpected format of %s: %w", file, err)
+			return 0, fmt.Errorf("reading the processor time: unexpected format of %s: %w", file, err)
 		}
 		sum += time.Duration(ns)
 	}
--- a/internal/experiment/outcome.go
+++ b/internal/experiment/outcome.go
@@ -62,21 +62,21 @@
 	ListCalls         int                        `json:"list_calls"`                         // calls of discovery
 	Degradations      int                        `json:"chokes"`                             // how often a node became degraded by overload
 	GroundTruth       *GroundTruth               `json:"truths,omitempty"`                   // in simulated time only
-	SlowStartPeak     float64                    `json:"cold_peak"`                          // highest load of a node in slow start, as a fraction of the load that overloads it
-	NodesUsed         []float64                  `json:"nodes_used,omitempty"`               // in simulated time only, by second: fraction of the running nodes that got a request
-	NodesBusy         []float64                  `json:"nodes_busy,omitempty"`               // in simulated time only, by second: work done, as a fraction of the running nodes' capacity
-	Priced            float64                    `json:"priced"`                             // Goal less the costs at the scenario's prices of health checks, handshakes, discovery calls and waste
+	SlowStartPeak     float64                    `json:"cold_peak"`                          // highest load of a node in slow start; 1 overloads it
+	NodesUsed         []float64                  `json:"nodes_used,omitempty"`               // by second: fraction of the running nodes that got a request; simulated only
+	NodesBusy         []float64                  `json:"nodes_busy,omitempty"`               // by second: work done, as a fraction of the running nodes' capacity; simulated only
+	Priced            float64                    `json:"priced"`                             // Goal less the scenario's prices for health checks, handshakes, discovery calls and waste
 	HealthCheckWork   float64                    `json:"probe_work"`                         // work of health checks, as a fraction of the nodes' capacity
 	CPU               float64                    `json:"agent_cpu_us_per_request,omitempty"` // processor time of all agents' processes
 	Skipped           int                        `json:"skipped"`                            // calls that were not sent because too many were open
-	Lag               float64                    `json:"lag_ms"`                             // longest delay of a call behind its planned time, in milliseconds
-	ProcessorWait     float64                    `json:"starved_ms"`                         // mean time that this process's threads waited for a processor, in milliseconds; on sockets only
+	Lag               float64                    `json:"lag_ms"`                             // longest delay of a call behind its planned time, in ms
+	ProcessorWait     float64                    `json:"starved_ms"`                         // mean time this process's threads waited for a processor, in ms; sockets only
 	Admission         *AdmissionSummary          `json:"levels,omitempty"`                   // of agents with admission budgets
 	Misbehaving       callers.MisbehavingFigures `json:"rude"`                               // figures of the misbehaving clients
 	Interrupted       bool                       `json:"interrupted,omitempty"`
 	Peers             *PeerSummary               `json:"views,omitempty"`  // of agents that gossip
 	TopPriorityServed float64                    `json:"worthiest_served"` // fraction of the top-priority class's work that was answered
-	PassedOver        float64                    `json:"passed_over"`      // fraction of the top-priority class's work that was not answered while lower classes were; see passedOver
+	PassedOver        float64                    `json:"passed_over"`      // unanswered fraction of the top-priority class's work while lower classes were answered; see passedOver
 	UnaffectedService float64                    `json:"spared"`           // service of the requests at agents that no agent fault affects; 1 if there are none
 	Surge             *Surge                     `json:"surge,omitempty"`  // of a scenario with a surge
 	Series            Series                     `json:"series"`
--- a/internal/experiment/report.go
+++ b/internal/experiment/report.go
@@ -280,13 +280,13 @@
 	p.Draw(draw.New(svg))
 	var text bytes.Buffer
 	if _, err := svg.WriteTo(&text); err != nil {
-		return "", fmt.Errorf("drawing the plot %q: %w", p.Title.Text, err)
+		return "", fmt.Errorf("drawing the plot %s: %w", p.Title.Text, err)
 	}
 	img := vgimg.PngCanvas{Canvas: vgimg.New(plotWidth, plotHeight)}
 	p.Draw(draw.New(img))
 	var png bytes.Buffer
 	if _, err := img.WriteTo(&png); err != nil {
-		return "", fmt.Errorf("drawing the plot %q: %w", p.Title.Text, err)
+		return "", fmt.Errorf("drawing the plot %s: %w", p.Title.Text, err)
 	}
 	if err := replace(file, png.Bytes()); err != nil {
 		return "", err
--- a/internal/experiment/scenario_agents.go
+++ b/internal/experiment/scenario_agents.go
@@ -29,7 +29,7 @@
 	}
 	for i, a := range p.agents {
 		if err := a.Ready(ctx); err != nil {
-			return fmt.Errorf("%s: %w", p.world.Scenario.Agents[i], err)
+			return fmt.Errorf("waiting until %s is ready: %w", p.world.Scenario.Agents[i], err)
 		}
 	}
 	return nil
@@ -114,7 +114,7 @@
 			defer mu.Unlock()
 			p.cpu += cpu
 			if err != nil {
-				errs = append(errs, fmt.Errorf("%s: %w", p.world.Scenario.Agents[i], err))
+				errs = append(errs, fmt.Errorf("stopping %s: %w", p.world.Scenario.Agents[i], err))
 			}
 		})
 	}
--- a/internal/experiment/surge.go
+++ b/internal/experiment/surge.go
@@ -69,7 +69,7 @@
 // offeredPlots plots goodput and attempts per request against the load offered in the scenarios' surges, with a line for each variant. It
 // returns nil unless the surges offer at least two different loads.
 func offeredPlots(outcomes []Outcome, variants []string) []namedPlot {
-	goodput, attempts := newPlot("goodput in the surge, as a fraction of the nodes' capacity", "fraction"), newPlot("attempts per request", "attempts")
+	goodput, attempts := newPlot("goodput in the surge, as a share of the nodes' capacity", "share"), newPlot("attempts per request", "attempts")
 	points := 0
 	for i, variant := range variants {
 		good, sent := map[float64][]float64{}, map[float64][]float64{}
