--- a/internal/discovery/apply_test.go
+++ b/internal/discovery/apply_test.go
@@ -13,22 +13,22 @@
 	"ryeweir/internal/testkit"
 )
 
-// A list arrives that is older than the known one, as a late answer or after a restore from a newer one. It changes nothing.
+// A list that is older than the known one arrives, in a late response or after a newer list was restored. It is ignored.
 func TestOlderListsAreIgnored(t *testing.T) {
-	client, sink := newClient(t, testkit.Refusing(t), 1, noCache, io.Discard)
-	ready := testkit.EntryText("s-1", "127.0.0.1:1", "Ready", 0)
+	client, sink := newClient(t, testkit.RefusingAddr(t), 1, noCache, io.Discard)
+	ready := testkit.EndpointJSON("s-1", "127.0.0.1:1", "Ready", 0)
 	for _, step := range []struct {
 		text     string
 		wantFull bool
 		fails    bool
 		updates  int
 	}{
-		{testkit.ListText(7, true, ready), true, false, 1},
-		{testkit.ListText(6, true, ready), true, false, 0},
-		{testkit.ListText(7, false, ready), false, false, 0},
-		{testkit.ListText(6, false, ready), false, true, 0},
-		{testkit.ListText(9, false, ready), true, true, 0},
-		{testkit.ListText(9, false, ready), false, false, 1},
+		{testkit.EndpointListJSON(7, true, ready), true, false, 1},
+		{testkit.EndpointListJSON(6, true, ready), true, false, 0},
+		{testkit.EndpointListJSON(7, false, ready), false, false, 0},
+		{testkit.EndpointListJSON(6, false, ready), false, true, 0},
+		{testkit.EndpointListJSON(9, false, ready), true, true, 0},
+		{testkit.EndpointListJSON(9, false, ready), false, false, 1},
 	} {
 		if err := client.apply(parseList(t, step.text), step.wantFull); (err != nil) != step.fails {
 			t.Errorf("%s: %v", step.text, err)
@@ -45,10 +45,10 @@
 	}
 }
 
-// Discovery restarts and counts its versions anew. A full snapshot is requested: what has changed since a version of the old count says
-// nothing.
+// Discovery restarts and numbers its versions from the start. The client requests a full snapshot, because changes since a version of the
+// old numbering are meaningless.
 func TestLowerVersionNeedsAFullSnapshot(t *testing.T) {
-	cached := testkit.ListText(41, true, testkit.EntryText("s-1", "127.0.0.1:1", "Ready", 0))
+	cached := testkit.EndpointListJSON(41, true, testkit.EndpointJSON("s-1", "127.0.0.1:1", "Ready", 0))
 	client, sink := newSubscribedClient(t, "127.0.0.1:1", 12, cached)
 	err := client.apply(EndpointList{Version: 7}, false)
 	var lower *versionError
@@ -60,20 +60,20 @@
 	}
 }
 
-// Discovery restarts, counts anew and answers a watch with a full snapshot of a lower version. The list is applied before long: else
-// nothing of that discovery would ever be received.
-func TestLowerVersionInAFullSnapshotIsRecovered(t *testing.T) {
+// Discovery restarts its numbering and responds to a watch with a full snapshot of a lower version. The client must apply such a list
+// eventually: if it kept ignoring lower versions, it would never receive an update from the restarted service.
+func TestLowerVersionInAFullSnapshotIsApplied(t *testing.T) {
 	var restarted atomic.Bool
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		since := r.URL.Query().Get("since")
 		switch {
 		case !restarted.Load() && since == "":
-			io.WriteString(w, testkit.ListText(41, true, testkit.EntryText("s-1", "127.0.0.1:1", "Ready", 0)))
+			io.WriteString(w, testkit.EndpointListJSON(41, true, testkit.EndpointJSON("s-1", "127.0.0.1:1", "Ready", 0)))
 		case restarted.Load() && since != "3":
-			io.WriteString(w, testkit.ListText(3, true, testkit.EntryText("s-2", "127.0.0.1:2", "Ready", 0)))
+			io.WriteString(w, testkit.EndpointListJSON(3, true, testkit.EndpointJSON("s-2", "127.0.0.1:2", "Ready", 0)))
 		default:
 			time.Sleep(20 * time.Millisecond)
-			io.WriteString(w, testkit.ListText(41, false))
+			io.WriteString(w, testkit.EndpointListJSON(41, false))
 		}
 	}))
 	t.Cleanup(server.Close)
@@ -86,8 +86,8 @@
 	}
 }
 
-// Discovery is back after an outage in which nothing changed. The sink is notified once: the balancer counts failed polls and must know
-// that they have ended.
+// Discovery is available again after an outage in which the list did not change. The sink is notified once, because the balancer counts
+// failed polls and must know that polling works again.
 func TestSinkIsNotifiedWhenDiscoveryIsBackWithoutChange(t *testing.T) {
 	client, sink := newSubscribedClient(t, "127.0.0.1:1", 1, noCache)
 	client.known.version, client.unavailable, client.backoff.failures = 41, true, 3
@@ -99,20 +99,21 @@
 	}
 	client.apply(EndpointList{Version: 41}, false)
 	if len(sink) > 0 {
-		t.Error("notified twice")
+		t.Error("sink notified twice, want once")
 	}
 }
 
-// Discovery sends malformed entries in a full snapshot. They spoil neither the list nor remove their endpoints, and are logged once.
+// A full snapshot contains malformed entries. The rest of the list is applied, known endpoints with malformed entries are kept, and only
+// one of the entries is logged.
 func TestMalformedEntryKeepsTheLastKnownState(t *testing.T) {
 	var log testkit.LockedBuffer
-	client, sink := newClient(t, testkit.Refusing(t), 1, noCache, &log)
+	client, sink := newClient(t, testkit.RefusingAddr(t), 1, noCache, &log)
 	for version, entries := range [][]string{
-		{testkit.EntryText("s-1", "127.0.0.1:1", "Ready", 0), testkit.EntryText("s-2", "127.0.0.1:2", "Ready", 0)},
-		{testkit.EntryText("s-1", "127.0.0.1:1", "Asleep", 0), testkit.EntryText("s-3", "no address", "Ready", 0), `{"id":9}`, `"x"`,
-			testkit.EntryText("s-4", "127.0.0.1:4", "Ready", 0)},
+		{testkit.EndpointJSON("s-1", "127.0.0.1:1", "Ready", 0), testkit.EndpointJSON("s-2", "127.0.0.1:2", "Ready", 0)},
+		{testkit.EndpointJSON("s-1", "127.0.0.1:1", "Asleep", 0), testkit.EndpointJSON("s-3", "no address", "Ready", 0), `{"id":9}`, `"x"`,
+			testkit.EndpointJSON("s-4", "127.0.0.1:4", "Ready", 0)},
 	} {
-		if err := client.apply(parseList(t, testkit.ListText(version, true, entries...)), true); err != nil {
+		if err := client.apply(parseList(t, testkit.EndpointListJSON(version, true, entries...)), true); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -122,23 +123,23 @@
 		ids = append(ids, endpoint.ID)
 	}
 	if got := strings.Join(ids, " "); got != "s-1 s-4" {
-		t.Errorf("the list is %q", got)
+		t.Errorf("list contains %q, want \"s-1 s-4\"", got)
 	}
 	if n := log.Count("malformed"); n != 1 {
-		t.Errorf("%d lines in the log", n)
+		t.Errorf("%d malformed entries logged, want 1", n)
 	}
 }
 
-// Discovery sends a list that is too long to be read. The error says so, the last list stays in force, and a shorter one is applied.
+// Discovery sends a list over the size limit. The client logs an error that says so, keeps the last list, and applies the next shorter one.
 func TestListOverTheLimitIsAnError(t *testing.T) {
-	server := testkit.NewDiscovery(t, 1, testkit.EntryText("s-1", "127.0.0.1:1", "Ready", 0))
+	server := testkit.NewDiscovery(t, 1, testkit.EndpointJSON("s-1", "127.0.0.1:1", "Ready", 0))
 	var log testkit.LockedBuffer
 	client, sink := newClient(t, server.Addr().String(), 1, noCache, &log)
 	run(t, client)
 	nextList(t, sink)
-	entry := testkit.EntryText("s-2", "127.0.0.1:2", "Ready", 0)
-	server.Set(2, true, entry, testkit.EntryText(strings.Repeat("s", maxListBytes), "127.0.0.1:3", "Ready", 0))
-	testkit.Eventually(t, "the log says why", func() bool { return log.Count("is over") > 0 })
+	entry := testkit.EndpointJSON("s-2", "127.0.0.1:2", "Ready", 0)
+	server.Set(2, true, entry, testkit.EndpointJSON(strings.Repeat("s", maxListBytes), "127.0.0.1:3", "Ready", 0))
+	testkit.Eventually(t, "the error is logged", func() bool { return log.Count("endpoint list exceeds") > 0 })
 	server.Set(3, true, entry)
 	if list := nextList(t, sink); len(list.Endpoints) != 1 || list.Endpoints[0].ID != "s-2" {
 		t.Errorf("%d endpoints", len(list.Endpoints))
--- a/internal/experiment/simulation_callers.go
+++ b/internal/experiment/simulation_callers.go
@@ -124,7 +124,7 @@
 		if candidate.up && !s.scenario.Partitioned(agent.zone, candidate.Zone, s.now) {
 			truths = append(truths, s.visibleState(candidate))
 			view.TrueState = &truths[len(truths)-1]
-			view.TrueState.OneWayDelay = s.scenario.LinkTo(agent.zone, candidate.Zone).Delay
+			view.TrueState.OneWayDelay = s.scenario.PathConditions(agent.zone, candidate.Zone).Delay
 		}
 		views, candidates = append(views, view), append(candidates, candidate)
 	}
