--- a/internal/experiment/levels.go
+++ b/internal/experiment/levels.go
@@ -7,17 +7,18 @@
 	"ryeweir/internal/emulator"
 )
 
-// AdmissionSummary sums up the admission budgets of a day's agent processes, as their metrics reported them.
+// AdmissionSummary summarizes the metrics of the admission budgets of a run's agent processes. The admitted fraction is the fraction of its
+// demand that an agent admitted one second before the surge ended or, in a scenario without a surge, before the run ended.
 type AdmissionSummary struct {
-	Least          float64 `json:"least"`    // fraction of its demand that an agent admitted one second before the surge ended: the lowest of all agents
-	Median         float64 `json:"median"`   //
-	Most           float64 `json:"most"`     //
-	Shed           int64   `json:"shed"`     // requests rejected by the budget; a killed process counts with its last sample
-	Withheld       int64   `json:"withheld"` // retries not sent
+	Least          float64 `json:"least"`    // lowest admitted fraction of all agents
+	Median         float64 `json:"median"`   // median admitted fraction of all agents
+	Most           float64 `json:"most"`     // highest admitted fraction of all agents
+	Shed           int64   `json:"shed"`     // requests rejected by the budget; of a killed process as of its last sample
+	Withheld       int64   `json:"withheld"` // retries that the budget did not allow
 	SelfOverloaded int64   `json:"pressed"`  // samples in which an agent found itself overloaded
 }
 
-// overloadMetrics are an agent's figures of its budget.
+// overloadMetrics are the "overload" metrics of an agent, whose keys are the names of the fields unless tagged.
 type overloadMetrics struct {
 	Admitted       float64
 	Shed           int64
@@ -25,31 +26,31 @@
 	SelfOverloaded int64 `json:"Pressed"`
 }
 
-// summarizeLevels sums up the budget metrics of all agents; nil where no agent has a budget.
-func summarizeLevels(day *emulator.Scenario, peerViews [][]peerView) *AdmissionSummary {
-	end := day.Length
-	if i := surgeShift(day); i >= 0 {
-		end = day.Spec.Fleet.TrafficShifts[i].To.D()
+// summarizeAdmission summarizes the budget metrics of all agents. It returns nil if no agent has a budget.
+func summarizeAdmission(scenario *emulator.Scenario, peerSamples [][]peerSample) *AdmissionSummary {
+	end := scenario.Length
+	if i := surgeShift(scenario); i >= 0 {
+		end = scenario.Spec.Fleet.TrafficShifts[i].To.D()
 	}
-	levels := &AdmissionSummary{}
+	summary := &AdmissionSummary{}
 	var shares []float64
-	for _, agentViews := range peerViews {
-		var last overloadMetrics // of the present process
+	for _, samples := range peerSamples {
+		var last overloadMetrics // the last sample of the current process
 		admitted, at := 0.0, time.Duration(-1)
-		for _, view := range agentViews {
-			metrics := view.overload
+		for _, sample := range samples {
+			metrics := sample.overload
 			if metrics == nil {
 				continue
 			}
-			if metrics.Shed < last.Shed || metrics.SelfOverloaded < last.SelfOverloaded { // another process began in between
-				levels.add(last)
+			if metrics.Shed < last.Shed || metrics.SelfOverloaded < last.SelfOverloaded { // the counters restarted: this sample is of another process
+				summary.add(last)
 			}
 			last = *metrics
-			if view.at <= end-time.Second {
-				admitted, at = metrics.Admitted, view.at
+			if sample.at <= end-time.Second {
+				admitted, at = metrics.Admitted, sample.at
 			}
 		}
-		levels.add(last)
+		summary.add(last)
 		if at >= 0 {
 			shares = append(shares, admitted)
 		}
@@ -58,11 +59,11 @@
 		return nil
 	}
 	slices.Sort(shares)
-	levels.Least, levels.Median, levels.Most = shares[0], shares[len(shares)/2], shares[len(shares)-1]
-	return levels
+	summary.Least, summary.Median, summary.Most = shares[0], shares[len(shares)/2], shares[len(shares)-1]
+	return summary
 }
 
-// add adds the counters of one process.
+// add adds the counters of one process to the totals.
 func (l *AdmissionSummary) add(o overloadMetrics) {
 	l.Shed, l.Withheld, l.SelfOverloaded = l.Shed+o.Shed, l.Withheld+o.Withheld, l.SelfOverloaded+o.SelfOverloaded
 }
