--- a/internal/connlimit/close.go
+++ b/internal/connlimit/close.go
@@ -27,9 +27,9 @@
 }
 
 // Close closes the connection. It does not wait for the client; the slot is free when the underlying connection has been closed.
-// If a request was answered on the connection, Close performs a lingering close: closing a socket that has unread bytes resets
-// the connection, and the client might never see the answer. The bytes that arrive during a lingering close are discarded; none
-// of them was read as a request.
+// If a handler has accepted a request on the connection, and its answer was not cut short, Close performs a lingering close: closing
+// a socket that has unread bytes resets the connection, and the client might never see the answer. The bytes that arrive during a
+// lingering close are discarded; none of them was read as a request.
 func (c *Conn) Close() error {
 	c.listener.mu.Lock()
 	defer c.listener.mu.Unlock()
--- a/internal/connlimit/conn.go
+++ b/internal/connlimit/conn.go
@@ -17,7 +17,7 @@
 	activity     activity
 	lastActivity time.Time // when the activity began or, while a request is read, when its latest bytes arrived
 	hadRequest   bool      // a handler has accepted a request on this connection
-	readDeadline time.Time // as set by the server; not in force while a close is pending
+	readDeadline time.Time // as set by the server or by bytesReceived; not in force while a close is pending
 	readAhead    readAhead
 
 	// State of the request in flight.
@@ -28,7 +28,7 @@
 
 	// State of the close.
 	closePending bool         // a close was requested; the next byte that arrives cancels it
-	evicting     bool         // the slot is needed for a new connection
+	evicting     bool         // the slot is needed for a new connection: a lingering close ends at once
 	closing      bool         // Close was called
 	closeReason  event.Reason // event.None while unknown
 }
--- a/internal/connlimit/doc.go
+++ b/internal/connlimit/doc.go
@@ -19,10 +19,11 @@
 //
 // # Closing a connection
 //
-// Only the HTTP server's goroutine that reads a connection calls Close. All other goroutines request a close, which interrupts a
-// read that is blocked. If a byte arrives first, the close is canceled: bytes that were read belong to a request, and a request
-// that was read gets an answer. Close checks the close guard (invariant.Close), and after an answer it performs a lingering close
-// (RFC 9112, section 9.6).
+// While the HTTP server runs, only the server's goroutine that reads a connection calls Close on it. At the end of the server,
+// http.Server.Close calls Close on all connections that are left. All other goroutines request a close, which interrupts a read
+// that is blocked. If a byte arrives first, the close is canceled: bytes that were read belong to a request, and a request
+// that was read gets an answer. Close checks the close guard (invariant.Close). If BeginRequest was called on the connection, and
+// the answer was not cut short, Close then performs a lingering close (RFC 9112, section 9.6).
 //
 // # Client disconnects
 //
--- a/internal/discovery/apply.go
+++ b/internal/discovery/apply.go
@@ -95,8 +95,9 @@
 	}
 }
 
-// applyCached passes the cached list to the sink as a full snapshot. Any list that discovery returns later counts as newer, even one with
-// a lower version.
+// applyCached passes the cached list to the sink as a full snapshot. Unless the client watches from the cached version on (see
+// startsFromCache), no version is known, and the next list from discovery counts as newer, even one with a lower version. If it does, apply
+// rejects a lower version in response to a watch with a versionError; the full snapshot that is requested then counts as newer.
 func (c *Client) applyCached() {
 	list := c.cfg.CachedList
 	list.Full = true
--- a/internal/discovery/apply_test.go
+++ b/internal/discovery/apply_test.go
@@ -139,7 +139,8 @@
 	nextList(t, sink)
 	entry := testkit.EndpointJSON("s-2", "127.0.0.1:2", "Ready", 0)
 	server.Set(2, true, entry, testkit.EndpointJSON(strings.Repeat("s", maxListBytes), "127.0.0.1:3", "Ready", 0))
-	testkit.Eventually(t, "the error is logged", func() bool { return log.Count("endpoint list exceeds") > 0 })
+	want := "discovery at " + server.Addr().String() + ": endpoint list exceeds"
+	testkit.Eventually(t, "the error is logged with the address", func() bool { return log.Count(want) > 0 })
 	server.Set(3, true, entry)
 	if list := nextList(t, sink); len(list.Endpoints) != 1 || list.Endpoints[0].ID != "s-2" {
 		t.Errorf("%d endpoints", len(list.Endpoints))
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -118,9 +118,9 @@
 	}
 }
 
-// start obtains the first list when a cached one exists: from discovery if it responds at once, otherwise from the cache. The cached
-// list is the second choice because the agent becomes ready with any list, and the cached one may contain endpoints that have since been
-// removed or started to drain.
+// start obtains the first list when a cached one exists: from discovery if it responds within firstListTimeout, otherwise from the cache.
+// The cached list is the second choice because the agent becomes ready with any list, and the cached one may contain endpoints that have
+// since been removed or started to drain. If a subscription is required, start does not ask discovery and uses the cached list at once.
 func (c *Client) start(ctx context.Context) {
 	if len(c.cfg.CachedList.Endpoints) == 0 {
 		return
--- a/internal/discovery/doc.go
+++ b/internal/discovery/doc.go
@@ -7,11 +7,11 @@
 //
 // Run consists of these stages:
 //
-//	start     falls back to the list cached by an earlier process if discovery does not respond at once   client.go
-//	session   all requests to one address; SetAddress starts another session                              session.go
-//	watch     consecutive watches, and recovery from a watch that got no response                         watch.go
-//	request   a single HTTP request                                                                       request.go
-//	apply     comparison of a received list with the last known one                                       apply.go, decode.go, starttime.go
+//	start     uses the list cached by an earlier process if discovery is not asked or does not respond at once   client.go
+//	session   all requests to one address; SetAddress starts another session                                     session.go
+//	watch     consecutive watches, and recovery from a watch that got no response                                watch.go
+//	request   a single HTTP request                                                                              request.go
+//	apply     comparison of a received list with the last known one                                              apply.go, decode.go, starttime.go
 //
 // timing.go defines when requests are made: the notification deadline, the backoff after failures, and how the requests of a large
 // fleet are spread over time. While discovery is unavailable the last list stays in effect.
--- a/internal/discovery/request.go
+++ b/internal/discovery/request.go
@@ -14,10 +14,13 @@
 
 // statusError is a response with a status other than 200.
 type statusError struct {
+	addr   string // of discovery
 	status string
 }
 
-func (e *statusError) Error() string { return "discovery returned status " + e.status }
+func (e *statusError) Error() string {
+	return "discovery at " + e.addr + " returned status " + e.status
+}
 
 // errListTooLong is returned for a response body of more than maxListBytes.
 var errListTooLong = fmt.Errorf("endpoint list exceeds %d bytes", maxListBytes)
@@ -59,18 +62,18 @@
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
-		return EndpointList{}, &statusError{response.Status}
+		return EndpointList{}, &statusError{addr: c.sessionAddr, status: response.Status}
 	}
 	body, err := io.ReadAll(io.LimitReader(response.Body, maxListBytes+1))
 	if err != nil {
 		return EndpointList{}, err
 	}
 	if len(body) > maxListBytes {
-		return EndpointList{}, errListTooLong
+		return EndpointList{}, fmt.Errorf("discovery at %s: %w", c.sessionAddr, errListTooLong)
 	}
 	list, err := ParseEndpointList(body)
 	if err != nil {
-		return EndpointList{}, fmt.Errorf("decode endpoint list: %w", err)
+		return EndpointList{}, fmt.Errorf("decode endpoint list from discovery at %s: %w", c.sessionAddr, err)
 	}
 	return list, nil
 }
--- a/internal/discovery/timing.go
+++ b/internal/discovery/timing.go
@@ -30,7 +30,7 @@
 // All agents of a fleet share one discovery service, which serves requests in order and rejects them when its queue is full.
 const (
 	smallFleet           = 8                        // largest number of agents whose requests are not spread
-	retrySpreadPerAgent  = 10 * time.Millisecond    // retries of a fleet are spread over this time per agent
+	retrySpreadPerAgent  = 10 * time.Millisecond    // first requests and retries of a fleet are spread over this time per agent
 	maxStartSpread       = notificationDeadline / 6 // limit of the time over which first requests are spread
 	watchTimeoutPerAgent = 50 * time.Millisecond    // the longest watch grows with the fleet by this much per agent
 	maxWatchTimeout      = time.Minute              // limit that discovery sets
@@ -77,8 +77,8 @@
 }
 
 // watchPacing adapts the timeout of watches. It increases while discovery is overloaded, which lowers the request rate, and slowly
-// decreases while discovery responds in time. The timeout does not delay the next watch,
-// which starts when the last one has ended.
+// decreases while discovery responds in time. The timeout does not delay the next watch, which starts when the last one has ended, or
+// emptyWatchInterval later if that one ended early without a change.
 type watchPacing struct {
 	timeout time.Duration
 }
--- a/internal/front/http/config.go
+++ b/internal/front/http/config.go
@@ -53,8 +53,8 @@
 	maxCountedDeadline = 3 * time.Second        // the longest request deadline that the platform's restart waits for
 )
 
-// Before the listener closes, a drain accepts the connections in the kernel's accept queue, which would be reset otherwise. These
-// constants bound that step.
+// Before the agent's own listener closes, a drain accepts the connections in the kernel's accept queue, which would be reset
+// otherwise. Those of an inherited listener are left to the next process. These constants bound that step.
 const (
 	backlogQuietPeriod = 20 * time.Millisecond // no new connection for this long means that the queue is empty
 	maxBacklogPeriods  = 10                    // number of such periods after which the listener closes in any case
--- a/internal/front/http/doc.go
+++ b/internal/front/http/doc.go
@@ -1,5 +1,6 @@
 // Package http serves clients over HTTP/1.1. It reads and validates each request, submits it to the core as a call, and writes
-// the call's answer as the HTTP response. In this package "answer" means that response.
+// the call's answer as the HTTP response. The call's answer is the decision of the core, a core.Answer. Elsewhere in this package
+// "answer" means the response to the client.
 //
 // # Request processing
 //
@@ -9,7 +10,7 @@
 //	read       validate the head and receive the body as far as it is buffered; an invalid request gets a 4xx response
 //	begin      mark the request as in flight; from here on it must get exactly one answer
 //	admit      shed the request when too many are in flight
-//	await      submit the call to the core and wait for its answer, the client's disconnect or the end of the process
+//	await      submit the call to the core and wait for the call's answer, the client's disconnect or the end of the process
 //	answer     write the answer
 //	abandon    in place of answer: end the request of a client that has disconnected
 //
--- a/internal/front/http/drain.go
+++ b/internal/front/http/drain.go
@@ -13,7 +13,8 @@
 //  1. From now on each answer closes its connection, and idle connections are closed. New connections are accepted for AcceptWindow,
 //     because clients may not know of the shutdown yet. On an inherited listener the next process accepts them instead.
 //  2. The listener closes. Requests in flight continue until all connections have closed or requestLimit has passed.
-//  3. The core answers all requests that are still open. Without this step the end of the process would cut them off.
+//  3. The core ends all calls that are still in progress, so that their requests are answered. Without this step the end of the process
+//     would cut them off.
 //  4. Answers that are being written continue until they are complete or streamLimit has passed.
 //
 // serveErr receives the error of http.Server.Serve, which returns when the listener closes.
--- a/internal/front/http/exchange.go
+++ b/internal/front/http/exchange.go
@@ -56,8 +56,9 @@
 // begin marks the request as in flight. It also starts the request's deadline and the detection of a client disconnect; if the
 // body is still being received, both start when it is complete.
 //
-// A request whose client has already disconnected ends here and is never submitted. Otherwise an attempt could be sent for a
-// client that is gone, which violates the invariant send_after_client_left.
+// A request with a buffered body whose client has already disconnected ends here and is never submitted. Otherwise an attempt could
+// be sent for a client that is gone, which violates the invariant send_after_client_left. If the body is still being received,
+// uploadCompleted cancels the request's context instead.
 func (x *exchange) begin() {
 	connlimit.BeginRequest(x.ctx, x.call.ID)
 	if x.upload != nil {
@@ -133,12 +134,12 @@
 			return
 		}
 		x.abandon()
-	case <-x.server.Core.Done(): // the core runs until the drain has ended, so this is reached only on an abort
+	case <-x.server.Core.Done(): // the core stops after Serve has closed all connections, so no client receives this answer
 		x.answer(shutdownAnswer)
 	}
 }
 
-// awaitEarlyAnswer waits for the answer when the endpoint has answered before it received the complete body. The upload is then
+// awaitEarlyAnswer waits for the call's answer when the endpoint has answered before it received the complete body. The upload is then
 // stopped, which interrupts a read, and net/http cancels the context because of that. The client has not disconnected, and the
 // answer will follow.
 func (x *exchange) awaitEarlyAnswer(answers <-chan core.Answer) {
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -24,7 +24,8 @@
 func Inherits(getenv func(string) string) bool { return getenv(descriptorEnv) != "" }
 
 // Listen returns a listener on the inherited socket that the environment names, or on addr if it names none. inherited reports
-// which of the two it is. Connections on an inherited socket that this process does not accept are accepted by another process.
+// which of the two it is. Connections on an inherited socket that this process does not accept are accepted by another process. The
+// error says which step failed.
 func Listen(getenv func(string) string, addr string) (l net.Listener, inherited bool, err error) {
 	if !Inherits(getenv) {
 		l, err = ListenWithRetry(addr)
--- a/internal/healthcheck/checker.go
+++ b/internal/healthcheck/checker.go
@@ -28,7 +28,7 @@
 
 // Response is the result of one health check.
 type Response struct {
-	// Result is OK, Rejected if the endpoint reports itself unhealthy, NotSent if a limit of the agent prevented the check, or a failure.
+	// Result is OK, Rejected if the endpoint reports itself unhealthy, NotSent if the agent did not send the check, or a failure.
 	Result      logic.Result
 	LoadReport  logic.LoadReport // logic.NoLoadReport if there is none
 	Unsupported bool             // the endpoint does not support the request
@@ -85,8 +85,9 @@
 	c.settings = settings
 }
 
-// Check checks an endpoint and returns the result within the timeout. The result is NotSent if a limit is reached or the target is nil;
-// this says nothing about the health of the endpoint.
+// Check checks an endpoint and returns the result within the timeout. The result is NotSent if no check was sent, which says nothing about
+// the health of the endpoint: a limit is reached, the endpoint is already being checked, checks are disabled because endpoints do not
+// support them, the target is nil, or the transport sent none, for example because the endpoint is draining.
 func (c *Checker) Check(ctx context.Context, endpointID string, target any) logic.HealthChecked {
 	start := c.cfg.Clock.Now()
 	timeout, ok := c.begin(endpointID, target)
--- a/internal/httpmsg/upload.go
+++ b/internal/httpmsg/upload.go
@@ -63,8 +63,8 @@
 	return byRate
 }
 
-// setDeadline sets the deadline of the next read. It fails if reading has been interrupted, because it would overwrite the deadline
-// that interrupts the read.
+// setDeadline sets the deadline of the next read. It fails if reading has been interrupted, because the new deadline would overwrite
+// the one that interrupts the read.
 func (u *Upload) setDeadline(deadline time.Time) error {
 	u.mu.Lock()
 	defer u.mu.Unlock()
--- a/internal/pool/action.go
+++ b/internal/pool/action.go
@@ -32,7 +32,7 @@
 	CloseIdle      CloseReason = iota // idle for as long as the endpoint's idle limit allows
 	CloseAge                          // reached its age limit or request limit, or the endpoint asked for the close
 	CloseStale                        // found closed, or with unexpected bytes to read, before it was used
-	CloseSuspected                    // suspect: no exchange has completed on it since others with the endpoint failed
+	CloseSuspected                    // suspect: no exchange or handshake has completed on it since others with the endpoint failed
 	CloseCrossed                      // closed by the endpoint while a request was in transit
 	CloseBroken                       // its exchange failed, or left it in an unknown state
 	CloseRetired                      // its endpoint is draining, was removed or has restarted
@@ -62,7 +62,7 @@
 
 // The reject reasons.
 const (
-	RejectCapacity      RejectReason = iota // no connection became available in time, too many requests wait, or the agent lacks a resource
+	RejectCapacity      RejectReason = iota // no connection in time, too many requests wait, or the agent lacks a resource or permission
 	RejectNotReady                          // the endpoint accepts no new requests
 	RejectConnectFailed                     // the handshake with the endpoint failed or takes too long
 )
@@ -77,5 +77,5 @@
 	MustClose                            // the exchange is complete, and the connection cannot carry another one
 	ClosedByServer                       // the endpoint closed it before it sent any part of an answer
 	Abandoned                            // the agent stopped waiting before an answer could be expected; this is no evidence against the endpoint
-	Broken                               // any other failure
+	Broken                               // anything else: the exchange failed, or left the connection in an unknown state
 )
--- a/internal/pool/doc.go
+++ b/internal/pool/doc.go
@@ -16,7 +16,8 @@
 // Each rule has its own file:
 //
 //   - idlelimit.go: how long a connection may be idle and still be reused. The limit is learned from the endpoint's closes.
-//   - suspect.go: which connections are not trusted after several failures in a row.
+//   - suspect.go: which connections are not trusted after several failures in a row, or after the endpoint closed one while a request
+//     was in transit.
 //   - quarantine.go: how long a connection carries no request after an answer.
 //   - acquire.go: which idle connection a request gets.
 //   - handshake.go: when a handshake may start, and for which endpoint.
--- a/internal/pool/get.go
+++ b/internal/pool/get.go
@@ -35,14 +35,14 @@
 	}
 }
 
-// GetLowPriority is like Get, for use that must not compete with requests, such as a health check. It returns ErrExhausted if
+// GetLowPriority is like Get, for use that must not compete with requests, such as a health check. It fails with ErrExhausted if
 // requests wait, or if the endpoint has no idle connection and less than a tenth of Settings.MaxConnections is free.
 func (p *Pool) GetLowPriority(ctx context.Context, endpoint *Endpoint, deadline time.Time) (*Conn, error) {
 	p.mu.Lock()
 	allowed := p.table.AllowsLowPriority(endpoint)
 	p.mu.Unlock()
 	if !allowed {
-		return nil, ErrExhausted
+		return nil, withEndpoint(ErrExhausted, endpoint)
 	}
 	return p.Get(ctx, Request{Endpoint: endpoint, Deadline: deadline})
 }
@@ -78,7 +78,7 @@
 	p.execute(p.table.DiscardStale(p.cfg.Clock.Now(), slot))
 }
 
-// await waits for the result of a waiter: a slot, or the reason why there is none. It returns ErrCanceled if the caller could no
+// await waits for the result of a waiter: a slot, or the reason why there is none. It fails with ErrCanceled if the caller could no
 // longer use a connection.
 func (p *Pool) await(ctx context.Context, waiter *Waiter, timeout time.Duration, request Request) (*Slot, RejectReason, error) {
 	if result, ok := waiter.poll(); ok { // rejected immediately
@@ -102,7 +102,7 @@
 	}
 	reason := p.table.Cancel(waiter)
 	if abandoned || ctx.Err() != nil || !time.Now().Before(request.Deadline) {
-		return nil, reason, ErrCanceled
+		return nil, reason, withEndpoint(ErrCanceled, request.Endpoint)
 	}
 	return nil, reason, nil
 }
@@ -121,9 +121,17 @@
 func rejectError(reason RejectReason, endpoint *Endpoint) error {
 	switch reason {
 	case RejectNotReady:
-		return ErrNotReady
+		return withEndpoint(ErrNotReady, endpoint)
 	case RejectConnectFailed:
 		return fmt.Errorf("%w to %s", ErrConnectFailed, endpoint.ID)
 	}
-	return ErrExhausted
+	return withEndpoint(ErrExhausted, endpoint)
+}
+
+// withEndpoint adds the ID of the endpoint to an error of Get. A nil endpoint, one that is not listed, has none.
+func withEndpoint(err error, endpoint *Endpoint) error {
+	if endpoint == nil {
+		return err
+	}
+	return fmt.Errorf("%w: endpoint %s", err, endpoint.ID)
 }
--- a/internal/pool/handshake.go
+++ b/internal/pool/handshake.go
@@ -102,9 +102,9 @@
 	return t.actions
 }
 
-// HandshakeFailed is the event of a failed handshake. localError means that the agent lacked a resource, which is no evidence
-// against the endpoint. Unless the connection was to be opened in advance, the first waiter is rejected: the balancer learns of the
-// failure only through a rejected request.
+// HandshakeFailed is the event of a failed handshake. localError means that the agent lacked a resource or permission, which is no
+// evidence against the endpoint. Unless the connection was to be opened in advance, the first waiter is rejected: the balancer learns
+// of the failure only through a rejected request.
 func (t *Table) HandshakeFailed(now time.Duration, slot *Slot, localError bool) []Action {
 	t.beginEvent()
 	endpoint := slot.Endpoint
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -18,7 +18,7 @@
 	// ErrNotReady means that the endpoint accepts no new requests.
 	ErrNotReady = errors.New("endpoint accepts no new requests")
 	// ErrExhausted means that no connection became available within Settings.AcquireTimeout, that too many requests were waiting
-	// already, or that the agent lacked a resource to open one.
+	// already, or that the agent lacked a resource or permission to open one.
 	ErrExhausted = errors.New("connection pool exhausted")
 	// ErrCanceled means that the caller's deadline passed, its context ended, or its request was abandoned.
 	ErrCanceled = errors.New("wait for a connection canceled")
@@ -58,7 +58,7 @@
 // New returns a pool. The caller must close it. New fails if Settings.Validate does.
 func New(cfg Config) (*Pool, error) {
 	if err := cfg.Settings.Validate(); err != nil {
-		return nil, fmt.Errorf("connections: %w", err)
+		return nil, fmt.Errorf("invalid connection settings: %w", err)
 	}
 	if cfg.Dial == nil {
 		cfg.Dial = (&net.Dialer{KeepAlive: -1}).DialContext
@@ -77,7 +77,7 @@
 // Configure replaces the settings. If Settings.Validate fails, Configure returns its error and the old settings stay in force.
 func (p *Pool) Configure(settings Settings) error {
 	if err := settings.Validate(); err != nil {
-		return fmt.Errorf("connections: %w", err)
+		return fmt.Errorf("invalid connection settings: %w", err)
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -141,8 +141,8 @@
 	return p.endpoints[id]
 }
 
-// AcceptsRequests reports whether an incarnation of an endpoint accepts new requests. If it does not, notReadySince is the time on
-// the agent's clock at which that began.
+// AcceptsRequests reports whether an incarnation of an endpoint accepts new requests. notReadySince is the time on the agent's clock
+// at which an update of the endpoint list last made it stop. It is 0 if endpoint is nil or no update did; Close does not set it.
 func (p *Pool) AcceptsRequests(endpoint *Endpoint) (accepts bool, notReadySince time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/pool/preopen_test.go
+++ b/internal/pool/preopen_test.go
@@ -17,7 +17,7 @@
 			opened += preopenedFor(t, settings, seed, seconds*time.Second)
 		}
 		if opened > limit*5/4 || opened < limit/4 {
-			t.Errorf("slow start window %v: %d connections opened in %d s, expected about %d", window, opened, seconds, limit)
+			t.Errorf("slow start window %v: %d connections opened in %d s, want %d to %d", window, opened, seconds, limit/4, limit*5/4)
 		}
 	}
 }
--- a/internal/pool/settings.go
+++ b/internal/pool/settings.go
@@ -2,6 +2,7 @@
 
 import (
 	"errors"
+	"fmt"
 	"time"
 )
 
@@ -38,7 +39,9 @@
 	IdleLimitDoublingTime     time.Duration // time in which a learned idle limit doubles as it recovers
 	NonIdempotentIdleFraction float64       // fraction of a learned idle limit that applies to requests that must not be repeated, 0 to 1
 
-	SuspectAfterFailures int           // consecutive failed exchanges that make an endpoint's older connections suspect; 0 disables
+	// An endpoint's older connections become suspect after SuspectAfterFailures, and also after a single release with ClosedByServer. 0
+	// disables both.
+	SuspectAfterFailures int           // consecutive failed exchanges
 	SuspectWindow        time.Duration // period in which those failures must occur
 	CloseSuspect         bool          // close suspect connections; otherwise they carry only requests that may be repeated
 
@@ -93,19 +96,23 @@
 func (s *Settings) Validate() error {
 	switch {
 	case s.MaxConnections < 1 || s.MaxPerEndpoint < 1 || s.MaxHandshakes < 1 || s.MaxHandshakesPerEndpoint < 1 || s.MaxWaiters < 0:
-		return errNoCapacity
+		return fmt.Errorf("%w, got MaxConnections %d, MaxPerEndpoint %d, MaxHandshakes %d, MaxHandshakesPerEndpoint %d, MaxWaiters %d",
+			errNoCapacity, s.MaxConnections, s.MaxPerEndpoint, s.MaxHandshakes, s.MaxHandshakesPerEndpoint, s.MaxWaiters)
 	case s.Quarantine < 0:
-		return errQuarantine
+		return fmt.Errorf("%w, got Quarantine %v", errQuarantine, s.Quarantine)
 	case s.AcquireTimeout <= 0 || s.ServerIdleTimeout <= 0 || s.MinIdleLimit <= 0 || s.IdleLimitDoublingTime <= 0 || s.SuspectWindow <= 0:
-		return errDuration
+		return fmt.Errorf("%w, got AcquireTimeout %v, ServerIdleTimeout %v, MinIdleLimit %v, IdleLimitDoublingTime %v, SuspectWindow %v",
+			errDuration, s.AcquireTimeout, s.ServerIdleTimeout, s.MinIdleLimit, s.IdleLimitDoublingTime, s.SuspectWindow)
 	case s.IdleFraction <= 0 || s.IdleFraction > 1:
-		return errFraction
+		return fmt.Errorf("%w, got IdleFraction %v", errFraction, s.IdleFraction)
 	case s.NonIdempotentIdleFraction < 0 || s.NonIdempotentIdleFraction > 1 || s.AgeJitter < 0 || s.AgeJitter > 1:
-		return errFraction
+		return fmt.Errorf("%w, got NonIdempotentIdleFraction %v, AgeJitter %v", errFraction, s.NonIdempotentIdleFraction, s.AgeJitter)
 	case s.MaxAge < 0 || s.MaxRequests < 0 || s.SuspectAfterFailures < 0 || s.PreopenRate < 0 || s.PreopenMaxIdle < 0 || s.PreopenMinIdle < 0:
-		return errLimit
+		return fmt.Errorf("%w, got MaxAge %v, MaxRequests %d, SuspectAfterFailures %d, PreopenRate %v, PreopenMaxIdle %d, PreopenMinIdle %d",
+			errLimit, s.MaxAge, s.MaxRequests, s.SuspectAfterFailures, s.PreopenRate, s.PreopenMaxIdle, s.PreopenMinIdle)
 	case s.Agents < 1 || s.SlowStartWindow > 0 && (s.SlowStartInitialFraction <= 0 || s.SlowStartInitialFraction > 1):
-		return errSlowStart
+		return fmt.Errorf("%w, got Agents %d, SlowStartWindow %v, SlowStartInitialFraction %v",
+			errSlowStart, s.Agents, s.SlowStartWindow, s.SlowStartInitialFraction)
 	}
 	return nil
 }
--- a/internal/pool/slot.go
+++ b/internal/pool/slot.go
@@ -15,7 +15,7 @@
 
 	inIdleList bool
 	idleSince  time.Duration
-	idleFor    time.Duration // how long it had been idle when last granted; 0 for a new connection
+	idleFor    time.Duration // how long it had been idle when last granted, since its last exchange or, before the first, its handshake
 
 	answeredAt    time.Duration // time of the last answer on it; 0 before the first
 	lastSuccessAt time.Duration // time of its last completed exchange, or of its handshake before the first
--- a/internal/pool/suspect.go
+++ b/internal/pool/suspect.go
@@ -8,9 +8,10 @@
 // suspectTracker determines which connections to one endpoint are not trusted.
 //
 // Failure: a link or an endpoint fails briefly, and its connections die without a FIN or RST. Each request on such a connection
-// waits for its whole timeout. This shows as several failed exchanges in a row. After Settings.SuspectAfterFailures of them, every
-// connection without a completed exchange since then is suspect: it is closed, or carries only requests that may be repeated until
-// one completes.
+// waits for its whole timeout. This shows as several failed exchanges in a row. After Settings.SuspectAfterFailures of them, or after a
+// single release with ClosedByServer, every connection without a success since then is suspect: it is closed, or carries only
+// requests that may be repeated until one completes. A success is a completed exchange or the handshake. If
+// Settings.SuspectAfterFailures is 0, no connection becomes suspect.
 //
 // An answer between two failures resets the count. It shows that the connections work and that the endpoint is slow or damages
 // answers; closing connections would only add handshakes to its load.
--- a/internal/pool/waiter.go
+++ b/internal/pool/waiter.go
@@ -65,7 +65,8 @@
 
 // mustYieldCapacity reports whether a freed connection of the endpoint must be closed for another endpoint, so that the last
 // connections are shared. This is so if Settings.MaxConnections is reached, no connection is idle, and another endpoint has at
-// least two connections fewer and a waiter without a handshake that arrived earlier.
+// least two connections fewer, more waiters than handshakes in progress, and a first waiter that arrived before the first waiter of
+// this endpoint. The endpoint must have a waiter.
 func (t *Table) mustYieldCapacity(endpoint *Endpoint) bool {
 	if t.connectionCount() < t.settings.MaxConnections || t.idle > 0 {
 		return false
--- a/internal/snapshot/file.go
+++ b/internal/snapshot/file.go
@@ -30,7 +30,7 @@
 type File struct {
 	Path    string
 	Agent   string   // name of the agent that saves it
-	Classes []string // class names in the settings; the values of other classes do not apply
+	Classes []string // class names in the settings, by index; the figures saved under other classes mean something else
 	Disk    Disk     // nil uses the machine's file system
 }
 
@@ -84,14 +84,17 @@
 	}
 	doc, err := decode(data)
 	if err != nil {
-		return logic.Knowledge{}, 0, err
+		return logic.Knowledge{}, 0, fmt.Errorf("%s: %w", f.Path, err)
 	}
 	if doc.Agent != f.Agent || !slices.Equal(doc.Classes, f.Classes) {
-		return logic.Knowledge{}, 0, ErrMismatch
+		return logic.Knowledge{}, 0, fmt.Errorf("%s: %w", f.Path, ErrMismatch)
 	}
 	age = now.Sub(doc.SavedAt)
-	if age > maxAge || age < -maxClockStepBack {
-		return logic.Knowledge{}, 0, fmt.Errorf("%w: saved %v ago", ErrExpired, age.Round(time.Millisecond))
+	if age > maxAge {
+		return logic.Knowledge{}, 0, fmt.Errorf("%s: %w: saved %v ago, limit %v", f.Path, ErrExpired, age.Round(time.Millisecond), maxAge)
+	}
+	if age < -maxClockStepBack {
+		return logic.Knowledge{}, 0, fmt.Errorf("%s: %w: saved %v in the future", f.Path, ErrExpired, -age.Round(time.Millisecond))
 	}
 	return doc.Knowledge.toKnowledge(), max(0, age), nil
 }
--- a/internal/snapshot/file_test.go
+++ b/internal/snapshot/file_test.go
@@ -71,14 +71,15 @@
 		file File
 		now  time.Time
 		want error
+		text string
 	}{
-		"too old":         {f, now.Add(2 * time.Minute), ErrExpired},
-		"from the future": {f, now.Add(-time.Minute), ErrExpired},
-		"other settings":  {otherSettings, now, ErrMismatch},
-		"other agent":     {otherAgent, now, ErrMismatch},
+		"too old":         {f, now.Add(2 * time.Minute), ErrExpired, "saved 2m0s ago, limit 1m0s"},
+		"from the future": {f, now.Add(-time.Minute), ErrExpired, "saved 1m0s in the future"},
+		"other settings":  {otherSettings, now, ErrMismatch, f.Path},
+		"other agent":     {otherAgent, now, ErrMismatch, f.Path},
 	} {
-		if _, _, err := c.file.Load(c.now, time.Minute); !errors.Is(err, c.want) {
-			t.Errorf("%s: %v, want %v", name, err, c.want)
+		if _, _, err := c.file.Load(c.now, time.Minute); !errors.Is(err, c.want) || !strings.Contains(err.Error(), c.text) {
+			t.Errorf("%s: %v, want %v with %q", name, err, c.want, c.text)
 		}
 	}
 }
--- a/internal/upstream/http/body.go
+++ b/internal/upstream/http/body.go
@@ -31,10 +31,16 @@
 
 // forwardBody reads the body into the pipe from which the client is answered.
 //
-// A body that fits into the buffer is read completely before any of it goes to the client, so that another attempt can replace a
-// damaged one. A longer body is streamed. If its length is known, streaming starts with its first bytes, otherwise when the buffer
-// is full or, for a chunked body, after streamDelay. A body with neither a length nor chunks ends with the connection. Failures do
-// not look like such an end: an endpoint that dies resets the connection, and a damaged response leaves it open.
+// Another attempt can replace a damaged body as long as none of it has gone to the client. A body is therefore read completely
+// before any of it goes to the client, unless streaming starts first. Streaming starts:
+//
+//   - with the first bytes, if the length is known and above httpmsg.MaxBufferedBytes;
+//   - when the pipe is full, for any other body. A pipe for which the budget did not suffice is smaller than a body that would
+//     otherwise fit.
+//   - after streamDelay, for a chunked body that does not fill the pipe earlier.
+//
+// A body with neither a length nor chunks ends with the connection. Failures do not look like such an end: an endpoint that dies
+// resets the connection, and a damaged response leaves it open.
 func (x *exchange) forwardBody(ctx context.Context, response *http.Response) pool.ReleaseOutcome {
 	length := response.ContentLength
 	stream := x.newBodyStream(response)
--- a/internal/upstream/http/doc.go
+++ b/internal/upstream/http/doc.go
@@ -2,12 +2,12 @@
 //
 // [Upstream.Execute] takes an attempt through these steps. How far the attempt got determines which outcomes are possible:
 //
-//	connect     get a connection from the pool; nothing has been written               upstream.go
-//	begin send  ask the send guard; if it allows the send, the request may run         upstream.go
-//	write       write the request; if that fails, it never ran                         write.go
-//	await       wait for the head of the final response; without it, it may have run   response.go
-//	read        read the body, buffered or streamed to the client                      body.go
-//	release     return the connection to the pool with the state it was left in        release.go
+//	connect     get a connection from the pool; nothing has been written                          upstream.go
+//	begin send  ask the send guard; if it allows the send, the request may run                    upstream.go
+//	write       write the request; a request that is not written completely never ran             write.go
+//	await       await the head of the final response; if none arrives, the request may have run   response.go
+//	read        read the body, buffered or streamed to the client                                 body.go
+//	release     return the connection to the pool with the state it was left in                   release.go
 //
 // Endpoints start to process a request when its last byte arrives, so a request that was not written completely never ran.
 //
--- a/internal/upstream/http/exchange.go
+++ b/internal/upstream/http/exchange.go
@@ -94,7 +94,7 @@
 // failWrite ends an exchange whose request was not written completely, and so never ran.
 func (x *exchange) failWrite(err error) pool.ReleaseOutcome {
 	if x.message.Body.Err() != nil {
-		x.outcome.Result = logic.NotSent // the client aborted its upload, which is no evidence against the endpoint
+		x.outcome.Result = logic.NotSent // the upload was aborted, too slow or too large, which is no evidence against the endpoint
 		return pool.Abandoned
 	}
 	if x.message.Body.Remainder == nil && isTimeout(err) && x.withinLatencyObjective() {
--- a/internal/upstream/http/response.go
+++ b/internal/upstream/http/response.go
@@ -22,7 +22,7 @@
 // errMalformedResponse means that the received bytes are not a valid response. The request may have run.
 var errMalformedResponse = errors.New("malformed response")
 
-// errInterimResponses means that more than maxInterimResponses interim responses arrived.
+// errInterimResponses means that the first maxInterimResponses responses to a request were all interim ones.
 var errInterimResponses = errors.New("too many interim responses")
 
 // readHead reads the head of the final response. It fails as soon as the received bytes cannot become one.
@@ -66,8 +66,9 @@
 	return nil, errInterimResponses
 }
 
-// discardErrorBody discards the body of a response other than 200, and derives the result from its status. The connection is closed
-// if the body reaches httpmsg.MaxBufferedBytes, because reading the rest costs more than a new connection.
+// discardErrorBody discards the body of a response other than 200 and sets the result: Reset if reading the body fails, otherwise
+// Rejected if the response states that the request did not run (see notProcessed), otherwise Failed. The connection is closed if the
+// body reaches httpmsg.MaxBufferedBytes, because reading the rest costs more than a new connection.
 func (x *exchange) discardErrorBody(response *http.Response) pool.ReleaseOutcome {
 	x.outcome.Result = logic.Failed
 	if notProcessed(response) {
--- a/internal/upstream/http/upstream.go
+++ b/internal/upstream/http/upstream.go
@@ -88,7 +88,8 @@
 //
 // Failure: while the attempt waits for a connection, the endpoint starts to drain or restarts, the call ends, or the time passes
 // after which the endpoints may have forgotten its idempotency key. To catch this, the send guard is asked when the connection is
-// available, just before the first byte. After Attempt.Begin the call can no longer end as not sent.
+// available, just before the first byte. Once Attempt.Begin has succeeded, a call that ends before the outcome of this
+// attempt is reported is not answered as one that was never executed.
 func (u *Upstream) beginSend(attempt *core.Attempt, endpoint *pool.Endpoint) bool {
 	return u.sendAllowed(attempt, endpoint) && attempt.Begin()
 }
--- a/internal/upstream/http/write.go
+++ b/internal/upstream/http/write.go
@@ -59,8 +59,9 @@
 	return err
 }
 
-// remainingTimeout returns the timeout that is sent to the endpoint: the time that the client has left, limited by the timeout of
-// its class.
+// remainingTimeout returns the timeout that is sent to the endpoint: the time until the attempt's deadline, but at most Call.Timeout,
+// which begins only with the last byte of the request. While the body still arrives from the client, the attempt's deadline is that
+// of the upload and may be later.
 func (x *exchange) remainingTimeout() time.Duration {
 	return min(x.attempt.Call.Timeout, max(0, x.attempt.Deadline()-x.Clock.Now()))
 }
