--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -179,11 +179,11 @@
 		evidence    string
 	}{
 		{behaves, nil, "", nil, ""},
-		{repeats, nil, referee.Duplicate, func(a referee.Account) int { return a.Duplicates }, "ran on node-"},
-		{fabricates, nil, referee.Lost, func(a referee.Account) int { return a.Lost }, "no node made"},
-		{cutsOff, nil, referee.Lost, func(a referee.Account) int { return a.Lost }, "without an answer, after sending it on"},
-		{ignoresDraining, draining, referee.AfterDrain, func(a referee.Account) int { return a.AfterDrain }, "after it was told"},
-		{usesOneNode, slowStart, referee.SlowStartOverload, func(a referee.Account) int { return a.SlowStartOverloads }, "node-01 was cold"},
+		{repeats, nil, referee.Duplicate, func(a referee.Account) int { return a.Duplicates }, "was executed on node-"},
+		{fabricates, nil, referee.Lost, func(a referee.Account) int { return a.Lost }, "no node produced"},
+		{cutsOff, nil, referee.Lost, func(a referee.Account) int { return a.Lost }, "without a response, after forwarding it"},
+		{ignoresDraining, draining, referee.AfterDrain, func(a referee.Account) int { return a.AfterDrain }, "after it was notified"},
+		{usesOneNode, slowStart, referee.SlowStartOverload, func(a referee.Account) int { return a.SlowStartOverloads }, "node-01 was overloaded in slow start"},
 	} {
 		t.Run(string(c.misbehavior), func(t *testing.T) {
 			account, violations := runMisbehaving(t, c.misbehavior, c.change)
--- a/internal/emulator/node/affinity.go
+++ b/internal/emulator/node/affinity.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// recentKeys are the routing keys whose data a node has cached: a request for one of them costs less. At most Affinity.MaxKeys
-// are remembered; beyond it the key that was used longest ago is evicted.
+// recentKeys holds the routing keys whose data a node has cached. A request with a cached key costs less. At most
+// Affinity.MaxKeys are cached; beyond that the least recently used one is evicted.
 type recentKeys struct {
 	affinity Affinity
 	usedAt   map[string]time.Duration
@@ -16,13 +16,14 @@
 	return recentKeys{affinity, map[string]time.Duration{}}
 }
 
-// recent reports whether a key is cached.
+// recent reports whether a key is cached and was used within Affinity.TTL.
 func (k *recentKeys) recent(key string, now time.Duration) bool {
 	at, ok := k.usedAt[key]
 	return ok && key != "" && now-at < k.affinity.TTL
 }
 
-// remember notes that a key was used. Equal times are evicted in the order of the keys, so that runs can be repeated.
+// remember records that a key was used. Keys last used at the same time are evicted in alphabetical order, so that equal seeds
+// give equal runs.
 func (k *recentKeys) remember(key string, now time.Duration) {
 	if key == "" || k.affinity.MaxKeys == 0 {
 		return
--- a/internal/emulator/node/capacity.go
+++ b/internal/emulator/node/capacity.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// SlowStartFraction returns the share of its capacity that a node has by its age: from SlowStartInitialFraction at its start evenly
-// to 1 at the end of SlowStartWindow.
+// SlowStartFraction returns the fraction of its full capacity that the node has at its age. It rises linearly from
+// SlowStartInitialFraction at the start to 1 at the end of SlowStartWindow.
 func (n *Node) SlowStartFraction() float64 {
 	age := n.now - n.Started
 	if n.Started < 0 || age >= n.SlowStartWindow {
@@ -12,10 +12,10 @@
 	return n.SlowStartInitialFraction + (1-n.SlowStartInitialFraction)*max(0, float64(age)/float64(n.SlowStartWindow))
 }
 
-// Capacity returns the work that the node can do a second at present, without contention.
+// Capacity returns the work that the node can currently do per second, without contention.
 func (n *Node) Capacity() float64 { return float64(n.Cores) * n.coreSpeed() }
 
-// coreSpeed returns the speed of a core at present, without contention.
+// coreSpeed returns the current speed of a core, without contention.
 func (n *Node) coreSpeed() float64 {
 	if n.overloaded {
 		return 0
@@ -30,8 +30,8 @@
 	return speed
 }
 
-// slotRate returns the work that each request in a slot gets done a second. Contention takes efficiency in proportion to what the
-// node holds a core beyond ContentionThreshold, up to ContentionLoss at twice that.
+// slotRate returns the work that each slot does per second. Contention reduces it in proportion to the requests held per core
+// beyond ContentionThreshold, by at most ContentionLoss, which is reached at twice the threshold.
 func (n *Node) slotRate() float64 {
 	if len(n.running) == 0 {
 		return 0
@@ -43,18 +43,18 @@
 	return rate
 }
 
-// slots returns how many requests are executed at a time.
+// slots returns the maximum number of requests that execute concurrently.
 func (n *Node) slots() int { return max(1, int(float64(n.Cores)*n.SlotsPerCore)) }
 
-// HasCapacity reports whether another request would find a slot or a place in the queue.
+// HasCapacity reports whether the node has a free slot or room in its queue.
 func (n *Node) HasCapacity() bool {
 	return len(n.queue) < int(float64(n.Cores)*n.QueuePerCore) || len(n.running) < n.slots()
 }
 
-// noCapacityBacklog is the backlog of a node that does no work at all.
+// noCapacityBacklog is what Backlog returns for a node whose capacity is 0.
 const noCapacityBacklog = time.Hour
 
-// Backlog returns how long the node would take for what it holds at its present capacity, without contention.
+// Backlog returns how long the node would take to complete the requests it holds, at its current capacity and without contention.
 func (n *Node) Backlog() time.Duration {
 	speed := n.coreSpeed()
 	if speed <= 0 {
@@ -70,7 +70,7 @@
 	return time.Duration(work / speed / float64(n.Cores) * 1e9)
 }
 
-// addOverhead adds work beside the requests. It delays them where no core is free for it.
+// addOverhead adds work that belongs to no request, such as a handshake. It delays the running requests if no core is free.
 func (n *Node) addOverhead(work time.Duration) {
 	if len(n.running) < n.Cores {
 		return
--- a/internal/emulator/node/connections.go
+++ b/internal/emulator/node/connections.go
@@ -8,14 +8,15 @@
 // ConnDecision is what a node does with a new connection.
 type ConnDecision int
 
-// The decisions.
+// The decisions on a new connection.
 const (
 	ConnAccepted  ConnDecision = iota
-	ConnTableFull              // accepted, but its requests are rejected
+	ConnTableFull              // accepted beyond ConnCap; its requests are rejected
 	ConnRefused                // reset at once
 )
 
-// Connect brings a new connection. One that is ConnAccepted ends with Disconnect.
+// Connect reports a new connection. The caller must call Disconnect at the end of a connection that was ConnAccepted, and only
+// of such a one.
 func (n *Node) Connect(now time.Duration) ConnDecision {
 	n.advanceTo(now)
 	switch {
@@ -30,16 +31,16 @@
 	return ConnAccepted
 }
 
-// Disconnect says that a connection has ended.
+// Disconnect reports the end of a connection for which Connect returned ConnAccepted.
 func (n *Node) Disconnect(now time.Duration) {
 	n.advanceTo(now)
 	n.conns--
 }
 
-// Conns returns how many connections the node holds.
+// Conns returns the number of open connections, without those beyond ConnCap.
 func (n *Node) Conns() int { return n.conns }
 
-// CloseIdle draws whether the node closes a connection that has been idle for a span since the last call.
+// CloseIdle draws whether the fault IdleClose closes a connection that has been idle for the given span since the last call.
 func (n *Node) CloseIdle(span time.Duration) bool {
 	return n.draw(1 - math.Pow(1-min(1, n.faultSize(IdleClose)), span.Seconds()))
 }
--- a/internal/emulator/node/degradation.go
+++ b/internal/emulator/node/degradation.go
@@ -2,22 +2,22 @@
 
 import "time"
 
-// notSince stands for a time from which something has held when it does not hold.
+// notSince is the value of a "since" field while its condition does not hold.
 const notSince = -1
 
-// degradation is the state of a node's slowdown after a lasting overload, as of one that swaps or collects garbage. It begins
-// when there has been pressure for Degradation.After, and ends when the node has been idle enough for RecoveryTime, or after
-// MaxDuration. Pressure is the requests queued or rejected within a second, a core: rejections count, as otherwise a short queue
-// could never degrade a node, whatever it is sent.
+// degradation tracks the slowdown of a node after a sustained overload, as in a process that swaps or collects garbage. It begins
+// when the pressure has been at least Degradation.QueuePerCore for Degradation.After. It ends when utilization has been below
+// RecoveryUtilization for RecoveryTime, or after MaxDuration. Pressure is the number of requests per core that are queued or were
+// rejected within the last second. Without the rejections, a node with a short queue could never degrade, whatever its load.
 type degradation struct {
-	overloadedSince time.Duration // notSince without pressure
-	idleSince       time.Duration // notSince while utilization is above RecoveryUtilization
+	overloadedSince time.Duration // notSince while the pressure is below QueuePerCore
+	idleSince       time.Duration // notSince while utilization is at least RecoveryUtilization
 	degradedSince   time.Duration // notSince while not degraded
 }
 
 func newDegradation() degradation { return degradation{notSince, notSince, notSince} }
 
-// Degraded reports whether the node is slowed down after an overload.
+// Degraded reports whether the node is slowed down after a sustained overload.
 func (n *Node) Degraded() bool { return n.degradation.degradedSince >= 0 }
 
 func (n *Node) updateDegradation() {
@@ -30,7 +30,7 @@
 	}
 }
 
-// update follows the pressure and the utilization. It reports whether a degradation has begun.
+// update records the current pressure and utilization. It reports whether a degradation has begun.
 func (d *degradation) update(now time.Duration, pressure, utilization float64, rule Degradation) (begun bool) {
 	trackSince(&d.overloadedSince, now, pressure >= rule.QueuePerCore)
 	trackSince(&d.idleSince, now, utilization < rule.RecoveryUtilization)
@@ -48,7 +48,7 @@
 	return false
 }
 
-// trackSince keeps the time from which something has held.
+// trackSince keeps in at the time since when a condition has held without interruption.
 func trackSince(at *time.Duration, now time.Duration, holds bool) {
 	switch {
 	case !holds:
--- a/internal/emulator/node/execution.go
+++ b/internal/emulator/node/execution.go
@@ -6,12 +6,13 @@
 )
 
 const (
-	completionTolerance = 1e-9 // seconds of work that rounding may leave
-	minWorkFactor       = 0.05 // of a request's cost, by WorkNoise
-	failedAfterEffect   = 0.5  // share of the requests that a fault fails at once which took effect before
+	completionTolerance = 1e-9 // remaining work, in seconds, that counts as rounding error
+	minWorkFactor       = 0.05 // WorkNoise does not reduce a request's work below this fraction of its cost
+	failedAfterEffect   = 0.5  // fraction of the requests failed by FastFail or ResetConn that have taken effect
 )
 
-// Offer brings a request whose last byte has come. executed says of a request that was not accepted whether it took effect.
+// Offer submits a request that has been received completely. For a request that is not accepted, executed reports whether it has
+// taken effect nevertheless.
 func (n *Node) Offer(now time.Duration, work Work) (verdict Verdict, executed bool) {
 	n.advanceTo(now)
 	n.figures.Offered++
@@ -35,8 +36,8 @@
 	return Accepted, false
 }
 
-// Cancel says that the client of a request has left. A request that is queued is dropped; one that is executing too, unless
-// RunsCancelled.
+// Cancel reports that the client of a request has disconnected. A queued request is dropped. An executing one is aborted unless
+// RunsCancelled is set.
 func (n *Node) Cancel(now time.Duration, ticket uint64) {
 	n.advanceTo(now)
 	isTicket := func(item *workItem) bool { return item.Ticket == ticket }
@@ -58,8 +59,8 @@
 // duration returns the work done so far.
 func (item *workItem) duration() time.Duration { return time.Duration(item.workDone * 1e9) }
 
-// startQueued gives free slots to queued requests, the oldest first. Those whose deadline has passed are dropped, unless
-// RunsExpired.
+// startQueued starts queued requests in free slots, oldest first. Requests whose deadline has passed are dropped unless
+// RunsExpired is set.
 func (n *Node) startQueued() {
 	for len(n.running) < n.slots() && len(n.queue) > 0 {
 		item := n.queue[0]
@@ -78,7 +79,7 @@
 	}
 }
 
-// completeFinished completes the requests whose work is done.
+// completeFinished completes the requests that have no remaining work.
 func (n *Node) completeFinished() {
 	for i := 0; i < len(n.running); {
 		item := n.running[i]
--- a/internal/emulator/node/load_report.go
+++ b/internal/emulator/node/load_report.go
@@ -5,22 +5,22 @@
 	"time"
 )
 
-// LoadReport is a node's load as others see it.
+// LoadReport is the load that a node reports.
 type LoadReport struct {
 	Taken       time.Duration // when it was measured
-	Rate        float64       // requests completed a second
-	Utilization float64       // share of its cores in use
+	Rate        float64       // requests completed per second
+	Utilization float64       // fraction of the cores in use
 }
 
-// loadReports measures the load once a period, and shows each reading after its delay.
+// loadReports measures the load once per LoadReporting.Period. A measurement becomes visible after LoadReporting.Delay.
 type loadReports struct {
-	visible     reading
-	pending     []reading // the oldest first
-	coreSeconds float64   // in use since the last reading
-	completed   int       // requests since the last reading
+	visible     measurement
+	pending     []measurement // oldest first
+	coreSeconds float64       // core time used since the last measurement
+	completed   int           // requests completed since the last measurement
 }
 
-type reading struct {
+type measurement struct {
 	LoadReport
 	visibleAt time.Duration
 }
@@ -29,7 +29,7 @@
 	return r.visible.LoadReport, r.visible.Taken > 0
 }
 
-// update shows readings whose delay is over, and takes one when it is due.
+// update makes the measurements visible whose delay has passed, and takes a new one if it is due.
 func (r *loadReports) update(now time.Duration, cores int, reporting LoadReporting, rng *rand.Rand) {
 	if reporting.Period <= 0 {
 		return
@@ -47,11 +47,11 @@
 	}
 	rate := float64(r.completed) / span.Seconds() * noise(reporting.Noise, rng)
 	utilization := min(1, r.coreSeconds/span.Seconds()/float64(cores)*noise(reporting.Noise, rng))
-	r.pending = append(r.pending, reading{LoadReport{now, rate, utilization}, now + reporting.Delay})
+	r.pending = append(r.pending, measurement{LoadReport{now, rate, utilization}, now + reporting.Delay})
 	r.completed, r.coreSeconds = 0, 0
 }
 
-// noise draws a factor around 1 that is not below 0.
+// noise draws a random factor with mean 1, cut off at 0.
 func noise(deviation float64, rng *rand.Rand) float64 {
 	return max(0, 1+deviation*rng.NormFloat64())
 }
--- a/internal/emulator/node/node.go
+++ b/internal/emulator/node/node.go
@@ -7,31 +7,31 @@
 	"time"
 )
 
-// tickInterval is how often the model looks at what changes steadily: slow start, degradation, its load.
+// tickInterval is how often the model updates what changes gradually: slow start, degradation and the measured load.
 const tickInterval = 100 * time.Millisecond
 
-// nodeStream keeps the random numbers of a node apart from those that other parts take from the same seed.
+// nodeStream selects a PCG stream of its own for a node, independent of other generators with the same seed.
 const nodeStream = 0x6e6f6465
 
-// Node is one incarnation of an order node. It is not safe for concurrent use. Times that are handed in never go back.
+// Node is one incarnation of an order node. It is not safe for concurrent use. The times that a caller passes must not decrease.
 type Node struct {
 	Spec
 	rng    *rand.Rand
 	now    time.Duration
 	faults []Fault
 
-	running     []*workItem // in slots
-	queue       []*workItem
+	running     []*workItem  // one per occupied slot
+	queue       []*workItem  // oldest first
 	completions []Completion // for the next Advance
 	started     []uint64     // for the next TakeStarted
 	conns       int
 	figures     Figures
 
 	lastTick            time.Duration
-	tickCoreSeconds     float64 // in use since the last tick
-	smoothedUtilization float64 // share of the cores in use
-	recentRejections    []time.Duration
-	recentHealthChecks  []time.Duration // of the latest second
+	tickCoreSeconds     float64         // core time used since the last tick
+	smoothedUtilization float64         // fraction of the cores in use
+	recentRejections    []time.Duration // times of the rejections in the last second
+	recentHealthChecks  []time.Duration // times of the health checks answered in the last second
 
 	degradation degradation
 	slowStart   slowStartLoad
@@ -42,7 +42,7 @@
 	overloadAvoidable bool
 }
 
-// workItem is a request that was accepted.
+// workItem is an accepted request.
 type workItem struct {
 	Work
 	remaining, workDone float64 // seconds on a core of speed 1
@@ -58,27 +58,27 @@
 	}
 }
 
-// AddFault adds a fault, which must pass its Check.
+// AddFault adds a fault, which must pass Fault.Check.
 func (n *Node) AddFault(fault Fault) { n.faults = append(n.faults, fault) }
 
 // Figures returns the counts so far.
 func (n *Node) Figures() Figures { return n.figures }
 
-// InFlight returns how many requests the node holds, executing and queued.
+// InFlight returns the number of requests that are executing or queued.
 func (n *Node) InFlight() int { return len(n.running) + len(n.queue) }
 
-// Waiting returns how many requests are queued for a slot.
+// Waiting returns the number of queued requests.
 func (n *Node) Waiting() int { return len(n.queue) }
 
-// Unresponsive reports whether the node answers nobody at present.
+// Unresponsive reports whether the node currently answers no requests and no health checks.
 func (n *Node) Unresponsive() bool { return n.overloaded || n.faultActive(Blackhole) }
 
-// draw returns true with a probability. It takes no random number for 0.
+// draw returns true with the given probability. It draws no random number if the probability is 0.
 func (n *Node) draw(probability float64) bool {
 	return probability > 0 && n.rng.Float64() < probability
 }
 
-// NextEvent returns when Advance has to be called next, at the latest.
+// NextEvent returns the latest time at which Advance must be called next.
 func (n *Node) NextEvent() time.Duration {
 	next := n.lastTick + tickInterval
 	if rate := n.slotRate(); rate > 0 {
@@ -96,7 +96,7 @@
 	return next
 }
 
-// Advance lets time pass and returns what has completed since the last call, in order.
+// Advance moves the model's time to now and returns the requests that have completed since the last call, in that order.
 func (n *Node) Advance(now time.Duration) []Completion {
 	n.advanceTo(now)
 	completions := n.completions
@@ -104,15 +104,15 @@
 	return completions
 }
 
-// TakeStarted returns the tickets of the requests whose execution has started since the last call: from then on they may have
-// taken effect.
+// TakeStarted returns the tickets of the requests whose execution has started since the last call. A request may have taken
+// effect as soon as its execution has started.
 func (n *Node) TakeStarted() []uint64 {
 	started := n.started
 	n.started = nil
 	return started
 }
 
-// advanceTo lets time pass from event to event. Completions wait for the next Advance.
+// advanceTo moves the model's time to now, event by event. Completions are kept for the next Advance.
 func (n *Node) advanceTo(now time.Duration) {
 	for next := n.NextEvent(); next <= now; next = n.NextEvent() {
 		n.passTo(next)
@@ -122,7 +122,7 @@
 	}
 }
 
-// passTo lets time pass to a moment before which there is no event.
+// passTo moves the model's time to a moment before which there is no event.
 func (n *Node) passTo(to time.Duration) {
 	span, rate := (to - n.now).Seconds(), n.slotRate()
 	for _, item := range n.running {
@@ -140,10 +140,11 @@
 	n.startQueued()
 }
 
-// utilizationWindow is the time constant over which utilization is smoothed, in seconds.
+// utilizationWindow is the time constant of the smoothed utilization, in seconds.
 const utilizationWindow = 0.5
 
-// onTick updates what changes steadily. Utilization is measured over the whole tick: at its end a slot may just be free.
+// onTick updates utilization, degradation and load reports. Utilization is the mean over the whole tick, since a slot may happen
+// to be free at its end.
 func (n *Node) onTick() {
 	span := (n.now - n.lastTick).Seconds()
 	n.lastTick = n.now
@@ -157,8 +158,8 @@
 	n.reports.update(n.now, n.Cores, n.LoadReporting, n.rng)
 }
 
-// HealthCheck counts a health check; false says that the node does not answer it, because it answers none or has had too many
-// within a second.
+// HealthCheck reports whether the node answers a health check, and counts it if so. The node does not answer if it is
+// unresponsive or has answered HealthCheckRate of them within the last second.
 func (n *Node) HealthCheck(now time.Duration) bool {
 	n.advanceTo(now)
 	n.recentHealthChecks = slices.DeleteFunc(n.recentHealthChecks, func(t time.Duration) bool { return t <= now-time.Second })
@@ -171,5 +172,5 @@
 	return true
 }
 
-// Load returns the latest load report that can be seen; false when there is none yet.
+// Load returns the latest visible load report, or false if there is none yet.
 func (n *Node) Load() (LoadReport, bool) { return n.reports.latest() }
--- a/internal/emulator/node/slow_start.go
+++ b/internal/emulator/node/slow_start.go
@@ -3,34 +3,35 @@
 import "time"
 
 const (
-	// slowStartSlack is how many of the largest requests may come beyond the limit: an agent can't know what comes next.
+	// slowStartSlack is how many requests, each as large as the largest in the window, the load may exceed the limit by. An agent
+	// cannot know the cost of the requests that follow.
 	slowStartSlack = 3
-	// avoidableFraction is the platform's: an overload counts against the agents if at least this share of the work came from
-	// those that had been notified of the node's start. Below it nobody could have known.
+	// avoidableFraction is set by the platform: an overload counts against the agents if at least this fraction of the work came
+	// from agents that had been notified of the node's start. With less, the agents could not have known.
 	avoidableFraction = 2.0 / 3
 )
 
-// slowStartLoad is the work that was offered to a node in slow start within the latest OverloadWindow. More than
-// SlowStartOverloadFactor times the node's capacity over that time, beyond the slack, overloads it: it drops what it holds and
+// slowStartLoad is the work offered to a node in slow start within the last OverloadWindow. The node is overloaded if that work
+// exceeds SlowStartOverloadFactor times what the node can do in the window, plus the slack. It then drops all its requests and
 // never answers again.
 type slowStartLoad struct {
-	offers []slowStartOffer // the oldest first
+	offers []slowStartOffer // oldest first
 }
 
 type slowStartOffer struct {
 	at         time.Duration
 	work       float64 // seconds on a core of speed 1
-	unnotified bool
+	unnotified bool    // the sender had not been notified of the node's start
 }
 
-// slowStartSums are the offers of the window.
+// slowStartSums are sums over the offers in the window, in seconds on a core of speed 1.
 type slowStartSums struct {
 	work     float64
-	notified float64 // part of it from agents that had been notified
-	largest  float64 // of one offer
+	notified float64 // the part of work that came from agents that had been notified of the node's start
+	largest  float64 // work of the largest offer
 }
 
-// avoidable reports whether the load counts against the agents.
+// avoidable reports whether an overload by this load counts against the agents.
 func (s slowStartSums) avoidable() bool { return s.notified >= avoidableFraction*s.work }
 
 func (l *slowStartLoad) add(offer slowStartOffer, window time.Duration) {
@@ -51,7 +52,7 @@
 	return s
 }
 
-// countSlowStart counts work that is offered to a node in slow start.
+// countSlowStart adds offered work to the load in slow start, and marks the node as overloaded if the load exceeds the limit.
 func (n *Node) countSlowStart(work Work) {
 	if n.SlowStartOverloadFactor == 0 || n.SlowStartFraction() == 1 || n.overloaded {
 		n.slowStart.offers = nil
@@ -70,8 +71,9 @@
 	}
 }
 
-// Overloaded reports whether the node was overloaded in slow start. It stays so for the rest of its incarnation.
+// Overloaded reports whether the node was overloaded in slow start. It remains overloaded for the rest of its incarnation.
 func (n *Node) Overloaded() bool { return n.overloaded }
 
-// OverloadWasAvoidable reports whether the node is overloaded by agents that had been notified of its start.
+// OverloadWasAvoidable reports whether the node was overloaded by load that came mostly (avoidableFraction) from agents that had
+// been notified of its start.
 func (n *Node) OverloadWasAvoidable() bool { return n.overloadAvoidable }
--- a/internal/emulator/referee/notifications.go
+++ b/internal/emulator/referee/notifications.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// notifications are the nodes that agents know not to take new requests, by what discovery has written to each agent.
+// notifications records which agents have been notified by discovery that a node accepts no new requests.
 type notifications struct {
-	byAgent map[agentNode]time.Duration // since when the agent knows
-	first   map[string]time.Duration    // by node: since when any agent knows
+	byAgent map[agentNode]time.Duration // when the agent was first notified
+	first   map[string]time.Duration    // by node: when any agent was first notified
 }
 
 type agentNode struct{ agent, node string }
@@ -14,7 +14,7 @@
 	return notifications{map[agentNode]time.Duration{}, map[string]time.Duration{}}
 }
 
-// set records whether a node accepts new requests. Only the first of equal notifications counts.
+// set records whether a node accepts new requests according to a notification. A repeated notification changes nothing.
 func (n *notifications) set(agent, node string, accepts bool, at time.Duration) {
 	key := agentNode{agent, node}
 	if accepts {
@@ -31,7 +31,7 @@
 	}
 }
 
-// forgetAgent drops what an agent was notified of: its next process knows nothing of it.
+// forgetAgent drops the notifications of an agent, since its next process has not received them.
 func (n *notifications) forgetAgent(agent string) {
 	for key := range n.byAgent {
 		if key.agent == agent {
--- a/internal/emulator/referee/referee.go
+++ b/internal/emulator/referee/referee.go
@@ -10,9 +10,9 @@
 // Request is a request as its caller sent it.
 type Request struct {
 	ID            string
-	Agent         string // that it was sent to; empty where the caller chooses nodes itself
-	NonIdempotent bool   // must not be executed twice
-	At            time.Duration
+	Agent         string        // the agent it was sent to; empty if the caller sent it to a node directly
+	NonIdempotent bool          // must not be executed twice
+	At            time.Duration // when it was sent
 	Tenant        string
 	Class         string
 }
@@ -22,22 +22,22 @@
 
 // The outcomes of a request.
 const (
-	Served           Outcome = iota // a 200
-	Rejected                        // 429 or 503
-	Failed                          // any other response, or one that broke off so that the caller noticed
-	TimedOut                        // no response when the time was up
-	ConnectionClosed                // the connection ended before a response began
-	NotSent                         // it was never sent to its end
+	Served           Outcome = iota // status 200
+	Rejected                        // status 429 or 503
+	Failed                          // any other status, or a malformed or truncated response
+	TimedOut                        // no complete response before the timeout
+	ConnectionClosed                // the connection closed before a response began
+	NotSent                         // the request was not sent completely
 )
 
-// requestRecord is what the referee knows of a request.
+// requestRecord is what the referee knows about a request.
 type requestRecord struct {
 	Request
 	ended          bool
-	arrivals       int // at nodes
-	lastNode       string
+	arrivals       int    // how often it reached a node
+	lastNode       string // the node that it reached last
 	executions     []execution
-	responseHashes []uint64 // of the bodies that nodes made for it
+	responseHashes []uint64 // of the bodies that nodes produced for it
 }
 
 type execution struct {
@@ -52,7 +52,8 @@
 
 type interval struct{ from, to time.Duration }
 
-// Referee keeps the account of a run. It is safe for concurrent use. All times count from the same epoch.
+// Referee counts the outcomes of a run's requests and records violations. It is safe for concurrent use. All times are relative to
+// the same epoch.
 type Referee struct {
 	rules Rules
 
@@ -62,11 +63,11 @@
 	trustResponses bool
 	requests       map[string]*requestRecord
 	notifications  notifications
-	excused        map[string][]interval // by agent: the times in which it was killed
-	endedRequests  []endedRequest        // in their order, where requests are not retained for the whole run
+	excused        map[string][]interval // by agent: from each kill until the next process was ready
+	endedRequests  []endedRequest        // in the order in which they ended; unused if Rules.RetainFor is 0
 }
 
-// New returns a referee at the start of a run.
+// New returns a referee for a new run.
 func New(rules Rules) *Referee {
 	return &Referee{
 		rules:         rules,
@@ -76,7 +77,7 @@
 	}
 }
 
-// violated counts a violation, and records it unless there are too many. r.mu is held.
+// violated counts a violation, and records it unless Rules.MaxViolations are recorded already. r.mu is held.
 func (r *Referee) violated(v Violation) {
 	r.account.countViolation(v.Rule)
 	if len(r.violations) < r.rules.MaxViolations {
@@ -84,7 +85,7 @@
 	}
 }
 
-// RequestSent says that a caller sends a request.
+// RequestSent reports that a caller is about to send a request.
 func (r *Referee) RequestSent(request Request) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -92,14 +93,14 @@
 	r.account.Requests++
 }
 
-// KnownRequest reports whether a caller sent a request under that id.
+// KnownRequest reports whether a caller sent a request with that ID.
 func (r *Referee) KnownRequest(id string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.requests[id] != nil
 }
 
-// AgentOf returns the agent that a request was sent to; empty where the request is not known or its caller chose a node itself.
+// AgentOf returns the agent that a request was sent to. It is empty if the request is unknown or was sent to a node directly.
 func (r *Referee) AgentOf(id string) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -109,22 +110,22 @@
 	return ""
 }
 
-// TrustResponses counts each 200 as made by a node, for runs whose nodes the referee does not see.
+// TrustResponses makes the referee accept the body of any 200 response, for runs whose nodes do not report to it.
 func (r *Referee) TrustResponses() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.trustResponses = true
 }
 
-// Notified says that an agent has been notified whether a node accepts new requests.
+// Notified reports that an agent has been notified whether a node accepts new requests.
 func (r *Referee) Notified(agent, node string, accepts bool, at time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.notifications.set(agent, node, accepts, at)
 }
 
-// AgentKilled says that an agent was killed, and when its next process was there: it is excused for what it had open, and the next
-// process for what the one before it was notified of.
+// AgentKilled reports that an agent was killed at from and that its next process was ready at to. Requests that were open in
+// between are not counted as lost. The next process is not held to notifications that only the killed one received.
 func (r *Referee) AgentKilled(agent string, from, to time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -132,7 +133,7 @@
 	r.notifications.forgetAgent(agent)
 }
 
-// RequestArrived says that a request reached a node, and when its first byte did. It checks the rule AfterDrain.
+// RequestArrived reports that a request reached a node, with the arrival time of its first byte. It checks the rule AfterDrain.
 func (r *Referee) RequestArrived(id, node string, firstByte time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -149,7 +150,7 @@
 	}
 }
 
-// checkDrain checks that an agent does not send new requests to a node that it knows not to take any. r.mu is held.
+// checkDrain checks that an agent sends no new request to a node after it was notified that the node accepts none. r.mu is held.
 func (r *Referee) checkDrain(record *requestRecord, node string, arrived time.Duration) {
 	grace := r.rules.DrainGrace + r.rules.TransitSlack
 	notifiedAt, notified := r.notifications.byAgent[agentNode{record.Agent, node}]
@@ -168,12 +169,12 @@
 		Request: record.ID,
 		Agent:   record.Agent,
 		Node:    node,
-		Text: fmt.Sprintf("%s sent %s to %s %.3fs after it was told (at %.3fs) that this takes no new work",
+		Text: fmt.Sprintf("%s sent %s to %s %.3fs after it was notified (at %.3fs) that the node accepts no new requests",
 			record.Agent, record.ID, node, (arrived - notifiedAt).Seconds(), notifiedAt.Seconds()),
 	})
 }
 
-// ExecutionStarted says that a node began to execute a request: from then on it may have taken effect there. It checks the rule
+// ExecutionStarted reports that a node started to execute a request, which may have taken effect from then on. It checks the rule
 // Duplicate.
 func (r *Referee) ExecutionStarted(id, node string, at time.Duration) {
 	r.mu.Lock()
@@ -194,12 +195,12 @@
 		Request: id,
 		Agent:   record.Agent,
 		Node:    node,
-		Text: fmt.Sprintf("%s, which must not run twice, ran on %s at %.3fs and again on %s at %.3fs, sent by %s",
+		Text: fmt.Sprintf("%s, which is not idempotent, was executed on %s at %.3fs and again on %s at %.3fs, sent by %s",
 			id, first.node, first.at.Seconds(), node, at.Seconds(), record.Agent),
 	})
 }
 
-// ResponseProduced gives the hash of a body that a node made for a request.
+// ResponseProduced reports the hash of a response body that a node produced for a request.
 func (r *Referee) ResponseProduced(id string, bodyHash uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -208,15 +209,15 @@
 	}
 }
 
-// SlowStartOverloaded says that a node was overloaded in slow start.
+// SlowStartOverloaded reports that a node was overloaded in slow start, which violates the rule SlowStartOverload.
 func (r *Referee) SlowStartOverloaded(node string, at time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.violated(Violation{Rule: SlowStartOverload, At: at, Node: node, Text: fmt.Sprintf("%s was cold and got more than it could bear", node)})
+	r.violated(Violation{Rule: SlowStartOverload, At: at, Node: node, Text: fmt.Sprintf("%s was overloaded in slow start", node)})
 }
 
-// RequestEnded says how a request ended; bodyHash is that of a served body. It checks the rule Lost. It returns false, and counts
-// nothing, when the request is not known or had ended before.
+// RequestEnded reports how a request ended; bodyHash is the hash of the response body and used only for Served. It checks the
+// rule Lost. It returns false and counts nothing if the request is unknown or has already ended.
 func (r *Referee) RequestEnded(id string, outcome Outcome, bodyHash uint64, at time.Duration) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -241,30 +242,30 @@
 	return true
 }
 
-// served checks that a served body is one that a node made for the request. r.mu is held.
+// served checks that the response body is one that a node produced for the request. r.mu is held.
 func (r *Referee) served(record *requestRecord, bodyHash uint64, at time.Duration) {
 	if r.trustResponses || slices.Contains(record.responseHashes, bodyHash) {
 		r.account.Completed++
 		return
 	}
-	r.lost(record, at, fmt.Sprintf("%s served %s with what no node made for it (%d attempts came to nodes)", record.Agent, record.ID, record.arrivals))
+	r.lost(record, at, fmt.Sprintf("%s answered %s with a body that no node produced for it (%d attempts reached nodes)", record.Agent, record.ID, record.arrivals))
 }
 
-// connectionClosed judges a connection that closed without a response. A request that was forwarded had been read by the agent; of
-// another nobody can say that. r.mu is held.
+// connectionClosed handles a connection that closed without a response. The request counts as lost only if it was forwarded to a
+// node: without that there is no evidence that the agent had read it. r.mu is held.
 func (r *Referee) connectionClosed(record *requestRecord, at time.Duration) {
 	if record.arrivals == 0 || r.isExcused(record, at) {
 		r.account.Failed++
 		return
 	}
-	r.lost(record, at, fmt.Sprintf("%s closed the connection of %s without an answer, after sending it on to %s", record.Agent, record.ID, record.lastNode))
+	r.lost(record, at, fmt.Sprintf("%s closed the connection of %s without a response, after forwarding it to %s", record.Agent, record.ID, record.lastNode))
 }
 
 func (r *Referee) lost(record *requestRecord, at time.Duration, text string) {
 	r.violated(Violation{Rule: Lost, At: at, Request: record.ID, Agent: record.Agent, Node: record.lastNode, Text: text})
 }
 
-// expireRequests drops the requests that ended longer ago than they are retained. r.mu is held.
+// expireRequests adds a request that has ended, and drops those that ended more than Rules.RetainFor ago. r.mu is held.
 func (r *Referee) expireRequests(ended string, now time.Duration) {
 	if r.rules.RetainFor == 0 {
 		return
@@ -276,7 +277,8 @@
 	}
 }
 
-// isExcused reports whether a request was open while its agent was killed. r.mu is held.
+// isExcused reports whether a request was open at some time between a kill of its agent and the start of the next process. r.mu
+// is held.
 func (r *Referee) isExcused(record *requestRecord, endedAt time.Duration) bool {
 	return slices.ContainsFunc(r.excused[record.Agent], func(killed interval) bool {
 		return record.At <= killed.to && endedAt >= killed.from
@@ -291,14 +293,14 @@
 	return record != nil && record.arrivals > 0
 }
 
-// Account returns the account so far. Requests that have not ended are in Requests only.
+// Account returns the counts so far. Requests that have not ended are counted in Requests only.
 func (r *Referee) Account() Account {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.account
 }
 
-// Violations returns the recorded violations, in the order in which they were found.
+// Violations returns the recorded violations in the order in which they were detected.
 func (r *Referee) Violations() []Violation {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/emulator/referee/referee_test.go
+++ b/internal/emulator/referee/referee_test.go
@@ -10,25 +10,25 @@
 	r.RequestArrived(request.ID, "node", request.At)
 }
 
-// A process that is killed loses what it has open: that is the test's doing and no violation. A request that came after the agent
-// was back has no such excuse.
+// The requests that are open when an agent is killed fail because of the kill, which is no violation. A request that is sent after
+// the next process is ready and gets no response counts as lost.
 func TestRequestsOfKilledAgentAreExcused(t *testing.T) {
 	r := New(DefaultRules())
 	r.AgentKilled("a", 2*time.Second, 3*time.Second)
 	send(r, Request{ID: "open", Agent: "a", At: time.Second})
 	r.RequestEnded("open", ConnectionClosed, 0, 2*time.Second)
 	if got := r.Account(); got.Lost != 0 || got.Failed != 1 {
-		t.Errorf("open while the agent was killed: %v", got)
+		t.Errorf("a request open while the agent was killed: got %v, want 0 lost and 1 failed", got)
 	}
 	send(r, Request{ID: "later", Agent: "a", At: 4 * time.Second})
 	r.RequestEnded("later", ConnectionClosed, 0, 5*time.Second)
 	if got := r.Account(); got.Lost != 1 || !got.Balanced() {
-		t.Errorf("sent after the restart: %v", got)
+		t.Errorf("a request sent after the restart: got %v, want 1 lost and a balanced account", got)
 	}
 }
 
-// The grace on drains counts from when an agent was notified. An agent that was not notified breaks no rule, and neither does its
-// next process by what the one before it was notified of.
+// The grace period of a drain starts when the agent is notified. An agent that was not notified violates no rule, and neither does
+// a process that was started after the notification.
 func TestDrainGraceCountsFromNotification(t *testing.T) {
 	rules := DefaultRules()
 	grace := rules.DrainGrace + rules.TransitSlack
@@ -46,27 +46,28 @@
 	} {
 		send(r, Request{ID: string(rune('0' + i)), Agent: c.agent, At: c.at})
 		if got := r.Account(); got.AfterDrain != c.violations || got.Unnotified != c.unnotified {
-			t.Errorf("request %d: %v", i, got)
+			t.Errorf("request %d: got %v, want after_drain %d and unheard %d", i, got, c.violations, c.unnotified)
 		}
 	}
 	r.AgentKilled("a", 3*time.Second, 4*time.Second)
 	send(r, Request{ID: "restarted", Agent: "a", At: 5 * time.Second})
 	if got := r.Account(); got.AfterDrain != 1 {
-		t.Errorf("after the restart: %v", got)
+		t.Errorf("a request sent after the restart: got %v, want after_drain 1", got)
 	}
 }
 
-// In a long run the referee must not grow without bound, so it drops what ended long ago. What is retained still ends only once.
+// The referee drops requests that ended long ago, so that its memory stays bounded in a long run. A request that is still retained
+// can end only once.
 func TestRequestsAreRetainedForConfiguredTime(t *testing.T) {
 	r := New(Rules{RetainFor: time.Second, MaxViolations: 1})
 	for i, id := range []string{"first", "second", "third"} {
 		at := time.Duration(i) * 800 * time.Millisecond
 		r.RequestSent(Request{ID: id, At: at})
 		if !r.RequestEnded(id, Rejected, 0, at) || r.RequestEnded(id, Rejected, 0, at) {
-			t.Errorf("%s must end once", id)
+			t.Errorf("%s did not end exactly once", id)
 		}
 	}
 	if r.KnownRequest("first") || !r.KnownRequest("second") || !r.KnownRequest("third") {
-		t.Errorf("retained: %v %v %v", r.KnownRequest("first"), r.KnownRequest("second"), r.KnownRequest("third"))
+		t.Errorf("retained: first %v, second %v, third %v; want false, true, true", r.KnownRequest("first"), r.KnownRequest("second"), r.KnownRequest("third"))
 	}
 }
--- a/internal/emulator/referee/rules.go
+++ b/internal/emulator/referee/rules.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// Rules are the figures of the rules.
+// Rules configures the rules.
 type Rules struct {
-	DrainGrace    time.Duration // after an agent was notified, a new request may still reach a draining or removed node
-	TransitSlack  time.Duration // added to DrainGrace, for sockets and the way to the node
-	MaxViolations int           // recorded with their evidence; all are counted
-	RetainFor     time.Duration // how long a request is retained after its end, in which a second execution is noticed; 0 for the whole run
+	DrainGrace    time.Duration // how long new requests may reach a draining or removed node after the agent was notified
+	TransitSlack  time.Duration // added to DrainGrace, for socket buffers and the network between agent and node
+	MaxViolations int           // violations recorded with their evidence; further ones are only counted
+	RetainFor     time.Duration // how long a request is retained after its end, so that a second execution is detected; 0 for the whole run
 }
 
-// DefaultRules returns those of the platform on sockets.
+// DefaultRules returns the platform's rules for runs on sockets.
 func DefaultRules() Rules {
 	return Rules{DrainGrace: 250 * time.Millisecond, TransitSlack: 50 * time.Millisecond, MaxViolations: 100}
 }
@@ -23,13 +23,13 @@
 
 // The rules.
 const (
-	Lost              Rule = "lost"        // the agent ended a request without a whole response, or served what no node made
+	Lost              Rule = "lost"        // the agent closed the connection without a response, or sent a body that no node produced
 	Duplicate         Rule = "duplicates"  // a request that is not idempotent was executed twice
-	AfterDrain        Rule = "after_drain" // a new request came later than allowed after the agent was notified
+	AfterDrain        Rule = "after_drain" // a new request reached a draining or removed node after the grace period
 	SlowStartOverload Rule = "toppled"     // a node was overloaded in slow start
 )
 
-// Violation is a broken rule with its evidence.
+// Violation is a violation of a rule with its evidence.
 type Violation struct {
 	Rule    Rule          `json:"rule"`
 	At      time.Duration `json:"at_ns"`
@@ -39,7 +39,7 @@
 	Text    string        `json:"text"`
 }
 
-// String returns a line for people.
+// String returns the rule, the time and the evidence on one line.
 func (v Violation) String() string {
 	return fmt.Sprintf("%s at %.3fs: %s", v.Rule, v.At.Seconds(), v.Text)
 }
--- a/internal/emulator/referee/service.go
+++ b/internal/emulator/referee/service.go
@@ -6,17 +6,17 @@
 	"time"
 )
 
-// CallResult is what became of a customer's request, over all attempts of its client.
+// CallResult is the result of a call: a customer's request with all attempts of its client.
 type CallResult struct {
-	At               time.Duration // when it was due, whether or not it was sent then
-	Agent            int           // that its client uses
-	Class            int
-	Tenant           int
-	PriorityWeight   float64 // of a response within the objective
-	LateWeight       float64 // share of PriorityWeight that a later response earns
+	At               time.Duration // when it was scheduled, even if it was sent later
+	Agent            int           // index of the agent that its client uses
+	Class            int           // index of its class
+	Tenant           int           // index of its tenant, or -1
+	PriorityWeight   float64       // earned by a response within LatencyObjective
+	LateWeight       float64       // fraction of PriorityWeight earned by a later response
 	LatencyObjective time.Duration
 	Latency          time.Duration // from At to the end of the response
-	Answered         bool          // served at all
+	Answered         bool          // an attempt was served
 	Attempts         int
 }
 
@@ -31,10 +31,10 @@
 	return c.PriorityWeight * c.LateWeight
 }
 
-// WorstWindowLength is the length of the windows among which the worst is sought.
+// WorstWindowLength is the length of the windows over which Service.WorstWindow is the minimum.
 const WorstWindowLength = 10 * time.Second
 
-// Service is the earned share of the priority weight of all requests: overall, in the worst window, by class and by tenant.
+// Service is the fraction of the priority weight that was earned: overall, in the worst window, by class and by tenant.
 type Service struct {
 	Overall     float64   `json:"service"`
 	WorstWindow float64   `json:"worst_window"`
@@ -42,7 +42,7 @@
 	ByTenant    []float64 `json:"by_tenant"`
 }
 
-// The weights of Goal, as the platform has them.
+// The weights of Goal, as defined by the platform.
 const (
 	overallWeight     = 0.35
 	worstWindowWeight = 0.35
@@ -55,7 +55,7 @@
 	return overallWeight*s.Overall + worstWindowWeight*s.WorstWindow + worstClassWeight*lowest(s.ByClass) + worstTenantWeight*lowest(s.ByTenant)
 }
 
-// lowest returns the lowest of the values that are numbers, or 1 where there is none.
+// lowest returns the minimum of the values that are not NaN, or 1 if there is none.
 func lowest(values []float64) float64 {
 	low := math.Inf(1)
 	for _, x := range values {
@@ -69,7 +69,7 @@
 	return low
 }
 
-// weight is the priority weight that was earned, and that was offered by requests.
+// weight is the priority weight that calls have earned, and the most that they could have earned (offered).
 type weight struct{ earned, offered float64 }
 
 func (w *weight) add(c CallResult) {
@@ -82,7 +82,7 @@
 	w.offered += other.offered
 }
 
-// share returns the earned share; 1 where there was no request.
+// share returns the earned fraction of the offered weight, or 1 if nothing was offered.
 func (w weight) share() float64 {
 	if w.offered == 0 {
 		return 1
@@ -90,10 +90,10 @@
 	return w.earned / w.offered
 }
 
-// weightsBySecond are the weights of the calls of each second.
+// weightsBySecond holds the weight of the calls scheduled in each second.
 type weightsBySecond []weight
 
-// add adds a call that was due at a time from the first second's beginning.
+// add adds a call that was scheduled at a time relative to the start of the first second.
 func (s *weightsBySecond) add(c CallResult, at time.Duration) {
 	second := int(at / time.Second)
 	if second >= len(*s) {
@@ -102,7 +102,7 @@
 	(*s)[second].add(c)
 }
 
-// worstWindow returns the lowest share of all windows, or atMost where that is lower.
+// worstWindow returns the minimum earned fraction of all windows, or atMost if that is lower.
 func (s weightsBySecond) worstWindow(atMost float64) float64 {
 	worst := atMost
 	length := int(WorstWindowLength / time.Second)
@@ -116,8 +116,8 @@
 	return worst
 }
 
-// MeasureService returns the service of the calls that were due from a time on. Windows, classes and tenants without a call count
-// as fully served.
+// MeasureService returns the service of the calls that were scheduled at from or later. Windows, classes and tenants without a
+// call count as fully served.
 func MeasureService(calls []CallResult, from time.Duration, classes, tenants int) Service {
 	var overall weight
 	var seconds weightsBySecond
@@ -150,7 +150,7 @@
 	return shares
 }
 
-// BySecond returns the service of each second from the start; NaN where there was no request.
+// BySecond returns the earned fraction for each second from the start, with NaN for seconds without a call.
 func BySecond(calls []CallResult) []float64 {
 	var seconds weightsBySecond
 	for _, c := range calls {
