--- a/internal/emulator/agent_config.go
+++ b/internal/emulator/agent_config.go
@@ -9,17 +9,18 @@
 	"ryeweir/internal/emulator/discovery"
 )
 
-// Limits are the resources that an agent has on its machine.
+// Limits are the resources that an agent may use on its machine.
 type Limits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB int     `json:"memory_mb"`
 	Sockets  int     `json:"sockets"`
 }
 
-// DefaultLimits returns those of the platform.
+// DefaultLimits returns the platform's limits.
 func DefaultLimits() Limits { return Limits{Cores: 1, MemoryMB: 192, Sockets: 1024} }
 
-// agentConfig is the platform's configuration of an agent. Here and in AgentSettings fields are in the order of their keys.
+// agentConfig is the platform's configuration of an agent. Its fields, and those of AgentSettings, are in the alphabetical order of
+// their keys.
 type agentConfig struct {
 	Control   string          `json:"control,omitempty"`
 	Discovery string          `json:"discovery"`
@@ -31,9 +32,9 @@
 	Settings  AgentSettings   `json:"settings"`
 }
 
-// AgentConfig returns the platform's configuration of an agent of this scenario, as JSON. listen, control and discoveryAddr
-// are host:port; without a control address the agent gets none. known is the endpoint list that the agent starts with; nil for
-// none.
+// AgentConfig returns the platform's configuration, as JSON, of the agent with that index. listen, control and discoveryAddr are
+// host:port. An empty control address is left out of the configuration. known is the endpoint list that the agent starts with, or
+// nil.
 func (scenario *Scenario) AgentConfig(agent int, listen, control, discoveryAddr string, limits Limits, known *discovery.List) ([]byte, error) {
 	return json.MarshalIndent(agentConfig{
 		Control:   control,
@@ -47,8 +48,8 @@
 	}, "", " ")
 }
 
-// AgentSettings is the settings object of an agent in the platform's configuration. Keys and units are the platform's: Ns is
-// nanoseconds, Us microseconds.
+// AgentSettings is the settings object of an agent in the platform's configuration. Keys and units are defined by the platform: Ns
+// stands for nanoseconds, Us for microseconds.
 type AgentSettings struct {
 	Balancers      int              `json:"Balancers"`
 	Blend          scoreWeights     `json:"Blend"`
@@ -145,7 +146,7 @@
 	}
 )
 
-// The settings that all scenarios have in common.
+// Settings of agents that are the same in all scenarios.
 const (
 	agentTick       = 5 * time.Millisecond
 	classWindow     = 5 * time.Second
@@ -157,7 +158,7 @@
 	maxAttempts     = 5
 )
 
-// Settings returns the settings object of an agent by its number.
+// Settings returns the settings object of the agent with that index.
 func (scenario *Scenario) Settings(agent int) AgentSettings {
 	return AgentSettings{
 		Balancers: len(scenario.Agents),
@@ -215,7 +216,7 @@
 	return settings
 }
 
-// tenantSettings divides the whole rate among the tenants by their shares, as quotas in requests a second.
+// tenantSettings returns the tenants' shares, and quotas that divide the scenario's rate by these shares, in requests per second.
 func (scenario *Scenario) tenantSettings() (settings []tenantSettings) {
 	total := 0.0
 	for _, tenant := range scenario.Tenants {
@@ -231,7 +232,7 @@
 	return settings
 }
 
-// ruleSettings takes the figures of slow start from the first node: all nodes have the same.
+// ruleSettings takes the slow start settings from the first node, since they are the same for all nodes.
 func (scenario *Scenario) ruleSettings() ruleSettings {
 	node := scenario.Nodes[0]
 	return ruleSettings{
@@ -253,8 +254,8 @@
 	return names
 }
 
-// loadReportMode says that agents read a node's load report by a request of their own.
+// loadReportMode is the mode in which agents fetch a node's load report with separate requests.
 const loadReportMode = "pull"
 
-// loadReportFields are the figures of a node's load report.
+// loadReportFields returns the fields of a node's load report: completed requests per second and utilization.
 func loadReportFields() []string { return []string{"qps", "util"} }
--- a/internal/emulator/agent_config_test.go
+++ b/internal/emulator/agent_config_test.go
@@ -10,8 +10,8 @@
 	"ryeweir/internal/emulator"
 )
 
-// Agents read their settings by these keys. A field that is renamed together with its key would be ignored by an agent, which
-// then runs with a zero in its place, and nothing would fail.
+// Agents read their settings by these keys. If a key were renamed together with its field, agents would silently use zero in its
+// place, and no other test would fail.
 func TestKeysOfAgentSettingsStay(t *testing.T) {
 	spec := emulator.DefaultScenario()
 	scenario, err := spec.Draw(1)
@@ -48,7 +48,7 @@
 			got = value[0].(map[string]any)
 		}
 		if keys := strings.Fields(keys); !slices.Equal(slices.Sorted(maps.Keys(got)), keys) {
-			t.Errorf("%q has the keys %v, not %v", object, slices.Sorted(maps.Keys(got)), keys)
+			t.Errorf("object %q has the keys %v, want %v", object, slices.Sorted(maps.Keys(got)), keys)
 		}
 	}
 }
--- a/internal/emulator/agent_faults.go
+++ b/internal/emulator/agent_faults.go
@@ -8,18 +8,18 @@
 
 // AgentFault is a fault of one agent.
 type AgentFault struct {
-	Agent       int // its number, from 0
-	Kind        string
-	At          time.Duration // from the scenario's beginning
-	Duration    time.Duration // until the new process takes clients, or the paused or slow one goes on as before
-	WithState   bool          // the next process starts with the state that the one before it persisted
-	RunFraction float64       // of the time, in which a slow process runs
+	Agent       int           // index in Scenario.Agents
+	Kind        string        // AgentRestart, AgentKill, AgentPause or AgentSlow
+	At          time.Duration // since the scenario's beginning
+	Duration    time.Duration // until the new process accepts clients, or the paused or slow one runs normally again
+	WithState   bool          // the next process starts with the state that its predecessor persisted
+	RunFraction float64       // fraction of the time in which a slow process runs
 }
 
-// Survives reports whether the process goes on after the fault, with its state and its connections.
+// Survives reports whether the same process continues after the fault, with its state and its connections.
 func (fault AgentFault) Survives() bool { return fault.Kind == AgentPause || fault.Kind == AgentSlow }
 
-// placeAgentFaults draws which agents the faults hit. A fault with several groups starts them evenly from From to To.
+// placeAgentFaults draws which agents the faults of the spec hit. The groups of a fault are hit at even intervals from From to To.
 func (scenario *Scenario) placeAgentFaults(rng *rand.Rand) {
 	for _, spec := range scenario.Spec.Fleet.AgentFaults {
 		hit := max(1, int(spec.Share*float64(len(scenario.Agents))+0.5))
--- a/internal/emulator/doc.go
+++ b/internal/emulator/doc.go
@@ -1,11 +1,11 @@
 // Package emulator runs the environment of an agent: order nodes, discovery, a network with faults, callers, and a referee
-// that judges the agent. It imports nothing of the agent.
+// that checks the agent's behavior. It imports no code of the agent.
 //
-// A ScenarioSpec says in a TOML file what a run is like. Draw turns it and a seed into a Scenario: the nodes, the plan of
-// requests, and which node or agent each fault hits and when. Equal specs and seeds draw equal scenarios, so that two
-// variants of an agent can be compared on the same load and the same faults.
+// A ScenarioSpec is the contents of a TOML file that describes a run. Draw turns a spec and a seed into a Scenario: the nodes,
+// the planned requests, and the node or agent and the time of each fault. Equal specs and seeds give equal scenarios, so that
+// two variants of an agent can be compared under the same load and the same faults.
 //
-// A World runs a Scenario in real or fake time:
+// A World runs a Scenario, in real time or in the fake time of testing/synctest:
 //
 //	scenario, err := spec.Draw(seed)
 //	world, err := emulator.Start(ctx, scenario, &emulator.LoopbackNetwork{}, true)
@@ -15,16 +15,16 @@
 //	account := world.Referee.Account()
 //	world.Close()
 //
-// The parts are packages of their own. Those without I/O also serve the simulation of internal/experiment:
+// Each part has its own package. The simulation of internal/experiment uses those without I/O too:
 //
 //   - node: the model of an order node, without I/O
-//   - backend: a node on a listener
+//   - backend: serves a node over HTTP on a listener
 //   - discovery: the endpoint list over HTTP
-//   - link: a network in memory, and relays on loopback, with faults
-//   - callers: the plan of requests, and clients that send it
-//   - referee: the account of a run, and the violations with their evidence
+//   - link: an in-memory network, and relays on loopback, with faults
+//   - callers: the planned requests, and clients that send them
+//   - referee: the outcomes of a run's requests, and the violations with their evidence
 //   - peer: a scripted HTTP peer for tests
 //
-// Times of a Scenario count from its beginning, which is when World.InjectFaults is called; times of a World, its nodes
-// and its referee count from World.Epoch.
+// Times of a Scenario are relative to its beginning, which is the call of World.InjectFaults. Times of a World, its nodes and
+// its referee are relative to World.Epoch.
 package emulator
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -22,20 +22,21 @@
 	"ryeweir/internal/emulator/referee"
 )
 
-// misbehavior is the rule that a misbehavingAgent breaks.
+// misbehavior is the way in which a misbehavingAgent violates a rule.
 type misbehavior string
 
 const (
 	behaves         misbehavior = "none"
-	repeats         misbehavior = "repeats"
-	fabricates      misbehavior = "makes up"
-	cutsOff         misbehavior = "cuts off"
-	saysNothing     misbehavior = "says nothing"
-	ignoresDraining misbehavior = "goes on sending"
-	usesOneNode     misbehavior = "one for all"
+	repeats         misbehavior = "sends a request twice"
+	fabricates      misbehavior = "fabricates responses"
+	abortsConns     misbehavior = "closes connections without a response"
+	neverResponds   misbehavior = "never responds"
+	ignoresDraining misbehavior = "sends to a draining node"
+	usesOneNode     misbehavior = "sends everything to one node"
 )
 
-// misbehavingAgent is a minimal agent that forwards in turn and breaks a rule on purpose, or none.
+// misbehavingAgent is a minimal agent that forwards requests to the nodes in turn and, depending on its misbehavior, violates a
+// rule on purpose.
 type misbehavingAgent struct {
 	world       *emulator.World
 	requests    atomic.Int64
@@ -44,7 +45,7 @@
 	open        sync.WaitGroup
 }
 
-// forward sends a request to a node of the list, by a number. The list still has draining nodes.
+// forward sends a request to the n-th node of the list, modulo its length. The list includes draining nodes.
 func (a *misbehavingAgent) forward(r *http.Request, n int) (*http.Response, error) {
 	list := a.world.EndpointList(0).Servers
 	out, err := http.NewRequestWithContext(r.Context(), r.Method, "http://"+list[n%len(list)].Addr+r.URL.Path, nil)
@@ -58,7 +59,7 @@
 func (a *misbehavingAgent) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	a.open.Add(1)
 	defer a.open.Done()
-	io.Copy(io.Discard, r.Body) // only then net/http notices that its client leaves
+	io.Copy(io.Discard, r.Body) // net/http detects that the client has disconnected only after the body was read
 	n := int(a.requests.Add(1))
 	if a.misbehavior == usesOneNode {
 		n = 0
@@ -82,17 +83,17 @@
 		}
 	case a.misbehavior == fabricates && n%20 == 0:
 		body = []byte("all is well\n")
-	case a.misbehavior == cutsOff && n%20 == 0:
+	case a.misbehavior == abortsConns && n%20 == 0:
 		panic(http.ErrAbortHandler)
-	case a.misbehavior == saysNothing && n%20 == 0:
-		time.Sleep(3 * time.Second) // longer than anybody waits
+	case a.misbehavior == neverResponds && n%20 == 0:
+		time.Sleep(3 * time.Second) // longer than the deadline of any class
 		panic(http.ErrAbortHandler)
 	}
 	w.Write(body)
 }
 
-// runMisbehaving runs a scenario of 6 s with one agent and returns the referee's account and the violations. change, which
-// may be nil, changes the scenario's spec.
+// runMisbehaving runs a scenario of 6 s with one misbehavingAgent and returns the referee's account and violations. change may be
+// nil; it changes the scenario's spec.
 func runMisbehaving(t *testing.T, m misbehavior, change func(*emulator.ScenarioSpec)) (account referee.Account, violations []referee.Violation) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -120,7 +121,7 @@
 		server := &http.Server{Handler: agent}
 		var goroutines sync.WaitGroup
 		goroutines.Go(func() { server.Serve(l) })
-		// The rules on draining and slow start hold an agent to what it was notified of, so the list must be watched.
+		// The rules on draining and slow start hold an agent only to notifications it has received, so it must watch the list.
 		ctx, stop := context.WithCancel(t.Context())
 		goroutines.Go(func() { watch(ctx, network, world.DiscoveryAddr(0)) })
 		client := &callers.Client{Addr: "agent-0:80", Dial: network.Dialer("app")}
@@ -157,9 +158,8 @@
 	}
 }
 
-// An oracle that finds nothing proves nothing: a referee that has stopped looking would pass every agent. So minimal agents
-// break each rule on purpose, and the referee must report the violation with its evidence, and none for the agent that breaks
-// no rule.
+// A referee that fails to check a rule would pass every agent. For each rule an agent violates it on purpose, and the referee must
+// report the violation with its evidence. For an agent that violates no rule it must report none.
 func TestRefereeReportsEachKindOfViolation(t *testing.T) {
 	draining := func(spec *emulator.ScenarioSpec) {
 		spec.Discovery.RemovalDelay = 0
@@ -181,42 +181,42 @@
 		{behaves, nil, "", nil, ""},
 		{repeats, nil, referee.Duplicate, func(a referee.Account) int { return a.Duplicates }, "was executed on node-"},
 		{fabricates, nil, referee.Lost, func(a referee.Account) int { return a.Lost }, "no node produced"},
-		{cutsOff, nil, referee.Lost, func(a referee.Account) int { return a.Lost }, "without a response, after forwarding it"},
+		{abortsConns, nil, referee.Lost, func(a referee.Account) int { return a.Lost }, "without a response, after forwarding it"},
 		{ignoresDraining, draining, referee.AfterDrain, func(a referee.Account) int { return a.AfterDrain }, "after it was notified"},
 		{usesOneNode, slowStart, referee.SlowStartOverload, func(a referee.Account) int { return a.SlowStartOverloads }, "node-01 was overloaded in slow start"},
 	} {
 		t.Run(string(c.misbehavior), func(t *testing.T) {
 			account, violations := runMisbehaving(t, c.misbehavior, c.change)
 			if !account.Balanced() || account.Requests < 500 {
-				t.Errorf("%+v", account)
+				t.Errorf("account is not balanced or has fewer than 500 requests: %+v", account)
 			}
 			if c.rule == "" {
 				if !account.RulesHold() || len(violations) > 0 || account.Completed < account.Requests*9/10 {
-					t.Errorf("%+v %v", account, violations)
+					t.Errorf("violations, or fewer than 90%% completed, without misbehavior: %+v %v", account, violations)
 				}
 				return
 			}
 			if account.RulesHold() || c.count(account) == 0 {
-				t.Fatalf("not reported: %+v", account)
+				t.Fatalf("no violation of %s reported: %+v", c.rule, account)
 			}
 			first := slices.IndexFunc(violations, func(v referee.Violation) bool { return v.Rule == c.rule })
 			if first < 0 || !strings.Contains(violations[first].String(), c.evidence) {
-				t.Errorf("%v", violations)
+				t.Errorf("no violation of %s with the evidence %q: %v", c.rule, c.evidence, violations)
 			}
 		})
 	}
 }
 
-// An agent that never answers has lost nothing by the rules, as nobody can say what became of the request. Its clients are
-// left without an answer, and that must show in the account.
-func TestRefereeCountsSilenceAsUnanswered(t *testing.T) {
-	if account, _ := runMisbehaving(t, saysNothing, nil); account.Unanswered < 20 || !account.RulesHold() || !account.Balanced() {
-		t.Errorf("%+v", account)
+// A request that an agent never answers does not violate the rule Lost, but its client is left without a response. The account must
+// show that.
+func TestRefereeCountsMissingResponsesAsUnanswered(t *testing.T) {
+	if account, _ := runMisbehaving(t, neverResponds, nil); account.Unanswered < 20 || !account.RulesHold() || !account.Balanced() {
+		t.Errorf("got %+v, want at least 20 unanswered, no violation and a balanced account", account)
 	}
 }
 
-// A closed loop sends less to a slow service and so makes it look better than it is. Callers here don't wait for answers: a
-// slow service gets as many requests as a quick one.
+// Closed-loop callers send fewer requests to a slow service and thereby make it look better than it is. These callers are open-loop:
+// a slow service must get as many requests as a quick one.
 func TestSlowServiceGetsAsManyRequestsAsQuickOne(t *testing.T) {
 	withoutRetries := func(spec *emulator.ScenarioSpec) { spec.Clients.Retries, spec.Clients.ImpatientFraction = 0, 0 }
 	delayed := func(spec *emulator.ScenarioSpec) {
@@ -226,12 +226,12 @@
 	quick, _ := runMisbehaving(t, behaves, withoutRetries)
 	slow, _ := runMisbehaving(t, behaves, delayed)
 	if quick.Requests != slow.Requests || slow.Completed == 0 {
-		t.Errorf("%d requests to a quick service, %d to a slow one", quick.Requests, slow.Requests)
+		t.Errorf("%d requests to a quick service, %d to a slow one, of which %d completed", quick.Requests, slow.Requests, slow.Completed)
 	}
 }
 
-// Two variants of an agent are compared on the same scenario, and a failure is repeated by its seed: equal specs and seeds must
-// draw equal scenarios, and other seeds others.
+// Variants of an agent are compared on the same scenario, and a failure is reproduced by its seed. So equal specs and seeds must
+// give equal scenarios, and different seeds different ones.
 func TestEqualSeedsDrawEqualScenarios(t *testing.T) {
 	spec := emulator.DefaultScenario()
 	spec.Faults = []emulator.FaultSpec{{Kind: "slow", Nodes: 3, To: config.Duration(time.Second), Size: 3}}
@@ -242,18 +242,18 @@
 	b, _ := spec.Draw(5)
 	c, _ := spec.Draw(6)
 	if !slices.Equal(a.Plan, b.Plan) || !slices.Equal(a.Nodes, b.Nodes) || !slices.Equal(a.Faults, b.Faults) {
-		t.Error("equal seeds drew different scenarios")
+		t.Error("equal seeds gave different scenarios")
 	}
 	if slices.Equal(a.Plan, c.Plan) || len(a.Faults) != 3 {
-		t.Errorf("%d faults", len(a.Faults))
+		t.Errorf("seeds 5 and 6 gave equal plans (%v), or seed 5 gave %d faults instead of 3", slices.Equal(a.Plan, c.Plan), len(a.Faults))
 	}
 	rate := float64(len(a.Plan)) / a.Length.Seconds()
 	if rate < 0.93*a.Rate || rate > 1.07*a.Rate {
-		t.Errorf("%v requests a second were drawn for a rate of %v", rate, a.Rate)
+		t.Errorf("the plan has %v requests per second, want %v within 7%%", rate, a.Rate)
 	}
 }
 
-// A scenario with a mistake is rejected with the key that it is at, before anything runs.
+// An invalid scenario is rejected before anything runs, with an error that names the wrong key or explains the conflict.
 func TestScenarioCheckNamesWrongKey(t *testing.T) {
 	for want, change := range map[string]func(*emulator.ScenarioSpec){
 		"length":     func(d *emulator.ScenarioSpec) { d.Length = -1 },
@@ -264,10 +264,10 @@
 		"net.loss":   func(d *emulator.ScenarioSpec) { d.Network.Loss = 2 },
 		"clients":    func(d *emulator.ScenarioSpec) { d.Clients.RetryAfterFraction = 2 },
 		"trouble[0]": func(d *emulator.ScenarioSpec) { d.Faults = []emulator.FaultSpec{{Kind: "plague", Nodes: 1, To: 1}} },
-		"is no node": func(d *emulator.ScenarioSpec) {
+		"is not a node": func(d *emulator.ScenarioSpec) {
 			d.Faults = []emulator.FaultSpec{{Kind: "drain", Names: []string{"x"}, To: 1}}
 		},
-		"ends its life": func(d *emulator.ScenarioSpec) {
+		"another fault that ends its process": func(d *emulator.ScenarioSpec) {
 			d.Faults = []emulator.FaultSpec{{Kind: "drain", Names: []string{"node-01"}, To: 1}, {Kind: "restart", Names: []string{"node-01"}, To: 1}}
 		},
 		"unknown shape": func(d *emulator.ScenarioSpec) { d.Shape = "zigzag" },
@@ -276,18 +276,18 @@
 		d := emulator.DefaultScenario()
 		change(&d)
 		if err := d.Check("day."); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%s: %v", want, err)
+			t.Errorf("got error %v, want one that contains %q", err, want)
 		}
 	}
 }
 
-// A mistake in an address must not send load to a machine that is not the tester's own.
+// A mistake in an address must not send load to another machine.
 func TestLoopbackDialerRejectsOtherAddresses(t *testing.T) {
 	dial := (&emulator.LoopbackNetwork{}).Dialer("")
 	for _, addr := range []string{"192.0.2.1:80", "example.org:80", "[2001:db8::1]:80", "nonsense"} {
 		if c, err := dial(t.Context(), "tcp", addr); err == nil {
 			c.Close()
-			t.Errorf("%s was dialed", addr)
+			t.Errorf("dialing %s succeeded, want an error", addr)
 		}
 	}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/emulator/fault_placement.go
+++ b/internal/emulator/fault_placement.go
@@ -20,15 +20,15 @@
 	}
 }
 
-// faultPlacer draws which nodes each fault hits. A node has at most one fault that ends its process (a drain, a restart or a
-// replacement): a second one would hit a process that is gone.
+// faultPlacer draws which nodes each fault hits. A node gets at most one fault that ends its process (a drain, a restart or a
+// replacement): a second one would hit a process that no longer exists.
 type faultPlacer struct {
 	scenario *Scenario
 	rng      *rand.Rand
-	ending   map[int]bool // nodes that have a fault which ends their process
+	ending   map[int]bool // by node index: the node has a fault that ends its process
 }
 
-// placeFaults says which nodes the faults hit.
+// placeFaults draws which nodes the faults of the spec hit, and adds a NodeFault for each.
 func (scenario *Scenario) placeFaults(rng *rand.Rand) error {
 	placer := faultPlacer{scenario, rng, map[int]bool{}}
 	for _, fault := range scenario.Spec.Faults {
@@ -49,7 +49,8 @@
 	}
 	for n, i := range nodes {
 		if ending && p.ending[i] {
-			return fmt.Errorf("%s ends its life twice", p.scenario.Nodes[i].ID)
+			return fmt.Errorf("fault %s hits %s, which has another fault that ends its process: a node may have only one of %s, %s and %s",
+				spec.Kind, p.scenario.Nodes[i].ID, node.Drain, node.Restart, node.Replace)
 		}
 		p.ending[i] = p.ending[i] || ending
 		staggered := fault
@@ -62,14 +63,14 @@
 	return nil
 }
 
-// choose returns the nodes that a fault hits: those named, those of its zone, and then so many more at random. Every fault
-// takes one permutation from the random numbers, whether or not it needs it.
+// choose returns the indices of the nodes that a fault hits: those in Names, those of Zone, and as many others as Nodes says, at
+// random. It draws one permutation for every fault, even if that does not use it.
 func (p *faultPlacer) choose(spec FaultSpec, ending bool) (nodes []int, err error) {
 	all := p.scenario.Nodes
 	for _, name := range spec.Names {
 		i := slices.IndexFunc(all, func(s node.Spec) bool { return s.ID == name })
 		if i < 0 {
-			return nil, fmt.Errorf("trouble %s befalls %q, which is no node: they are node-01 to node-%02d", spec.Kind, name, len(all))
+			return nil, fmt.Errorf("fault %s: names has %q, which is not a node: nodes are node-01 to node-%02d", spec.Kind, name, len(all))
 		}
 		nodes = append(nodes, i)
 	}
--- a/internal/emulator/fleet_check.go
+++ b/internal/emulator/fleet_check.go
@@ -8,15 +8,15 @@
 	"ryeweir/internal/config"
 )
 
-// Bounds of what hits a fleet.
+// Bounds of the settings of FleetSpec.
 const (
-	minRunFraction   = 0.05 // of the time, in which a slow process runs
+	minRunFraction   = 0.05 // fraction of the time in which a slow process runs
 	maxRunFraction   = 0.95
 	maxTrafficFactor = 100
 	maxListDelay     = time.Minute
 )
 
-// check reports all that is wrong with the spec, with keys below "fleet.".
+// check reports all errors in the spec. The reported keys are relative to the table "fleet".
 func (f FleetSpec) check(zones []string, report reportFunc) {
 	for i, fault := range f.AgentFaults {
 		fault.check(fmt.Sprintf("agent_trouble[%d]", i), report)
@@ -44,37 +44,41 @@
 		storm.check(fmt.Sprintf("storm[%d]", i), report)
 	}
 	if p := f.Prices; p.HealthCheck < 0 || p.Handshake < 0 || p.List < 0 || p.Waste < 0 {
-		report("prices.probe", "no price may be below 0")
+		report("prices.probe", "prices must be at least 0; got probe %v, handshake %v, list %v, waste %v", p.HealthCheck, p.Handshake, p.List, p.Waste)
 	}
 }
 
 func checkInterval(key string, from, to config.Duration, report reportFunc) {
 	if from < 0 || to <= from {
-		report(key+".from", "must be 0 or later, and before its end")
+		report(key+".from", "must be at least 0 and before to (%v), not %v", to.D(), from.D())
 	}
 }
 
 func checkZone(key, zone string, zones []string, report reportFunc) {
 	if !slices.Contains(zones, zone) {
-		report(key+".zone", "%q is none of %v", zone, zones)
+		report(key+".zone", "%q must be one of %v", zone, zones)
 	}
 }
 
 func (a AgentFaultSpec) check(key string, report reportFunc) {
 	if kinds := []string{AgentRestart, AgentKill, AgentPause, AgentSlow}; !slices.Contains(kinds, a.Kind) {
-		report(key+".kind", "%q is none of %v", a.Kind, kinds)
+		report(key+".kind", "%q must be one of %v", a.Kind, kinds)
 	}
 	if survives := a.Kind == AgentPause || a.Kind == AgentSlow; survives && a.WithState {
-		report(key+".kept", "a process that goes on keeps all it has; kept is for one that is started again")
+		report(key+".kept", "must not be true for kind %q, whose process keeps its state anyway; it is for %s and %s", a.Kind, AgentRestart, AgentKill)
 	}
 	inRange := a.RunFraction >= minRunFraction && a.RunFraction <= maxRunFraction
 	if slow := a.Kind == AgentSlow; slow && !inRange || !slow && a.RunFraction != 0 {
-		report(key+".part", "is from 0.05 to 0.95 for a slow process, and for no other")
+		report(key+".part", "must be from %v to %v for kind %s and must not be set for others; got %v for kind %q",
+			minRunFraction, maxRunFraction, AgentSlow, a.RunFraction, a.Kind)
 	}
 	if !(a.Share > 0 && a.Share <= 1) || a.Groups < 0 || a.Groups > maxAgents || a.Duration < 0 {
-		report(key+".share", "needs a share above 0 up to 1, and neither groups nor a time away below 0")
+		report(key+".share", "must be above 0 and at most 1, not %v, groups from 0 to %d, not %d, and away at least 0, not %v",
+			a.Share, maxAgents, a.Groups, a.Duration.D())
+	}
+	if a.From < 0 {
+		report(key+".from", "must be at least 0, not %v", a.From.D())
 	}
-	checkInterval(key, a.From, max(a.To, a.From+1), report)
 }
 
 func (s TrafficShiftSpec) check(key string, zones []string, report reportFunc) {
@@ -83,14 +87,14 @@
 		checkZone(key, s.Zone, zones, report)
 	}
 	if !(s.Factor >= 0 && s.Factor <= maxTrafficFactor) {
-		report(key+".times", "must be from 0 to 100")
+		report(key+".times", "must be from 0 to %d, not %v", maxTrafficFactor, s.Factor)
 	}
 }
 
 func (l ListDelaySpec) check(key string, report reportFunc) {
 	checkInterval(key, l.From, l.To, report)
 	if l.By < 0 || l.By.D() > maxListDelay {
-		report(key+".by", "must be from 0 to a minute")
+		report(key+".by", "must be from 0 to %v, not %v", maxListDelay, l.By.D())
 	}
 }
 
@@ -98,7 +102,7 @@
 	checkInterval(key, p.From, p.To, report)
 	unknown := func(kind string) bool { return !slices.Contains(FalseReports(), kind) }
 	if len(p.Says) == 0 || slices.ContainsFunc(p.Says, unknown) {
-		report(key+".says", "%v is not made up of %v", p.Says, FalseReports())
+		report(key+".says", "must have at least one of %v and no other values, not %v", FalseReports(), p.Says)
 	}
 }
 
@@ -106,6 +110,7 @@
 	checkInterval(key, s.From, s.To, report)
 	fractions := []float64{s.AttemptTimeoutFraction, s.ImpatientFraction}
 	if s.Retries < 0 || s.Retries > maxRetries || slices.ContainsFunc(fractions, notAFraction) || s.Backoff < 0 {
-		report(key+".retries", "retries are from 0 to 10, shares from 0 to 1, and no time below 0")
+		report(key+".retries", "must be from 0 to %d, not %d, try_share (%v) and impatient (%v) from 0 to 1, and backoff (%v) at least 0",
+			maxRetries, s.Retries, s.AttemptTimeoutFraction, s.ImpatientFraction, s.Backoff.D())
 	}
 }
--- a/internal/emulator/fleet_scenario.go
+++ b/internal/emulator/fleet_scenario.go
@@ -10,9 +10,9 @@
 	"ryeweir/internal/emulator/node"
 )
 
-// FleetScenario is a scenario of a whole fleet that is drawn anew for each seed.
+// FleetScenario describes a family of scenarios of a whole fleet. Each seed gives a different ScenarioSpec.
 type FleetScenario struct {
-	Name   string `toml:"name"` // the kind where empty
+	Name   string `toml:"name"` // the kind if empty
 	Kind   string `toml:"kind"`
 	Agents int    `toml:"agents"`
 	Nodes  int    `toml:"nodes"`
@@ -20,22 +20,22 @@
 
 // The kinds of FleetScenario.
 const (
-	// CalmScenario has a burst of half as much traffic again, and traffic that shifts between zones.
+	// CalmScenario has a burst with 1.5 times the traffic, and later a shift of traffic between two zones.
 	CalmScenario = "calm"
-	// RolloutScenario replaces half of the nodes in steps while all agents restart, a tenth at a time.
+	// RolloutScenario replaces half of the nodes one after the other, while all agents restart in ten groups.
 	RolloutScenario = "roll"
-	// ThunderingHerdScenario replaces half of the nodes and kills seven in ten agents at once. One node of eight fails fast, and
-	// discovery handles half as many requests.
+	// ThunderingHerdScenario replaces half of the nodes and kills 70% of the agents at once. One node in eight fails fast, and
+	// discovery handles only half its usual rate of requests.
 	ThunderingHerdScenario = "herd"
-	// ZoneOutageScenario takes a zone away for 5 s, which returns in slow start, and partitions another. One node of eight is slow
-	// or fails fast.
+	// ZoneOutageScenario stops all nodes of a zone for 5 s, after which they are in slow start, and later partitions another zone.
+	// One node in eight is slow or fails fast.
 	ZoneOutageScenario = "zone"
-	// PartitionScenario partitions a zone for 6 s, or a fifth of the nodes answer nothing. The list is delayed, and responses are
-	// malformed or lost.
+	// PartitionScenario partitions a zone for 6 s, or makes a fifth of the nodes unresponsive for 6 s. The endpoint list is delayed,
+	// and for some requests the response is malformed or the connection is reset.
 	PartitionScenario = "split"
-	// ChurnScenario replaces six in ten nodes within 7 s. Responses are malformed, and clients retry in a storm.
+	// ChurnScenario replaces 60% of the nodes within 7 s. Some responses are malformed, and there is a retry storm.
 	ChurnScenario = "join"
-	// MixedScenario has any of the others together.
+	// MixedScenario combines a random selection of the other kinds.
 	MixedScenario = "mixed"
 )
 
@@ -43,41 +43,42 @@
 	return []string{CalmScenario, RolloutScenario, ThunderingHerdScenario, ZoneOutageScenario, PartitionScenario, ChurnScenario, MixedScenario}
 }
 
-// The size of a fleet.
+// Sizes of a fleet.
 const (
 	defaultFleetAgents = 300
 	defaultFleetNodes  = 200
 	minFleetNodes      = 10
 )
 
-// Check fills in the defaults and returns what is wrong, with keys below a prefix.
+// Check sets the defaults of empty fields and returns an error that names the wrong key, with a prefix.
 func (f *FleetScenario) Check(prefix string) error {
 	setDefault(&f.Agents, defaultFleetAgents)
 	setDefault(&f.Nodes, defaultFleetNodes)
 	setDefault(&f.Name, f.Kind)
 	if !slices.Contains(fleetScenarioKinds(), f.Kind) {
-		return config.Wrong(prefix+"kind", "%q is none of %v", f.Kind, fleetScenarioKinds())
+		return config.Wrong(prefix+"kind", "%q must be one of %v", f.Kind, fleetScenarioKinds())
 	}
 	if f.Nodes < minFleetNodes || f.Nodes > maxNodes {
-		return config.Wrong(prefix+"nodes", "must be from 10 to 256, not %d", f.Nodes)
+		return config.Wrong(prefix+"nodes", "must be from %d to %d, not %d", minFleetNodes, maxNodes, f.Nodes)
 	}
 	spec := f.Spec(checkSeed)
 	return spec.Check(prefix)
 }
 
-// String names the kind and the size, in a line.
+// String returns the kind and the size on one line.
 func (f FleetScenario) String() string {
 	return fmt.Sprintf("%s (%d agents, %d nodes)", f.Kind, f.Agents, f.Nodes)
 }
 
-// fleetStream keeps the random numbers of Spec apart from those that other parts take from the same seed.
+// fleetStream selects a PCG stream of its own for Spec, independent of other generators with the same seed.
 const fleetStream = 0x666c6565
 
-// mixedProbability is that of each kind to be part of a mixed scenario.
+// mixedProbability is the probability that a mixed scenario includes a given kind.
 const mixedProbability = 0.4
 
-// Spec draws the scenario's spec. All faults of a kind are always there; their sizes and times are drawn. The order in which
-// random numbers are taken is part of the contract, as recorded experiments are repeated by their seed.
+// Spec draws the scenario's spec. A kind always has all its faults; their sizes and times, and in some kinds one of two
+// alternatives, are random. Recorded experiments are repeated by their seed, so the order in which random numbers are drawn is
+// part of the contract.
 func (f FleetScenario) Spec(seed uint64) ScenarioSpec {
 	d := &scenarioDrawer{Rand: rand.New(rand.NewPCG(seed, fleetStream)), ScenarioSpec: DefaultScenario(), nodes: f.Nodes}
 	d.Name, d.Agents = f.Name, f.Agents
@@ -94,17 +95,17 @@
 	return d.ScenarioSpec
 }
 
-// scenarioDrawer is a spec that is being drawn. Durations are in seconds until they are put into the spec.
+// scenarioDrawer is a spec that is being drawn. Its methods take and compute times in seconds.
 type scenarioDrawer struct {
 	*rand.Rand
 	ScenarioSpec
 	nodes int // in the whole fleet
 }
 
-// uniform draws a number from low to below high.
+// uniform draws a number from [low, high).
 func (d *scenarioDrawer) uniform(low, high float64) float64 { return low + (high-low)*d.Float64() }
 
-// nodeCount is a share of the nodes, at least one.
+// nodeCount converts a fraction of the nodes to a number, at least 1.
 func (d *scenarioDrawer) nodeCount(share float64) int {
 	return max(1, int(share*float64(d.nodes)+0.5))
 }
@@ -142,7 +143,7 @@
 	d.Fleet.Prices = Prices{HealthCheck: 0.045, Handshake: 0.02, List: 0.02, Waste: 0.05}
 }
 
-// drawMixture draws the kinds of a mixed scenario, and its length and load from wider ranges.
+// drawMixture draws the kinds that a mixed scenario combines. It redraws length and load from wider ranges.
 func (d *scenarioDrawer) drawMixture() (kinds []string) {
 	all := fleetScenarioKinds()
 	for _, kind := range all[:len(all)-1] {
@@ -155,7 +156,7 @@
 	return kinds
 }
 
-// addFault adds a fault of a share of the nodes, which begins at them one after the other over stagger seconds.
+// addFault adds a fault of a fraction of the nodes. It begins at one node after the other, over stagger seconds.
 func (d *scenarioDrawer) addFault(kind node.FaultKind, share, from, to, size, stagger float64) {
 	d.Faults = append(d.Faults, FaultSpec{
 		Kind:    string(kind),
@@ -167,7 +168,7 @@
 	})
 }
 
-// addOutlierNodes makes one node of eight slow, or fail fast, for most of the scenario.
+// addOutlierNodes makes one node in eight slow, or fail fast, for most of the scenario.
 func (d *scenarioDrawer) addOutlierNodes(failing bool) {
 	const share, from = 0.125, 3
 	to := d.Length.D().Seconds() - 4
@@ -178,7 +179,7 @@
 	}
 }
 
-// addKind adds what a kind of scenario has. Every kind takes one permutation of the zones first.
+// addKind adds the faults and events of a kind. It draws a permutation of the zones for every kind, even if that does not use it.
 func (d *scenarioDrawer) addKind(kind string) {
 	zones := d.Perm(len(d.Zones))
 	switch kind {
@@ -211,14 +212,14 @@
 
 func (d *scenarioDrawer) addRollout() {
 	const from = 5
-	lasts := d.uniform(14, 18)
-	d.addFault(node.Replace, 0.5, from, from+d.uniform(0.5, 2), 0, lasts)
+	duration := d.uniform(14, 18)
+	d.addFault(node.Replace, 0.5, from, from+d.uniform(0.5, 2), 0, duration)
 	d.Fleet.AgentFaults = append(d.Fleet.AgentFaults, AgentFaultSpec{
 		Kind:     AgentRestart,
 		Share:    1,
 		Groups:   10,
 		From:     seconds(from),
-		To:       seconds(from + lasts),
+		To:       seconds(from + duration),
 		Duration: seconds(d.uniform(0.2, 0.6)),
 	})
 }
--- a/internal/emulator/fleet_schedule.go
+++ b/internal/emulator/fleet_schedule.go
@@ -8,10 +8,10 @@
 	"ryeweir/internal/emulator/callers"
 )
 
-// within reports whether a time of the scenario is from from to before to.
+// within reports whether a time of the scenario is in [from, to).
 func within(at time.Duration, from, to config.Duration) bool { return at >= from.D() && at < to.D() }
 
-// trafficShifts returns the scenario's shifts with a factor for each agent.
+// trafficShifts returns the scenario's traffic shifts, with the factor of each agent.
 func (scenario *Scenario) trafficShifts() (shifts []callers.TrafficShift) {
 	for _, spec := range scenario.Spec.Fleet.TrafficShifts {
 		shift := callers.TrafficShift{From: spec.From.D(), To: spec.To.D(), Factors: make([]float64, len(scenario.Agents))}
@@ -26,8 +26,8 @@
 	return shifts
 }
 
-// ClientProfileAt returns how a client behaves whose request is planned for a time of the scenario: in a retry storm, the
-// storm's figures take the place of the scenario's.
+// ClientProfileAt returns the profile of a client whose request is planned for a time of the scenario. During a retry storm, the
+// storm's settings replace those of the scenario.
 func (scenario *Scenario) ClientProfileAt(at time.Duration) callers.ClientProfile {
 	profile := scenario.Clients
 	for _, storm := range scenario.Spec.Fleet.RetryStorms {
@@ -39,7 +39,7 @@
 	return profile
 }
 
-// ListDelay returns how much later than otherwise the list learns of what happens at a time of the scenario.
+// ListDelay returns the extra delay with which the endpoint list shows a change that happens at a time of the scenario.
 func (scenario *Scenario) ListDelay(at time.Duration) (delay time.Duration) {
 	for _, spec := range scenario.Spec.Fleet.ListDelays {
 		if within(at, spec.From, spec.To) {
@@ -49,7 +49,7 @@
 	return delay
 }
 
-// Partitioned reports whether nothing passes between two zones at a time of the scenario.
+// Partitioned reports whether a partition separates two zones at a time of the scenario.
 func (scenario *Scenario) Partitioned(a, b string, at time.Duration) bool {
 	return a != b && slices.ContainsFunc(scenario.Spec.Fleet.Partitions, func(p PartitionSpec) bool {
 		return (p.Zone == a || p.Zone == b) && within(at, p.From, p.To)
--- a/internal/emulator/fleet_spec.go
+++ b/internal/emulator/fleet_spec.go
@@ -4,26 +4,26 @@
 
 // The kinds of agent faults.
 const (
-	AgentRestart = "restart" // graceful shutdown, and a new process
-	AgentKill    = "kill"    // SIGKILL, and a new process
-	AgentPause   = "pause"   // SIGSTOP for the duration, then SIGCONT; open connections stay. Real processes only
-	AgentSlow    = "slow"    // for the duration it runs for RunFraction of the time only. Real processes only
+	AgentRestart = "restart" // graceful shutdown and start of a new process
+	AgentKill    = "kill"    // SIGKILL and start of a new process
+	AgentPause   = "pause"   // SIGSTOP, and SIGCONT after Duration; connections stay open. Real processes only
+	AgentSlow    = "slow"    // the process runs only RunFraction of the time for Duration. Real processes only
 )
 
-// AgentFaultSpec is a fault of a share of the agents, which are drawn by the seed. A new process starts from the endpoint list
-// of the one before it, and without its persisted state unless WithState.
+// AgentFaultSpec describes a fault of a fraction of the agents, which are drawn at random. A new process starts with the endpoint
+// list of its predecessor, and with the predecessor's persisted state only if WithState is set.
 type AgentFaultSpec struct {
 	Kind        string          `toml:"kind"`
-	Share       float64         `toml:"share"`
-	Groups      int             `toml:"groups"` // hit one after the other, evenly from From to To; 0 is 1
+	Share       float64         `toml:"share"`  // fraction of the agents
+	Groups      int             `toml:"groups"` // groups of agents hit one after the other, at even intervals from From to To; 0 is 1
 	From        config.Duration `toml:"from"`
 	To          config.Duration `toml:"to"`
-	Duration    config.Duration `toml:"away"` // until the new process takes clients, or the paused or slow one goes on as before
-	WithState   bool            `toml:"kept"` // the new process starts with the state that the one before it persisted
-	RunFraction float64         `toml:"part"` // of the time, in which a slow process runs: 0.05 to 0.95
+	Duration    config.Duration `toml:"away"` // until the new process accepts clients, or the paused or slow one runs normally again
+	WithState   bool            `toml:"kept"` // the new process starts with the state that its predecessor persisted
+	RunFraction float64         `toml:"part"` // fraction of the time in which a slow process runs: 0.05 to 0.95
 }
 
-// TrafficShiftSpec multiplies the traffic of a zone's agents for a while, or of all agents where Zone is empty.
+// TrafficShiftSpec multiplies the traffic of the agents of a zone by Factor from From to To, or of all agents if Zone is empty.
 type TrafficShiftSpec struct {
 	Zone   string          `toml:"zone"`
 	From   config.Duration `toml:"from"`
@@ -31,21 +31,22 @@
 	Factor float64         `toml:"times"`
 }
 
-// ListDelaySpec delays all changes of the endpoint list that happen in a while.
+// ListDelaySpec delays by By, in addition to the delays of DiscoverySpec, all changes of the endpoint list that happen from From
+// to To.
 type ListDelaySpec struct {
 	From config.Duration `toml:"from"`
 	To   config.Duration `toml:"to"`
 	By   config.Duration `toml:"by"`
 }
 
-// PartitionSpec cuts a zone off from the others for a while: packets are lost without an error.
+// PartitionSpec cuts a zone off from the other zones from From to To: packets are lost without an error.
 type PartitionSpec struct {
 	Zone string          `toml:"zone"`
 	From config.Duration `toml:"from"`
 	To   config.Duration `toml:"to"`
 }
 
-// RetryStormSpec changes how clients retry for a while: see ClientSpec.
+// RetryStormSpec replaces settings of ClientSpec from From to To, so that clients retry more.
 type RetryStormSpec struct {
 	From                   config.Duration `toml:"from"`
 	To                     config.Duration `toml:"to"`
@@ -55,15 +56,15 @@
 	ImpatientFraction      float64         `toml:"impatient"`
 }
 
-// Prices are subtracted from a run's goal, each multiplied by the cost that it names.
+// Prices weight the costs of a run. Each price times its cost is subtracted from the run's goal (referee.Service.Goal).
 type Prices struct {
-	HealthCheck float64 `toml:"probe"`     // a health check for each request
-	Handshake   float64 `toml:"handshake"` // a handshake for each request
-	List        float64 `toml:"list"`      // a request to discovery for each request
-	Waste       float64 `toml:"waste"`     // wasted work, as a share of all work done
+	HealthCheck float64 `toml:"probe"`     // cost: health checks per request
+	Handshake   float64 `toml:"handshake"` // cost: handshakes per request
+	List        float64 `toml:"list"`      // cost: requests to discovery per request
+	Waste       float64 `toml:"waste"`     // cost: wasted work as a fraction of all work done
 }
 
-// FleetSpec is what happens to a fleet as a whole.
+// FleetSpec describes the faults and events that affect a fleet as a whole, and the prices of its costs.
 type FleetSpec struct {
 	AgentFaults    []AgentFaultSpec    `toml:"agent_trouble"`
 	TrafficShifts  []TrafficShiftSpec  `toml:"shift"`
@@ -71,23 +72,23 @@
 	Partitions     []PartitionSpec     `toml:"cut"`
 	RetryStorms    []RetryStormSpec    `toml:"storm"`
 	Paths          []PathSpec          `toml:"path"` // real processes only
-	ByzantinePeers []ByzantinePeerSpec `toml:"liar"` // likewise, and only where agents gossip
+	ByzantinePeers []ByzantinePeerSpec `toml:"liar"` // real processes that gossip only
 	Prices         Prices              `toml:"prices"`
 }
 
-// ByzantinePeerSpec is a gossip peer that is no agent and sends false reports to the agents.
+// ByzantinePeerSpec describes a gossip peer that is not an agent and sends false reports to the agents.
 type ByzantinePeerSpec struct {
-	Says []string        `toml:"says"`
+	Says []string        `toml:"says"` // kinds of false reports
 	From config.Duration `toml:"from"`
 	To   config.Duration `toml:"to"`
 }
 
 // The false reports of a Byzantine peer.
 const (
-	FalseSuspicion = "suspect" // every server is an outlier: in its own and in the agents' names, with timestamps as far ahead as agents accept
-	FalseRemoval   = "gone"    // half of the servers are gone
-	FalseDemand    = "demand"  // it has the demand for the whole capacity
-	FalseRate      = "rate"    // nodes handle a million requests a second
+	FalseSuspicion = "suspect" // every node is an outlier: sent in its own and in the agents' names, with the latest timestamps that agents accept
+	FalseRemoval   = "gone"    // half of the nodes are gone
+	FalseDemand    = "demand"  // its own demand equals the whole capacity
+	FalseRate      = "rate"    // the nodes handle a million requests per second
 )
 
 // FalseReports returns all kinds of false reports.
--- a/internal/emulator/link_faults.go
+++ b/internal/emulator/link_faults.go
@@ -7,13 +7,13 @@
 	"ryeweir/internal/emulator/link"
 )
 
-// linkFault impairs the directions that it applies to, while it lasts.
+// linkFault impairs all directions of paths for which applies returns true.
 type linkFault struct {
 	applies func(from, to string) bool
-	added   link.Conditions // on top of the path's own
+	added   link.Conditions // in addition to those of the path itself
 }
 
-// addConditions puts conditions on top of others: delays add up, losses are independent.
+// addConditions combines two conditions: delays and jitters are summed, losses are independent.
 func addConditions(c, added link.Conditions) link.Conditions {
 	c.Delay, c.Jitter = c.Delay+added.Delay, c.Jitter+added.Jitter
 	c.Loss = 1 - (1-c.Loss)*(1-added.Loss)
@@ -21,7 +21,7 @@
 	return c
 }
 
-// injectLinkFault impairs paths from one time of the world to another, and returns when it is over.
+// injectLinkFault waits until from, impairs paths until to, and returns. Both are times of the world.
 func (w *World) injectLinkFault(from, to time.Duration, host, text string, fault linkFault) {
 	if !w.waitUntil(from) {
 		return
@@ -33,7 +33,7 @@
 	}
 }
 
-// addLinkFault impairs paths until the function that it returns is called. Several faults add up.
+// addLinkFault impairs paths until the function that it returns is called. Simultaneous faults are combined by addConditions.
 func (w *World) addLinkFault(fault linkFault) (end func()) {
 	added := &fault
 	w.mu.Lock()
@@ -49,12 +49,12 @@
 	}
 }
 
-// isCut reports whether what one host sends to another does not pass at present. w.mu is held.
+// isCut reports whether the direction from one host to another is currently cut. w.mu is held.
 func (w *World) isCut(from, to string) bool {
 	return slices.ContainsFunc(w.linkFaults, func(fault *linkFault) bool { return fault.added.Cut && fault.applies(from, to) })
 }
 
-// applyConditions sets the present conditions of the paths whose faults have changed. w.mu is held.
+// applyConditions updates the conditions of all paths for which changed returns true in either direction. w.mu is held.
 func (w *World) applyConditions(changed func(from, to string) bool) {
 	apply := func(a, b string, own link.Conditions) {
 		if changed(a, b) || changed(b, a) {
@@ -73,7 +73,7 @@
 	}
 }
 
-// conditions returns a path's own conditions with those of all present faults. w.mu is held.
+// conditions combines a path's own conditions with those of all active faults. w.mu is held.
 func (w *World) conditions(from, to string, own link.Conditions) link.Conditions {
 	for _, fault := range w.linkFaults {
 		if fault.applies(from, to) {
--- a/internal/emulator/loopback_network.go
+++ b/internal/emulator/loopback_network.go
@@ -9,14 +9,14 @@
 	"ryeweir/internal/emulator/link"
 )
 
-// LoopbackNetwork is a Network on sockets of 127.0.0.1 at free ports. A path is a relay. The zero value is ready for use.
+// LoopbackNetwork is a Network on sockets of 127.0.0.1 at free ports. Each path is a relay. The zero value is ready for use.
 type LoopbackNetwork struct {
-	WithoutRelays bool       // agents connect to nodes directly: no conditions, and nothing to set down
-	Mesh          *link.Mesh // between agents that gossip; nil without. Close closes it
+	WithoutRelays bool       // agents connect to nodes directly; conditions and SetDown have no effect
+	Mesh          *link.Mesh // paths between agents that gossip, or nil; closed by Close
 
 	mu         sync.Mutex
 	relays     map[relayKey]*link.Relay
-	relaysMade uint64 // each relay has random numbers of its own
+	relaysMade uint64 // seed of the latest relay, so that each has random numbers of its own
 }
 
 type relayKey struct{ agent, host string }
@@ -25,15 +25,15 @@
 
 const anyPort = "127.0.0.1:0"
 
-// Listen listens at a free port.
+// Listen returns a listener at a free port.
 func (*LoopbackNetwork) Listen(string) (net.Listener, error) { return net.Listen("tcp", anyPort) }
 
-// ListenAgain listens at a port that was in use before.
+// ListenAgain returns a listener at an address at which an earlier listener has been closed.
 func (*LoopbackNetwork) ListenAgain(addr string) (net.Listener, error) {
 	return net.Listen("tcp", addr)
 }
 
-// AddPath puts a relay between an agent and a host, and returns the relay's address.
+// AddPath starts a relay between an agent and a host, and returns the relay's address.
 func (n *LoopbackNetwork) AddPath(agent, host, addr string, conditions link.Conditions) (string, error) {
 	if n.WithoutRelays {
 		return addr, nil
@@ -54,19 +54,19 @@
 	return l.Addr().String(), nil
 }
 
-// SetConditions changes the conditions of a relay or, between agents, of the mesh.
-func (n *LoopbackNetwork) SetConditions(agent, other string, forth, back link.Conditions) {
+// SetConditions sets the conditions of a relay or, between agents, of the mesh.
+func (n *LoopbackNetwork) SetConditions(agent, other string, forward, reverse link.Conditions) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if relay := n.relays[relayKey{agent, other}]; relay != nil {
-		relay.Set(forth, back)
+		relay.Set(forward, reverse)
 	} else if n.Mesh != nil {
-		n.Mesh.Set(agent, other, forth)
-		n.Mesh.Set(other, agent, back)
+		n.Mesh.Set(agent, other, forward)
+		n.Mesh.Set(other, agent, reverse)
 	}
 }
 
-// SetDown lets all relays to a node refuse connections, or accept them again.
+// SetDown makes all relays to a node refuse connections, or accept them again.
 func (n *LoopbackNetwork) SetDown(node string, down bool) error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -79,8 +79,8 @@
 	return errors.Join(errs...)
 }
 
-// Dialer returns the machine's dial function, for loopback addresses only: load must never leave the machine by a mistake in
-// an address.
+// Dialer returns a dial function that connects to loopback addresses only, so that a mistake in an address cannot send load to
+// another machine. For other addresses it returns a *NotLoopbackError.
 func (*LoopbackNetwork) Dialer(string) Dial {
 	return func(ctx context.Context, network, addr string) (net.Conn, error) {
 		host, _, err := net.SplitHostPort(addr)
@@ -96,10 +96,10 @@
 
 // Error implements error.
 func (e *NotLoopbackError) Error() string {
-	return "callers go to loopback addresses only, not to " + e.Addr
+	return "refusing to dial " + e.Addr + ": callers may connect to loopback IP addresses only"
 }
 
-// Close ends all relays and the mesh.
+// Close closes all relays and the mesh.
 func (n *LoopbackNetwork) Close() {
 	n.mu.Lock()
 	relays := n.relays
--- a/internal/emulator/memory_network.go
+++ b/internal/emulator/memory_network.go
@@ -6,36 +6,36 @@
 	"ryeweir/internal/emulator/link"
 )
 
-// MemoryNetwork is a Network in memory, which works inside testing/synctest.
+// MemoryNetwork is an in-memory Network, which works inside testing/synctest.
 type MemoryNetwork struct{ *link.Network }
 
 var _ Network = MemoryNetwork{}
 
-// Listen listens for a host at any port.
+// Listen returns a listener for a host at a free port.
 func (m MemoryNetwork) Listen(host string) (net.Listener, error) {
 	return m.Network.Listen(host + ":0")
 }
 
-// ListenAgain listens at an address that was in use before.
+// ListenAgain returns a listener at an address at which an earlier listener has been closed.
 func (m MemoryNetwork) ListenAgain(addr string) (net.Listener, error) { return m.Network.Listen(addr) }
 
-// AddPath sets the conditions both ways. All agents reach a host at its own address.
+// AddPath sets the conditions of both directions and returns addr, as all agents reach a host at its listen address.
 func (m MemoryNetwork) AddPath(agent, host, addr string, conditions link.Conditions) (string, error) {
 	m.SetConditions(agent, host, conditions, conditions)
 	return addr, nil
 }
 
-// SetConditions changes the conditions between two hosts.
-func (m MemoryNetwork) SetConditions(agent, other string, forth, back link.Conditions) {
-	m.Set(agent, other, forth)
-	m.Set(other, agent, back)
+// SetConditions sets the conditions of both directions between two hosts.
+func (m MemoryNetwork) SetConditions(agent, other string, forward, reverse link.Conditions) {
+	m.Set(agent, other, forward)
+	m.Set(other, agent, reverse)
 }
 
-// SetDown does nothing: without a listener, connections are refused.
+// SetDown does nothing: connections are refused as soon as the node's listener is closed.
 func (MemoryNetwork) SetDown(string, bool) error { return nil }
 
 // Dialer returns the dial function of a host.
 func (m MemoryNetwork) Dialer(host string) Dial { return m.Network.Dialer(host) }
 
-// Close does nothing: nothing outlives the connections.
+// Close does nothing: the paths hold no resources of their own.
 func (MemoryNetwork) Close() {}
--- a/internal/emulator/network.go
+++ b/internal/emulator/network.go
@@ -10,21 +10,23 @@
 // Dial opens a connection, as net.Dialer's DialContext does.
 type Dial func(ctx context.Context, network, addr string) (net.Conn, error)
 
-// Network is what a World stands on: sockets of the machine's loopback, or a network in memory. Hosts are the names of agents
-// and nodes, and Discovery. Implementations are safe for concurrent use.
+// Network connects the agents, nodes and discovery of a World. LoopbackNetwork uses loopback sockets, MemoryNetwork an in-memory
+// network. A host is the name of an agent or a node, or Discovery. Implementations are safe for concurrent use.
 type Network interface {
-	// Listen listens for a host at an address of the network's choice.
+	// Listen returns a listener for a host, at an address that the network chooses.
 	Listen(host string) (net.Listener, error)
-	// ListenAgain listens at an address that was in use before.
+	// ListenAgain returns a listener at an address at which an earlier listener has been closed.
 	ListenAgain(addr string) (net.Listener, error)
-	// AddPath returns the address at which an agent reaches a host that listens at addr, under conditions both ways.
+	// AddPath adds a path from an agent to a host that listens at addr, with the same conditions in both directions. It returns the
+	// address at which the agent reaches the host.
 	AddPath(agent, host, addr string, conditions link.Conditions) (string, error)
-	// SetConditions changes the conditions from an agent to a node, to discovery or to another agent, and back.
-	SetConditions(agent, other string, forth, back link.Conditions)
-	// SetDown says whether a node's process is down: connections to it are then refused.
+	// SetConditions sets the conditions of both directions between an agent and a node, discovery or another agent. forward is the
+	// direction from the agent to the other host.
+	SetConditions(agent, other string, forward, reverse link.Conditions)
+	// SetDown sets whether a node's process is down. While it is down, connections to it are refused.
 	SetDown(node string, down bool) error
 	// Dialer returns the dial function of a host.
 	Dialer(host string) Dial
-	// Close releases what the paths hold.
+	// Close closes the paths and releases their resources.
 	Close()
 }
--- a/internal/emulator/notifications.go
+++ b/internal/emulator/notifications.go
@@ -6,11 +6,11 @@
 	"ryeweir/internal/emulator/discovery"
 )
 
-// The rules on draining and slow start judge an agent by what it was notified of. Discovery reports each entry that it has
-// written to an agent's connection. An entry that was written into a cut has not arrived: it counts as received when the cut is
-// over, as the stream's bytes then pass.
+// The rules on draining and slow start hold an agent only to notifications that it has received. Discovery reports each entry that
+// it has written to an agent's connection. While the path to the agent is cut, the written bytes do not arrive, so the entry counts
+// as received when the cut is over.
 
-// notified takes an entry that discovery has written to an agent.
+// notified handles an entry that discovery has written to an agent.
 func (w *World) notified(agent string, entry discovery.Entry, at time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -24,7 +24,7 @@
 	w.heldNotifications[agent][entry.ID] = entry
 }
 
-// releaseNotifications records what was held up by a cut that is over. w.mu is held.
+// releaseNotifications records the held entries of all agents whose path from discovery is no longer cut. w.mu is held.
 func (w *World) releaseNotifications() {
 	for agent, entries := range w.heldNotifications {
 		if w.isCut(Discovery, agent) {
@@ -37,7 +37,7 @@
 	}
 }
 
-// recordNotified records what an agent has received. w.mu is held.
+// recordNotified records that an agent has received an entry. w.mu is held.
 func (w *World) recordNotified(agent string, entry discovery.Entry, at time.Duration) {
 	w.Referee.Notified(agent, entry.ID, entry.State == discovery.Ready, at)
 	if entry.State != discovery.Removed {
@@ -45,9 +45,9 @@
 	}
 }
 
-// unnotified reports whether the agent that sent a request had not been notified of the node's present incarnation, which began
-// at a time of the world: then it could not know that the node is in slow start. Callers that choose nodes themselves read the
-// list without delay, and are never unnotified.
+// unnotified reports whether the agent that sent a request had not yet been notified of the node's current incarnation, which
+// started at a time of the world. Such an agent cannot know that the node is in slow start. It returns false for callers that choose
+// nodes themselves, as they read the endpoint list without delay.
 func (w *World) unnotified(requestID, node string, started time.Duration) bool {
 	agent := w.Referee.AgentOf(requestID)
 	if agent == "" || started < 0 {
--- a/internal/emulator/scenario.go
+++ b/internal/emulator/scenario.go
@@ -10,27 +10,28 @@
 
 // NodeFault is a fault of one node.
 type NodeFault struct {
-	Node int // its number, from 0
+	Node int // index in Scenario.Nodes
 	node.Fault
 }
 
-// Scenario is a scenario as it was drawn. It is not changed after Draw, and may be read by several goroutines.
+// Scenario is a scenario that was drawn from a spec and a seed. It does not change after Draw, so goroutines may read it
+// concurrently.
 type Scenario struct {
 	Spec    ScenarioSpec
 	Seed    uint64
 	Length  time.Duration
 	Nodes   []node.Spec
-	Agents  []string // their names
+	Agents  []string // names
 	Plan    []callers.PlannedRequest
 	Classes []callers.Class
 	Tenants []callers.Tenant
 	Clients callers.ClientProfile
 
-	Faults      []NodeFault  // by the time of their beginning
-	AgentFaults []AgentFault // likewise
+	Faults      []NodeFault  // ordered by From
+	AgentFaults []AgentFault // ordered by At
 
-	Rate     float64 // requests a second, on average and without traffic shifts
-	Capacity float64 // work a second that all nodes can do when none is in slow start; work is in seconds on a core of speed 1
+	Rate     float64 // base rate in requests per second, before Shape and traffic shifts
+	Capacity float64 // work that all nodes can do per second when none is in slow start, in seconds on a core of speed 1
 }
 
 // PathConditions returns the conditions of the path between two zones.
@@ -43,7 +44,7 @@
 	return conditions
 }
 
-// AgentZone returns the zone of an agent by its number.
+// AgentZone returns the zone of the agent with that index in Agents.
 func (scenario *Scenario) AgentZone(agent int) string {
 	zones := scenario.Spec.Zones
 	return zones[agent%len(zones)]
--- a/internal/emulator/scenario_defaults.go
+++ b/internal/emulator/scenario_defaults.go
@@ -8,8 +8,8 @@
 
 func ms(n float64) config.Duration { return config.Duration(n * float64(time.Millisecond)) }
 
-// DefaultScenario returns a scenario without faults: 20 s on ten nodes of two kinds in three zones, with two agents and
-// about 290 requests a second.
+// DefaultScenario returns a scenario without faults: 20 s, ten nodes of two kinds in three zones, two agents, and about 290
+// requests per second.
 func DefaultScenario() ScenarioSpec {
 	return ScenarioSpec{
 		Name:          "quiet",
@@ -41,7 +41,7 @@
 	}
 }
 
-// DefaultKinds returns the two kinds of machine.
+// DefaultKinds returns two kinds of machines with ten nodes in all.
 func DefaultKinds() []KindSpec {
 	return []KindSpec{
 		{Name: "gen-a", Nodes: 4, Cores: 2, Speed: 0.97, Spread: 0.1, QueuePerCore: 2.6, Degrades: true, ConnCap: 390, ErrorRate: 0.0003},
@@ -49,8 +49,8 @@
 	}
 }
 
-// DefaultClasses returns the two classes of requests. Their work is such that ten nodes at half load get about 290 requests a
-// second.
+// DefaultClasses returns an idempotent and a non-idempotent class. Their work is chosen so that the ten nodes of DefaultKinds at
+// half load get about 290 requests per second.
 func DefaultClasses() []ClassSpec {
 	return []ClassSpec{
 		{
@@ -77,12 +77,13 @@
 	}
 }
 
-// DefaultTenants returns the four tenants.
+// DefaultTenants returns four tenants whose shares add up to 1.
 func DefaultTenants() []TenantSpec {
 	return []TenantSpec{{"ranmuthu-eats", 0.56}, {"kottu-run", 0.24}, {"bath-box", 0.11}, {"sambol-go", 0.09}}
 }
 
-// ApplyDefaults puts the default in place of each field that a file left at its zero value. A table is replaced as a whole.
+// ApplyDefaults sets the fields that have their zero value to the values of DefaultScenario. A table or list is replaced only as a
+// whole. Fields for which zero is a setting of its own, such as AgentSkew, are not changed.
 func (spec *ScenarioSpec) ApplyDefaults() {
 	defaults := DefaultScenario()
 	setDefault(&spec.Length, defaults.Length)
--- a/internal/emulator/scenario_draw.go
+++ b/internal/emulator/scenario_draw.go
@@ -8,14 +8,14 @@
 	"ryeweir/internal/emulator/node"
 )
 
-// scenarioStream keeps the random numbers of Draw apart from those that other parts take from the same seed.
+// scenarioStream selects a PCG stream of its own for Draw, independent of other generators with the same seed.
 const scenarioStream = 0x646179
 
-// minSpeedFactor bounds how slow a node is drawn, as a share of its kind's speed.
+// minSpeedFactor is the lowest speed that is drawn for a node, as a fraction of its kind's speed.
 const minSpeedFactor = 0.4
 
-// Draw draws a scenario. Equal specs and seeds draw equal scenarios: the order in which the steps take random numbers is
-// part of the contract, as recorded experiments are repeated by their seed.
+// Draw draws a scenario. Equal specs and seeds give equal scenarios. Recorded experiments are repeated by their seed, so the
+// order in which the steps draw random numbers is part of the contract.
 func (spec *ScenarioSpec) Draw(seed uint64) (*Scenario, error) {
 	rng := rand.New(rand.NewPCG(seed, scenarioStream))
 	scenario := &Scenario{Spec: *spec, Seed: seed, Length: spec.Length.D()}
@@ -39,7 +39,7 @@
 	return scenario, nil
 }
 
-// drawNodes draws the nodes' speeds. Nodes are spread evenly over the zones, in turn.
+// drawNodes adds the nodes with random speeds. It assigns them to the zones in turn.
 func (scenario *Scenario) drawNodes(rng *rand.Rand) error {
 	zones := scenario.Spec.Zones
 	for _, kind := range scenario.Spec.Kinds {
@@ -64,7 +64,8 @@
 	return nil
 }
 
-// setTraffic takes over classes, tenants and clients, and works out the rate from the load where the spec gives no rate.
+// setTraffic copies classes, tenants and the client profile from the spec, and computes the rate from the load if the spec has no
+// rate.
 func (scenario *Scenario) setTraffic() {
 	spec := scenario.Spec
 	work, shares := 0.0, 0.0
@@ -83,7 +84,7 @@
 	}
 }
 
-// addAgents names the agents and returns how the traffic is shared among them.
+// addAgents names the agents and returns their relative shares of the traffic.
 func (scenario *Scenario) addAgents() (shares []float64) {
 	spec := scenario.Spec
 	shares = make([]float64, spec.Agents)
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -16,45 +16,45 @@
 	"ryeweir/internal/emulator/referee"
 )
 
-// What all scenarios have in common.
+// Settings that are the same in all scenarios.
 const (
-	ConnectionIdleTimeout = 10 * time.Second       // nodes close connections that are idle for so long
-	ConnectTimeout        = 100 * time.Millisecond // a connection that is not up by then has failed
-	HealthCheckTimeout    = 120 * time.Millisecond // a health check without an answer by then has failed
+	ConnectionIdleTimeout = 10 * time.Second       // nodes close connections that have been idle for this long
+	ConnectTimeout        = 100 * time.Millisecond // for establishing a connection
+	HealthCheckTimeout    = 120 * time.Millisecond // for the answer to a health check
 
-	drainSlack   = 100 * time.Millisecond // in the rule on drains, for the way through relays under load
+	drainSlack   = 100 * time.Millisecond // added to referee.Rules.TransitSlack for the delay in relays under load
 	nodesPerCell = 8
 )
 
 // World runs a scenario's nodes, discovery and faults. It is safe for concurrent use.
 type World struct {
 	Scenario *Scenario
-	Network  Network // owned: Close closes it
+	Network  Network // owned by the World, which closes it in Close
 	Epoch    time.Time
 	Referee  *referee.Referee
 
-	ctx            context.Context // ends with Close
+	ctx            context.Context // cancelled by Close
 	stop           context.CancelFunc
-	goroutines     sync.WaitGroup // of the faults
+	goroutines     sync.WaitGroup // that inject faults
 	discovery      *discovery.Server
-	discoveryAddrs []string // by agent
+	discoveryAddrs []string // by agent index
 	backends       []*backend.Backend
 
 	mu                sync.Mutex
-	nodeAddrs         []string             // where the nodes listen
-	agentAddrs        map[[2]string]string // by agent and a node's address: where the agent reaches it
+	nodeAddrs         []string             // listen addresses, by node index
+	agentAddrs        map[[2]string]string // by agent and listen address of a node: the address at which the agent reaches the node
 	replacements      int                  // restarts and replacements so far
-	replacedIDs       []string             // by node: its present id where it was replaced, else ""
+	replacedIDs       []string             // by node index: the current ID of a replaced node, else ""
 	startedAt         time.Duration        // when the scenario began
 	events            []Event
-	err               error // the first that prevented a fault from being injected
+	err               error // the first error that prevented a fault from being injected
 	linkFaults        []*linkFault
-	heldNotifications map[string]map[string]discovery.Entry // by agent and node id: what discovery wrote into a cut
-	notifiedStarts    map[[2]string]int64                   // by agent and node id: the start that the agent was last notified of, as Unix milliseconds
+	heldNotifications map[string]map[string]discovery.Entry // by agent and node ID: entries that discovery wrote while its path to the agent was cut
+	notifiedStarts    map[[2]string]int64                   // by agent and node ID: start time of the last incarnation that the agent was notified of, in Unix milliseconds
 }
 
-// Start starts a scenario's nodes and discovery. rejectUnknown lets nodes reject requests with ids that no caller of this
-// process sent. Close ends the world; it also ends with the context.
+// Start starts a scenario's nodes and discovery. If rejectUnknown is set, nodes reject requests whose ID was not sent by a caller
+// of this process. The world runs until Close is called or the context ends; Close must be called in any case.
 func Start(ctx context.Context, scenario *Scenario, network Network, rejectUnknown bool) (*World, error) {
 	rules := referee.DefaultRules()
 	rules.TransitSlack += drainSlack
@@ -97,7 +97,7 @@
 	return nil
 }
 
-// startNode starts a node and gives each agent a path to it.
+// startNode starts a node, adds a path from each agent to it, and lists it in discovery.
 func (w *World) startNode(i int, spec node.Spec, rejectUnknown bool) error {
 	w.nodeAddrs, w.replacedIDs = append(w.nodeAddrs, ""), append(w.replacedIDs, "")
 	b, err := backend.Start(w.ctx, backend.Config{
@@ -118,7 +118,7 @@
 	for a, agent := range w.Scenario.Agents {
 		addr, err := w.Network.AddPath(agent, spec.ID, b.Addr(), w.Scenario.PathConditions(w.Scenario.AgentZone(a), spec.Zone))
 		if err != nil {
-			return fmt.Errorf("the path from %s to %s: %w", agent, spec.ID, err)
+			return fmt.Errorf("adding the path from %s to %s: %w", agent, spec.ID, err)
 		}
 		w.agentAddrs[[2]string{agent, b.Addr()}] = addr
 	}
@@ -126,7 +126,8 @@
 	return nil
 }
 
-// nodeListener returns a function that listens anew for the first process of a node, and for the next ones at its address.
+// nodeListener returns a function that opens a node's listener: for the first incarnation at an address that the network chooses,
+// for later ones at that same address.
 func (w *World) nodeListener(i int, host string) func() (net.Listener, error) {
 	first := true
 	return func() (net.Listener, error) {
@@ -138,7 +139,7 @@
 	}
 }
 
-// startDiscovery gives an agent an address of discovery of its own, by which discovery knows it.
+// startDiscovery serves discovery to an agent at an address of its own. Discovery recognizes the agent by that address.
 func (w *World) startDiscovery(agent string) error {
 	l, err := w.Network.Listen(Discovery)
 	if err != nil {
@@ -146,17 +147,17 @@
 	}
 	addr, err := w.Network.AddPath(agent, Discovery, l.Addr().String(), link.Conditions{})
 	if err != nil {
-		return fmt.Errorf("the path from %s to discovery: %w", agent, err)
+		return fmt.Errorf("adding the path from %s to discovery: %w", agent, err)
 	}
 	w.discoveryAddrs = append(w.discoveryAddrs, addr)
 	w.discovery.Serve(l, agent)
 	return nil
 }
 
-// backendSeed is the seed of a node's incarnation, by a number that no other has.
+// backendSeed returns the seed of a node's incarnation, given a number that no other incarnation in the world has.
 func (w *World) backendSeed(number int) uint64 { return w.Scenario.Seed*1000 + uint64(number) }
 
-// rewriteEntry puts into an entry the address at which an agent reaches the node.
+// rewriteEntry replaces the address in an entry by the one at which the agent reaches the node.
 func (w *World) rewriteEntry(agent string, entry discovery.Entry) discovery.Entry {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -182,10 +183,10 @@
 	return entry
 }
 
-// DiscoveryAddr returns the address at which an agent, by its number, reaches discovery.
+// DiscoveryAddr returns the address at which the agent with that index reaches discovery.
 func (w *World) DiscoveryAddr(agent int) string { return w.discoveryAddrs[agent] }
 
-// EndpointList returns the present list, with the addresses at which an agent, by its number, reaches the nodes.
+// EndpointList returns the current endpoint list, with the addresses at which the agent with that index reaches the nodes.
 func (w *World) EndpointList(agent int) discovery.List {
 	list := w.discovery.Snapshot()
 	for i, entry := range list.Servers {
@@ -194,10 +195,10 @@
 	return list
 }
 
-// Now returns the time of the world: since Epoch.
+// Now returns the time of the world, which is the time since Epoch.
 func (w *World) Now() time.Duration { return time.Since(w.Epoch) }
 
-// waitUntil waits for a time of the world; false says that the world has been closed.
+// waitUntil waits until a time of the world. It returns false if the world was closed first.
 func (w *World) waitUntil(at time.Duration) bool {
 	timer := time.NewTimer(at - w.Now())
 	defer timer.Stop()
@@ -209,7 +210,7 @@
 	}
 }
 
-// NodeStates returns the present state of each node.
+// NodeStates returns the current state of each node.
 func (w *World) NodeStates() []backend.State {
 	states := make([]backend.State, len(w.backends))
 	for i, b := range w.backends {
@@ -218,12 +219,12 @@
 	return states
 }
 
-// DiscoveryFigures returns the counts of discovery's requests.
+// DiscoveryFigures returns the counts of the requests to discovery.
 func (w *World) DiscoveryFigures() discovery.Figures { return w.discovery.Figures() }
 
-// RunCallers sends the scenario's plan by a route and returns the results, with times of the scenario. InjectFaults comes
-// first. direct says that callers send to nodes, without an agent. done, which may be nil, gets each result as it comes, with
-// times of the world. When the context ends no further request begins.
+// RunCallers sends the planned requests along a route, waits for their ends and returns the results, with times of the scenario.
+// InjectFaults must be called first. direct means that the route sends requests to nodes without an agent. done may be nil; it is
+// called with each result as soon as the call has ended, with times of the world. Once the context ends, no further calls begin.
 func (w *World) RunCallers(ctx context.Context, route callers.Route, direct bool, done func(referee.CallResult)) ([]referee.CallResult, callers.Figures) {
 	w.mu.Lock()
 	start := w.startedAt
@@ -254,7 +255,7 @@
 	return calls, figures
 }
 
-// Close ends the faults, discovery, the nodes and the network, in this order, and waits for them.
+// Close stops the faults, discovery, the nodes and the network, in this order, and waits for them.
 func (w *World) Close() {
 	w.stop()
 	w.goroutines.Wait()
--- a/internal/emulator/world_faults.go
+++ b/internal/emulator/world_faults.go
@@ -9,8 +9,8 @@
 	"ryeweir/internal/emulator/node"
 )
 
-// InjectFaults begins the scenario: each fault is injected at its time, until all are over or the world is closed. It returns
-// at once. Agents should be ready by then.
+// InjectFaults begins the scenario and returns at once. Goroutines inject each fault at its time, until all are over or the world
+// is closed. The agents should be ready before the call.
 func (w *World) InjectFaults() {
 	begin := w.Now()
 	w.mu.Lock()
@@ -34,7 +34,7 @@
 	}
 }
 
-// partition cuts the paths between a zone and the others. Discovery has no zone: it is reached from everywhere.
+// partition returns a fault that cuts the paths between a zone and the others. Discovery belongs to no zone and stays reachable.
 func (w *World) partition(zone string) linkFault {
 	zones := w.zones()
 	applies := func(from, to string) bool {
@@ -44,7 +44,7 @@
 	return linkFault{applies, link.Conditions{Cut: true}}
 }
 
-// zones returns the zones of agents and nodes, by name.
+// zones returns the zone of each agent and node, by name.
 func (w *World) zones() map[string]string {
 	zones := map[string]string{}
 	for i, agent := range w.Scenario.Agents {
@@ -67,7 +67,8 @@
 	}
 }
 
-// injectFault injects a node's fault. Those that the node's model carries out by itself are handed to it ahead of their time.
+// injectFault injects a fault of a node. Faults that the node's model implements on its own are added to it at once, since the
+// model starts and ends them by their times.
 func (w *World) injectFault(fault NodeFault) {
 	spec := w.Scenario.Nodes[fault.Node]
 	switch fault.Kind {
@@ -89,7 +90,8 @@
 	}
 }
 
-// drain lets a node reject new work at once; the list shows it after its delay, and the process ends with the fault.
+// drain makes a node reject new requests at once. Discovery lists it as terminating after the removal delay. When the fault ends,
+// so does the process.
 func (w *World) drain(fault NodeFault) {
 	spec, delay := w.Scenario.Nodes[fault.Node], w.Scenario.Spec.Discovery.RemovalDelay.D()
 	w.backends[fault.Node].AddFault(fault.Fault)
@@ -100,7 +102,7 @@
 	}
 }
 
-// blackhole makes a node unresponsive and cuts all its paths.
+// blackhole makes a node unresponsive and cuts all its paths for the duration of the fault.
 func (w *World) blackhole(fault NodeFault) {
 	id := w.Scenario.Nodes[fault.Node].ID
 	w.backends[fault.Node].AddFault(fault.Fault)
@@ -110,13 +112,14 @@
 	}
 }
 
-// Replace ends a node's process and starts a new node at its address, which takes as long as down says, and returns when that
-// has started. The node must not have a fault of the scenario that ends its process meanwhile.
+// Replace ends a node's process, starts a node with a new ID at its address after the duration down, and then returns. No fault of
+// the scenario may end the node's process in the meantime.
 func (w *World) Replace(i int, down time.Duration) { w.restart(i, w.Now()+down, true) }
 
-// restart ends a node's process and starts it again in slow start at a time of the world: under a new id at the same address
-// where replace, else as itself. A restart that is over before the list would show the removal is never shown by it.
-func (w *World) restart(i int, back time.Duration, replace bool) {
+// restart ends a node's process and starts it again, in slow start and at the same address, at a time of the world (startAt). If
+// replace is set, the node gets a new ID. Otherwise discovery does not list the node as removed if its start would show before its
+// removal.
+func (w *World) restart(i int, startAt time.Duration, replace bool) {
 	spec, delays := w.Scenario.Nodes[i], w.Scenario.Spec.Discovery
 	w.mu.Lock()
 	if id := w.replacedIDs[i]; id != "" {
@@ -124,10 +127,10 @@
 	}
 	w.mu.Unlock()
 	w.kill(i)
-	if replace || delays.RemovalDelay.D() < back-w.Now()+delays.AdditionDelay.D() {
+	if replace || delays.RemovalDelay.D() < startAt-w.Now()+delays.AdditionDelay.D() {
 		w.discovery.Set(w.entry(i, spec, discovery.Removed), delays.RemovalDelay.D()+w.listDelay())
 	}
-	if !w.waitUntil(back) {
+	if !w.waitUntil(startAt) {
 		return
 	}
 	if id := w.nextID(i, replace); replace {
@@ -145,7 +148,7 @@
 	w.discovery.Set(w.entry(i, spec, discovery.Ready), delays.AdditionDelay.D()+w.listDelay())
 }
 
-// nextID counts an incarnation, and returns the new id of a node that is replaced.
+// nextID counts an incarnation. If replace is set, it sets and returns the node's new ID.
 func (w *World) nextID(i int, replace bool) string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -165,7 +168,7 @@
 	w.backends[i].Kill()
 }
 
-// listDelay returns how much later than otherwise the list learns of what happens now.
+// listDelay returns the extra delay with which the endpoint list shows a change that happens now.
 func (w *World) listDelay() time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
