--- a/internal/emulator/link/conditions.go
+++ b/internal/emulator/link/conditions.go
@@ -6,42 +6,42 @@
 	"time"
 )
 
-// Conditions are what one direction of a path does to what passes. The zero value does nothing to it.
+// Conditions describe one direction of a path. The zero value passes everything without delay.
 type Conditions struct {
 	Delay     time.Duration
-	Jitter    time.Duration // up to this much more, drawn evenly; a stream stays in order
-	Bandwidth float64       // bytes a second; 0 for no limit
-	Loss      float64       // share of packets lost: a stream stalls and resends, a datagram is gone
-	Resend    time.Duration // the first stall after a loss, doubled with each loss of the same packet; 0 for 200 ms
-	Cut       bool          // nothing passes, without an error; what a stream holds passes when the cut is over
+	Jitter    time.Duration // maximum additional delay, uniformly distributed; the bytes of a stream stay in order
+	Bandwidth float64       // bytes per second; 0 for no limit
+	Loss      float64       // probability that a packet is lost, in [0, 1); a stream stalls and resends it, a datagram is lost for good
+	Resend    time.Duration // stall after the first loss of a packet, doubled with each further loss of it; 0 for 200 ms
+	Cut       bool          // nothing passes, and no error is returned; bytes of a stream are held back until the cut is over
 }
 
-// Check returns what is wrong with conditions.
+// Check returns an error that describes the first invalid field.
 func (c Conditions) Check() error {
 	if c.Delay < 0 || c.Jitter < 0 || c.Bandwidth < 0 || c.Resend < 0 {
-		return fmt.Errorf("delay, jitter, bandwidth and resend must not be below 0: %+v", c)
+		return fmt.Errorf("delay, jitter, bandwidth and resend must be at least 0: %+v", c)
 	}
 	if c.Loss < 0 || c.Loss >= 1 {
-		return fmt.Errorf("loss must be from 0 to below 1, not %v", c.Loss)
+		return fmt.Errorf("loss must be at least 0 and below 1, not %v", c.Loss)
 	}
 	return nil
 }
 
 const (
-	packetSize    = 1460 // bytes of a stream in a packet: Ethernet's 1500 less the headers of IP and TCP
+	packetSize    = 1460 // bytes of a stream per packet: Ethernet's 1500 minus the headers of IP and TCP
 	defaultResend = 200 * time.Millisecond
 	maxResends    = 6 // of one packet
 )
 
-// shaper decides when what is written to one direction of a path arrives. Its owner guards it. The order in which it takes
+// shaper computes when bytes written to one direction of a path arrive. Its owner serializes the calls. The order in which it draws
 // random numbers is part of the contract: equal seeds give equal faults.
 type shaper struct {
 	rng         *rand.Rand
-	lineFreeAt  time.Time // when the line has sent all that it was given
-	lastArrival time.Time // of a stream's bytes: none may overtake them
+	lineFreeAt  time.Time // when all bytes so far have been sent at the path's bandwidth
+	lastArrival time.Time // of the bytes of a stream so far: later bytes may not arrive before
 }
 
-// streamArrival returns when n bytes of a stream arrive that are written now.
+// streamArrival returns the arrival time of n bytes of a stream that are written now.
 func (s *shaper) streamArrival(now time.Time, n int, c Conditions) time.Time {
 	at := s.sendComplete(now, n, c).Add(c.Delay + s.jitter(c))
 	for range (n + packetSize - 1) / packetSize {
@@ -54,7 +54,7 @@
 	return at
 }
 
-// packetStall draws how long a stream stalls until one packet has come through.
+// packetStall draws how long a stream stalls because of losses of one packet.
 func (s *shaper) packetStall(c Conditions) (stall time.Duration) {
 	resend := c.Resend
 	if resend == 0 {
@@ -69,13 +69,13 @@
 	return stall
 }
 
-// datagramArrival returns when a datagram arrives that is written now; false when it never does.
+// datagramArrival returns the arrival time of a datagram of n bytes that is written now, or false if the datagram is lost.
 func (s *shaper) datagramArrival(now time.Time, n int, c Conditions) (time.Time, bool) {
 	at := s.sendComplete(now, n, c).Add(c.Delay + s.jitter(c))
 	return at, !c.Cut && (c.Loss == 0 || s.rng.Float64() >= c.Loss)
 }
 
-// sendComplete returns when the line has sent n more bytes.
+// sendComplete returns when n more bytes have been sent at the path's bandwidth.
 func (s *shaper) sendComplete(now time.Time, n int, c Conditions) time.Time {
 	if s.lineFreeAt.Before(now) {
 		s.lineFreeAt = now
--- a/internal/emulator/link/conn.go
+++ b/internal/emulator/link/conn.go
@@ -22,7 +22,7 @@
 	return n, c.wrap("read", err)
 }
 
-// Write implements net.Conn. It waits while too many bytes are in flight.
+// Write implements net.Conn. It blocks while maxInFlight bytes are in flight.
 func (c *Conn) Write(b []byte) (int, error) {
 	n, err := c.out.write(b)
 	return n, c.wrap("write", err)
@@ -35,7 +35,7 @@
 	return &net.OpError{Op: op, Net: "memory", Source: Addr(c.local), Addr: Addr(c.remote), Err: err}
 }
 
-// Close closes the connection. As in TCP, the other side sees a reset instead of an end where something that it sent was not
+// Close closes the connection. As in TCP, the peer sees a reset instead of the end of the stream if some bytes that it sent were not
 // read.
 func (c *Conn) Close() error {
 	err := error(net.ErrClosed)
@@ -52,13 +52,13 @@
 	return err
 }
 
-// CloseWrite ends the stream towards the other side, which may still send.
+// CloseWrite ends the stream to the peer, which can still send.
 func (c *Conn) CloseWrite() error {
 	c.out.closeWriter()
 	return nil
 }
 
-// Reset breaks the connection at once for both sides.
+// Reset resets the connection at both ends at once, without the delay of the path.
 func (c *Conn) Reset() {
 	c.out.reset(true)
 	c.in.reset(true)
@@ -73,7 +73,7 @@
 	delete(c.network.conns, c)
 }
 
-// OpenWithoutInput reports whether the connection is open and nothing has come on it.
+// OpenWithoutInput reports whether the connection is open and neither a byte nor its end has arrived that was not read yet.
 func (c *Conn) OpenWithoutInput() bool { return c.in.nothingArrived() }
 
 // LocalAddr returns the address of this end.
@@ -82,7 +82,7 @@
 // RemoteAddr returns the address of the other end.
 func (c *Conn) RemoteAddr() net.Addr { return Addr(c.remote) }
 
-// SetDeadline sets both deadlines.
+// SetDeadline sets the deadlines of both reads and writes.
 func (c *Conn) SetDeadline(t time.Time) error {
 	c.in.setDeadline(&c.in.readDeadline, t)
 	c.out.setDeadline(&c.out.writeDeadline, t)
--- a/internal/emulator/link/datagram_relay.go
+++ b/internal/emulator/link/datagram_relay.go
@@ -9,36 +9,36 @@
 	"time"
 )
 
-// DatagramRelay passes datagrams between loopback sockets. Each sender has a socket of its own towards the target, so that
-// replies find their way back. It is safe for concurrent use.
+// DatagramRelay forwards datagrams between loopback sockets. It opens a socket to the target for each sender, so that it can return
+// the target's replies to that sender. It is safe for concurrent use.
 type DatagramRelay struct {
-	front      net.PacketConn
+	front      net.PacketConn // receives from the senders
 	target     net.Addr
 	maxSenders int
 	goroutines sync.WaitGroup
 
-	mu     sync.Mutex
-	rng    *rand.Rand
-	forth  Conditions
-	back   Conditions
-	flows  map[string]*flow // by the sender's address
-	lost   int
-	timers sync.WaitGroup // of datagrams under way
-	closed bool
+	mu      sync.Mutex
+	rng     *rand.Rand
+	forward Conditions
+	reverse Conditions
+	flows   map[string]*flow // by the sender's address
+	lost    int
+	timers  sync.WaitGroup // of datagrams in transit
+	closed  bool
 }
 
 // flow is the datagrams of one sender and the replies to them.
 type flow struct {
-	socket      net.PacketConn
-	forth, back shaper
+	socket           net.PacketConn
+	forward, reverse shaper
 }
 
-// NewDatagramRelay passes what front receives to the target, for at most so many senders; datagrams of others are lost. The relay
-// owns front. Close ends it. It returns an error for a target that is no address.
+// NewDatagramRelay returns a relay that forwards what front receives to the target, for at most maxSenders senders; datagrams of
+// further senders are lost. The relay owns front. It runs until Close. It returns an error if target is not a valid address.
 func NewDatagramRelay(front net.PacketConn, target string, maxSenders int, seed uint64) (*DatagramRelay, error) {
 	addr, err := net.ResolveUDPAddr("udp", target)
 	if err != nil {
-		return nil, fmt.Errorf("relay of datagrams: %w", err)
+		return nil, fmt.Errorf("datagram relay: target address: %w", err)
 	}
 	r := &DatagramRelay{
 		front:      front,
@@ -47,28 +47,28 @@
 		rng:        rand.New(rand.NewPCG(seed, 5)),
 		flows:      map[string]*flow{},
 	}
-	r.goroutines.Go(func() { receiveAll(front, r.forward) })
+	r.goroutines.Go(func() { receiveAll(front, r.relayDatagram) })
 	return r, nil
 }
 
 // Addr returns the address at which the relay receives.
 func (r *DatagramRelay) Addr() net.Addr { return r.front.LocalAddr() }
 
-// Set changes the conditions towards the target and back.
-func (r *DatagramRelay) Set(forth, back Conditions) {
+// Set changes the conditions to the target (forward) and from it (reverse).
+func (r *DatagramRelay) Set(forward, reverse Conditions) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.forth, r.back = forth, back
+	r.forward, r.reverse = forward, reverse
 }
 
-// Lost returns how many datagrams were lost: by the conditions, or because there were too many senders.
+// Lost returns how many datagrams were lost because of the conditions or because there were too many senders.
 func (r *DatagramRelay) Lost() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.lost
 }
 
-// Close ends the relay and waits for its goroutines and for datagrams that are under way.
+// Close stops the relay and waits for its goroutines and for datagrams in transit.
 func (r *DatagramRelay) Close() error {
 	r.mu.Lock()
 	r.closed = true
@@ -84,8 +84,8 @@
 
 const maxDatagramSize = 64 << 10
 
-// receiveAll hands over a copy of each datagram that comes, until the socket is closed. Other errors are of earlier sends, such as
-// a port that refused one.
+// receiveAll calls handle with a copy of each received datagram until the socket is closed. It ignores other errors, which concern
+// datagrams sent earlier, for example to a port without a listener.
 func receiveAll(socket net.PacketConn, handle func(data []byte, from net.Addr)) {
 	buf := make([]byte, maxDatagramSize)
 	for {
@@ -99,7 +99,7 @@
 	}
 }
 
-func (r *DatagramRelay) forward(data []byte, from net.Addr) {
+func (r *DatagramRelay) relayDatagram(data []byte, from net.Addr) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	f := r.flows[from.String()]
@@ -110,10 +110,10 @@
 		r.lost++
 		return
 	}
-	r.send(&f.forth, r.forth, data, func() { f.socket.WriteTo(data, r.target) })
+	r.send(&f.forward, r.forward, data, func() { f.socket.WriteTo(data, r.target) })
 }
 
-// openFlow opens a sender's socket; nil where there are too many senders. r.mu is held.
+// openFlow opens a socket to the target for a sender. It returns nil if there are too many senders. r.mu is held.
 func (r *DatagramRelay) openFlow(from net.Addr) *flow {
 	if len(r.flows) >= r.maxSenders || r.closed {
 		return nil
@@ -122,7 +122,7 @@
 	if err != nil {
 		return nil
 	}
-	f := &flow{socket: socket, forth: shaper{rng: r.rng}, back: shaper{rng: r.rng}}
+	f := &flow{socket: socket, forward: shaper{rng: r.rng}, reverse: shaper{rng: r.rng}}
 	r.flows[from.String()] = f
 	r.goroutines.Go(func() { r.relayReplies(f, from) })
 	return f
@@ -132,11 +132,11 @@
 	receiveAll(f.socket, func(data []byte, _ net.Addr) {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		r.send(&f.back, r.back, data, func() { r.front.WriteTo(data, to) })
+		r.send(&f.reverse, r.reverse, data, func() { r.front.WriteTo(data, to) })
 	})
 }
 
-// send writes a datagram when it is due, or drops it. r.mu is held.
+// send writes a datagram at its arrival time, or drops it if it is lost. r.mu is held.
 func (r *DatagramRelay) send(s *shaper, conditions Conditions, data []byte, write func()) {
 	due, arrives := s.datagramArrival(time.Now(), len(data), conditions)
 	if !arrives || r.closed {
--- a/internal/emulator/link/dial.go
+++ b/internal/emulator/link/dial.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// Dialer returns a function like net.Dialer's DialContext for a host. On a cut path it waits until its context ends. Its errors
-// are *net.OpError.
+// Dialer returns a function like net.Dialer's DialContext for a host. On a cut path it blocks until the cut is over or its context
+// ends. Its errors are of type *net.OpError.
 func (n *Network) Dialer(from string) func(ctx context.Context, network, addr string) (net.Conn, error) {
 	return func(ctx context.Context, _, addr string) (net.Conn, error) {
 		c, err := n.dial(ctx, from, addr)
@@ -21,16 +21,17 @@
 	}
 }
 
-var errBacklog = errors.New("too many connections wait to be accepted")
+var errBacklog = errors.New("the listener's accept queue is full")
 
-// dial is a handshake: the request travels to addr, is queued or refused there, and the reply travels back.
+// dial emulates a handshake: the request takes the delay of the path to addr, is queued or refused there, and the reply takes the
+// delay of the path back.
 func (n *Network) dial(ctx context.Context, from, addr string) (*Conn, error) {
 	if err := n.awaitTransit(ctx, from, host(addr)); err != nil {
 		return nil, err
 	}
 	conn, err := n.connect(from, addr)
-	if back := n.awaitTransit(ctx, host(addr), from); back != nil && err == nil {
-		err = back
+	if transitErr := n.awaitTransit(ctx, host(addr), from); transitErr != nil && err == nil {
+		err = transitErr
 	}
 	if err != nil && conn != nil {
 		conn.Reset()
@@ -39,8 +40,8 @@
 	return conn, err
 }
 
-// connect makes a connection and queues its other end at the listener. It may return both a connection and an error; the
-// connection is then to be reset.
+// connect creates a connection and queues its other end at the listener. If it returns both a connection and an error, the caller
+// must reset the connection.
 func (n *Network) connect(from, addr string) (*Conn, error) {
 	n.mu.Lock()
 	l := n.listeners[addr]
@@ -58,8 +59,8 @@
 	}
 }
 
-// awaitTransit waits for as long as a packet takes from one host to another; on a cut path until that is over. It returns the
-// context's error.
+// awaitTransit waits for the delay of the path from one host to another. On a cut path it first waits until the cut is over. It
+// returns the context's error if the context ends first.
 func (n *Network) awaitTransit(ctx context.Context, from, to string) error {
 	for {
 		n.mu.Lock()
@@ -90,15 +91,15 @@
 	}
 }
 
-// newConns makes both ends of a connection. n.mu is held.
+// newConns creates both ends of a connection. n.mu is held.
 func (n *Network) newConns(from, addr string) (here, there *Conn) {
 	n.connsMade++
 	n.lastPort++
 	local, to := net.JoinHostPort(from, strconv.Itoa(n.lastPort)), host(addr)
-	forth := newPipe(n.newRand(n.connsMade, 1), n.paths[path{from, to}])
-	back := newPipe(n.newRand(n.connsMade, 2), n.paths[path{to, from}])
-	here = &Conn{network: n, local: local, remote: addr, in: back, out: forth}
-	there = &Conn{network: n, local: addr, remote: local, in: forth, out: back}
+	forward := newPipe(n.newRand(n.connsMade, 1), n.paths[path{from, to}])
+	reverse := newPipe(n.newRand(n.connsMade, 2), n.paths[path{to, from}])
+	here = &Conn{network: n, local: local, remote: addr, in: reverse, out: forward}
+	there = &Conn{network: n, local: addr, remote: local, in: forward, out: reverse}
 	n.conns[here], n.conns[there] = struct{}{}, struct{}{}
 	return here, there
 }
--- a/internal/emulator/link/doc.go
+++ b/internal/emulator/link/doc.go
@@ -1,13 +1,13 @@
-// Package link is a network with faults, in three forms that shape traffic alike:
+// Package link emulates a network with faults. Three implementations shape traffic in the same way:
 //
 //   - Network: hosts, connections and datagrams in memory, which works inside testing/synctest
 //   - Relay and DatagramRelay: one path between loopback sockets
 //   - Mesh: all paths between processes that send to each other on loopback
 //
-// Conditions say what one direction of a path does: delay, jitter, bandwidth, loss, or a cut, which loses everything without an
-// error. As there are no packets, loss is modelled by its effect: a stream stalls for a retransmission timeout, a datagram is
-// gone.
+// Conditions describe one direction of a path: delay, jitter, bandwidth, loss, or a cut, in which nothing passes and no error is
+// returned. Streams are not divided into real packets, so packet loss is emulated by its effect: a stream stalls for a
+// retransmission timeout, and a datagram is lost.
 //
-// A pipe is one direction of a stream. Network connects two pipes to a Conn at each end; a relay copies between its sockets and
-// two pipes. A shaper decides when what is written arrives; it holds the random numbers, so that equal seeds give equal faults.
+// A pipe is one direction of a stream. A Network connects the Conn at each end by two pipes; a relay copies between its sockets and
+// two pipes. A shaper computes when written bytes arrive. It holds the random number generator: equal seeds give equal faults.
 package link
--- a/internal/emulator/link/link_test.go
+++ b/internal/emulator/link/link_test.go
@@ -13,7 +13,7 @@
 	"time"
 )
 
-// pair returns both ends of a connection in memory, from a to b.
+// pair returns both ends of an in-memory connection from a to b.
 func pair(t *testing.T, n *Network) (here, there net.Conn) {
 	t.Helper()
 	l, err := n.Listen("b:80")
@@ -31,7 +31,7 @@
 	return here, there
 }
 
-// read returns what one read brings, and how long it took.
+// read returns the result of one read, and how long it took.
 func read(c net.Conn) (string, time.Duration, error) {
 	began := time.Now()
 	buf := make([]byte, 100)
@@ -39,7 +39,7 @@
 	return string(buf[:n]), time.Since(began), err
 }
 
-// Delay, jitter and loss hold packets back by different times. A stream must still bring all bytes, in order.
+// Delay, jitter and loss delay the parts of a stream differently. All bytes must still arrive, in order.
 func TestStreamStaysInOrderUnderDelayAndLoss(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := NewNetwork(1)
@@ -47,19 +47,19 @@
 		began := time.Now()
 		here, there := pair(t, n)
 		if up := time.Since(began); up < 200*time.Millisecond {
-			t.Errorf("a connection was up after %v", up)
+			t.Errorf("the connection was established after %v, want at least 200 ms", up)
 		}
 		want := bytes.Repeat([]byte("0123456789"), 5000)
 		go func() { here.Write(want); here.Close() }()
 		got, err := io.ReadAll(there)
 		if err != nil || !bytes.Equal(got, want) {
-			t.Errorf("%d bytes, %v", len(got), err)
+			t.Errorf("read %d bytes, %v, want the %d bytes written", len(got), err, len(want))
 		}
 		there.Close()
 	})
 }
 
-// A writer to a reader that has stopped must not send without end, and one to a slow line no faster than that.
+// A writer must block when the reader has stopped reading, and must not exceed the bandwidth.
 func TestWritesAreLimitedByWindowAndBandwidth(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := NewNetwork(1)
@@ -68,7 +68,7 @@
 		here.SetWriteDeadline(time.Now().Add(time.Second))
 		sent, err := here.Write(make([]byte, 2<<20))
 		if !errors.Is(err, os.ErrDeadlineExceeded) || sent != maxInFlight {
-			t.Errorf("%d bytes are in flight with nobody reading, %v", sent, err)
+			t.Errorf("%d bytes were written with nobody reading, %v, want %d and a timeout", sent, err, maxInFlight)
 		}
 		here.SetWriteDeadline(time.Time{})
 		began := time.Now()
@@ -77,14 +77,14 @@
 			t.Error(err)
 		}
 		if took := time.Since(began); took < 900*time.Millisecond || took > 1500*time.Millisecond {
-			t.Errorf("a megabyte took %v", took)
+			t.Errorf("1 MiB at 1 MiB/s took %v, want 0.9 s to 1.5 s", took)
 		}
 		there.Close()
 	})
 }
 
-// A partition often has one direction only: one side receives nothing, and the other goes on. Neither gets an error, and what was
-// sent into the cut arrives when it is over.
+// A cut may affect one direction only: one end receives nothing, and the other still does. Neither gets an error, and what was sent
+// during the cut arrives when it is over.
 func TestCutHoldsBackOneDirectionWithoutError(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := NewNetwork(1)
@@ -93,19 +93,19 @@
 		io.WriteString(here, "held")
 		io.WriteString(there, "back")
 		if got, _, _ := read(here); got != "back" {
-			t.Errorf("got %q", got)
+			t.Errorf("the direction that is not cut: read %q, want \"back\"", got)
 		}
 		there.SetReadDeadline(time.Now().Add(time.Minute))
 		if _, took, err := read(there); !errors.Is(err, os.ErrDeadlineExceeded) || took != time.Minute {
-			t.Errorf("%v after %v", err, took)
+			t.Errorf("a read during the cut: %v after %v, want a timeout after a minute", err, took)
 		}
 		if !there.(*Conn).OpenWithoutInput() {
-			t.Error("something had arrived")
+			t.Error("OpenWithoutInput is false during the cut")
 		}
 		there.SetReadDeadline(time.Time{})
 		time.AfterFunc(time.Second, func() { n.Set("a", "b", Conditions{}) })
 		if got, took, err := read(there); got != "held" || took != time.Second || err != nil {
-			t.Errorf("%q after %v, %v", got, took, err)
+			t.Errorf("after the cut: read %q after %v, %v, want \"held\" after 1 s", got, took, err)
 		}
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
@@ -113,15 +113,15 @@
 		l, _ := n.Listen("b:80")
 		defer l.Close()
 		if _, err := n.Dialer("a")(ctx, "tcp", "b:80"); !errors.Is(err, context.DeadlineExceeded) {
-			t.Errorf("a dial whose answer is cut off: %v", err)
+			t.Errorf("a dial with the reply's direction cut: %v, want a timeout", err)
 		}
 		here.Close()
 		there.Close()
 	})
 }
 
-// How a connection ends tells an agent whether a request may be retried, so a close, a close with unread bytes, a killed peer
-// and a port without a listener must look as they do in TCP.
+// Agents decide by the way in which a connection ends whether to retry a request. So a close, a close with unread bytes, a killed
+// peer and a port without a listener must give the same errors as in TCP.
 func TestConnectionsEndAsInTCP(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := NewNetwork(1)
@@ -129,36 +129,36 @@
 		io.WriteString(here, "last")
 		here.Close()
 		if got, _, _ := read(there); got != "last" {
-			t.Errorf("got %q", got)
+			t.Errorf("read %q before the close, want \"last\"", got)
 		}
 		if _, _, err := read(there); err != io.EOF {
-			t.Errorf("at the end: %v", err)
+			t.Errorf("a read after the peer has closed: %v, want %v", err, io.EOF)
 		}
 		if _, err := there.Write([]byte("x")); !errors.Is(err, syscall.EPIPE) {
-			t.Errorf("a write to a closed one: %v", err)
+			t.Errorf("a write after the peer has closed: %v, want %v", err, syscall.EPIPE)
 		}
 		here, there = pair(t, n)
 		io.WriteString(there, "unread")
 		here.Close()
 		if _, _, err := read(there); !errors.Is(err, syscall.ECONNRESET) {
-			t.Errorf("closed with something unread: %v", err)
+			t.Errorf("a read after the peer has closed with unread bytes: %v, want %v", err, syscall.ECONNRESET)
 		}
 		here, there = pair(t, n)
 		n.Kill("b")
 		if _, _, err := read(here); !errors.Is(err, syscall.ECONNRESET) {
-			t.Errorf("its peer was killed: %v", err)
+			t.Errorf("a read after the peer was killed: %v, want %v", err, syscall.ECONNRESET)
 		}
 		if _, err := n.Dialer("a")(t.Context(), "tcp", "b:80"); !errors.Is(err, syscall.ECONNREFUSED) {
-			t.Errorf("nobody listens: %v", err)
+			t.Errorf("a dial to a port without a listener: %v, want %v", err, syscall.ECONNREFUSED)
 		}
 		here.Close()
 		if n.Open("a") != 0 || there.Close() != nil {
-			t.Errorf("%d are open", n.Open("a"))
+			t.Errorf("%d connections are open at a after all were closed, or closing the other end failed", n.Open("a"))
 		}
 	})
 }
 
-// Datagrams are lost by the conditions, and where nobody reads them in time.
+// Datagrams are lost because of the conditions, and when the receiving socket's queue is full.
 func TestDatagramsAreLostByConditionsAndFullSockets(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := NewNetwork(1)
@@ -176,20 +176,20 @@
 			}
 		}
 		if got < 350 || got > 450 {
-			t.Errorf("%d of 500 arrived at a loss of a fifth", got)
+			t.Errorf("%d of 500 datagrams arrived at a loss of 0.2, want 350 to 450", got)
 		}
 		for range 3 * maxQueuedDatagrams {
 			a.WriteTo([]byte("x"), a.LocalAddr())
 		}
 		if a.Lost() != 2*maxQueuedDatagrams {
-			t.Errorf("%d found a full socket", a.Lost())
+			t.Errorf("%d datagrams found the queue full, want %d", a.Lost(), 2*maxQueuedDatagrams)
 		}
 		a.Close()
 		b.Close()
 	})
 }
 
-// echo listens on a real socket and sends back what it reads.
+// echo starts an echo server on a loopback socket.
 func echo(t *testing.T) net.Listener {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -209,7 +209,7 @@
 	return l
 }
 
-// startRelay starts a relay before a server that sends back what it reads.
+// startRelay starts a relay to an echo server.
 func startRelay(t *testing.T) *Relay {
 	t.Helper()
 	front, err := net.Listen("tcp", "127.0.0.1:0")
@@ -232,8 +232,8 @@
 	return c
 }
 
-// A relay is the network of a run on sockets: delay and a cut must show to an agent as they would without the relay, and what was
-// sent into a cut must arrive after it.
+// In runs on sockets, relays emulate the network. A relay must delay streams and hold them back during a cut without an error, and
+// what was sent during a cut must arrive after it.
 func TestRelayDelaysAndCutsStreams(t *testing.T) {
 	r := startRelay(t)
 	slow := Conditions{Delay: 30 * time.Millisecond}
@@ -242,26 +242,27 @@
 	began := time.Now()
 	io.WriteString(c, "there and back")
 	if got, _, err := read(c); got != "there and back" || time.Since(began) < 60*time.Millisecond {
-		t.Errorf("%q after %v, %v", got, time.Since(began), err)
+		t.Errorf("read %q after %v, %v, want the text after at least 60 ms", got, time.Since(began), err)
 	}
 	r.Set(Conditions{Cut: true}, Conditions{})
 	io.WriteString(c, "held")
 	c.SetReadDeadline(time.Now().Add(100 * time.Millisecond))
 	if got, _, err := read(c); !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("%q, %v through a cut", got, err)
+		t.Errorf("a read during the cut: %q, %v, want a timeout", got, err)
 	}
 	r.Set(Conditions{}, Conditions{})
 	c.SetDeadline(time.Now().Add(20 * time.Second))
 	if got, _, err := read(c); got != "held" {
-		t.Errorf("%q, %v after the cut", got, err)
+		t.Errorf("a read after the cut: %q, %v, want \"held\"", got, err)
 	}
 	c.(*net.TCPConn).CloseWrite()
 	if _, _, err := read(c); err != io.EOF {
-		t.Errorf("after the end: %v", err)
+		t.Errorf("a read after CloseWrite: %v, want %v", err, io.EOF)
 	}
 }
 
-// A node whose process dies resets its connections, refuses new ones, and is back at the same address.
+// To emulate a node whose process ends and starts again, a relay resets its streams, refuses connections, and accepts them again at
+// the same address.
 func TestRelayResetsAndRejectsConnections(t *testing.T) {
 	r := startRelay(t)
 	broken := dialRelay(t, r)
@@ -269,14 +270,14 @@
 	read(broken)
 	r.Reset()
 	if _, _, err := read(broken); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("after a reset: %v", err)
+		t.Errorf("a read after a reset: %v, want an error other than a timeout", err)
 	}
 	if err := r.RejectConnections(true); err != nil {
 		t.Fatal(err)
 	}
 	if c, err := net.Dial("tcp", r.Addr().String()); err == nil {
 		c.Close()
-		t.Error("a connection was accepted that should have been refused")
+		t.Error("a connection was accepted while connections are rejected")
 	}
 	if err := r.RejectConnections(false); err != nil {
 		t.Fatal(err)
@@ -284,11 +285,11 @@
 	again := dialRelay(t, r)
 	io.WriteString(again, "again")
 	if got, _, _ := read(again); got != "again" {
-		t.Errorf("%q", got)
+		t.Errorf("after the relay accepts connections again: read %q, want \"again\"", got)
 	}
 }
 
-// Replies find their way back to the sender, and senders beyond the bound are lost and counted.
+// Replies are returned to the sender. Datagrams of senders beyond the limit are lost and counted.
 func TestDatagramRelayReturnsRepliesAndBoundsSenders(t *testing.T) {
 	server, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
@@ -322,26 +323,26 @@
 	first.SetDeadline(time.Now().Add(20 * time.Second))
 	io.WriteString(first, "ping")
 	if got, _, err := read(first); got != "ping" {
-		t.Errorf("%q, %v", got, err)
+		t.Errorf("read %q, %v, want the reply \"ping\"", got, err)
 	}
 	second, err := net.Dial("udp", r.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer second.Close()
-	io.WriteString(second, "no room")
+	io.WriteString(second, "beyond the limit")
 	for end := time.Now().Add(20 * time.Second); r.Lost() == 0 && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
 	if r.Lost() != 1 {
-		t.Errorf("%d lost", r.Lost())
+		t.Errorf("%d datagrams lost, want 1", r.Lost())
 	}
 }
 
 func TestConditionsOutOfRangeAreRejected(t *testing.T) {
 	for _, c := range []Conditions{{Delay: -1}, {Loss: 1}, {Loss: -0.1}, {Bandwidth: -1}} {
 		if c.Check() == nil {
-			t.Errorf("%+v passed", c)
+			t.Errorf("%+v passed Check, want an error", c)
 		}
 	}
 }
--- a/internal/emulator/link/listener.go
+++ b/internal/emulator/link/listener.go
@@ -5,7 +5,7 @@
 	"sync"
 )
 
-// backlog is how many connections may wait to be accepted.
+// backlog is the maximum number of connections that wait to be accepted.
 const backlog = 512
 
 // Listener accepts connections of a Network. It is safe for concurrent use.
@@ -17,7 +17,7 @@
 	done    chan struct{}
 }
 
-// Accept waits for a connection. It returns net.ErrClosed after Close.
+// Accept waits for the next connection. It returns net.ErrClosed after Close.
 func (l *Listener) Accept() (net.Conn, error) {
 	select {
 	case <-l.done:
@@ -32,7 +32,7 @@
 	}
 }
 
-// Close stops listening. Connections that were not accepted are reset.
+// Close stops listening and resets the connections that were not accepted. Further calls do nothing.
 func (l *Listener) Close() error {
 	l.once.Do(func() {
 		l.network.mu.Lock()
@@ -53,5 +53,5 @@
 	return nil
 }
 
-// Addr returns the address at which it listens.
+// Addr returns the listener's address.
 func (l *Listener) Addr() net.Addr { return Addr(l.addr) }
--- a/internal/emulator/link/mesh.go
+++ b/internal/emulator/link/mesh.go
@@ -9,17 +9,17 @@
 	"time"
 )
 
-// Mesh stands between processes that send to each other on loopback, each to all others, with datagrams and streams on one
-// port. Each host has a front: an address that the others know it by. What comes to a front goes on to where its host listens,
-// under the conditions of the direction from the sender, which is recognized by its IP address: 127.0.0.0/8 has one for each host. It
-// is safe for concurrent use.
+// Mesh relays datagrams and streams between processes on loopback, each of which sends to all others. Each host has a front, which
+// is the address that the other hosts use for it. The mesh forwards what a front receives to the address at which the host listens,
+// under the conditions of the direction from the sender to that host. It recognizes the sender by its IP address, so each host must
+// send from an address of its own in 127.0.0.0/8. A Mesh is safe for concurrent use.
 type Mesh struct {
 	goroutines sync.WaitGroup
-	timers     sync.WaitGroup // of datagrams under way
+	timers     sync.WaitGroup // of datagrams in transit
 
 	mu         sync.Mutex
 	rng        *rand.Rand
-	hosts      map[string]string // name by IP address
+	hosts      map[string]string // names by IP address
 	fronts     map[string]*front // by host
 	conditions map[path]Conditions
 	shapers    map[path]*shaper // of datagrams
@@ -27,22 +27,22 @@
 	closed     bool
 }
 
-// MeshCounts are what a Mesh has passed on, and lost by its conditions.
+// MeshCounts counts what a Mesh has forwarded, and the datagrams lost because of its conditions.
 type MeshCounts struct {
 	Packets, Lost, Streams int
 }
 
-// front is one host's address in a mesh.
+// front receives for one host of a mesh, under the address that the other hosts use.
 type front struct {
 	host, target string
 	streams      net.Listener
-	packets      net.PacketConn // at the address of streams
+	packets      net.PacketConn // at the same address as streams
 	out          net.PacketConn // sends to the target
 	targetAddr   net.Addr
-	open         map[*relayedStream]string // the sender of each stream
+	open         map[*relayedStream]string // the sender of each open stream
 }
 
-// NewMesh returns a mesh without hosts. Close ends it.
+// NewMesh returns a mesh without hosts. It runs until Close.
 func NewMesh(seed uint64) *Mesh {
 	return &Mesh{
 		rng:        rand.New(rand.NewPCG(seed, 6)),
@@ -53,10 +53,11 @@
 	}
 }
 
-// portAttempts is how many ports are tried until one is free for both datagrams and streams.
+// portAttempts is how many ports are tried to find one that is free for both datagrams and streams.
 const portAttempts = 20
 
-// Add gives a host a front and returns its address. The host sends from an IP address of its own, and listens at target.
+// Add adds a host that listens at target, and returns the address of its front. The host must send from ip, which no other host may
+// use.
 func (m *Mesh) Add(host, ip, target string) (addr string, err error) {
 	f, err := newFront(host, target)
 	if err != nil {
@@ -65,7 +66,7 @@
 	m.mu.Lock()
 	m.hosts[ip], m.fronts[host] = host, f
 	m.mu.Unlock()
-	m.goroutines.Go(func() { receiveAll(f.packets, func(data []byte, from net.Addr) { m.forward(f, from, data) }) })
+	m.goroutines.Go(func() { receiveAll(f.packets, func(data []byte, from net.Addr) { m.relayDatagram(f, from, data) }) })
 	m.goroutines.Go(func() { acceptAll(f.streams, &m.goroutines, func(c *net.TCPConn) { m.relayStream(f, c) }) })
 	return f.streams.Addr().String(), nil
 }
@@ -85,7 +86,7 @@
 	return f, nil
 }
 
-// listen opens a port for both datagrams and streams.
+// listen opens the same port for datagrams and for streams.
 func (f *front) listen() (err error) {
 	for range portAttempts {
 		if f.streams, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
@@ -107,27 +108,27 @@
 	if f := m.fronts[to]; f != nil {
 		for stream, sender := range f.open {
 			if sender == from {
-				stream.forth.setConditions(c)
+				stream.forward.setConditions(c)
 			}
 		}
 	}
 	if f := m.fronts[from]; f != nil {
 		for stream, sender := range f.open {
 			if sender == to {
-				stream.back.setConditions(c)
+				stream.reverse.setConditions(c)
 			}
 		}
 	}
 }
 
-// Counts returns what the mesh has passed on so far.
+// Counts returns the counts so far.
 func (m *Mesh) Counts() MeshCounts {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.counts
 }
 
-// Close breaks all streams, ends the mesh and waits for its goroutines and for datagrams that are under way.
+// Close resets all streams, stops the mesh and waits for its goroutines and for datagrams in transit.
 func (m *Mesh) Close() error {
 	m.mu.Lock()
 	m.closed = true
@@ -144,7 +145,7 @@
 	return errors.Join(errs...)
 }
 
-// sender returns the host of an address; empty for one that is not of the mesh. m.mu is held.
+// sender returns the host that sends from an address, or "" if it does not belong to the mesh. m.mu is held.
 func (m *Mesh) sender(addr net.Addr) string {
 	ip, _, err := net.SplitHostPort(addr.String())
 	if err != nil {
@@ -153,7 +154,7 @@
 	return m.hosts[ip]
 }
 
-func (m *Mesh) forward(f *front, from net.Addr, data []byte) {
+func (m *Mesh) relayDatagram(f *front, from net.Addr, data []byte) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	direction := path{m.sender(from), f.host}
@@ -187,8 +188,8 @@
 	}
 	m.mu.Lock()
 	sender := m.sender(client.RemoteAddr())
-	forth, back := m.conditions[path{sender, f.host}], m.conditions[path{f.host, sender}]
-	stream := newRelayedStream(client, server, m.rng, forth, back)
+	forward, reverse := m.conditions[path{sender, f.host}], m.conditions[path{f.host, sender}]
+	stream := newRelayedStream(client, server, m.rng, forward, reverse)
 	f.open[stream] = sender
 	m.counts.Streams++
 	if m.closed {
--- a/internal/emulator/link/mesh_test.go
+++ b/internal/emulator/link/mesh_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// meshHost is a host behind a mesh.
+// meshHost is a host of a mesh with its sockets.
 type meshHost struct {
 	ip      string
 	packets net.PacketConn
@@ -34,7 +34,7 @@
 	return meshHost{ip, p, l, front}
 }
 
-// sendDatagram sends a datagram through a mesh and waits until it has arrived; false when the mesh lost it.
+// sendDatagram sends a datagram through a mesh and waits until it has arrived. It returns false if the mesh lost it.
 func sendDatagram(t *testing.T, m *Mesh, from, to meshHost) bool {
 	t.Helper()
 	addr, err := net.ResolveUDPAddr("udp", to.front)
@@ -45,7 +45,7 @@
 	if _, err := from.packets.WriteTo([]byte(from.ip), addr); err != nil {
 		t.Fatal(err)
 	}
-	for { // until it is lost or passed on
+	for { // until the mesh has lost or forwarded it
 		if c := m.Counts(); c.Lost > before.Lost {
 			return false
 		} else if c.Packets > before.Packets {
@@ -57,27 +57,26 @@
 	to.packets.SetReadDeadline(time.Now().Add(10 * time.Second))
 	n, _, err := to.packets.ReadFrom(buf)
 	if err != nil || string(buf[:n]) != from.ip {
-		t.Fatalf("%q, %v", buf[:n], err)
+		t.Fatalf("read %q, %v, want %q", buf[:n], err, from.ip)
 	}
 	return true
 }
 
-// A partition may have one direction only. Datagrams pass by the conditions from their sender: with one direction cut, the other
-// must still pass.
+// The conditions of a datagram are those of the direction from its sender: if one direction is cut, the other must still pass.
 func TestMeshShapesDatagramsByTheirSender(t *testing.T) {
 	m := NewMesh(1)
 	defer m.Close()
 	a, b := addHost(t, m, "a", "127.0.91.1"), addHost(t, m, "b", "127.0.91.2")
 	if !sendDatagram(t, m, a, b) || !sendDatagram(t, m, b, a) {
-		t.Fatal("datagrams are lost without a fault")
+		t.Fatal("a datagram was lost without a fault")
 	}
 	m.Set("a", "b", Conditions{Cut: true})
 	if sendDatagram(t, m, a, b) || !sendDatagram(t, m, b, a) {
-		t.Error("a cut of one direction")
+		t.Error("with a to b cut, a datagram from a to b arrived or one from b to a was lost")
 	}
 }
 
-// A stream from a to b whose direction from b is cut: b gets what a sends, and a gets nothing until the cut is over.
+// On a stream from a to b whose direction from b is cut, b receives what a sends, and a receives nothing until the cut is over.
 func TestMeshCutsOneDirectionOfStream(t *testing.T) {
 	m := NewMesh(1)
 	defer m.Close()
@@ -102,11 +101,11 @@
 	io.WriteString(s, "y")
 	c.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
 	if _, err := c.Read(buf); err == nil {
-		t.Error("a response through a cut")
+		t.Error("a read during the cut succeeded")
 	}
 	m.Set("b", "a", Conditions{})
 	c.SetReadDeadline(time.Now().Add(10 * time.Second))
 	if _, err := io.ReadFull(c, buf); err != nil || buf[0] != 'y' {
-		t.Errorf("after the cut: %q, %v", buf, err)
+		t.Errorf("after the cut: read %q, %v, want \"y\"", buf, err)
 	}
 }
--- a/internal/emulator/link/network.go
+++ b/internal/emulator/link/network.go
@@ -11,13 +11,13 @@
 	"syscall"
 )
 
-// Network is a network in memory. Hosts are names; each direction between two hosts has conditions of its own. It is safe for
-// concurrent use.
+// Network is an in-memory network. Hosts are identified by name, and each direction between two hosts has its own conditions. It is
+// safe for concurrent use.
 type Network struct {
 	mu        sync.Mutex
 	seed      uint64
-	connsMade uint64 // connections and senders of datagrams so far: each has random numbers of its own
-	lastPort  int    // that was given out
+	connsMade uint64 // connections, and pairs of a PacketConn and a host it sends to; each has a random stream of its own
+	lastPort  int    // assigned last
 	listeners map[string]*Listener
 	packets   map[string]*PacketConn
 	paths     map[path]Conditions
@@ -28,7 +28,7 @@
 // path is one direction between two hosts.
 type path struct{ from, to string }
 
-// firstPort is below the ports that a Network gives out.
+// firstPort is the port below those that a Network assigns.
 const firstPort = 40000
 
 // NewNetwork returns a network without faults.
@@ -53,7 +53,7 @@
 // String implements net.Addr.
 func (a Addr) String() string { return string(a) }
 
-// host returns the host of an address, or the whole address where it has no port.
+// host returns the host of an address, or the whole address if it has no port.
 func host(addr string) string {
 	name, _, err := net.SplitHostPort(addr)
 	if err != nil {
@@ -62,7 +62,7 @@
 	return name
 }
 
-// Set changes the conditions of the direction from one host to another, also for connections that are open.
+// Set changes the conditions of the direction from one host to another, including those of open connections.
 func (n *Network) Set(from, to string, c Conditions) {
 	n.mu.Lock()
 	n.paths[path{from, to}] = c
@@ -86,7 +86,7 @@
 	n.Set(b, a, c)
 }
 
-// Kill ends a host's processes suddenly: its connections are reset, and nothing listens there any more.
+// Kill emulates the sudden end of a host's processes: its connections are reset, and its listeners and sockets are closed.
 func (n *Network) Kill(name string) {
 	n.forEachConn(name, func(c *Conn) { c.Reset() })
 	n.mu.Lock()
@@ -116,7 +116,7 @@
 	})
 }
 
-// forEachConn calls f, without the lock, for the ends of connections at a host.
+// forEachConn calls f for each end of a connection at a host. It does not hold n.mu during the calls.
 func (n *Network) forEachConn(name string, f func(*Conn)) {
 	n.mu.Lock()
 	var conns []*Conn
@@ -131,17 +131,17 @@
 	}
 }
 
-// Open returns how many ends of connections a host has.
+// Open returns the number of open connection ends at a host.
 func (n *Network) Open(name string) (open int) {
 	n.forEachConn(name, func(*Conn) { open++ })
 	return open
 }
 
-// address returns addr, with a port that is free where addr asks for any. n.mu is held.
+// address returns addr. If its port is 0 or empty, that is replaced by a free one. n.mu is held.
 func (n *Network) address(addr string, taken func(string) bool) (string, error) {
 	name, port, err := net.SplitHostPort(addr)
 	if err != nil {
-		return "", fmt.Errorf("listening in memory: %w", err)
+		return "", fmt.Errorf("listening on the in-memory network: %w", err)
 	}
 	for port == "0" || port == "" {
 		n.lastPort++
@@ -150,13 +150,13 @@
 		}
 	}
 	if taken(addr) {
-		return "", fmt.Errorf("listening in memory on %s: %w", addr, syscall.EADDRINUSE)
+		return "", fmt.Errorf("listening on the in-memory network at %s: %w", addr, syscall.EADDRINUSE)
 	}
 	return addr, nil
 }
 
-// Listen listens at an address; port 0 is any that is free. It returns an error that wraps syscall.EADDRINUSE where another
-// listens there.
+// Listen returns a listener at an address; port 0 stands for any free port. It returns an error that wraps syscall.EADDRINUSE if the
+// address is in use.
 func (n *Network) Listen(addr string) (*Listener, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -169,7 +169,7 @@
 	return l, nil
 }
 
-// newRand returns the random numbers of one direction of a connection.
+// newRand returns the random number generator of one direction of the connection with that number.
 func (n *Network) newRand(number, direction uint64) *rand.Rand {
 	h := fnv.New64a()
 	fmt.Fprint(h, number, direction)
--- a/internal/emulator/link/packet_conn.go
+++ b/internal/emulator/link/packet_conn.go
@@ -9,19 +9,19 @@
 	"time"
 )
 
-// maxQueuedDatagrams is how many datagrams wait at a socket; more are lost, as a full socket buffer loses them.
+// maxQueuedDatagrams is the maximum number of datagrams queued at a socket. Further ones are lost, as with a full socket buffer.
 const maxQueuedDatagrams = 1024
 
-// PacketConn sends and receives datagrams of a Network. It is a net.PacketConn.
+// PacketConn is a net.PacketConn that sends and receives datagrams of a Network.
 type PacketConn struct {
 	network *Network
 	addr    string
 
 	mu           sync.Mutex
-	changed      chan struct{}      // closed at each change, and replaced
-	shapers      map[string]*shaper // by the host that is sent to
-	queue        []datagram         // those that arrive first come first
-	lost         int                // found the queue full
+	changed      chan struct{}      // closed and replaced at each change
+	shapers      map[string]*shaper // by destination host
+	queue        []datagram         // ordered by arrival time
+	lost         int                // datagrams that found the queue full
 	closed       bool
 	readDeadline time.Time
 }
@@ -29,10 +29,11 @@
 type datagram struct {
 	data []byte
 	from string
-	due  time.Time
+	due  time.Time // when it arrives
 }
 
-// ListenPacket opens a socket for datagrams; port 0 is any that is free.
+// ListenPacket opens a socket for datagrams; port 0 stands for any free port. It returns an error that wraps syscall.EADDRINUSE if
+// the address is in use.
 func (n *Network) ListenPacket(addr string) (*PacketConn, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -45,13 +46,13 @@
 	return p, nil
 }
 
-// broadcast wakes all readers. p.mu is held.
+// broadcast wakes all blocked readers. p.mu is held.
 func (p *PacketConn) broadcast() {
 	close(p.changed)
 	p.changed = make(chan struct{})
 }
 
-// WriteTo sends a datagram. A lost one is no error.
+// WriteTo sends a datagram. It returns no error for a datagram that is lost.
 func (p *PacketConn) WriteTo(b []byte, to net.Addr) (int, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -78,7 +79,7 @@
 	return len(b), nil
 }
 
-// shaperTo returns the shaper towards a host. Both locks are held.
+// shaperTo returns the shaper of the path to a host. p.mu and p.network.mu are held.
 func (p *PacketConn) shaperTo(host string) *shaper {
 	s := p.shapers[host]
 	if s == nil {
@@ -89,7 +90,7 @@
 	return s
 }
 
-// enqueue lets a datagram wait until it arrives. p.mu is held.
+// enqueue adds a datagram to the queue, or counts it as lost if the queue is full or the socket closed. p.mu is held.
 func (p *PacketConn) enqueue(d datagram) {
 	if len(p.queue) >= maxQueuedDatagrams || p.closed {
 		p.lost++
@@ -105,7 +106,8 @@
 	p.broadcast()
 }
 
-// ReadFrom waits for a datagram. What does not fit into b is lost. It returns net.ErrClosed after Close.
+// ReadFrom waits for a datagram. Bytes that do not fit into b are lost. It returns net.ErrClosed after Close and
+// os.ErrDeadlineExceeded after the read deadline.
 func (p *PacketConn) ReadFrom(b []byte) (int, net.Addr, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -129,14 +131,14 @@
 	}
 }
 
-// Lost returns how many datagrams found the socket's queue full.
+// Lost returns how many datagrams were lost because the socket's queue was full.
 func (p *PacketConn) Lost() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.lost
 }
 
-// Close closes the socket. Datagrams in its queue are lost.
+// Close closes the socket. Queued datagrams are lost. It returns syscall.EBADF if the socket is closed already.
 func (p *PacketConn) Close() error {
 	p.network.mu.Lock()
 	if p.network.packets[p.addr] == p {
@@ -156,7 +158,7 @@
 // LocalAddr returns the socket's address.
 func (p *PacketConn) LocalAddr() net.Addr { return Addr(p.addr) }
 
-// SetDeadline sets the time at which reads fail; writes never wait.
+// SetDeadline sets the read deadline; writes never block.
 func (p *PacketConn) SetDeadline(t time.Time) error { return p.SetReadDeadline(t) }
 
 // SetReadDeadline sets the time at which reads fail.
@@ -168,5 +170,5 @@
 	return nil
 }
 
-// SetWriteDeadline does nothing: writes never wait.
+// SetWriteDeadline does nothing, as writes never block.
 func (*PacketConn) SetWriteDeadline(time.Time) error { return nil }
--- a/internal/emulator/link/pipe.go
+++ b/internal/emulator/link/pipe.go
@@ -10,33 +10,33 @@
 	"time"
 )
 
-// maxInFlight is how many bytes may be in flight in one direction of a connection: beyond it a writer waits.
+// maxInFlight is the maximum number of bytes written to one direction of a connection and not yet read. A writer blocks at it.
 const maxInFlight = 256 << 10
 
-// pipe is one direction of a connection: what is written at one end arrives at the other when the conditions allow it. It waits
-// on channels and timers alone, so that the fake time of testing/synctest passes while it does.
+// pipe is one direction of a connection. What is written at one end can be read at the other after a delay that follows from the
+// conditions. It blocks only on channels and timers, so that the fake time of testing/synctest advances meanwhile.
 //
-// Each piece has the time at which it is due. A cut holds back what is due after cutAt; when the cut is over, what it held back
-// becomes due anew.
+// Each segment has an arrival time (due). During a cut, segments that are due after the beginning of the cut (cutAt) are held back.
+// When the cut is over, they get a new arrival time.
 type pipe struct {
 	mu            sync.Mutex
-	changed       chan struct{} // closed at each change, and replaced
+	changed       chan struct{} // closed and replaced at each change
 	shaper        shaper
 	conditions    Conditions
-	cutAt         time.Time // when the present cut began
-	pieces        []piece   // in order of arrival
-	inFlight      int       // bytes of all pieces
-	endAt         time.Time // when the end of the stream arrives; zero before it was sent
-	resetAt       time.Time // when a reset arrives at the reader; zero without one
-	readerClosed  bool      // what is written is lost
+	cutAt         time.Time // when the current or latest cut began
+	segments      []segment // ordered by arrival time
+	inFlight      int       // bytes of all segments
+	endAt         time.Time // when the end of the stream arrives; zero until the writer closes
+	resetAt       time.Time // when a reset arrives at the reader; zero if there is none
+	readerClosed  bool      // bytes written from now on are lost
 	writerClosed  bool
-	writeErr      error // what all further writes return; nil while they succeed
+	writeErr      error // returned by all further writes; nil while they succeed
 	readDeadline  time.Time
 	writeDeadline time.Time
 }
 
-// piece is bytes that were written together.
-type piece struct {
+// segment holds bytes that were written together.
+type segment struct {
 	data []byte
 	due  time.Time
 }
@@ -49,13 +49,14 @@
 	return p
 }
 
-// broadcast wakes all that wait for a change. p.mu is held.
+// broadcast wakes all blocked readers and writers. p.mu is held.
 func (p *pipe) broadcast() {
 	close(p.changed)
 	p.changed = make(chan struct{})
 }
 
-// waitForChange waits for a change, or until the first of the times that are not zero. The lock is held on entry and on return.
+// waitForChange waits until changed is closed, or until the earliest of the times that are not zero. The caller holds lock, which
+// is released while waiting.
 func waitForChange(lock *sync.Mutex, changed <-chan struct{}, until ...time.Time) {
 	var timeout <-chan time.Time
 	var first time.Time
@@ -77,8 +78,8 @@
 	}
 }
 
-// arrivalOf returns when n bytes arrive that are sent now. Bytes that are sent into a cut must be due after it began, also
-// without a delay, or they would pass. p.mu is held.
+// arrivalOf returns the arrival time of n bytes that are sent now. Bytes that are sent during a cut must be due after its beginning,
+// even on a path without delay; otherwise they would not be held back. p.mu is held.
 func (p *pipe) arrivalOf(n int) time.Time {
 	at := p.shaper.streamArrival(time.Now(), n, p.conditions)
 	if p.conditions.Cut && !at.After(p.cutAt) {
@@ -88,8 +89,8 @@
 	return at
 }
 
-// setConditions changes the conditions for what is written from now on. When a cut ends, what it held back is due after the
-// new delay.
+// setConditions changes the conditions for bytes written from now on. If that ends a cut, the bytes held back arrive after the new
+// delay.
 func (p *pipe) setConditions(c Conditions) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -104,12 +105,12 @@
 	p.broadcast()
 }
 
-// resume makes what a cut has held back due at a time, at the earliest. p.mu is held.
+// resume moves the arrival times of what a cut has held back to at, unless they are later. p.mu is held.
 func (p *pipe) resume(at time.Time) {
 	heldBack := func(due time.Time) bool { return due.After(p.cutAt) && due.Before(at) }
-	for i := range p.pieces {
-		if heldBack(p.pieces[i].due) {
-			p.pieces[i].due = at
+	for i := range p.segments {
+		if heldBack(p.segments[i].due) {
+			p.segments[i].due = at
 		}
 	}
 	for _, due := range []*time.Time{&p.endAt, &p.resetAt} {
@@ -122,12 +123,13 @@
 	}
 }
 
-// arrived reports whether what is due at a time has arrived. p.mu is held.
+// arrived reports whether something with the arrival time due has arrived by now. It is false for a zero due. p.mu is held.
 func (p *pipe) arrived(due, now time.Time) bool {
 	return !due.IsZero() && !due.After(now) && (!p.conditions.Cut || !due.After(p.cutAt))
 }
 
-// wakeTime returns the time to wait for; zero where a cut holds it back, and only a change of conditions helps. p.mu is held.
+// wakeTime returns until when to wait for something with the arrival time due. It is zero if a cut holds that back, because then it
+// arrives only after a change of the conditions. p.mu is held.
 func (p *pipe) wakeTime(due time.Time) time.Time {
 	if p.conditions.Cut && due.After(p.cutAt) {
 		return time.Time{}
@@ -135,8 +137,8 @@
 	return due
 }
 
-// read waits until something has arrived and copies it to b. It returns io.EOF at the stream's end, syscall.ECONNRESET after a
-// reset, net.ErrClosed after closeReader and os.ErrDeadlineExceeded.
+// read waits until bytes have arrived and copies them to b. It returns io.EOF at the end of the stream, syscall.ECONNRESET after a
+// reset, net.ErrClosed after closeReader, and os.ErrDeadlineExceeded after the read deadline.
 func (p *pipe) read(b []byte) (int, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -151,26 +153,26 @@
 			return 0, syscall.ECONNRESET
 		case len(b) == 0:
 			return 0, nil
-		case len(p.pieces) > 0 && p.arrived(p.pieces[0].due, now):
-			n := copy(b, p.pieces[0].data)
-			if p.pieces[0].data = p.pieces[0].data[n:]; len(p.pieces[0].data) == 0 {
-				p.pieces = p.pieces[1:]
+		case len(p.segments) > 0 && p.arrived(p.segments[0].due, now):
+			n := copy(b, p.segments[0].data)
+			if p.segments[0].data = p.segments[0].data[n:]; len(p.segments[0].data) == 0 {
+				p.segments = p.segments[1:]
 			}
 			p.inFlight -= n
 			p.broadcast()
 			return n, nil
-		case len(p.pieces) == 0 && p.arrived(p.endAt, now):
+		case len(p.segments) == 0 && p.arrived(p.endAt, now):
 			return 0, io.EOF
 		}
 		next := p.endAt
-		if len(p.pieces) > 0 {
-			next = p.pieces[0].due
+		if len(p.segments) > 0 {
+			next = p.segments[0].due
 		}
 		waitForChange(&p.mu, p.changed, p.readDeadline, p.wakeTime(next), p.wakeTime(p.resetAt))
 	}
 }
 
-// write sends all of b, or returns how much it sent with the error.
+// write sends all of b. If it fails, it returns the number of bytes sent and the error.
 func (p *pipe) write(b []byte) (n int, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -190,7 +192,7 @@
 		part := b[:min(len(b), maxInFlight-p.inFlight)]
 		due := p.arrivalOf(len(part))
 		if !p.readerClosed {
-			p.pieces = append(p.pieces, piece{append([]byte(nil), part...), due})
+			p.segments = append(p.segments, segment{append([]byte(nil), part...), due})
 			p.inFlight += len(part)
 		}
 		n, b = n+len(part), b[len(part):]
@@ -199,7 +201,7 @@
 	return n, nil
 }
 
-// closeWriter ends the stream after what was written.
+// closeWriter ends the stream after the bytes written so far.
 func (p *pipe) closeWriter() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -211,7 +213,7 @@
 	p.broadcast()
 }
 
-// reset breaks the stream for its reader: now, or when the reset has travelled to it.
+// reset makes reads fail with syscall.ECONNRESET: at once if now is set, otherwise after the delay of the path.
 func (p *pipe) reset(now bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -225,12 +227,12 @@
 	p.broadcast()
 }
 
-// closeReader ends reading. unread says that there were bytes, in flight or arrived, that nobody will read.
+// closeReader makes reads fail and drops all unread bytes. unread reports whether there were any, arrived or in flight.
 func (p *pipe) closeReader() (unread bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	unread = len(p.pieces) > 0
-	p.readerClosed, p.pieces, p.inFlight = true, nil, 0
+	unread = len(p.segments) > 0
+	p.readerClosed, p.segments, p.inFlight = true, nil, 0
 	p.broadcast()
 	return unread
 }
@@ -253,11 +255,11 @@
 	p.broadcast()
 }
 
-// nothingArrived reports whether neither a byte nor an end nor a reset has arrived.
+// nothingArrived reports whether the reader is open and neither unread bytes nor the end of the stream nor a reset has arrived.
 func (p *pipe) nothingArrived() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := time.Now()
 	return !p.readerClosed && !p.arrived(p.resetAt, now) && !p.arrived(p.endAt, now) &&
-		(len(p.pieces) == 0 || !p.arrived(p.pieces[0].due, now))
+		(len(p.segments) == 0 || !p.arrived(p.segments[0].due, now))
 }
--- a/internal/emulator/link/relay.go
+++ b/internal/emulator/link/relay.go
@@ -7,7 +7,7 @@
 	"sync"
 )
 
-// Relay passes streams between loopback sockets, under conditions that can change while they are open. It is safe for
+// Relay forwards streams between loopback sockets, under conditions that can change while streams are open. It is safe for
 // concurrent use.
 type Relay struct {
 	addr       net.Addr
@@ -17,13 +17,13 @@
 	mu       sync.Mutex
 	listener net.Listener // nil while connections are refused
 	rng      *rand.Rand
-	forth    Conditions
-	back     Conditions
+	forward  Conditions
+	reverse  Conditions
 	streams  map[*relayedStream]struct{}
 	closed   bool
 }
 
-// NewRelay passes what connects to l to the target. The relay owns l. Close ends it.
+// NewRelay returns a relay that forwards connections accepted by l to the target. The relay owns l. It runs until Close.
 func NewRelay(l net.Listener, target string, seed uint64) *Relay {
 	r := &Relay{
 		addr:     l.Addr(),
@@ -36,11 +36,11 @@
 	return r
 }
 
-// Addr returns the address at which the relay listens, also while it refuses connections.
+// Addr returns the address of the relay, even while it refuses connections.
 func (r *Relay) Addr() net.Addr { return r.addr }
 
-// RejectConnections lets new connections be refused, as where no process listens, or accepts them again. It returns an error
-// where the port has been taken meanwhile.
+// RejectConnections sets whether new connections are refused, as by a port without a listener. When it is switched off, it returns
+// an error if another process has taken the port in the meantime.
 func (r *Relay) RejectConnections(on bool) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -54,25 +54,25 @@
 	}
 	l, err := net.Listen("tcp", r.addr.String())
 	if err != nil {
-		return fmt.Errorf("relay: listening again: %w", err)
+		return fmt.Errorf("relay: reopening the listener: %w", err)
 	}
 	r.listener = l
 	r.goroutines.Go(func() { r.accept(l) })
 	return nil
 }
 
-// Set changes the conditions towards the target and back.
-func (r *Relay) Set(forth, back Conditions) {
+// Set changes the conditions to the target (forward) and from it (reverse), including those of open streams.
+func (r *Relay) Set(forward, reverse Conditions) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.forth, r.back = forth, back
+	r.forward, r.reverse = forward, reverse
 	for stream := range r.streams {
-		stream.forth.setConditions(forth)
-		stream.back.setConditions(back)
+		stream.forward.setConditions(forward)
+		stream.reverse.setConditions(reverse)
 	}
 }
 
-// Reset breaks all open streams.
+// Reset resets all open streams.
 func (r *Relay) Reset() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -81,14 +81,14 @@
 	}
 }
 
-// Open returns how many streams are open.
+// Open returns the number of open streams.
 func (r *Relay) Open() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return len(r.streams)
 }
 
-// Close breaks all streams, ends the relay and waits for its goroutines.
+// Close resets all streams, stops the relay and waits for its goroutines.
 func (r *Relay) Close() error {
 	r.mu.Lock()
 	r.closed = true
@@ -112,7 +112,7 @@
 		return
 	}
 	r.mu.Lock()
-	stream := newRelayedStream(client, server, r.rng, r.forth, r.back)
+	stream := newRelayedStream(client, server, r.rng, r.forward, r.reverse)
 	r.streams[stream] = struct{}{}
 	if r.closed {
 		stream.reset()
--- a/internal/emulator/link/relayed_stream.go
+++ b/internal/emulator/link/relayed_stream.go
@@ -12,16 +12,16 @@
 
 const (
 	dialTimeout     = 5 * time.Second
-	acceptRetryWait = 10 * time.Millisecond // after an accept that failed, as without file descriptors
+	acceptRetryWait = 10 * time.Millisecond // after a failed accept, for example for lack of file descriptors
 )
 
-// relayedStream is one stream between two sockets that passes through a pipe each way.
+// relayedStream is a stream between two sockets that passes through one pipe in each direction.
 type relayedStream struct {
-	client, server *net.TCPConn
-	forth, back    *pipe // from the client to the server, and back
+	client, server   *net.TCPConn
+	forward, reverse *pipe // forward from the client to the server, reverse from the server to the client
 }
 
-// dialTarget connects to the server of a stream. Where that fails, the client's connection is reset.
+// dialTarget connects to the server of a stream. It resets the client's connection if that fails.
 func dialTarget(client *net.TCPConn, target string) (*net.TCPConn, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), dialTimeout)
 	defer cancel()
@@ -33,13 +33,13 @@
 	return server.(*net.TCPConn), nil
 }
 
-// newRelayedStream takes two seeds from rng, whose owner guards it.
-func newRelayedStream(client, server *net.TCPConn, rng *rand.Rand, forth, back Conditions) *relayedStream {
+// newRelayedStream draws two seeds from rng; the caller serializes access to rng.
+func newRelayedStream(client, server *net.TCPConn, rng *rand.Rand, forward, reverse Conditions) *relayedStream {
 	return &relayedStream{
-		client: client,
-		server: server,
-		forth:  newPipe(rand.New(rand.NewPCG(rng.Uint64(), 1)), forth),
-		back:   newPipe(rand.New(rand.NewPCG(rng.Uint64(), 2)), back),
+		client:  client,
+		server:  server,
+		forward: newPipe(rand.New(rand.NewPCG(rng.Uint64(), 1)), forward),
+		reverse: newPipe(rand.New(rand.NewPCG(rng.Uint64(), 2)), reverse),
 	}
 }
 
@@ -48,13 +48,13 @@
 	c.Close()
 }
 
-// run copies both ways until both have ended, and closes the sockets.
+// run copies in both directions until both streams have ended, and then closes the sockets.
 func (s *relayedStream) run() {
 	var copies sync.WaitGroup
-	copies.Go(func() { s.copyIn(s.forth, s.client) })
-	copies.Go(func() { s.copyIn(s.back, s.server) })
-	copies.Go(func() { s.copyOut(s.server, s.forth) })
-	copies.Go(func() { s.copyOut(s.client, s.back) })
+	copies.Go(func() { s.copyIn(s.forward, s.client) })
+	copies.Go(func() { s.copyIn(s.reverse, s.server) })
+	copies.Go(func() { s.copyOut(s.server, s.forward) })
+	copies.Go(func() { s.copyOut(s.client, s.reverse) })
 	copies.Wait()
 	s.client.Close()
 	s.server.Close()
@@ -69,7 +69,7 @@
 func (p pipeWriter) Write(b []byte) (int, error) { return p.write(b) }
 func (p pipeReader) Read(b []byte) (int, error)  { return p.read(b) }
 
-// copyIn copies what a socket receives into a pipe, up to the stream's end.
+// copyIn copies what a socket receives into a pipe, up to the end of the stream.
 func (s *relayedStream) copyIn(p *pipe, from *net.TCPConn) {
 	if _, err := io.Copy(pipeWriter{p}, from); err != nil {
 		s.reset()
@@ -78,7 +78,7 @@
 	p.closeWriter()
 }
 
-// copyOut copies what arrives through a pipe to a socket, up to the stream's end.
+// copyOut copies what arrives through a pipe to a socket, up to the end of the stream.
 func (s *relayedStream) copyOut(to *net.TCPConn, p *pipe) {
 	if _, err := io.Copy(to, pipeReader{p}); err != nil {
 		s.reset()
@@ -87,18 +87,18 @@
 	to.CloseWrite()
 }
 
-// reset breaks the stream at both sockets and ends its copies.
+// reset resets both sockets and stops the copying.
 func (s *relayedStream) reset() {
 	for _, c := range []*net.TCPConn{s.client, s.server} {
 		resetTCP(c)
 	}
-	for _, p := range []*pipe{s.forth, s.back} {
+	for _, p := range []*pipe{s.forward, s.reverse} {
 		p.closeReader()
 		p.failWrites(net.ErrClosed)
 	}
 }
 
-// acceptAll serves each connection in a goroutine of the group, until the listener is closed.
+// acceptAll calls serve for each accepted connection, in a goroutine of the group, until the listener is closed.
 func acceptAll(l net.Listener, group *sync.WaitGroup, serve func(*net.TCPConn)) {
 	for {
 		c, err := l.Accept()
