--- a/internal/emulator/backend/backend.go
+++ b/internal/emulator/backend/backend.go
@@ -10,33 +10,33 @@
 	"ryeweir/internal/emulator/node"
 )
 
-// Observer sees what happens to requests at a node. Times count from Config.Epoch. The methods are called without the
-// backend's lock, from several goroutines.
+// Observer is notified of what happens to requests at a node. Times are relative to Config.Epoch. The methods are called from
+// several goroutines, without the backend's lock.
 type Observer interface {
-	// KnownRequest reports whether a caller sent a request under that id.
+	// KnownRequest reports whether a caller sent a request with that ID.
 	KnownRequest(id string) bool
-	// RequestArrived says that a request has been read; firstByte is when its first byte came.
+	// RequestArrived reports that a request has been read; firstByte is when its first byte arrived.
 	RequestArrived(id, node string, firstByte time.Duration)
-	// ExecutionStarted says that a request may have taken effect from now on.
+	// ExecutionStarted reports that a request may have taken effect from at on.
 	ExecutionStarted(id, node string, at time.Duration)
-	// ResponseProduced gives the hash of the body of a 200: see NewBodyHash.
+	// ResponseProduced reports the hash (see NewBodyHash) of the body of a 200 response.
 	ResponseProduced(id string, bodyHash uint64)
-	// SlowStartOverloaded says that a node was overloaded in slow start, by agents that had been notified of its start.
+	// SlowStartOverloaded reports that a node was overloaded in slow start, mostly by agents that had been notified of its start.
 	SlowStartOverloaded(node string, at time.Duration)
 }
 
-// Config is what a backend is given. All but Listen and Epoch may be left out.
+// Config configures a backend. Only Listen and Epoch are required.
 type Config struct {
 	Listen   func() (net.Listener, error) // called at the start of each incarnation
-	Epoch    time.Time                    // when the node's time is 0
+	Epoch    time.Time                    // start of the node's time
 	Observer Observer
 	// Unnotified reports whether the sender of a request had not been notified of the node's incarnation that began at started.
 	Unnotified       func(requestID, node string, started time.Duration) bool
-	RejectUnknown    bool          // a request that no caller sent gets a 400
-	IdleTimeout      time.Duration // connections that are idle for so long are closed; 0 for never
+	RejectUnknown    bool          // answer requests that are unknown to Observer with 400
+	IdleTimeout      time.Duration // after which idle connections are closed; 0 for never
 	LoadReportMode   string        // piggyback, pull or silent
 	LoadReportFields []string
-	MaxConns         int // connections served at a time; 0 for 4,096
+	MaxConns         int // maximum number of open connections; 0 for 4,096
 }
 
 const defaultMaxConns = 4096
@@ -46,29 +46,29 @@
 	cfg        Config
 	goroutines sync.WaitGroup // connections, listeners and the driver
 	stop       context.CancelFunc
-	wake       chan struct{} // of capacity 1: something has changed for the driver
+	wake       chan struct{} // has capacity 1; a value tells the driver that something has changed
 
 	mu               sync.Mutex
-	node             *node.Node   // the present incarnation, or the last one while the process is down
+	node             *node.Node   // the current incarnation, or the last one while the process is down
 	listener         net.Listener // nil while the process is down
 	conns            map[*conn]struct{}
 	lastTicket       uint64
 	waiting          map[uint64]*attempt // by ticket
-	overloadReported bool                // to the observer, for the present incarnation
-	earlierFigures   node.Figures        // of the incarnations before
+	overloadReported bool                // the observer was notified of the overload of the current incarnation
+	earlierFigures   node.Figures        // of all earlier incarnations
 }
 
-// attempt is a request that was offered to the node. All but done is set before it is shared.
+// attempt is a request that was offered to the node.
 type attempt struct {
 	id       string
 	ticket   uint64
 	verdict  node.Verdict
-	executed bool                 // of one that was not accepted: it took effect before it failed
-	done     chan node.Completion // of capacity 1; receives once where the verdict is node.Accepted
+	executed bool                 // it has taken effect although it was not accepted
+	done     chan node.Completion // has capacity 1; gets one completion if the verdict is node.Accepted, unless the request is cancelled
 }
 
-// Start starts a backend with its node's first incarnation. The spec is checked. The backend runs until Close, or until the
-// context ends; Close must be called in any case.
+// Start starts a backend with the first incarnation of its node. It returns an error if the spec does not pass Check. The backend
+// runs until Close is called or the context ends; Close must be called in any case.
 func Start(ctx context.Context, cfg Config, spec node.Spec, seed uint64) (*Backend, error) {
 	if err := spec.Check(); err != nil {
 		return nil, err
@@ -106,7 +106,7 @@
 	return nil
 }
 
-// Restart begins the next incarnation after Kill. Faults of the earlier one do not carry over.
+// Restart begins the next incarnation after Kill. It does not inherit the faults of the previous one.
 func (b *Backend) Restart(spec node.Spec, seed uint64) error {
 	if err := b.startIncarnation(spec, seed); err != nil {
 		return err
@@ -115,7 +115,8 @@
 	return nil
 }
 
-// Kill ends the process suddenly: its connections are reset and new ones refused. It does nothing while the process is down.
+// Kill emulates the sudden end of the process: its connections are reset and new ones are refused. It does nothing while the
+// process is down.
 func (b *Backend) Kill() {
 	b.mu.Lock()
 	if b.listener == nil {
@@ -137,14 +138,14 @@
 	}
 }
 
-// Close ends the backend and waits for its goroutines.
+// Close stops the backend and waits for its goroutines.
 func (b *Backend) Close() {
 	b.Kill()
 	b.stop()
 	b.goroutines.Wait()
 }
 
-// Addr returns the address at which the node listens; empty while the process is down.
+// Addr returns the address at which the node listens, or "" while the process is down.
 func (b *Backend) Addr() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -154,7 +155,7 @@
 	return b.listener.Addr().String()
 }
 
-// AddFault adds a fault to the node's present incarnation.
+// AddFault adds a fault to the current incarnation of the node.
 func (b *Backend) AddFault(fault node.Fault) {
 	b.mu.Lock()
 	b.node.AddFault(fault)
@@ -162,24 +163,24 @@
 	b.wakeDriver()
 }
 
-// State is the present state of a node, as only the emulator can know it. While the process is down, only ID and Figures are
-// set.
+// State is the true state of a node, which agents cannot observe. While the process is down, only ID and Figures are set. The fields
+// without a comment are those of the methods of node.Node.
 type State struct {
 	ID              string
-	Up              bool
+	Up              bool // the process is running
 	InFlight        int
 	Conns           int
-	Capacity        float64       // work a second
-	FailureFraction float64       // share of requests that fail
-	Backlog         time.Duration // see node.Node.Backlog
+	Capacity        float64
+	FailureFraction float64
+	Backlog         time.Duration
 	Cores           int
-	HasCapacity     bool // another request would be accepted
+	HasCapacity     bool
 	Degraded        bool
 	Overloaded      bool
-	Figures         node.Figures // of all incarnations
+	Figures         node.Figures // sum over all incarnations
 }
 
-// State returns the present state.
+// State returns the current state.
 func (b *Backend) State() State {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -202,5 +203,5 @@
 	}
 }
 
-// now returns the node's time. The model takes 0 for unset, so it begins at 1.
+// now returns the node's time. It is at least 1, because the model uses 0 for unset times.
 func (b *Backend) now() time.Duration { return max(1, time.Since(b.cfg.Epoch)) }
--- a/internal/emulator/backend/conn.go
+++ b/internal/emulator/backend/conn.go
@@ -14,10 +14,10 @@
 
 const (
 	maxRequestBytes = 32 << 20
-	acceptRetryWait = 10 * time.Millisecond // after an accept that failed, as without file descriptors
+	acceptRetryWait = 10 * time.Millisecond // after a failed accept, for example for lack of file descriptors
 )
 
-// accept serves the connections of one incarnation until its listener is closed.
+// accept accepts and serves the connections of one incarnation until its listener is closed.
 func (b *Backend) accept(l net.Listener) {
 	for {
 		raw, err := l.Accept()
@@ -37,7 +37,7 @@
 	}
 }
 
-// admit asks the node what it does with a new connection; false says that it is to be reset.
+// admit offers a new connection to the node. It returns false if the connection must be reset.
 func (b *Backend) admit(c *conn, l net.Listener) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -58,7 +58,7 @@
 	net.Conn
 	backend   *Backend
 	node      *node.Node // the incarnation that accepted it
-	tableFull bool       // the node holds as many connections as it can: requests on this one are rejected
+	tableFull bool       // accepted beyond the node's ConnCap: its requests are rejected
 	idleSince time.Time  // zero while a request is open; guarded by the backend's lock
 }
 
@@ -82,17 +82,17 @@
 	}
 }
 
-// request is a request that has been read to its end.
+// request is a request that has been read completely.
 type request struct {
 	*http.Request
 	firstByteAt time.Duration
 }
 
-// reader reads ahead on a connection: it waits for the next request, or for the connection's end, while a request is open.
-// At most one request is open at a time.
+// reader reads ahead on a connection: while a request is open, it waits for the first byte of the next one or for the end of the
+// connection. It reads the next request only after the open one has been answered.
 type reader struct {
 	conn     *conn
-	next     chan struct{} // the connection is ready for another request
+	next     chan struct{} // receives when the connection is ready for another request
 	requests chan request
 	ended    chan struct{} // closed when the connection has ended
 	done     sync.WaitGroup
@@ -125,7 +125,7 @@
 	}
 }
 
-// close waits for the reader's end. The connection must have been closed; what the reader still hands over is dropped.
+// close waits until the reader has ended, and drops requests that it still delivers. The connection must be closed before.
 func (r *reader) close() {
 	for {
 		select {
@@ -138,7 +138,7 @@
 	}
 }
 
-// serve answers one request after the other until the connection ends.
+// serve answers requests one at a time until the connection ends.
 func (c *conn) serve() {
 	r := newReader(c)
 	defer func() {
@@ -164,7 +164,7 @@
 	}
 }
 
-// forget removes the connection from the backend and, where the node counted it, from the node.
+// forget removes the connection from the backend, and reports its end to the node if the node counts it.
 func (c *conn) forget() {
 	c.backend.mu.Lock()
 	defer c.backend.mu.Unlock()
--- a/internal/emulator/backend/driver.go
+++ b/internal/emulator/backend/driver.go
@@ -7,7 +7,7 @@
 	"ryeweir/internal/emulator/node"
 )
 
-// idleSweepInterval is how often idle connections are looked at.
+// idleSweepInterval is how often the driver looks for idle connections to close.
 const idleSweepInterval = 100 * time.Millisecond
 
 func (b *Backend) wakeDriver() {
@@ -17,7 +17,7 @@
 	}
 }
 
-// drive lets the model's time pass: at each event that the model has ahead, and when something has changed.
+// drive advances the model's time at each of its events and after each wakeDriver, until the context ends.
 func (b *Backend) drive(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -38,7 +38,7 @@
 	}
 }
 
-// step lets time pass, reports what happened, and returns when the next event is due.
+// step advances the model's time to the present, reports the effects, and returns the time of the next event.
 func (b *Backend) step() (next time.Duration) {
 	b.mu.Lock()
 	started := b.advance()
@@ -54,15 +54,15 @@
 	return next
 }
 
-// startedExecutions are the requests whose execution a node has started.
+// startedExecutions lists the requests whose execution a node has started.
 type startedExecutions struct {
 	node     string
-	requests []string // their ids
+	requests []string // IDs
 	at       time.Duration
 }
 
-// advance lets the model's time pass and hands completions to their requests. b.mu is held; what it returns goes to
-// reportStarted without the lock.
+// advance advances the model's time to the present and passes completions to their requests. b.mu is held. After releasing it, the
+// caller must pass the result to reportStarted.
 func (b *Backend) advance() startedExecutions {
 	now := b.now()
 	completions := b.node.Advance(now)
@@ -90,7 +90,7 @@
 	}
 }
 
-// submit offers work to the node for a connection of an incarnation; false where that incarnation has ended.
+// submit offers a request to the incarnation that accepted its connection. It returns false if that incarnation has ended.
 func (b *Backend) submit(incarnation *node.Node, id string, work node.Work) (*attempt, bool) {
 	b.mu.Lock()
 	if incarnation != b.node || b.listener == nil {
@@ -112,7 +112,7 @@
 	return a, true
 }
 
-// cancel tells the node that the client of a request has left.
+// cancel reports to the node that the client of a request has disconnected.
 func (b *Backend) cancel(incarnation *node.Node, ticket uint64) {
 	b.mu.Lock()
 	if incarnation == b.node {
@@ -123,8 +123,8 @@
 	b.wakeDriver()
 }
 
-// closeIdleConns closes connections that have reached the idle timeout, and those that a fault closes. span is the time since
-// the last call.
+// closeIdleConns closes the connections that have been idle for IdleTimeout, and those that the fault node.IdleClose closes. span is
+// the time since the last call.
 func (b *Backend) closeIdleConns(span time.Duration) {
 	now := time.Now()
 	var idle []*conn
--- a/internal/emulator/backend/handle.go
+++ b/internal/emulator/backend/handle.go
@@ -13,18 +13,18 @@
 const (
 	defaultWork      = 30 * time.Millisecond // of a request that does not state its cost
 	maxResponseBytes = 32 << 20
-	maxCost          = 1e9  // microseconds; a larger cost hint is ignored
-	maxAttr          = 1e12 // a larger figure in X-Attrs is ignored
+	maxCost          = 1e9  // microseconds; a cost hint of this or more is ignored
+	maxAttr          = 1e12 // a number of this or more in X-Attrs is ignored
 
-	// The figures in X-Attrs that the emulator's callers send.
+	// The keys in X-Attrs that the emulator's callers send.
 	attrWork   = "work"   // microseconds on a core of speed 1
-	attrAnswer = "answer" // bytes
+	attrAnswer = "answer" // size of the response body in bytes
 
-	// notProcessed tells an agent that the request was not executed, so that it may be retried.
+	// notProcessed is a header that tells an agent that the request was not executed and may be retried.
 	notProcessed = "X-Not-Processed: 1\r\n"
 )
 
-// parseAttrs reads the figures in X-Attrs. Those that are no number, below 0 or far too large are left out.
+// parseAttrs parses the numbers in X-Attrs, by key. It ignores values that are not a number, negative, or maxAttr or more.
 func parseAttrs(text string) map[string]float64 {
 	attrs := map[string]float64{}
 	for part := range strings.SplitSeq(text, ",") {
@@ -36,7 +36,7 @@
 	return attrs
 }
 
-// readWork reads from a request what it costs, how long its client waits, and how many bytes its response is to have.
+// readWork reads the cost, deadline and routing key of a request from its headers, and the requested size of the response body.
 func readWork(req request) (work node.Work, responseBytes int) {
 	attrs := parseAttrs(req.Header.Get("X-Attrs"))
 	work = node.Work{
@@ -55,7 +55,8 @@
 
 func microseconds(x float64) time.Duration { return time.Duration(x * 1e3) }
 
-// readDeadline reads X-Timeout, a number of milliseconds (m) or microseconds (u); 0 where there is none.
+// readDeadline returns when the client stops waiting, according to X-Timeout: a number with the unit m (milliseconds) or u
+// (microseconds). It returns 0 if the header is missing or invalid.
 func readDeadline(req request) time.Duration {
 	text := req.Header.Get("X-Timeout")
 	if len(text) < 2 {
@@ -70,7 +71,7 @@
 	return req.firstByteAt + time.Duration(timeout*float64(units[unit]))
 }
 
-// handle answers a request; false ends the connection. ended is closed when the client has left.
+// handle answers a request. It returns false if the connection must be closed. ended is closed when the client has disconnected.
 func (c *conn) handle(req request, ended <-chan struct{}) bool {
 	if req.URL.Path == "/health" || req.URL.Path == "/status/load" {
 		return c.answerHealthCheck(req)
@@ -78,10 +79,10 @@
 	b, observer := c.backend, c.backend.cfg.Observer
 	id := req.Header.Get("X-Request-ID")
 	if id == "" {
-		return c.respond(http.StatusNotFound, "", "no id\n")
+		return c.respond(http.StatusNotFound, "", "missing X-Request-ID\n")
 	}
 	if b.cfg.RejectUnknown && observer != nil && !observer.KnownRequest(id) {
-		return c.respond(http.StatusBadRequest, "", "nobody sent this id\n")
+		return c.respond(http.StatusBadRequest, "", "request ID unknown: no caller sent it\n")
 	}
 	if observer != nil {
 		observer.RequestArrived(id, c.node.ID, req.firstByteAt)
@@ -91,7 +92,7 @@
 		return false
 	}
 	work, responseBytes := readWork(req)
-	if b.cfg.Unnotified != nil { // the node's ID and start never change, so they are read without the lock
+	if b.cfg.Unnotified != nil { // the ID and start of an incarnation never change, so they can be read without the lock
 		work.Unnotified = b.cfg.Unnotified(id, c.node.ID, c.node.Started)
 	}
 	submitted, ok := b.submit(c.node, id, work)
@@ -113,7 +114,7 @@
 	}
 }
 
-// respondNotAccepted answers a request that the node did not accept.
+// respondNotAccepted responds to a request that the node did not accept. It returns false if the connection must be closed.
 func (c *conn) respondNotAccepted(verdict node.Verdict, ended <-chan struct{}) bool {
 	switch verdict {
 	case node.Rejected:
@@ -129,7 +130,8 @@
 	}
 }
 
-// respondCompleted answers a request whose work has ended, when its response is due.
+// respondCompleted waits until the response to a completed request is due and sends it. It returns false if the connection must be
+// closed.
 func (c *conn) respondCompleted(id string, completion node.Completion, responseBytes int, ended <-chan struct{}) bool {
 	if wait := completion.At - c.backend.now(); wait > 0 {
 		timer := time.NewTimer(wait)
--- a/internal/emulator/backend/load_report.go
+++ b/internal/emulator/backend/load_report.go
@@ -8,11 +8,11 @@
 
 // The modes of load reports.
 const (
-	piggybackMode = "piggyback" // with each response
-	silentMode    = "silent"    // never: the node answers no health check either
+	piggybackMode = "piggyback" // in a header of each response
+	silentMode    = "silent"    // never; the node answers health checks with 404
 )
 
-// loadHeader returns the header with the load report where responses carry one, else nothing.
+// loadHeader returns the header line with the load report, or "" if the mode is not piggyback or there is no report yet.
 func (c *conn) loadHeader() string {
 	if c.backend.cfg.LoadReportMode != piggybackMode {
 		return ""
@@ -26,7 +26,7 @@
 	return "X-Server-Load: " + text + "\r\n"
 }
 
-// loadText returns the text of a load report; false where there is none yet. The backend's lock is held.
+// loadText returns the text of a load report, or false if there is none yet. The backend's lock is held.
 func (c *conn) loadText() (string, bool) {
 	report, ok := c.node.Load()
 	if !ok {
@@ -47,7 +47,7 @@
 	return strings.Join(parts, ","), true
 }
 
-// answerHealthCheck answers a health check or a request for the load report; false ends the connection.
+// answerHealthCheck answers a health check or a request for the load report. It returns false if the connection must be closed.
 func (c *conn) answerHealthCheck(req request) bool {
 	b := c.backend
 	if b.cfg.LoadReportMode == silentMode {
@@ -60,7 +60,7 @@
 	b.mu.Unlock()
 	switch {
 	case unresponsive:
-		return true // never answered; the connection stays open
+		return true // no response; the connection stays open
 	case !ok:
 		return c.respond(http.StatusServiceUnavailable, "", "")
 	case req.URL.Path == "/health":
--- a/internal/emulator/backend/response.go
+++ b/internal/emulator/backend/response.go
@@ -10,10 +10,11 @@
 	"time"
 )
 
-// writeTimeout is for a response that the client does not read.
+// writeTimeout limits the write of a response, in case the client does not read it.
 const writeTimeout = 10 * time.Second
 
-// respond writes a response; false ends the connection. headers are lines with their ends.
+// respond writes a response. It returns false if the connection must be closed. headers consists of complete header lines, each
+// terminated by CRLF.
 func (c *conn) respond(status int, headers, body string) bool {
 	c.SetWriteDeadline(time.Now().Add(writeTimeout))
 	head := fmt.Sprintf("HTTP/1.1 %d %s\r\n%sContent-Length: %d\r\n\r\n", status, http.StatusText(status), headers, len(body))
@@ -21,16 +22,16 @@
 	return err == nil
 }
 
-// responseBody returns the body that a node makes for a request. No two are alike, so that a response that an agent gives to
-// the wrong request, or invents, is noticed.
+// responseBody returns the body that a node produces for a request. Each is unique, so that a response which an agent returns for
+// the wrong request, or fabricates, is detected.
 func responseBody(id, node string, ticket uint64, size int) string {
 	head := fmt.Sprintf("request %s served by %s as its number %d\n", id, node, ticket)
 	if size <= len(head) {
 		return head
 	}
-	const filler = "this line fills the answer up to its size, as menus and receipts do\n"
+	const filler = "this line pads the response body to the size that the caller requested\n"
 	return head + strings.Repeat(filler, (size-len(head))/len(filler)+1)[:size-len(head)]
 }
 
-// NewBodyHash returns the hash by which callers and nodes compare response bodies.
+// NewBodyHash returns the hash function that callers and nodes use to compare response bodies.
 func NewBodyHash() hash.Hash64 { return fnv.New64a() }
--- a/internal/emulator/callers/call.go
+++ b/internal/emulator/callers/call.go
@@ -7,22 +7,22 @@
 	"ryeweir/internal/emulator/referee"
 )
 
-// ClientProfile is how clients make attempts.
+// ClientProfile describes how clients retry and wait.
 type ClientProfile struct {
-	Retries                int           // by the client itself
-	AttemptTimeoutFraction float64       // of the class's deadline, after which an attempt is given up
-	Backoff                time.Duration // before a retry
-	RetryAfterFraction     float64       // share of clients that wait for as long as Retry-After says
-	MaxRetryAfter          time.Duration // the longest that they wait so
-	ImpatientFraction      float64       // share of attempts that the client abandons early, at a time drawn evenly
+	Retries                int           // maximum number of retries by the client
+	AttemptTimeoutFraction float64       // timeout of an attempt as a fraction of the class's deadline; 0 for the whole deadline
+	Backoff                time.Duration // pause before a retry
+	RetryAfterFraction     float64       // fraction of the calls that respect Retry-After
+	MaxRetryAfter          time.Duration // maximum wait because of Retry-After
+	ImpatientFraction      float64       // fraction of the attempts abandoned before their timeout, at a uniformly distributed time
 }
 
-// Call is a customer's request through the attempts of its client. It has no I/O and no clock: its owner says how an attempt
-// ended, and the call says when the next begins. It is not safe for concurrent use.
+// Call is a customer's request with all attempts of its client. It does no I/O and reads no clock: its owner reports how an attempt
+// ended, and the call returns when the next one begins. It is not safe for concurrent use.
 type Call struct {
 	PlannedRequest
 	Class    Class
-	Attempts int // so far
+	Attempts int // number of attempts so far
 
 	profile            ClientProfile
 	rng                *rand.Rand
@@ -30,10 +30,10 @@
 	result             referee.CallResult
 }
 
-// callStream keeps the random numbers of a call apart from those that other parts take from the same seed.
+// callStream selects a PCG stream of its own for a call, independent of other generators with the same seed.
 const callStream = 0x68616269
 
-// NewCall begins a call.
+// NewCall returns a call without attempts.
 func NewCall(request PlannedRequest, class Class, profile ClientProfile) *Call {
 	rng := rand.New(rand.NewPCG(request.Seed, callStream))
 	return &Call{
@@ -54,8 +54,8 @@
 	}
 }
 
-// Attempt begins an attempt. timeout is how long the client says that it waits, abandon how long it does: less where it is
-// impatient. Both are 0 when the call's deadline has passed.
+// Attempt begins an attempt. timeout is the timeout that the client states in the request, abandon the time after which it abandons
+// the attempt, which is shorter if it is impatient. Both are 0 if the call's deadline has passed; then there is no attempt.
 func (c *Call) Attempt(now time.Duration) (timeout, abandon time.Duration) {
 	remaining := c.At + c.Class.Deadline - now
 	timeout = min(remaining, time.Duration(c.profile.AttemptTimeoutFraction*float64(c.Class.Deadline)))
@@ -73,7 +73,7 @@
 	return timeout, abandon
 }
 
-// Ended takes the end of an attempt. It returns when the next one is to begin; over says that there is none.
+// Ended reports the end of an attempt. It returns when the next one begins, or true for over if there is none.
 func (c *Call) Ended(now time.Duration, outcome referee.Outcome, retryAfter time.Duration) (next time.Duration, over bool) {
 	c.result.Attempts = c.Attempts
 	switch outcome {
@@ -81,7 +81,7 @@
 		c.result.Answered, c.result.Latency = true, now-c.At
 		return 0, true
 	case referee.Rejected, referee.NotSent:
-	default: // it may have been executed
+	default: // the request may have been executed
 		if c.Class.NonIdempotent {
 			return 0, true
 		}
@@ -97,5 +97,5 @@
 	return next, next >= c.At+c.Class.Deadline
 }
 
-// Result returns what has become of the call so far.
+// Result returns the result of the call so far.
 func (c *Call) Result() referee.CallResult { return c.result }
--- a/internal/emulator/callers/client.go
+++ b/internal/emulator/callers/client.go
@@ -11,19 +11,19 @@
 )
 
 const (
-	idleTimeout  = 1500 * time.Millisecond // less than that of agents, so that their closes rarely cross requests
+	idleTimeout  = 1500 * time.Millisecond // shorter than that of agents, so that an agent's close rarely crosses a request
 	maxIdleConns = 256
 )
 
-// Client sends requests to one address over connections of its own, which it reuses. net/http's client retries some requests
-// by itself and so would hide what an agent loses; this one sends a request again in one case only, which the protocol names: a
-// reused connection closed without a response, before the request was read there. It is safe for concurrent use.
+// Client sends requests to one address over a pool of connections. The client of net/http retries some requests automatically, which
+// would hide requests that an agent loses. This one resends a request only in the case that the protocol allows: a reused connection
+// closed without a response before the request was read there. It is safe for concurrent use.
 type Client struct {
 	Addr string
 	Dial func(ctx context.Context, network, addr string) (net.Conn, error)
 
 	mu   sync.Mutex
-	idle []*clientConn // the longest idle first
+	idle []*clientConn // longest idle first
 }
 
 // clientConn is a connection that is either idle or used by one request.
@@ -33,8 +33,9 @@
 	idleSince time.Time
 }
 
-// Send sends a request and waits for its response until the context ends. forwarded reports whether the request has gone on to
-// a node; it is called where a reused connection has closed without a response: a request that was forwarded had been read.
+// Send sends a request and waits for its response until the context ends. forwarded reports whether the request has reached a node.
+// Send calls it when a reused connection has closed without a response: a request that was forwarded had been read, so it is not
+// resent.
 func (c *Client) Send(ctx context.Context, request Request, forwarded func() bool) Response {
 	for resent := false; ; resent = true {
 		conn, reused, err := c.acquire(ctx, resent)
@@ -54,7 +55,7 @@
 	}
 }
 
-// acquire returns an idle connection, or a new one where there is none or fresh asks for it.
+// acquire returns an idle connection, or a new one if there is none or if fresh is set.
 func (c *Client) acquire(ctx context.Context, fresh bool) (conn *clientConn, reused bool, err error) {
 	if !fresh {
 		if conn := c.takeIdle(); conn != nil {
@@ -68,7 +69,8 @@
 	return &clientConn{Conn: raw, in: bufio.NewReader(raw)}, false, nil
 }
 
-// takeIdle returns the connection that was used last, and closes those that have been idle for too long.
+// takeIdle returns the most recently used idle connection, or nil if none has been idle for less than idleTimeout. It closes those
+// that have been idle for longer.
 func (c *Client) takeIdle() *clientConn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/emulator/callers/distributions.go
+++ b/internal/emulator/callers/distributions.go
@@ -9,10 +9,11 @@
 
 const (
 	minWork       = 100 * time.Microsecond
-	maxWorkFactor = 20 // of the class's mean
+	maxWorkFactor = 20 // multiple of the class's mean work
 )
 
-// drawWork draws from a log-normal distribution with the class's mean and coefficient of variation, within bounds.
+// drawWork draws from a log-normal distribution with the class's mean and coefficient of variation. The result is at least minWork
+// and at most maxWorkFactor times the mean.
 func drawWork(rng *rand.Rand, class Class) time.Duration {
 	if class.CV == 0 {
 		return class.Work
@@ -36,7 +37,7 @@
 	return sums
 }
 
-// cumulativeZipf returns the running sums of the popularity of n keys.
+// cumulativeZipf returns the cumulative probabilities of n keys with a Zipf distribution.
 func cumulativeZipf(n int, exponent float64) []float64 {
 	popularity := make([]float64, n)
 	for i := range popularity {
@@ -45,13 +46,13 @@
 	return cumulative(popularity, func(x float64) float64 { return x })
 }
 
-// choose draws an index by cumulative shares.
+// choose draws an index according to cumulative shares.
 func choose(rng *rand.Rand, cumulative []float64) int {
 	i, _ := slices.BinarySearch(cumulative, rng.Float64())
 	return min(i, len(cumulative)-1)
 }
 
-// splitmix64 is the finalizer of the generator of that name: a bijection that leaves no trace of the order of its arguments.
+// splitmix64 is one step of the SplitMix64 generator: a bijection whose results do not reveal the order of its arguments.
 func splitmix64(x uint64) uint64 {
 	x += 0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
--- a/internal/emulator/callers/exchange.go
+++ b/internal/emulator/callers/exchange.go
@@ -15,28 +15,28 @@
 
 const (
 	maxResponseBytes = 64 << 20
-	maxRetryAfter    = 10 * time.Second // no client waits for longer
-	slowWritePieces  = 8                // in which a slow client writes a request
+	maxRetryAfter    = 10 * time.Second // longer values of Retry-After are cut to this
+	slowWriteParts   = 8                // number of writes with which a slow client sends a request
 )
 
-// Response is how a request ended.
+// Response is the result of a request.
 type Response struct {
 	Outcome    referee.Outcome
 	Status     int
-	BodyHash   uint64 // of the body of a 200
-	Bytes      int64  // of the body
+	BodyHash   uint64 // of the body of a 200 response
+	Bytes      int64  // size of the body
 	RetryAfter time.Duration
-	Sent       time.Time // when the request's last byte was written
+	Sent       time.Time // when the last byte of the request was written
 }
 
-// exchange sends a request and reads its response. reusable says that the connection may carry another request.
+// exchange sends a request and reads its response. reusable reports whether the connection can be used for another request.
 func (c *clientConn) exchange(ctx context.Context, request Request, host string) (response Response, reusable bool) {
 	if c.SetDeadline(time.Time{}) != nil {
 		return Response{Outcome: referee.NotSent}, false
 	}
 	stop := context.AfterFunc(ctx, func() { c.SetDeadline(time.Unix(1, 0)) })
 	defer func() { reusable = stop() && reusable }()
-	// A write that fails before the context ends is no end yet: the response may have come before all was sent.
+	// A failed write does not end the exchange unless the context has ended: the response may have arrived before all was sent.
 	if err := c.write(ctx, request, host); err != nil && ctx.Err() != nil {
 		return Response{Outcome: referee.NotSent}, false
 	}
@@ -76,7 +76,7 @@
 	return !resp.Close
 }
 
-// retryAfter reads Retry-After in seconds, which may be a fraction; 0 where there is none.
+// retryAfter parses Retry-After, a number of seconds that may have a fraction. It returns 0 if the header is missing or invalid.
 func retryAfter(header http.Header) time.Duration {
 	seconds, err := strconv.ParseFloat(header.Get("Retry-After"), 64)
 	if err != nil || !(seconds > 0) {
@@ -85,7 +85,7 @@
 	return time.Duration(min(seconds, maxRetryAfter.Seconds()) * float64(time.Second))
 }
 
-// truncatedOutcome is that of a response which began and did not end.
+// truncatedOutcome returns the outcome of a response that began but could not be read to its end because of err.
 func truncatedOutcome(err error) referee.Outcome {
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		return referee.TimedOut
@@ -93,26 +93,26 @@
 	return referee.Failed
 }
 
-// write writes a request, a slow client's in pieces.
+// write writes a request. With a WriteInterval it writes slowWriteParts parts with pauses between them.
 func (c *clientConn) write(ctx context.Context, request Request, host string) error {
 	text := request.text(host)
 	if request.WriteInterval == 0 {
 		_, err := io.WriteString(c, text)
 		return err
 	}
-	for i := range slowWritePieces {
-		piece := text[len(text)*i/slowWritePieces : len(text)*(i+1)/slowWritePieces]
-		if _, err := io.WriteString(c, piece); err != nil {
+	for i := range slowWriteParts {
+		part := text[len(text)*i/slowWriteParts : len(text)*(i+1)/slowWriteParts]
+		if _, err := io.WriteString(c, part); err != nil {
 			return err
 		}
-		if i < slowWritePieces-1 && !Sleep(ctx, request.WriteInterval) {
+		if i < slowWriteParts-1 && !Sleep(ctx, request.WriteInterval) {
 			return ctx.Err()
 		}
 	}
 	return nil
 }
 
-// Sleep waits for a duration; false says that the context ended first.
+// Sleep waits for a duration. It returns false if the context ended first.
 func Sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/internal/emulator/callers/misbehaving.go
+++ b/internal/emulator/callers/misbehaving.go
@@ -11,14 +11,14 @@
 	"time"
 )
 
-// MisbehavingFigures count what misbehaving clients got.
+// MisbehavingFigures count how misbehaving clients were answered.
 type MisbehavingFigures struct {
 	Clients int `json:"clients"`
-	Served  int `json:"served"`  // got a 2xx for what is no valid request
-	Ignored int `json:"ignored"` // got neither an error nor a close in time
+	Served  int `json:"served"`  // got a 2xx response to an invalid request
+	Ignored int `json:"ignored"` // got neither an error response nor a close within misbehavingTimeout
 }
 
-// malformedRequests are what misbehaving clients send, in turn, each on a connection of its own.
+// malformedRequests are the texts that misbehaving clients send, in turn, each on a connection of its own.
 var malformedRequests = []string{
 	"",
 	"\x16\x03\x01\x02\x00\x01\x00\x01\xfc\x03\x03",
@@ -31,11 +31,11 @@
 	"GET /" + strings.Repeat("a", 70000) + " HTTP/1.1\r\n\r\n",
 }
 
-// misbehavingTimeout is how long an agent has to answer with an error or to close the connection.
+// misbehavingTimeout is how long an agent may take to answer with an error or to close the connection.
 const misbehavingTimeout = 3 * time.Second
 
-// RunMisbehaving opens connections to an address, so many a second, until the context ends. Each sends something that is no
-// valid request. It returns what they got when all have ended.
+// RunMisbehaving opens connections to an address at a rate per second until the context ends. On each it sends an invalid request.
+// When all connections have ended, it returns how they were answered.
 func RunMisbehaving(ctx context.Context, dial func(context.Context, string, string) (net.Conn, error), addr string, rate float64) MisbehavingFigures {
 	var mu sync.Mutex
 	var figures MisbehavingFigures
@@ -64,7 +64,8 @@
 	}
 }
 
-// sendMalformed sends a text and waits for a response or a close. status is 0 without a response.
+// sendMalformed sends a text on a new connection and waits for a response or a close. status is 0 if there is no valid response.
+// closed reports whether the agent responded, closed or refused the connection in time.
 func sendMalformed(dial func(context.Context, string, string) (net.Conn, error), addr, text string) (status int, closed bool) {
 	ctx, cancel := context.WithTimeout(context.Background(), misbehavingTimeout)
 	defer cancel()
--- a/internal/emulator/callers/plan.go
+++ b/internal/emulator/callers/plan.go
@@ -9,27 +9,27 @@
 
 // PlannedRequest is a customer's request, before any attempt.
 type PlannedRequest struct {
-	Number         int           // its place in the plan, from 0
-	At             time.Duration // when it is due
-	Agent          int           // indices of the spec
-	Class          int
-	Tenant         int // -1 without tenants
-	Key            string
+	Number         int           // index in the plan
+	At             time.Duration // scheduled time
+	Agent          int           // index in Spec.Agents
+	Class          int           // index in Spec.Classes
+	Tenant         int           // index in Spec.Tenants; -1 without tenants
+	Key            string        // routing key; may be empty
 	Work           time.Duration // on a core of speed 1
-	CostHint       time.Duration // 0 without one
-	PriorityWeight float64       // its class's, in proportion to its work
-	Seed           uint64        // for what its client draws
+	CostHint       time.Duration // 0 for none
+	PriorityWeight float64       // of its class, times its work divided by the class's mean work
+	Seed           uint64        // of the client's random numbers
 }
 
-// planStream keeps the random numbers of Plan apart from those that other parts take from the same seed.
+// planStream selects a PCG stream of its own for Plan, independent of other generators with the same seed.
 const planStream = 0x63616c6c
 
-// minCostHint is the unit of the cost hint on the wire: a smaller one would be sent as none.
+// minCostHint is the unit of the cost hint on the wire: a shorter one would be sent as no hint.
 const minCostHint = time.Microsecond
 
-// Plan draws the requests of a run in the order of their time. Arrivals are a Poisson process whose rate follows the spec: they
-// are drawn at the highest rate, and thinned to the rate at their time. Equal specs and seeds draw equal plans: the order in
-// which random numbers are taken is part of the contract.
+// Plan draws the requests of a run in the order of their times. Arrivals are a Poisson process with the rate of the spec: they are
+// drawn at the peak rate and thinned to the rate at their time. Equal specs and seeds give equal plans, so the order in which random
+// numbers are drawn is part of the contract.
 func Plan(spec Spec, seed uint64) ([]PlannedRequest, error) {
 	if err := spec.Check(); err != nil {
 		return nil, err
@@ -55,17 +55,17 @@
 			continue
 		}
 		if len(plan) == maxRequests {
-			return nil, fmt.Errorf("more than %d requests: lower the rate or the time", maxRequests)
+			return nil, fmt.Errorf("the plan exceeds %d requests: rate or load, or length is too high", maxRequests)
 		}
 		plan = append(plan, p.draw(len(plan), now, traffic.agents))
 	}
 }
 
-// planner draws single requests.
+// planner draws individual requests. Its slices are cumulative shares.
 type planner struct {
 	spec    Spec
 	rng     *rand.Rand
-	classes []float64 // cumulative shares
+	classes []float64
 	tenants []float64
 	keys    []float64
 }
@@ -105,5 +105,5 @@
 	return request
 }
 
-// keyName returns the name of a key by its rank, which the name does not show.
+// keyName returns the name of the key with a given popularity rank. The name does not reveal the rank.
 func keyName(rank int) string { return fmt.Sprintf("k:%016x", splitmix64(uint64(rank)+1)) }
--- a/internal/emulator/callers/request.go
+++ b/internal/emulator/callers/request.go
@@ -8,19 +8,19 @@
 	"time"
 )
 
-// Request is one attempt on the wire.
+// Request is one attempt as an HTTP request.
 type Request struct {
 	ID, Class, Tenant, Key string
-	NonIdempotent          bool // sent as a POST with a body, else as a GET without
+	NonIdempotent          bool // sent as a POST with a body, otherwise as a GET without one
 	Timeout                time.Duration
 	CostHint               time.Duration // 0 for none
-	Work                   time.Duration
-	ResponseBytes          int // wanted; 0 for the node's default
+	Work                   time.Duration // true cost, on a core of speed 1
+	ResponseBytes          int           // requested size of the response body; 0 for the node's default
 	Body                   string
-	WriteInterval          time.Duration // of a slow client: between the pieces that it writes; 0 to write at once
+	WriteInterval          time.Duration // pause of a slow client between two writes of parts of the request; 0 for a single write
 }
 
-// text returns the request's bytes.
+// text returns the request in HTTP/1.1 format.
 func (r Request) text(host string) string {
 	var b strings.Builder
 	method := http.MethodGet
--- a/internal/emulator/callers/run.go
+++ b/internal/emulator/callers/run.go
@@ -11,41 +11,42 @@
 	"ryeweir/internal/emulator/referee"
 )
 
-// Route chooses where an attempt goes: the name of an agent or a node, and the client that reaches it; a nil client says that
-// there is nowhere to go. tried are the names of the call's earlier attempts. done is called with the attempt's outcome.
+// Route chooses the destination of an attempt: the name of an agent or a node, and a client for its address. A nil client means that
+// there is no destination; the call then ends. tried holds the destinations of the call's earlier attempts. done is called with the
+// outcome of the attempt.
 type Route func(request PlannedRequest, tried []string) (to string, client *Client, done func(referee.Outcome))
 
-// Config is what a run is given. Times of the plan count from Epoch.
+// Config configures a run. Times of the plan are relative to Epoch.
 type Config struct {
 	Plan            []PlannedRequest
 	Classes         []Class
 	Tenants         []Tenant
-	ClientProfileAt func(at time.Duration) ClientProfile // of a client whose request is planned for then
+	ClientProfileAt func(at time.Duration) ClientProfile // profile of the client of a request that is planned for a time
 	Route           Route
 	Referee         *referee.Referee
 	Epoch           time.Time
-	Direct          bool    // attempts go to nodes, without an agent
-	MaxOpen         int     // calls open at a time; 0 for 20,000
-	ResponseBytes   int     // wanted of each response
-	RequestBytes    int     // of the body of a request that is not idempotent
-	SlowFraction    float64 // share of the calls that send slowly
-	IDPrefix        uint64  // makes the ids of several runs against one agent distinct
-	Done            func(referee.CallResult)
+	Direct          bool                     // attempts are sent to nodes, without an agent
+	MaxOpen         int                      // maximum number of open calls; 0 for 20,000
+	ResponseBytes   int                      // requested size of each response body
+	RequestBytes    int                      // size of the body of a request that is not idempotent
+	SlowFraction    float64                  // fraction of the calls whose requests are written slowly
+	IDPrefix        uint64                   // distinguishes the request IDs of several runs against the same agent
+	Done            func(referee.CallResult) // called with the result of each call; may be nil
 }
 
 const (
 	defaultMaxOpen    = 20_000
-	slowWriteInterval = 40 * time.Millisecond // eight pieces: a request takes 280 ms to write
+	slowWriteInterval = 40 * time.Millisecond // with eight parts, a request takes 280 ms to write
 )
 
-// Figures say how far a run was from its plan.
+// Figures show by how much a run deviated from its plan.
 type Figures struct {
-	Skipped int           // calls that were due while too many were open
-	Lag     time.Duration // the longest that a first attempt was sent after its time
+	Skipped int           // calls not sent because MaxOpen calls were open
+	Lag     time.Duration // maximum delay of a first attempt after its planned time
 }
 
-// Run sends a plan and returns the results when all calls are over. When the context ends it begins no more calls; those that
-// are open still end by themselves.
+// Run sends the planned requests and returns the results when all calls have ended. After the context has ended it begins no more
+// calls; calls that are open continue to their end.
 func Run(ctx context.Context, cfg Config) ([]referee.CallResult, Figures) {
 	if cfg.MaxOpen == 0 {
 		cfg.MaxOpen = defaultMaxOpen
@@ -87,7 +88,7 @@
 type runner struct {
 	Config
 	body string
-	open atomic.Int64 // calls
+	open atomic.Int64 // number of open calls
 
 	mu      sync.Mutex
 	results []referee.CallResult
@@ -96,7 +97,7 @@
 
 func (r *runner) now() time.Duration { return time.Since(r.Epoch) }
 
-// skip ends a call that found too many open. It counts as not answered.
+// skip ends a call without an attempt because MaxOpen calls are open. Its result is that of a call that was not answered.
 func (r *runner) skip(call *Call) {
 	r.mu.Lock()
 	r.figures.Skipped++
@@ -114,7 +115,7 @@
 	}
 }
 
-// runCall makes attempts until one is the last. It does not end with the run's context: a client does not vanish with the plan.
+// runCall makes the attempts of a call. It does not end with the context of the run, which only stops new calls.
 func (r *runner) runCall(call *Call) {
 	defer r.finish(call)
 	r.mu.Lock()
@@ -143,7 +144,7 @@
 	}
 }
 
-// attempt sends a call's request once and reports it to the referee. It returns when the attempt ended.
+// attempt sends a call's request once and reports it to the referee. endedAt is when the attempt ended.
 func (r *runner) attempt(call *Call, to string, client *Client, timeout, abandon time.Duration) (response Response, endedAt time.Duration) {
 	request := r.request(call, timeout)
 	sent := referee.Request{
@@ -187,11 +188,11 @@
 	return request
 }
 
-// unitInterval maps a random number to the interval from 0 to below 1, by its 53 highest bits.
+// unitInterval maps a random number to [0, 1), using its 53 highest bits.
 func unitInterval(x uint64) float64 { return float64(x>>11) / (1 << 53) }
 
-// RequestID returns the id of an attempt: 16 hexadecimal digits that don't show what they were made from, distinct for all
-// attempts of a run.
+// RequestID returns the ID of an attempt: 16 hexadecimal digits that are distinct for all attempts of a run and do not reveal the
+// numbers that they are computed from.
 func RequestID(prefix uint64, number, attempt int) string {
 	return fmt.Sprintf("%016x", splitmix64(prefix<<40^uint64(number)<<8^uint64(attempt)))
 }
--- a/internal/emulator/discovery/discovery.go
+++ b/internal/emulator/discovery/discovery.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// Entry is an endpoint of the list, in the protocol's form.
+// Entry is an endpoint in the list, with the JSON keys of the protocol.
 type Entry struct {
 	ID        string  `json:"id"`
 	Addr      string  `json:"addr"`
@@ -26,7 +26,7 @@
 const (
 	Ready       = "Ready"
 	Terminating = "Terminating"
-	Removed     = "Gone" // among changes only
+	Removed     = "Gone" // only in a list of changes, not in a full list
 )
 
 // List is a response: the full list, or the changes after a version.
@@ -36,19 +36,20 @@
 	Servers []Entry `json:"servers"`
 }
 
-// Config is what the service is given.
+// Config configures the service.
 type Config struct {
-	Rate          float64       // requests handled a second; 0 for no limit
-	MaxQueueDelay time.Duration // a request that would wait for longer is rejected; 0 for a second
-	// RewriteEntry returns what an agent gets in place of an entry; may be nil.
+	Rate          float64       // requests handled per second; 0 for no limit
+	MaxQueueDelay time.Duration // requests that would wait longer are rejected; 0 for 1 s
+	// RewriteEntry returns the entry that an agent gets in place of e; may be nil.
 	RewriteEntry func(agent string, e Entry) Entry
-	// OnNotified is called after an entry was written to an agent; may be nil. Of a removed endpoint only ID and State are set.
+	// OnNotified is called after an entry was written to an agent; may be nil. It is also called for removed endpoints that a full
+	// list leaves out; then only ID and State are set.
 	OnNotified func(agent string, e Entry, at time.Time)
 }
 
 const (
 	defaultMaxQueueDelay = time.Second
-	headTimeout          = 5 * time.Second
+	headerTimeout        = 5 * time.Second // for reading the header of a request
 )
 
 // Figures count the service's requests.
@@ -56,25 +57,25 @@
 	FullLists int
 	Watches   int
 	Rejected  int
-	Entries   int // written, over all responses
+	Entries   int // number of entries written in all responses
 }
 
-// Server is the service. It is safe for concurrent use.
+// Server serves the endpoint list. It is safe for concurrent use.
 type Server struct {
 	cfg        Config
 	goroutines sync.WaitGroup // of the HTTP servers
 
 	mu        sync.Mutex
 	endpoints endpointSet
-	delayed   map[*time.Timer]struct{} // changes that have yet to show
-	busyUntil time.Time                // when the request that was queued last will have been handled
+	delayed   map[*time.Timer]struct{} // changes whose delay has not passed yet
+	busyUntil time.Time                // when the last queued request will have been handled
 	inOutage  bool
-	outage    chan struct{} // closed when an outage begins, and replaced when it ends
+	outage    chan struct{} // closed when an outage begins, replaced when it ends
 	figures   Figures
 	servers   []*http.Server
 }
 
-// New returns a service with an empty list.
+// New returns a server with an empty list.
 func New(cfg Config) *Server {
 	if cfg.MaxQueueDelay == 0 {
 		cfg.MaxQueueDelay = defaultMaxQueueDelay
@@ -87,16 +88,16 @@
 	}
 }
 
-// Serve answers the requests of an agent on a listener until Close, which closes the listener. It returns at once.
+// Serve starts to answer the requests of an agent on a listener and returns at once. Close closes the listener.
 func (s *Server) Serve(l net.Listener, agent string) {
-	server := &http.Server{Handler: s.handler(agent), ReadHeaderTimeout: headTimeout, ErrorLog: log.New(io.Discard, "", 0)}
+	server := &http.Server{Handler: s.handler(agent), ReadHeaderTimeout: headerTimeout, ErrorLog: log.New(io.Discard, "", 0)}
 	s.mu.Lock()
 	s.servers = append(s.servers, server)
 	s.mu.Unlock()
 	s.goroutines.Go(func() { server.Serve(l) })
 }
 
-// Close ends the service and waits for it. Changes that have not shown yet are dropped.
+// Close stops the service and waits for its goroutines. Delayed changes are dropped.
 func (s *Server) Close() {
 	s.mu.Lock()
 	for timer := range s.delayed {
@@ -110,7 +111,8 @@
 	s.goroutines.Wait()
 }
 
-// Set puts an entry into the list, changes it, or removes it where its state is Removed, after a delay.
+// Set adds an entry, or changes the one with the same ID, or removes it if the new state is Removed. The change takes effect after
+// a delay.
 func (s *Server) Set(e Entry, delay time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -128,7 +130,8 @@
 	s.delayed[timer] = struct{}{}
 }
 
-// SetOutage begins an outage or ends it. In an outage all watches are broken off and requests rejected.
+// SetOutage begins or ends an outage. When it begins, the connections of all open watches are broken; while it lasts, all requests
+// are rejected.
 func (s *Server) SetOutage(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -143,7 +146,7 @@
 	}
 }
 
-// Snapshot returns the present full list.
+// Snapshot returns the current full list.
 func (s *Server) Snapshot() List {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/emulator/discovery/doc.go
+++ b/internal/emulator/discovery/doc.go
@@ -1,9 +1,9 @@
-// Package discovery is the emulator's service registry: agents get the full endpoint list from it, or wait for changes after a
-// version (a watch, by long polling), at GET /v1/endpoints.
+// Package discovery is the emulator's service registry. With GET /v1/endpoints agents fetch the full endpoint list, or wait for
+// changes after a version by long polling (a watch).
 //
-// What makes a real registry hard to rely on is modelled: changes show late (Set's delay), requests are handled one after the
-// other at a bounded rate and rejected when the queue is too long, and the service can be down (SetOutage).
+// The registry emulates the weaknesses of real ones. Changes show late (the delay of Server.Set). Requests are handled one at a
+// time, at a limited rate, and are rejected when the queue is too long. The service can be down (Server.SetOutage).
 //
-// Each agent has an address of its own, so that the service knows what it has written to which agent, and when: see
-// Config.OnNotified. The referee's rules on draining and slow start rest on that.
+// Each agent uses an address of its own, by which the service records what it has written to which agent, and when: see
+// Config.OnNotified. The referee's rules on draining and slow start depend on these records.
 package discovery
--- a/internal/emulator/discovery/endpoint_set.go
+++ b/internal/emulator/discovery/endpoint_set.go
@@ -5,17 +5,17 @@
 	"slices"
 )
 
-// maxChanges is how many changes a watch can go back by; beyond it a watch gets the full list.
+// maxChanges is the number of retained changes. A watch for an older version gets the full list.
 const maxChanges = 4096
 
-// endpointSet is the list with its latest changes. Each change raises the version by one. It is guarded by the server's lock.
+// endpointSet is the endpoint list with its latest changes. Each change increments the version. It is guarded by the server's lock.
 type endpointSet struct {
 	version int
-	entries map[string]Entry
-	order   []string            // ids, in the order in which they were added
-	removed map[string]struct{} // ids that were in the list
-	changes []change            // the oldest first
-	changed chan struct{}       // closed at each change, and replaced
+	entries map[string]Entry    // by ID
+	order   []string            // IDs, in the order in which they were added
+	removed map[string]struct{} // IDs that were in the list and are not any more
+	changes []change            // oldest first
+	changed chan struct{}       // closed and replaced at each change
 }
 
 type change struct {
@@ -27,7 +27,7 @@
 	return endpointSet{entries: map[string]Entry{}, removed: map[string]struct{}{}, changed: make(chan struct{})}
 }
 
-// set adds, changes or removes an entry and wakes the watches.
+// set adds, changes or removes an entry and wakes all watches.
 func (s *endpointSet) set(e Entry) {
 	if e.State == Removed {
 		delete(s.entries, e.ID)
@@ -57,8 +57,8 @@
 	return list
 }
 
-// changesSince returns what has changed after a version, each entry once and as it is now. It returns the full list where the
-// version is older than the retained changes, or newer than the present one, as after a restart of the registry.
+// changesSince returns the entries that have changed after a version, each once and in its current state. It returns the full list
+// if the version is older than the retained changes, or newer than the current version, as after a restart of the registry.
 func (s *endpointSet) changesSince(version int) List {
 	tooOld := len(s.changes) > 0 && version < s.changes[0].version-1
 	if version > s.version || tooOld {
@@ -75,5 +75,5 @@
 	return list
 }
 
-// removedIDs returns the ids that were in the list and are not.
+// removedIDs returns the IDs that were in the list and are not any more.
 func (s *endpointSet) removedIDs() []string { return slices.Collect(maps.Keys(s.removed)) }
--- a/internal/emulator/discovery/handler.go
+++ b/internal/emulator/discovery/handler.go
@@ -9,19 +9,19 @@
 	"time"
 )
 
-// maxWatch is the longest that a watch waits for a change.
+// maxWatch is the maximum time that a watch waits for a change.
 const maxWatch = time.Minute
 
-// endpointsPath is where the list is served.
+// endpointsPath is the path of the endpoint list.
 const endpointsPath = "/v1/endpoints"
 
-// noVersion asks for the full list.
+// noVersion stands for a request without a version, which gets the full list.
 const noVersion = -1
 
 var (
-	errRejected   = errors.New("too many calls wait")
-	errWatchEnded = errors.New("the watch was broken off")
-	errBadVersion = errors.New("since must be a version")
+	errRejected   = errors.New("discovery is overloaded or down")
+	errWatchEnded = errors.New("watch ended without a list")
+	errBadVersion = errors.New("since must be a version, a number of at least 0")
 )
 
 func (s *Server) handler(agent string) http.Handler {
@@ -42,13 +42,13 @@
 		}
 		list, err := s.awaitList(r.Context(), since, parseTimeout(r))
 		if err != nil {
-			panic(http.ErrAbortHandler) // breaks the connection without a response
+			panic(http.ErrAbortHandler) // closes the connection without a response
 		}
 		s.write(w, list, agent)
 	})
 }
 
-// parseSince returns the version that a watch waits beyond, or noVersion.
+// parseSince returns the version after which a watch wants changes, or noVersion if the request has none.
 func parseSince(r *http.Request) (int, error) {
 	query := r.URL.Query()
 	if !query.Has("since") {
@@ -61,7 +61,7 @@
 	return since, nil
 }
 
-// parseTimeout returns how long a watch waits; 0 where the request does not say.
+// parseTimeout returns how long a watch waits, at most maxWatch. It is 0 if the request has no valid timeout.
 func parseTimeout(r *http.Request) time.Duration {
 	ms, err := strconv.ParseInt(r.URL.Query().Get("timeout_ms"), 10, 64)
 	if err != nil {
@@ -70,9 +70,9 @@
 	return min(maxWatch, max(0, time.Duration(ms)*time.Millisecond))
 }
 
-// waitTurn waits in the queue of requests, each of which takes the same time. It returns errRejected in an outage, when the
-// queue is too long (after the longest wait, as a client that is stuck in a full queue sees it), or when an outage begins
-// meanwhile; and the context's error.
+// waitTurn waits until all requests that are queued before have been handled, and this one too; each takes the same time. It returns
+// errRejected at once during an outage, and during the wait if an outage begins. If the queue is too long, it returns errRejected
+// after MaxQueueDelay, which is how a full queue looks to a client. It returns the context's error if the context ends first.
 func (s *Server) waitTurn(ctx context.Context) error {
 	s.mu.Lock()
 	inOutage, outage := s.inOutage, s.outage
@@ -100,7 +100,8 @@
 	return nil
 }
 
-// queueDelay returns when a request that comes now will have been handled, and queues it unless that is too late. s.mu is held.
+// queueDelay returns how long it takes until a request that arrives now has been handled. It queues the request unless that is longer
+// than MaxQueueDelay. s.mu is held.
 func (s *Server) queueDelay() time.Duration {
 	if s.cfg.Rate <= 0 || s.inOutage {
 		return 0
@@ -116,8 +117,8 @@
 	return delay
 }
 
-// awaitList returns the full list, or waits for changes after a version: without one in time it returns an empty list of that
-// version. It returns errWatchEnded when an outage or the client ends the wait.
+// awaitList returns the full list if since is noVersion. Otherwise it waits for changes after that version, and returns an empty list
+// of the same version if there is none before the timeout. It returns errWatchEnded if an outage begins or the client disconnects.
 func (s *Server) awaitList(ctx context.Context, since int, timeout time.Duration) (List, error) {
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
@@ -149,7 +150,8 @@
 	}
 }
 
-// poll returns a list where there is one to return, else the channels of what a watch waits for.
+// poll returns the list to send and true for ready, or if there is none yet, the channels that are closed at the next change and at the
+// next outage.
 func (s *Server) poll(since int) (list List, changed, outage <-chan struct{}, ready bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -162,7 +164,7 @@
 	return List{}, s.endpoints.changed, s.outage, false
 }
 
-// write writes a list to an agent and reports what the agent has been notified of by it.
+// write writes a list to an agent and reports its entries to OnNotified.
 func (s *Server) write(w http.ResponseWriter, list List, agent string) {
 	if s.cfg.RewriteEntry != nil {
 		for i, e := range list.Servers {
@@ -183,8 +185,8 @@
 	s.notified(list, agent)
 }
 
-// notified reports the entries of a list that was written to an agent. A full list also says of the endpoints that it does not
-// name that they are gone.
+// notified reports the entries of a list that was written to an agent. A full list also notifies the agent that the endpoints it
+// leaves out have been removed.
 func (s *Server) notified(list List, agent string) {
 	s.mu.Lock()
 	s.figures.Entries += len(list.Servers)
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -82,7 +82,7 @@
 			again.Body.Close()
 		}
 	case a.misbehavior == fabricates && n%20 == 0:
-		body = []byte("all is well\n")
+		body = []byte("fabricated response\n")
 	case a.misbehavior == abortsConns && n%20 == 0:
 		panic(http.ErrAbortHandler)
 	case a.misbehavior == neverResponds && n%20 == 0:
--- a/internal/emulator/peer/peer.go
+++ b/internal/emulator/peer/peer.go
@@ -1,12 +1,12 @@
-// Package peer is a scripted HTTP peer for tests: on each connection that it accepts it does exactly what a script says, byte by
-// byte, and records the requests that it read.
+// Package peer is a scripted HTTP server for tests. On each accepted connection it executes a script, which controls every byte that
+// it sends, and it records the requests that it reads.
 //
 // A script is a list of steps, such as
 //
 //	p := peer.New(listener, []peer.Step{peer.Request(), peer.Send(peer.OK("hello")), peer.Close()})
 //	defer p.Close()
 //
-// Connection n follows script n. Err returns the steps that failed.
+// The n-th connection executes the n-th script. Err returns the errors of the steps that failed.
 package peer
 
 import (
@@ -19,18 +19,18 @@
 	"time"
 )
 
-// Step is a part of a script. An error ends the connection and is reported by Err.
+// Step is a step of a script. If it returns an error, the connection is closed and Err reports the error.
 type Step func(*Session) error
 
-// Session is a connection that follows a script.
+// Session is a connection on which a script is executed.
 type Session struct {
 	net.Conn
 	In     *bufio.Reader
-	Number int // of the connection, from 0
+	Number int // of the connection, counted from 0
 	peer   *Peer
 }
 
-// Peer accepts connections, and follows a script on each. It is safe for concurrent use.
+// Peer accepts connections and executes a script on each. It is safe for concurrent use.
 type Peer struct {
 	listener   net.Listener
 	scripts    [][]Step
@@ -44,17 +44,18 @@
 	closed   bool
 }
 
-// ReceivedRequest is a request that a peer has read to its end.
+// ReceivedRequest is a request that a peer has read completely.
 type ReceivedRequest struct {
-	Conn   int // the connection's number, from 0
+	Conn   int // number of the connection, counted from 0
 	Method string
 	Path   string
 	Header http.Header
 	Body   []byte
-	At     time.Time // when it had been read
+	At     time.Time // when it was read completely
 }
 
-// New returns a peer on a listener, which it owns. Connection n follows script n, and those past the last follow the last.
+// New returns a peer on a listener, which it owns. The n-th connection executes the n-th script; further connections execute the
+// last script. It runs until Close.
 func New(l net.Listener, scripts ...[]Step) *Peer {
 	p := &Peer{listener: l, scripts: scripts, conns: map[net.Conn]struct{}{}}
 	p.goroutines.Go(p.accept)
@@ -104,9 +105,9 @@
 	p.errs = append(p.errs, &StepError{Conn: conn, Step: step, Err: err})
 }
 
-// StepError says which step of a script failed.
+// StepError is the error of a step that failed.
 type StepError struct {
-	Conn, Step int // numbers, from 0
+	Conn, Step int // numbers of the connection and of the step in its script, counted from 0
 	Err        error
 }
 
@@ -115,10 +116,10 @@
 	return fmt.Sprintf("connection %d, step %d: %v", e.Conn, e.Step, e.Err)
 }
 
-// Unwrap returns the cause.
+// Unwrap returns the error that the step returned.
 func (e *StepError) Unwrap() error { return e.Err }
 
-// Close ends the peer and its connections, and waits for its goroutines.
+// Close closes the listener and all connections, and waits for the peer's goroutines.
 func (p *Peer) Close() {
 	p.listener.Close()
 	p.mu.Lock()
@@ -130,21 +131,21 @@
 	p.goroutines.Wait()
 }
 
-// Requests returns the requests that were read, in order.
+// Requests returns the requests read so far, in the order in which they were read.
 func (p *Peer) Requests() []ReceivedRequest {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return append([]ReceivedRequest(nil), p.requests...)
 }
 
-// Conns returns how many connections were accepted.
+// Conns returns the number of connections accepted so far.
 func (p *Peer) Conns() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.accepted
 }
 
-// Err returns the errors of all steps that failed, joined; each is a *StepError.
+// Err returns the joined errors of all steps that failed so far, each a *StepError, or nil.
 func (p *Peer) Err() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/emulator/peer/peer_test.go
+++ b/internal/emulator/peer/peer_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// A test whose script was not followed must not pass for one whose agent behaved: the step that failed is reported, and the end of
-// a script is no failure.
+// A test must be able to detect that a script was not executed as written: Err must report the step that failed. The regular end of
+// a script is not a failure.
 func TestFailedStepIsReported(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -29,9 +29,9 @@
 	p.Close()
 	var failed *StepError
 	if err := p.Err(); !errors.As(err, &failed) || failed.Conn != 1 || failed.Step != 1 {
-		t.Errorf("%v", err)
+		t.Errorf("got error %v, want a StepError of connection 1, step 1", err)
 	}
 	if p.Conns() != 2 {
-		t.Errorf("%d connections", p.Conns())
+		t.Errorf("%d connections, want 2", p.Conns())
 	}
 }
--- a/internal/emulator/peer/steps.go
+++ b/internal/emulator/peer/steps.go
@@ -10,10 +10,10 @@
 	"time"
 )
 
-// errScriptEnd ends a script without an error.
-var errScriptEnd = errors.New("the script ends")
+// errScriptEnd ends a script; Err does not report it.
+var errScriptEnd = errors.New("end of script")
 
-// Request reads a request to its end. A connection that ends before one begins ends the script without an error.
+// Request reads a complete request. If the connection ends before a request begins, the script ends without an error.
 func Request() Step {
 	return func(s *Session) error {
 		if _, err := s.In.Peek(1); err != nil {
@@ -34,7 +34,7 @@
 	}
 }
 
-// Bytes reads as many bytes as want has, and fails where they differ.
+// Bytes reads len(want) bytes and fails if they differ from want.
 func Bytes(want string) Step {
 	return func(s *Session) error {
 		got := make([]byte, len(want))
@@ -42,13 +42,13 @@
 			return err
 		}
 		if !bytes.Equal(got, []byte(want)) {
-			return fmt.Errorf("read %q, not %q", got, want)
+			return fmt.Errorf("read %q, want %q", got, want)
 		}
 		return nil
 	}
 }
 
-// Send writes a text at once.
+// Send writes a text in one write.
 func Send(text string) Step {
 	return func(s *Session) error {
 		_, err := io.WriteString(s.Conn, text)
@@ -56,7 +56,8 @@
 	}
 }
 
-// Drip writes a text byte by byte with a gap between them. It ends the script when the other side closes.
+// Drip writes a text byte by byte, with a pause (gap) after each. The script ends without an error if the other side closes the
+// connection.
 func Drip(text string, gap time.Duration) Step {
 	return func(s *Session) error {
 		for i := range len(text) {
@@ -69,7 +70,7 @@
 	}
 }
 
-// Wait does nothing for a while.
+// Wait waits for a duration.
 func Wait(d time.Duration) Step {
 	return func(*Session) error {
 		time.Sleep(d)
@@ -77,7 +78,7 @@
 	}
 }
 
-// Silence reads and writes nothing until the other side closes.
+// Silence discards all input and writes nothing until the other side closes the connection. Then it ends the script.
 func Silence() Step {
 	return func(s *Session) error {
 		io.Copy(io.Discard, s.In)
@@ -103,7 +104,7 @@
 			c.SetLinger(0)
 			c.Close()
 		default:
-			return fmt.Errorf("a %T can't be reset", c)
+			return fmt.Errorf("cannot reset a connection of type %T", c)
 		}
 		return errScriptEnd
 	}
@@ -122,7 +123,7 @@
 	}
 }
 
-// OK returns the text of a 200 with a body.
+// OK returns the text of a 200 response with a body.
 func OK(body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
