--- a/internal/emulator/backend/backend.go
+++ b/internal/emulator/backend/backend.go
@@ -41,7 +41,7 @@
 
 const defaultMaxConns = 4096
 
-// Backend is an order node at an address, through its incarnations. It is safe for concurrent use.
+// Backend is an order node at one address, with all its incarnations one after the other. It is safe for concurrent use.
 type Backend struct {
 	cfg        Config
 	goroutines sync.WaitGroup // connections, listeners and the driver
--- a/internal/emulator/backend/conn.go
+++ b/internal/emulator/backend/conn.go
@@ -144,7 +144,7 @@
 	defer func() {
 		c.Close()
 		r.close()
-		c.forget()
+		c.unregister()
 	}()
 	for {
 		c.setIdle(true)
@@ -164,8 +164,8 @@
 	}
 }
 
-// forget removes the connection from the backend, and reports its end to the node if the node counts it.
-func (c *conn) forget() {
+// unregister removes the connection from the backend, and reports its end to the node if the node counts it.
+func (c *conn) unregister() {
 	c.backend.mu.Lock()
 	defer c.backend.mu.Unlock()
 	delete(c.backend.conns, c)
--- a/internal/emulator/callers/call.go
+++ b/internal/emulator/callers/call.go
@@ -10,7 +10,7 @@
 // ClientProfile describes how clients retry and wait.
 type ClientProfile struct {
 	Retries                int           // maximum number of retries by the client
-	AttemptTimeoutFraction float64       // timeout of an attempt as a fraction of the class's deadline; 0 for the whole deadline
+	AttemptTimeoutFraction float64       // timeout of an attempt as a fraction of the class's deadline; 0 for what is left of the deadline
 	Backoff                time.Duration // pause before a retry
 	RetryAfterFraction     float64       // fraction of the calls that respect Retry-After
 	MaxRetryAfter          time.Duration // maximum wait because of Retry-After
@@ -54,8 +54,9 @@
 	}
 }
 
-// Attempt begins an attempt. timeout is the timeout that the client states in the request, abandon the time after which it abandons
-// the attempt, which is shorter if it is impatient. Both are 0 if the call's deadline has passed; then there is no attempt.
+// Attempt begins an attempt. timeout is the timeout that the client states in the request: what is left of the deadline if it does
+// not retry, otherwise at most AttemptTimeoutFraction of the deadline. abandon is the time after which it abandons the attempt, which
+// is shorter if it is impatient. Both are 0 if the call's deadline has passed; then there is no attempt.
 func (c *Call) Attempt(now time.Duration) (timeout, abandon time.Duration) {
 	remaining := c.At + c.Class.Deadline - now
 	timeout = min(remaining, time.Duration(c.profile.AttemptTimeoutFraction*float64(c.Class.Deadline)))
--- a/internal/emulator/callers/distributions.go
+++ b/internal/emulator/callers/distributions.go
@@ -13,7 +13,7 @@
 )
 
 // drawWork draws from a log-normal distribution with the class's mean and coefficient of variation. The result is at least minWork
-// and at most maxWorkFactor times the mean.
+// and at most maxWorkFactor times the mean. Without variation it is the mean itself.
 func drawWork(rng *rand.Rand, class Class) time.Duration {
 	if class.CV == 0 {
 		return class.Work
--- a/internal/emulator/discovery/handler.go
+++ b/internal/emulator/discovery/handler.go
@@ -35,7 +35,7 @@
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
-		if err := s.waitTurn(r.Context()); err != nil {
+		if err := s.waitInQueue(r.Context()); err != nil {
 			w.Header().Set("Connection", "close")
 			http.Error(w, err.Error(), http.StatusServiceUnavailable)
 			return
@@ -70,10 +70,10 @@
 	return min(maxWatch, max(0, time.Duration(ms)*time.Millisecond))
 }
 
-// waitTurn waits until all requests that are queued before have been handled, and this one too; each takes the same time. It returns
+// waitInQueue waits until all requests that are queued before have been handled, and this one too; each takes the same time. It returns
 // errRejected at once during an outage, and during the wait if an outage begins. If the queue is too long, it returns errRejected
 // after MaxQueueDelay, which is how a full queue looks to a client. It returns the context's error if the context ends first.
-func (s *Server) waitTurn(ctx context.Context) error {
+func (s *Server) waitInQueue(ctx context.Context) error {
 	s.mu.Lock()
 	inOutage, outage := s.inOutage, s.outage
 	wait := s.queueDelay()
--- a/internal/emulator/link/conn.go
+++ b/internal/emulator/link/conn.go
@@ -47,7 +47,7 @@
 			c.out.closeWriter()
 		}
 		c.in.failWrites(syscall.EPIPE)
-		c.forget()
+		c.unregister()
 	})
 	return err
 }
@@ -64,10 +64,10 @@
 	c.in.reset(true)
 	c.in.failWrites(syscall.ECONNRESET)
 	c.out.failWrites(syscall.ECONNRESET)
-	c.forget()
+	c.unregister()
 }
 
-func (c *Conn) forget() {
+func (c *Conn) unregister() {
 	c.network.mu.Lock()
 	defer c.network.mu.Unlock()
 	delete(c.network.conns, c)
--- a/internal/emulator/link/dial.go
+++ b/internal/emulator/link/dial.go
@@ -49,13 +49,13 @@
 		n.mu.Unlock()
 		return nil, syscall.ECONNREFUSED
 	}
-	here, there := n.newConns(from, addr)
+	dialed, accepted := n.newConns(from, addr)
 	n.mu.Unlock()
 	select {
-	case l.queue <- there:
-		return here, nil
+	case l.queue <- accepted:
+		return dialed, nil
 	default:
-		return here, errBacklog
+		return dialed, errBacklog
 	}
 }
 
@@ -92,14 +92,14 @@
 }
 
 // newConns creates both ends of a connection. n.mu is held.
-func (n *Network) newConns(from, addr string) (here, there *Conn) {
+func (n *Network) newConns(from, addr string) (dialed, accepted *Conn) {
 	n.connsMade++
 	n.lastPort++
 	local, to := net.JoinHostPort(from, strconv.Itoa(n.lastPort)), host(addr)
 	forward := newPipe(n.newRand(n.connsMade, 1), n.paths[path{from, to}])
 	reverse := newPipe(n.newRand(n.connsMade, 2), n.paths[path{to, from}])
-	here = &Conn{network: n, local: local, remote: addr, in: reverse, out: forward}
-	there = &Conn{network: n, local: addr, remote: local, in: forward, out: reverse}
-	n.conns[here], n.conns[there] = struct{}{}, struct{}{}
-	return here, there
+	dialed = &Conn{network: n, local: local, remote: addr, in: reverse, out: forward}
+	accepted = &Conn{network: n, local: addr, remote: local, in: forward, out: reverse}
+	n.conns[dialed], n.conns[accepted] = struct{}{}, struct{}{}
+	return dialed, accepted
 }
--- a/internal/emulator/link/link_test.go
+++ b/internal/emulator/link/link_test.go
@@ -14,21 +14,21 @@
 )
 
 // pair returns both ends of an in-memory connection from a to b.
-func pair(t *testing.T, n *Network) (here, there net.Conn) {
+func pair(t *testing.T, n *Network) (dialed, accepted net.Conn) {
 	t.Helper()
 	l, err := n.Listen("b:80")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
-	here, err = n.Dialer("a")(t.Context(), "tcp", "b:80")
+	dialed, err = n.Dialer("a")(t.Context(), "tcp", "b:80")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if there, err = l.Accept(); err != nil {
+	if accepted, err = l.Accept(); err != nil {
 		t.Fatal(err)
 	}
-	return here, there
+	return dialed, accepted
 }
 
 // read returns the result of one read, and how long it took.
@@ -45,17 +45,17 @@
 		n := NewNetwork(1)
 		n.SetBoth("a", "b", Conditions{Delay: 100 * time.Millisecond, Jitter: 50 * time.Millisecond, Loss: 0.3})
 		began := time.Now()
-		here, there := pair(t, n)
+		dialed, accepted := pair(t, n)
 		if up := time.Since(began); up < 200*time.Millisecond {
 			t.Errorf("the connection was established after %v, want at least 200 ms", up)
 		}
 		want := bytes.Repeat([]byte("0123456789"), 5000)
-		go func() { here.Write(want); here.Close() }()
-		got, err := io.ReadAll(there)
+		go func() { dialed.Write(want); dialed.Close() }()
+		got, err := io.ReadAll(accepted)
 		if err != nil || !bytes.Equal(got, want) {
 			t.Errorf("read %d bytes, %v, want the %d bytes written", len(got), err, len(want))
 		}
-		there.Close()
+		accepted.Close()
 	})
 }
 
@@ -64,22 +64,22 @@
 	synctest.Test(t, func(t *testing.T) {
 		n := NewNetwork(1)
 		n.SetBoth("a", "b", Conditions{Bandwidth: 1 << 20})
-		here, there := pair(t, n)
-		here.SetWriteDeadline(time.Now().Add(time.Second))
-		sent, err := here.Write(make([]byte, 2<<20))
+		dialed, accepted := pair(t, n)
+		dialed.SetWriteDeadline(time.Now().Add(time.Second))
+		sent, err := dialed.Write(make([]byte, 2<<20))
 		if !errors.Is(err, os.ErrDeadlineExceeded) || sent != maxInFlight {
 			t.Errorf("%d bytes were written with nobody reading, %v, want %d and a timeout", sent, err, maxInFlight)
 		}
-		here.SetWriteDeadline(time.Time{})
+		dialed.SetWriteDeadline(time.Time{})
 		began := time.Now()
-		go func() { here.Write(make([]byte, 1<<20)); here.Close() }()
-		if _, err := io.Copy(io.Discard, there); err != nil {
+		go func() { dialed.Write(make([]byte, 1<<20)); dialed.Close() }()
+		if _, err := io.Copy(io.Discard, accepted); err != nil {
 			t.Error(err)
 		}
 		if took := time.Since(began); took < 900*time.Millisecond || took > 1500*time.Millisecond {
 			t.Errorf("1 MiB at 1 MiB/s took %v, want 0.9 s to 1.5 s", took)
 		}
-		there.Close()
+		accepted.Close()
 	})
 }
 
@@ -88,23 +88,23 @@
 func TestCutHoldsBackOneDirectionWithoutError(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := NewNetwork(1)
-		here, there := pair(t, n)
+		dialed, accepted := pair(t, n)
 		n.Set("a", "b", Conditions{Cut: true})
-		io.WriteString(here, "held")
-		io.WriteString(there, "back")
-		if got, _, _ := read(here); got != "back" {
+		io.WriteString(dialed, "held")
+		io.WriteString(accepted, "back")
+		if got, _, _ := read(dialed); got != "back" {
 			t.Errorf("the direction that is not cut: read %q, want \"back\"", got)
 		}
-		there.SetReadDeadline(time.Now().Add(time.Minute))
-		if _, took, err := read(there); !errors.Is(err, os.ErrDeadlineExceeded) || took != time.Minute {
+		accepted.SetReadDeadline(time.Now().Add(time.Minute))
+		if _, took, err := read(accepted); !errors.Is(err, os.ErrDeadlineExceeded) || took != time.Minute {
 			t.Errorf("a read during the cut: %v after %v, want a timeout after a minute", err, took)
 		}
-		if !there.(*Conn).OpenWithoutInput() {
+		if !accepted.(*Conn).OpenWithoutInput() {
 			t.Error("OpenWithoutInput is false during the cut")
 		}
-		there.SetReadDeadline(time.Time{})
+		accepted.SetReadDeadline(time.Time{})
 		time.AfterFunc(time.Second, func() { n.Set("a", "b", Conditions{}) })
-		if got, took, err := read(there); got != "held" || took != time.Second || err != nil {
+		if got, took, err := read(accepted); got != "held" || took != time.Second || err != nil {
 			t.Errorf("after the cut: read %q after %v, %v, want \"held\" after 1 s", got, took, err)
 		}
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
@@ -115,8 +115,8 @@
 		if _, err := n.Dialer("a")(ctx, "tcp", "b:80"); !errors.Is(err, context.DeadlineExceeded) {
 			t.Errorf("a dial with the reply's direction cut: %v, want a timeout", err)
 		}
-		here.Close()
-		there.Close()
+		dialed.Close()
+		accepted.Close()
 	})
 }
 
@@ -125,34 +125,34 @@
 func TestConnectionsEndAsInTCP(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := NewNetwork(1)
-		here, there := pair(t, n)
-		io.WriteString(here, "last")
-		here.Close()
-		if got, _, _ := read(there); got != "last" {
+		dialed, accepted := pair(t, n)
+		io.WriteString(dialed, "last")
+		dialed.Close()
+		if got, _, _ := read(accepted); got != "last" {
 			t.Errorf("read %q before the close, want \"last\"", got)
 		}
-		if _, _, err := read(there); err != io.EOF {
+		if _, _, err := read(accepted); err != io.EOF {
 			t.Errorf("a read after the peer has closed: %v, want %v", err, io.EOF)
 		}
-		if _, err := there.Write([]byte("x")); !errors.Is(err, syscall.EPIPE) {
+		if _, err := accepted.Write([]byte("x")); !errors.Is(err, syscall.EPIPE) {
 			t.Errorf("a write after the peer has closed: %v, want %v", err, syscall.EPIPE)
 		}
-		here, there = pair(t, n)
-		io.WriteString(there, "unread")
-		here.Close()
-		if _, _, err := read(there); !errors.Is(err, syscall.ECONNRESET) {
+		dialed, accepted = pair(t, n)
+		io.WriteString(accepted, "unread")
+		dialed.Close()
+		if _, _, err := read(accepted); !errors.Is(err, syscall.ECONNRESET) {
 			t.Errorf("a read after the peer has closed with unread bytes: %v, want %v", err, syscall.ECONNRESET)
 		}
-		here, there = pair(t, n)
+		dialed, accepted = pair(t, n)
 		n.Kill("b")
-		if _, _, err := read(here); !errors.Is(err, syscall.ECONNRESET) {
+		if _, _, err := read(dialed); !errors.Is(err, syscall.ECONNRESET) {
 			t.Errorf("a read after the peer was killed: %v, want %v", err, syscall.ECONNRESET)
 		}
 		if _, err := n.Dialer("a")(t.Context(), "tcp", "b:80"); !errors.Is(err, syscall.ECONNREFUSED) {
 			t.Errorf("a dial to a port without a listener: %v, want %v", err, syscall.ECONNREFUSED)
 		}
-		here.Close()
-		if n.Open("a") != 0 || there.Close() != nil {
+		dialed.Close()
+		if n.Open("a") != 0 || accepted.Close() != nil {
 			t.Errorf("%d connections are open at a after all were closed, or closing the other end failed", n.Open("a"))
 		}
 	})
--- a/internal/emulator/node/execution.go
+++ b/internal/emulator/node/execution.go
@@ -47,7 +47,7 @@
 		return
 	}
 	if i := slices.IndexFunc(n.running, isTicket); i >= 0 && !n.RunsCancelled {
-		done := n.running[i].duration()
+		done := n.running[i].workTime()
 		n.figures.Work += done
 		n.figures.Wasted += done
 		n.figures.Cancelled++
@@ -56,8 +56,8 @@
 	}
 }
 
-// duration returns the work done so far.
-func (item *workItem) duration() time.Duration { return time.Duration(item.workDone * 1e9) }
+// workTime returns the work done so far, as time on a core of speed 1.
+func (item *workItem) workTime() time.Duration { return time.Duration(item.workDone * 1e9) }
 
 // startQueued starts queued requests in free slots, oldest first. Requests whose deadline has passed are dropped unless
 // RunsExpired is set.
@@ -93,7 +93,7 @@
 }
 
 func (n *Node) complete(item *workItem) {
-	done := item.duration()
+	done := item.workTime()
 	n.figures.Work += done
 	n.reports.completed++
 	completion := Completion{Ticket: item.Ticket, At: n.now, OK: !n.draw(n.ErrorRate), WorkDone: done}
--- a/internal/emulator/node/node.go
+++ b/internal/emulator/node/node.go
@@ -115,15 +115,15 @@
 // advanceTo moves the model's time to now, event by event. Completions are kept for the next Advance.
 func (n *Node) advanceTo(now time.Duration) {
 	for next := n.NextEvent(); next <= now; next = n.NextEvent() {
-		n.passTo(next)
+		n.stepTo(next)
 	}
 	if now > n.now {
-		n.passTo(now)
+		n.stepTo(now)
 	}
 }
 
-// passTo moves the model's time to a moment before which there is no event.
-func (n *Node) passTo(to time.Duration) {
+// stepTo moves the model's time to a moment before which there is no event.
+func (n *Node) stepTo(to time.Duration) {
 	span, rate := (to - n.now).Seconds(), n.slotRate()
 	for _, item := range n.running {
 		item.remaining -= span * rate
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -40,17 +40,20 @@
 	discoveryAddrs []string // by agent index
 	backends       []*backend.Backend
 
-	mu                sync.Mutex
-	nodeAddrs         []string             // listen addresses, by node index
-	agentAddrs        map[[2]string]string // by agent and listen address of a node: the address at which the agent reaches the node
-	replacements      int                  // restarts and replacements so far
-	replacedIDs       []string             // by node index: the current ID of a replaced node, else ""
-	startedAt         time.Duration        // when the scenario began
-	events            []Event
-	err               error // the first error that prevented a fault from being injected
-	linkFaults        []*linkFault
-	heldNotifications map[string]map[string]discovery.Entry // by agent and node ID: entries that discovery wrote while its path to the agent was cut
-	notifiedStarts    map[[2]string]int64                   // by agent and node ID: start time of the last incarnation that the agent was notified of, in Unix milliseconds
+	mu           sync.Mutex
+	nodeAddrs    []string             // listen addresses, by node index
+	agentAddrs   map[[2]string]string // by agent and listen address of a node: the address at which the agent reaches the node
+	replacements int                  // restarts and replacements so far
+	replacedIDs  []string             // by node index: the current ID of a replaced node, else ""
+	startedAt    time.Duration        // when the scenario began
+	events       []Event
+	err          error // the first error that prevented a fault from being injected
+	linkFaults   []*linkFault
+	// heldNotifications are the entries that discovery wrote while its path to the agent was cut, by agent and node ID.
+	heldNotifications map[string]map[string]discovery.Entry
+	// notifiedStarts are the start times, in Unix milliseconds, of the incarnations that agents were last notified of, by agent and
+	// node ID.
+	notifiedStarts map[[2]string]int64
 }
 
 // Start starts a scenario's nodes and discovery. If rejectUnknown is set, nodes reject requests whose ID was not sent by a caller
--- a/internal/emulator/world_events.go
+++ b/internal/emulator/world_events.go
@@ -28,8 +28,8 @@
 	return slices.Clone(w.events)
 }
 
-// fail records an error for Err, which returns the first one.
-func (w *World) fail(err error) {
+// recordError records an error for Err, which returns the first one.
+func (w *World) recordError(err error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.err == nil {
--- a/internal/emulator/world_faults.go
+++ b/internal/emulator/world_faults.go
@@ -138,11 +138,11 @@
 	}
 	spec.Started = w.Now()
 	if err := w.backends[i].Restart(spec, w.backendSeed(len(w.backends)+i)); err != nil {
-		w.fail(err)
+		w.recordError(err)
 		return
 	}
 	if err := w.Network.SetDown(w.Scenario.Nodes[i].ID, false); err != nil {
-		w.fail(err)
+		w.recordError(err)
 		return
 	}
 	w.discovery.Set(w.entry(i, spec, discovery.Ready), delays.AdditionDelay.D()+w.listDelay())
@@ -163,7 +163,7 @@
 // kill ends a node's process.
 func (w *World) kill(i int) {
 	if err := w.Network.SetDown(w.Scenario.Nodes[i].ID, true); err != nil {
-		w.fail(err)
+		w.recordError(err)
 	}
 	w.backends[i].Kill()
 }
