--- a/internal/emulator/scenario_spec.go
+++ b/internal/emulator/scenario_spec.go
@@ -123,7 +123,8 @@
 	To   config.Duration `toml:"to"`
 }
 
-// ScaleTimes multiplies the scenario's length and the start and end times of its faults by a factor.
+// ScaleTimes multiplies by a factor the scenario's length, the start and end times of everything that happens in it, FaultSpec.Stagger
+// and AgentFaultSpec.Duration.
 func (spec *ScenarioSpec) ScaleTimes(factor float64) {
 	scale := func(durations ...*config.Duration) {
 		for _, d := range durations {
