--- a/logic/settings_test.go
+++ b/logic/settings_test.go
@@ -5,11 +5,11 @@
 	"testing"
 )
 
-// Each setting that is out of its range must be named by the error of New.
+// For each setting that is out of range, the error of New must name the setting.
 func TestInvalidSettingsGiveSettingsError(t *testing.T) {
 	for _, c := range []struct {
-		setting string
-		spoil   func(*Settings)
+		setting    string
+		invalidate func(*Settings)
 	}{
 		{"Classes", func(s *Settings) { s.Classes = nil }},
 		{`Classes["cheap"].LatencyObjective`, func(s *Settings) { s.Classes[cheapClass].LatencyObjective = 0 }},
@@ -24,12 +24,12 @@
 		{"MaxPollRetryInterval", func(s *Settings) { s.MaxPollRetryInterval = -1 }},
 		{"SlowStartOverloadFactor", func(s *Settings) { s.SlowStartOverloadFactor = -1 }},
 	} {
-		set := testSettings()
-		c.spoil(&set)
-		_, err := New(set, 1)
+		settings := testSettings()
+		c.invalidate(&settings)
+		_, err := New(settings, 1)
 		var invalid *SettingsError
 		if !errors.As(err, &invalid) || invalid.Setting != c.setting {
-			t.Errorf("%s: the error is %v", c.setting, err)
+			t.Errorf("error for the setting %s: %v", c.setting, err)
 		}
 	}
 }
