--- a/internal/emulator/callers/plan.go
+++ b/internal/emulator/callers/plan.go
@@ -55,7 +55,7 @@
 			continue
 		}
 		if len(plan) == maxRequests {
-			return nil, fmt.Errorf("the plan exceeds %d requests: rate or load, or length is too high", maxRequests)
+			return nil, fmt.Errorf("the plan exceeds %d requests: reduce rate, load or length", maxRequests)
 		}
 		plan = append(plan, p.draw(len(plan), now, traffic.agents))
 	}
