--- a/internal/acceptretry/listener.go
+++ b/internal/acceptretry/listener.go
@@ -92,7 +92,7 @@
 	}
 }
 
-// Close closes the listener and ends a backoff at once.
+// Close closes the listener and ends a backoff at once. It may be called more than once.
 func (l *Listener) Close() error {
 	l.closeOnce.Do(func() { close(l.closed) })
 	return l.Listener.Close()
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -86,7 +86,7 @@
 	front      *fronthttp.Server
 }
 
-// start starts the goroutines of all subsystems but the front. They run until the background context ends. The one that saves
+// start starts the goroutines of all subsystems but the frontend. They run until the background context ends. The one that saves
 // snapshots runs until ctx ends.
 func (a *agent) start(ctx, background context.Context, running *sync.WaitGroup, reload ReloadConfig) {
 	if a.budget != nil {
--- a/internal/agent/build.go
+++ b/internal/agent/build.go
@@ -200,7 +200,7 @@
 	return nil
 }
 
-// registerMetrics adds the metrics of the subsystems to those of the front. The section names are part of the operators' interface
+// registerMetrics adds the metrics of the subsystems to those of the frontend. The section names are part of the operators' interface
 // and must not change.
 func (a *agent) registerMetrics() {
 	a.metrics.Register("events", func() any { return a.events })
--- a/internal/budget/controller.go
+++ b/internal/budget/controller.go
@@ -9,7 +9,8 @@
 //
 // An attempt that meets overload lowers the rate by a step; any other attempt raises it by the step times the tolerated share of
 // overload. The rate is therefore steady where endpoints reject that share of the attempts. It changes per attempt and not per
-// interval, so an agent with few attempts changes its rate less often but in the same steps. A step is an exponent of e.
+// interval: an agent with few attempts changes its rate less often, but its steps do not grow with the time between attempts. No step
+// exceeds MaxStep, and those of a busy agent are smaller (see step). A step is an exponent of e.
 //
 // The tolerated share grows as the admitted fraction falls (the fairness term). Of two agents that use the same endpoints, the one
 // that admits the larger fraction is lowered until both admit the same.
@@ -215,10 +216,10 @@
 // recoverFromSurge restores the rate at the end of a surge. It compares the demand counted over AveragingWindow with the recent demand,
 // counted over recentWindow, both in requests a second.
 //
-// As soon as the recent demand is back near the baseline from before the surge, the rate is raised to that baseline, however far the
-// surge has lowered it. Raising it step by step would take seconds, during which requests would be shed without need. An agent that
-// was started during the surge has no baseline and does a slow start again. If endpoints cannot serve the restored rate, the outcomes
-// of attempts lower it.
+// As soon as the recent demand is back near the baseline from before the surge, the rate is raised to that baseline plus HeadroomRate,
+// however far the surge has lowered it; a rate that is already higher stays. Raising it step by step would take seconds, during which
+// requests would be shed without need. An agent that was started during the surge has no baseline and does a slow start again. If
+// endpoints cannot serve the restored rate, the outcomes of attempts lower it.
 func (c *rateController) recoverFromSurge(demand, recent float64) {
 	switch {
 	case c.surge.active && recent <= surgeEndFactor*c.surge.baseline:
--- a/internal/budget/fleet.go
+++ b/internal/budget/fleet.go
@@ -11,7 +11,8 @@
 	GossipInterval = 250 * time.Millisecond
 	// GossipFanout is the number of peers that each PeerState is sent to, drawn anew each time.
 	GossipFanout = 4
-	// PeerStateTTL is how long the state of the peers is used after the last update.
+	// PeerStateTTL is how long the state of a single peer is used after its receipt (package agent), and how long the sum of all peers'
+	// states is used after the last call of UpdatePeers.
 	PeerStateTTL = 3 * time.Second
 
 	// fleetConvergence is the fraction of the distance to its share of the fleet's rate by which an agent's own rate moves at each
--- a/internal/budget/surge.go
+++ b/internal/budget/surge.go
@@ -8,7 +8,8 @@
 const (
 	// baselineWindow is the time constant of the baseline demand.
 	baselineWindow = 10 * time.Second
-	// A surge starts when demand exceeds surgeStartFactor times the baseline and ends when it is at most surgeEndFactor times it.
+	// A surge starts when the demand counted over AveragingWindow exceeds surgeStartFactor times the baseline (observe). It ends when
+	// the recent demand, counted over recentWindow, is at most surgeEndFactor times the baseline (recoverFromSurge).
 	surgeStartFactor = 2
 	surgeEndFactor   = 1.25
 	// noiseDeviations is the number of standard deviations of a count that are attributed to chance.
--- a/internal/connlimit/close.go
+++ b/internal/connlimit/close.go
@@ -46,15 +46,16 @@
 	return nil
 }
 
-// checkClose checks the close guard, and records the close with its reason. The lock must be held.
+// checkClose calls the check of invariant.Close, and records the close with its reason. A close that the check denies is counted as
+// a violation and takes place nevertheless. The lock must be held.
 func (c *Conn) checkClose() {
-	guard := invariant.Close{
+	operation := invariant.Close{
 		RequestPending:  c.requestID != "" && !c.answerDecided,
 		ClientLeft:      c.disconnected,
 		AnswerTruncated: c.answerAborted,
 	}
-	if verdict := guard.Check(); verdict.Denied {
-		c.listener.Monitor.Violated(verdict.Rule, c.requestID, "connection closed with reason "+c.closeReason.String())
+	if check := operation.Check(); check.Denied {
+		c.listener.Monitor.Violated(check.Rule, c.requestID, "connection closed with reason "+c.closeReason.String())
 	}
 	c.recordAnswerWritten()
 	if c.closeReason == event.None {
--- a/internal/connlimit/doc.go
+++ b/internal/connlimit/doc.go
@@ -21,8 +21,8 @@
 //
 // Only the HTTP server's goroutine that reads a connection calls Close. All other goroutines request a close, which interrupts a
 // read that is blocked. If a byte arrives first, the close is canceled: bytes that were read belong to a request, and a request
-// that was read gets an answer. Close checks the close guard (invariant.Close), and after an answer it performs a lingering close
-// (RFC 9112, section 9.6).
+// that was read gets an answer. Close calls the check of invariant.Close, and after an answer it performs a lingering close (RFC
+// 9112, section 9.6).
 //
 // # Client disconnects
 //
--- a/internal/core/attempts.go
+++ b/internal/core/attempts.go
@@ -114,8 +114,8 @@
 	}
 }
 
-// startHealthCheck executes a health check in a separate goroutine. If it is not possible or the budget denies it, its result is
-// NotSent.
+// startHealthCheck executes a health check in a separate goroutine. If Config has no HealthChecker or the budget denies the check,
+// its result is NotSent.
 func (c *Core) startHealthCheck(endpoint string) {
 	target := c.upstream.Bind(endpoint)
 	denied := c.config.Budget != nil && !c.config.Budget.AllowHealthCheck()
--- a/internal/core/budget.go
+++ b/internal/core/budget.go
@@ -8,11 +8,13 @@
 	"ryeweir/internal/event"
 )
 
-// noQueueDelay is the value of minQueueDelay while no call has been accepted.
+// noQueueDelay is the value of minQueueDelay if no call has been accepted since QueueDelay was last called, or since the start.
 const noQueueDelay = math.MaxInt64
 
-// SetSelfOverloaded reports whether the agent itself is overloaded. It must be called periodically. If there is a budget, the
-// admission level of the fleet falls while the agent is overloaded.
+// SetSelfOverloaded reports whether the agent itself is overloaded. It must be called periodically. If there is a budget, each call
+// that reports overload lowers this agent's own rate in it, down to a minimum fraction, and each other call raises it again until it
+// is back at the full rate (budget.Budget.SetSelfOverloaded). The fleet's rate follows only when the own rate is next sent to peers
+// (budget.PeerState).
 func (c *Core) SetSelfOverloaded(overloaded bool) { c.send(selfOverloadChanged{overloaded}) }
 
 // QueueDelay returns the minimum time that calls waited for the loop since the last call of QueueDelay, or 0 if no call was
--- a/internal/core/clock_test.go
+++ b/internal/core/clock_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// A start time of 0 means long ago. A start time that equals the epoch of this clock must therefore not be converted to 0.
+// Start times come from another machine's clock, so a start can fall exactly on the epoch of this clock. It must not be converted to
+// 0, because a start time of 0 means long ago.
 func TestFromUnixMapsOnlyZeroToZero(t *testing.T) {
 	clock := NewClock()
 	if clock.FromUnix(0) != 0 {
--- a/internal/core/config.go
+++ b/internal/core/config.go
@@ -28,7 +28,8 @@
 	Subscribe func()
 
 	// OnEndpointCounts receives the number of listed endpoints and how many of them the balancer regards as unavailable, after
-	// each update of the list and at each periodic check (every 500 ms). It may be nil.
+	// each update of the list and at each periodic check: every 500 ms, but not while the core is idle (see the package comment).
+	// It may be nil.
 	OnEndpointCounts func(listed, unavailable int)
 
 	// OnAttemptOutcome receives each outcome that says something about the health of an endpoint: the endpoint's id, when the
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -50,8 +50,8 @@
 	}
 }
 
-// One endpoint begins to drain and another one restarts. After the update of the endpoint list, the draining endpoint receives no new
-// requests, and the restarted one, which is in slow start, receives at most half as many as the endpoint that is warm.
+// One endpoint begins to drain and another one restarts at the same time. After the updates of the endpoint list, the draining endpoint
+// receives no new requests, and the restarted one, which is in slow start, receives at most half as many as the endpoint that is warm.
 func TestDrainingEndpointReceivesNothingAndRestartedOneWarmsUp(t *testing.T) {
 	endpoints := map[string]*lineEndpoint{}
 	for _, id := range []string{"a", "b", "c"} {
--- a/internal/core/doc.go
+++ b/internal/core/doc.go
@@ -21,8 +21,8 @@
 //  3. executes the actions that the balancer returns, in order (see execute).
 //
 // The loop blocks only on its queue and its next timer. Operations that may block (dialing, writing, health checks) run in
-// goroutines that the loop starts and that Run waits for. They send their results to the queue as messages. The loop itself
-// never sends to the queue: it would deadlock on a full one.
+// goroutines that the loop starts and that Run waits for. Because those goroutines outlive the step that started them, they send
+// their results to the queue as messages. The loop itself never sends to the queue: it would deadlock on a full one.
 //
 // # Guarantees
 //
@@ -41,5 +41,8 @@
 // answers that no frontend received, and uploads that stopped (boundary.go). It resolves each on the safe side, which means that
 // a request whose state is unknown counts as possibly executed. [ContractViolations] counts them; each count should stay 0.
 //
+// While no call is in progress and the balancer has no work, the core is idle. The loop then does not wake up for the periodic
+// check, except to discard answers that no frontend received. A check that is due runs just before the next message is handled.
+//
 // Times are durations on a [Clock], which is monotonic and starts with the process.
 package core
--- a/internal/core/lineprotocol_test.go
+++ b/internal/core/lineprotocol_test.go
@@ -17,8 +17,9 @@
 	"ryeweir/logic"
 )
 
-// The tests of this package use a line-based protocol. An attempt sends the id of its call. The endpoint replies "ok TEXT", or "busy"
-// if it rejects the call without executing it, or it closes the connection.
+// The tests of this package use a line-based protocol that the core knows nothing about, because the core must not depend on a
+// protocol. An attempt sends the id of its call. The endpoint replies "ok TEXT", or "busy" if it rejects the call without executing
+// it, or it closes the connection.
 
 // lineEndpoint is an in-process endpoint.
 type lineEndpoint struct {
--- a/internal/fleetstate/membership/message.go
+++ b/internal/fleetstate/membership/message.go
@@ -34,7 +34,7 @@
 	return handle
 }
 
-// encode panics if the types above cannot be encoded, which does not depend on the data.
+// encode panics if the types above cannot be encoded. Whether they can depends on the types alone: no data can cause the panic.
 func encode(msg message) (data []byte) {
 	if err := codec.NewEncoderBytes(&data, codecHandle()).Encode(msg); err != nil {
 		panic(fmt.Sprintf("peers: cannot encode a message: %v", err))
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,7 +1,7 @@
 // Package metrics holds the metrics that operators read at GET /v1/metrics. They are atomic counters and gauges, so that the code that
 // serves requests and the readers of the metrics never block each other.
 //
-// The front and the upstream count requests and attempts here. Other subsystems register sections, which are evaluated each time the
+// The frontend and the upstream count requests and attempts here. Other subsystems register sections, which are evaluated each time the
 // metrics are read. The JSON keys are part of the operators' interface and must not change.
 package metrics
 
--- a/internal/upstream/http/body.go
+++ b/internal/upstream/http/body.go
@@ -119,7 +119,7 @@
 	}
 }
 
-// start reports the outcome, which makes the front answer the client. The caller holds s.mu.
+// start reports the outcome, which makes the frontend answer the client. The caller holds s.mu.
 func (s *bodyStream) start() {
 	x := s.exchange
 	if x.reported.CompareAndSwap(false, true) {
--- a/internal/upstream/http/doc.go
+++ b/internal/upstream/http/doc.go
@@ -3,7 +3,7 @@
 // [Upstream.Execute] takes an attempt through these steps. How far the attempt got determines which outcomes are possible:
 //
 //	connect     get a connection from the pool; nothing has been written               upstream.go
-//	begin send  ask the send guard; if it allows the send, the request may run         upstream.go
+//	begin send  check the send (invariant.Send); if allowed, the request may run       upstream.go
 //	write       write the request; if that fails, it never ran                         write.go
 //	await       wait for the head of the final response; without it, it may have run   response.go
 //	read        read the body, buffered or streamed to the client                      body.go
--- a/internal/upstream/http/send_test.go
+++ b/internal/upstream/http/send_test.go
@@ -42,7 +42,7 @@
 				t.Errorf("result %v", out.Result)
 			}
 			if f.sendAllowed(attempt.Attempt, attempt.Target.(*pool.Endpoint)) || backend.Requests() != before {
-				t.Error("the request was sent, or the send guard would have allowed it")
+				t.Error("the request was sent, or the check of invariant.Send would have allowed it")
 			}
 		})
 	}
--- a/internal/upstream/http/upstream.go
+++ b/internal/upstream/http/upstream.go
@@ -87,18 +87,18 @@
 // beginSend reports whether the attempt may write its first byte.
 //
 // Failure: while the attempt waits for a connection, the endpoint starts to drain or restarts, the call ends, or the time passes
-// after which the endpoints may have forgotten its idempotency key. To catch this, the send guard is asked when the connection is
-// available, just before the first byte. After Attempt.Begin the call can no longer end as not sent.
+// after which the endpoints may have forgotten its idempotency key. To catch this, the check of invariant.Send is called when the
+// connection is available, just before the first byte. After Attempt.Begin the call can no longer end as not sent.
 func (u *Upstream) beginSend(attempt *core.Attempt, endpoint *pool.Endpoint) bool {
 	return u.sendAllowed(attempt, endpoint) && attempt.Begin()
 }
 
-// sendAllowed reports whether the send guard allows the attempt now.
+// sendAllowed reports whether the check of invariant.Send allows the attempt now.
 func (u *Upstream) sendAllowed(attempt *core.Attempt, endpoint *pool.Endpoint) bool {
 	return !u.describeSend(attempt, endpoint).Check().Denied
 }
 
-// describeSend returns the current state of an attempt and its endpoint, for the send guard.
+// describeSend returns the current state of an attempt and its endpoint, for the check of invariant.Send.
 func (u *Upstream) describeSend(attempt *core.Attempt, endpoint *pool.Endpoint) invariant.Send {
 	accepts, notReadySince := u.Pool.AcceptsRequests(endpoint)
 	return invariant.Send{
--- a/logic/action.go
+++ b/logic/action.go
@@ -7,7 +7,7 @@
 
 // The kinds of actions.
 const (
-	Send        ActionKind = iota // send an attempt of Request to Endpoint, valid until the request's deadline
+	Send        ActionKind = iota // send an attempt of Request to Endpoint; see Delay for its timeout
 	Reject                        // reject Request; the client can safely try again
 	Fail                          // fail Request; it may or may not have taken effect
 	SetTimer                      // deliver TimerFired with Token after Delay
@@ -40,8 +40,8 @@
 	Request  string // ID; of Send, Reject and Fail
 	Endpoint string // ID; of Send and HealthCheck
 	// Delay is the time until the timer fires (SetTimer), the Retry-After (Reject and Fail; 0 for none), or
-	// the timeout of this attempt (Send). For Send the current rules always use 0, which stands for the
-	// request's deadline.
+	// the timeout of this attempt (Send). An attempt ends at the request's deadline at the latest, and 0 sets
+	// no earlier end. The current rules always use 0 for Send.
 	Delay time.Duration
 	Token uint64 // of SetTimer
 }
--- a/logic/balancer.go
+++ b/logic/balancer.go
@@ -10,8 +10,9 @@
 // and late attempts.
 const ticksPerHorizon = 8
 
-// movingAverageWeight is the weight of a new sample in moving averages whose samples do not decay with
-// time.
+// movingAverageWeight is the weight of a new sample in moving averages that count samples, not time: the
+// time between two samples does not affect it. In responseLatency it is the minimum weight. A new sample
+// weighs more there while the number of samples, which decays with time, is small.
 const movingAverageWeight = 0.05
 
 // Tokens of the timers.
--- a/logic/capacity.go
+++ b/logic/capacity.go
@@ -171,8 +171,8 @@
 	b.preferOwnZone()
 }
 
-// preferOwnZone raises the weight of endpoints in the balancer's own zone, by less the higher their
-// utilization is.
+// preferOwnZone raises the weight of endpoints in the balancer's own zone. The increase is largest for an
+// idle endpoint and shrinks to nothing as its utilization rises to 1.
 func (b *Balancer) preferOwnZone() {
 	for _, e := range b.endpoints.listed {
 		if e.State == Ready && e.Zone == b.settings.Zone && b.slowStartFraction(e) == 1 {
--- a/logic/doc.go
+++ b/logic/doc.go
@@ -68,9 +68,9 @@
 //	tenantQuotas        the recent requests of each tenant
 //
 // An endpoint holds the state of that endpoint alone: endpointHealth is its state in outlier detection,
-// capacityEstimate its capacity and the certainty of that estimate, checkSchedule the time of its next
-// health check. A request holds its attempts, and an attempt refers to its request and its endpoint.
-// Balancers share no state.
+// capacityEstimate its capacity and the certainty of that estimate, checkSchedule whether a health check of
+// it is in flight and the earliest time of the next one. A request holds its attempts, and an attempt refers
+// to its request and its endpoint. Balancers share no state.
 //
 // # Terms
 //
@@ -90,9 +90,10 @@
 //
 // Times are time.Durations on the owner's clock; times in Knowledge are ages. Start times of endpoints are
 // on the same clock, so the clocks of balancers and endpoints may differ by a small fraction of a latency
-// objective at most. The package has no absolute time constants, only multiples of the horizon and of
-// TimerResolution. Averages and counts decay exponentially, either by the tick or by the age of a report; a
-// constant states the time in horizons in which they decay to 1/e.
+// objective at most. Time constants are multiples of the horizon or of TimerResolution. Only two groups are
+// absolute: startTimeTolerance in knowledge.go, and the window, delay and drift of the load reports of
+// health checks in capacity.go. Averages and counts decay exponentially, either by the tick or by the age of
+// a report; a constant states the time in horizons in which they decay to 1/e.
 //
 // Capacities are in requests per second, or in 1/s of latency if no endpoint reports its load; only their
 // ratios matter. Utilization is the fraction of an endpoint's CPU time that is in use, from 0 to 1. A
--- a/logic/endpoint.go
+++ b/logic/endpoint.go
@@ -18,7 +18,7 @@
 	State     EndpointState
 	Zone      int
 	Cell      int           // small group of endpoints that share deduplication
-	Weight    float64       // capacity relative to the other endpoints
+	Weight    float64       // relative capacity; taken as 1 if it is not above 0 or without UseListedWeights
 	StartedAt time.Duration // latest start, on the same clock as the events; 0: long ago
 }
 
@@ -35,7 +35,7 @@
 	check                  checkSchedule
 
 	// Set by updateWeights for the current event.
-	capacity float64 // estimated requests per second after slow start
+	capacity float64 // estimated requests per second once slow start has ended
 	weight   float64 // capacity lowered by slow start and failures, raised in the balancer's own zone
 	inSubset bool    // whether the endpoint is in this balancer's subset
 }
--- a/logic/event.go
+++ b/logic/event.go
@@ -20,10 +20,10 @@
 	OK            Result = iota // served successfully
 	Failed                      // error response; may have been executed
 	Rejected                    // rejected by the endpoint before execution
-	TimedOut                    // no response before the deadline; may have been executed
+	TimedOut                    // no response within the time allowed; may have been executed
 	ConnectFailed               // no connection was established in time; never executed
 	Reset                       // the connection broke; may have been executed
-	Cancelled                   // cancelled by the balancer's side; may have been executed
+	Cancelled                   // cancelled by the Balancer's owner; may have been executed
 	NotSent                     // not sent, because it was too late or over a limit; never executed
 )
 
--- a/logic/healthcheck.go
+++ b/logic/healthcheck.go
@@ -54,7 +54,8 @@
 // unscheduled is the nextAt of an endpoint that was just listed.
 const unscheduled = -1
 
-// checkSchedule is the time from which an endpoint may be checked.
+// checkSchedule determines when an endpoint may be checked: not while a check of it is in flight, and not
+// before nextAt.
 type checkSchedule struct {
 	inFlight bool
 	nextAt   time.Duration // earliest time of the next check
@@ -118,8 +119,8 @@
 //
 //   - an endpoint that misses responses may be dead;
 //   - an endpoint whose ejection is about to end is checked before a half-open request is spent on it;
-//   - if there are signs of an overload, an endpoint whose utilization is not known is checked, because the
-//     utilization decides on shedding;
+//   - if there are signs of an overload, an endpoint is checked if the certainty of its utilization is below
+//     checkUtilizationCertainty, because the utilization decides on shedding;
 //   - an endpoint with an uncertain capacity is checked, provided that requests are being served.
 func (b *Balancer) checkUrgency(e *endpoint) float64 {
 	if !e.inSubset || e.check.inFlight || b.now < e.check.nextAt || b.slowStartFraction(e) < 1 {
--- a/logic/healthcheck_test.go
+++ b/logic/healthcheck_test.go
@@ -75,15 +75,15 @@
 		h.loseHealthChecks(h.advance(h.horizon))
 		id, to := h.sendRequest(cheapClass)
 		if to == "s0" {
-			t.Fatal("a request was sent to an endpoint that loses all health checks")
+			t.Fatal("a request was sent to an endpoint whose health checks all time out")
 		}
 		h.endAttempt(id, to, 0, OK, NoLoadReport)
 	}
 }
 
 // Health checks and requests can fail independently, because an endpoint handles them on different paths.
-// An endpoint that serves checks and fails requests must be avoided; one that loses checks and serves
-// requests must not.
+// An endpoint that serves checks and fails requests must be avoided; one whose checks time out while it
+// serves requests must not.
 func TestHealthChecksAndRequestsFailSeparately(t *testing.T) {
 	h := newHarness(t, healthCheckSettings(), 1, 1, 1)
 	failingRequests, losingChecks := h.endpoint("s0"), h.endpoint("s1")
@@ -106,7 +106,7 @@
 		t.Errorf("the endpoint that fails requests got %d of 60, want 1 to 6", failed)
 	}
 	if losingChecks.health.state != healthy {
-		t.Errorf("health of the endpoint that loses checks: %+v, want healthy", losingChecks.health)
+		t.Errorf("health of the endpoint whose checks time out: %+v, want healthy", losingChecks.health)
 	}
 }
 
--- a/logic/outlier.go
+++ b/logic/outlier.go
@@ -37,7 +37,8 @@
 //	any                healthy          the process restarts
 //
 // An ejected endpoint also becomes healthy when successful responses lower its failure rate enough. These
-// belong to requests that were sent before the ejection, or while ejections were ignored.
+// belong to attempts that were sent before the ejection, while ejections were ignored, or because no other
+// endpoint could get the request.
 type healthState int
 
 const (
--- a/logic/overload.go
+++ b/logic/overload.go
@@ -57,8 +57,11 @@
 	// Set by updateOverload.
 	utilization float64 // of the endpoints, 0 to 1
 	threshold   float64 // latency ratio at which shedding begins
-	excess      float64 // highest latency ratio above sheddingLatencyRatio, whatever the utilization
-	level       float64 // fraction of requests of mean priority to shed; may exceed 1
+	// excess is how far the latency ratio of responses or the concurrency ratio, whichever is higher, exceeds
+	// sheddingLatencyRatio, whatever the utilization; 0 if neither exceeds it. The concurrency ratio is the
+	// latency ratio by Little's law.
+	excess float64
+	level  float64 // fraction of requests of mean priority to shed; may exceed 1
 }
 
 // responseRate counts responses and the time in which they came. Both decay at the same rate.
--- a/logic/quota.go
+++ b/logic/quota.go
@@ -4,8 +4,8 @@
 // they displace the tenant's own requests and not those of tenants within their quotas. Without an overload
 // quotas have no effect.
 
-// quotaPriorRequests is the number of requests, distributed according to the quotas, that the counts start
-// with, because a few requests do not show a tenant's share.
+// quotaPriorRequests is the number of requests, distributed according to the quotas, that priorityFactor
+// adds to the counts whenever it uses them, because a few requests do not show a tenant's share.
 const quotaPriorRequests = 20
 
 // tenantQuotas counts the recent requests of each tenant at this balancer.
--- a/logic/selection.go
+++ b/logic/selection.go
@@ -20,8 +20,9 @@
 	ready       []*endpoint // at full capacity
 	readyWeight float64     // sum of the weights of ready
 	warming     []*endpoint // in slow start
-	// visitedCapacity is the sum of the capacities after slow start of all Ready endpoints that
-	// collectCandidates visited, including ejected ones.
+	// visitedCapacity is the sum of the capacities of all Ready endpoints that collectCandidates visited,
+	// including ejected ones. Warming endpoints count with the capacity that they have once slow start has
+	// ended.
 	visitedCapacity float64
 }
 
--- a/logic/simulation_test.go
+++ b/logic/simulation_test.go
@@ -99,8 +99,10 @@
 	return longest
 }
 
-// step advances the clock and returns the events that are due, in order. Each event changes the
-// simulation's state only when it is called, because the balancer does not yet know about later events.
+// step advances the clock and returns the events that are due, in order. The end of an attempt, a disconnect
+// and a change of endpoints take effect on the simulation's state only when the event is called, because the
+// balancer does not yet know about later events and its actions are checked against that state. New requests
+// are recorded and due timers removed at once.
 func (s *simulation) step(load float64) (events []func() Event) {
 	s.now += s.settings.TimerResolution
 	events = s.dueTimers()
@@ -353,7 +355,9 @@
 	r.closed = true
 }
 
-// randomSettings returns random settings that cover all options.
+// randomSettings returns random settings that validate accepts. It leaves the following at their zero value:
+// BalancerIndex, the limits on poll intervals, SlowStartOverloadFactor, the tenants' quotas,
+// ExternalAdmission, and both limits on health checks, so that none are sent.
 func randomSettings(random *rand.Rand) Settings {
 	settings := Settings{
 		Balancers:                1 + random.IntN(5),
--- a/logic/slowstart.go
+++ b/logic/slowstart.go
@@ -24,9 +24,10 @@
 // divided by visitedCapacity, times the product of SlowStartOverloadFactor and slowStartLoadFraction, which
 // counts as at least 1.
 //
-// The visited endpoints are about the subset. Each endpoint is in the subset of about the same number of
-// balancers, so together they send it that share of their requests. If visitedCapacity covered the whole
-// list, an endpoint would be drawn more rarely the larger the fleet is, and would be idle after a release.
+// The endpoints that visitedCapacity covers are approximately those of the subset. Each endpoint is in the
+// subset of about the same number of balancers, so together they send it that share of their requests. If
+// visitedCapacity covered the whole list, an endpoint would be drawn more rarely the larger the fleet is, and
+// would be idle after a release.
 //
 // The caller draws chance from 0 to 1.
 func (b *Balancer) drawWarming(candidates *candidateSet, chance float64) *endpoint {
