--- a/internal/experiment/load.go
+++ b/internal/experiment/load.go
@@ -14,7 +14,7 @@
 	"ryeweir/internal/emulator/referee"
 )
 
-// DetectFileKind says what a TOML file is: experiment, load, world, or nothing of ours.
+// DetectFileKind returns the kind of a TOML file as FileKind does. The error names the place of a syntax error.
 func DetectFileKind(file string, data []byte) (string, error) {
 	top := map[string]any{}
 	if err := toml.Unmarshal(data, &top); err != nil {
@@ -26,16 +26,16 @@
 	return FileKind(top), nil
 }
 
-// anyKeys takes every key, for the place of a syntax error.
+// anyKeys accepts all keys. Decoding into it finds the place of a syntax error.
 type anyKeys map[string]any
 
-// Check finds nothing wrong.
+// Check returns nil, as all keys are valid.
 func (*anyKeys) Check() error { return nil }
 
-// RunLoad sends a day's plan to agents that run already. Their nodes are out of sight: that an answer was made by a node, and
-// what ran there, is not checked.
+// RunLoad sends the planned requests of a scenario to agents that already run. It cannot see their nodes, and so does not check that
+// responses were produced by a node or which requests the nodes executed.
 func RunLoad(ctx context.Context, spec *LoadSpec) (Outcome, error) {
-	day, err := spec.Scenario.Draw(spec.Seed)
+	scenario, err := spec.Scenario.Draw(spec.Seed)
 	if err != nil {
 		return Outcome{}, err
 	}
@@ -43,7 +43,7 @@
 	clients := make([]*callers.Client, len(spec.Targets))
 	for i, target := range spec.Targets {
 		if _, _, err := net.SplitHostPort(target); err != nil {
-			return Outcome{}, fmt.Errorf("target %q: %w", target, err)
+			return Outcome{}, fmt.Errorf("targets: %q is not host:port: %w", target, err)
 		}
 		clients[i] = &callers.Client{Addr: target, Dial: dial}
 		defer clients[i].Close()
@@ -53,9 +53,9 @@
 	route := func(p callers.PlannedRequest, _ []string) (string, *callers.Client, func(referee.Outcome)) {
 		return spec.Targets[p.Agent], clients[p.Agent], func(referee.Outcome) {}
 	}
-	calls, figures := callers.Run(ctx, callers.Config{Plan: day.Plan, Classes: day.Classes, Tenants: day.Tenants, ClientProfileAt: day.ClientProfileAt, Route: route,
-		Referee: ref, Epoch: time.Now(), ResponseBytes: day.Spec.ResponseBytes, RequestBytes: day.Spec.RequestBytes, SlowFraction: day.Spec.Clients.SlowFraction, IDPrefix: uint64(time.Now().UnixNano())})
-	record := runRecord{day: day, calls: calls, figures: figures, account: ref.Account(), violations: ref.Violations()}
+	calls, figures := callers.Run(ctx, callers.Config{Plan: scenario.Plan, Classes: scenario.Classes, Tenants: scenario.Tenants, ClientProfileAt: scenario.ClientProfileAt, Route: route,
+		Referee: ref, Epoch: time.Now(), ResponseBytes: scenario.Spec.ResponseBytes, RequestBytes: scenario.Spec.RequestBytes, SlowFraction: scenario.Spec.Clients.SlowFraction, IDPrefix: uint64(time.Now().UnixNano())})
+	record := runRecord{scenario: scenario, calls: calls, figures: figures, account: ref.Account(), violations: ref.Violations()}
 	outcome := record.outcome("load", false)
 	outcome.Interrupted = ctx.Err() != nil
 	return outcome, nil
--- a/internal/experiment/report.go
+++ b/internal/experiment/report.go
@@ -28,40 +28,40 @@
 const (
 	plotWidth  = 8 * vg.Inch
 	plotHeight = 2.6 * vg.Inch
-	maxLines   = 40   // a line or a shade for each node up to so many
-	legendRoom = 1.18 // of the time axis: what is past the end has the names of the lines
+	maxLines   = 40   // maximum number of lines for nodes and of shaded intervals in a plot: more can't be told apart
+	legendRoom = 1.18 // factor that extends the x axis to make room for the legend
 )
 
-// palette has colours for the variants that colour-blind readers can tell apart (Okabe and Ito).
+// palette returns colours for lines that colour-blind readers can tell apart (Okabe and Ito).
 func palette() []color.Color {
 	return []color.Color{color.RGBA{0, 114, 178, 255}, color.RGBA{213, 94, 0, 255}, color.RGBA{0, 158, 115, 255}, color.RGBA{204, 121, 167, 255},
 		color.RGBA{230, 159, 0, 255}, color.RGBA{86, 180, 233, 255}, color.RGBA{0, 0, 0, 255}}
 }
 
-// figure is a plot in a report.
+// figure is a plot in report.html.
 type figure struct {
 	Name, Title string
 	SVG         template.HTML
 }
 
-// report writes report.html and the plots of the first repeat.
+// report writes report.html and the plots: of each scenario's first repeat, and of all runs.
 func report(findings *Findings, spec *Spec, dir string) error {
 	if err := os.MkdirAll(filepath.Join(dir, "plots"), 0o755); err != nil {
-		return fmt.Errorf("writing the report: %w", err)
+		return fmt.Errorf("creating the folder for the plots: %w", err)
 	}
 	var figures []figure
 	var errs []error
-	for _, day := range spec.dayNames() {
+	for _, scenario := range spec.scenarioNames() {
 		first := map[string]Outcome{}
 		for _, outcome := range findings.Outcomes {
-			if _, ok := first[outcome.Variant]; outcome.Scenario == day && !ok {
+			if _, ok := first[outcome.Variant]; outcome.Scenario == scenario && !ok {
 				first[outcome.Variant] = outcome
 			}
 		}
 		if len(first) == 0 {
 			continue
 		}
-		for _, named := range dayPlots(day, first, spec.variantNames()) {
+		for _, named := range scenarioPlots(scenario, first, spec.variantNames()) {
 			svg, err := renderPlot(named.plot, filepath.Join(dir, "plots", fileName(named.name)+".png"))
 			if err != nil {
 				errs = append(errs, err)
@@ -70,7 +70,7 @@
 			figures = append(figures, figure{named.name, named.plot.Title.Text, svg})
 		}
 	}
-	if svg, err := renderPlot(serviceByDay(findings.Rows, spec.dayNames(), spec.variantNames()), filepath.Join(dir, "plots", "days.png")); err != nil {
+	if svg, err := renderPlot(serviceByScenario(findings.Rows, spec.scenarioNames(), spec.variantNames()), filepath.Join(dir, "plots", "days.png")); err != nil {
 		errs = append(errs, err)
 	} else {
 		figures = append([]figure{{Name: "days", SVG: svg}}, figures...)
@@ -93,12 +93,12 @@
 	}
 	var text bytes.Buffer
 	if err := page.Execute(&text, map[string]any{"F": findings, "Spec": spec, "Figures": figures}); err != nil {
-		return fmt.Errorf("the report: %w", err)
+		return fmt.Errorf("rendering report.html: %w", err)
 	}
 	return errors.Join(append(errs, replace(filepath.Join(dir, "report.html"), text.Bytes()))...)
 }
 
-// fileName is a name that any file system takes.
+// fileName returns name in lower case, with "-" in place of all characters but letters, digits and "-", so that any file system accepts it.
 func fileName(name string) string {
 	return strings.Map(func(r rune) rune {
 		if r >= 'a' && r <= 'z' || r >= '0' && r <= '9' || r == '-' {
@@ -108,21 +108,22 @@
 	}, strings.ToLower(name))
 }
 
+// namedPlot is a plot with the name of its file, without the extension.
 type namedPlot struct {
 	name string
 	plot *plot.Plot
 }
 
-// serviceByDay plots the service of each variant on each day, with its interval.
-func serviceByDay(rows []Row, days, variants []string) *plot.Plot {
-	chart := newPlot("service by day, with 95% intervals", "share of worth")
+// serviceByScenario plots the service of each variant in each scenario, with its interval.
+func serviceByScenario(rows []Row, scenarios, variants []string) *plot.Plot {
+	chart := newPlot("service by scenario, with 95% intervals", "fraction of priority weight")
 	chart.X.Label.Text = ""
 	chart.Legend.Top = false
 	for i, variant := range variants {
 		var at intervals
-		for d, day := range days {
+		for d, scenario := range scenarios {
 			for _, row := range rows {
-				if row.Scenario == day && row.Variant == variant {
+				if row.Scenario == scenario && row.Variant == variant {
 					at.XYs = append(at.XYs, plotter.XY{X: float64(d) + 0.04*float64(i), Y: row.Service.Mean})
 					at.YErrors = append(at.YErrors, struct{ Low, High float64 }{row.Service.Mean - row.Service.Low, row.Service.High - row.Service.Mean})
 				}
@@ -140,24 +141,24 @@
 		}
 		chart.Legend.Add(variant, line)
 	}
-	chart.NominalX(days...)
+	chart.NominalX(scenarios...)
 	chart.X.Tick.Label.Font.Size = vg.Points(7)
-	chart.X.Max = float64(len(days)-1) * legendRoom
+	chart.X.Max = float64(len(scenarios)-1) * legendRoom
 	return chart
 }
 
-// intervals are points with their intervals.
+// intervals are points with error bars.
 type intervals struct {
 	plotter.XYs
 	plotter.YErrors
 }
 
-// dayPlots plots one day: service and latency over time by variant, and for each variant the load of each node.
-func dayPlots(day string, outcomes map[string]Outcome, variants []string) []namedPlot {
-	service, latency := newPlot(day+": service, by the second asked in", "share of worth"), newPlot(day+": latency, p50 and p99 (dashed)", "ms")
+// scenarioPlots plots one scenario: service and latency over time with a line for each variant, and for each variant the load of each node.
+func scenarioPlots(scenario string, outcomes map[string]Outcome, variants []string) []namedPlot {
+	service, latency := newPlot(scenario+": service, by planned time of the request", "fraction of priority weight"), newPlot(scenario+": latency, p50 and p99 (dashed)", "ms")
 	service.Y.Min, service.Y.Max = 0, 1.05
 	latency.Y.Scale, latency.Y.Tick.Marker = plot.LogScale{}, plot.LogTicks{Prec: -1}
-	out := []namedPlot{{day + "-service", service}, {day + "-latency", latency}}
+	out := []namedPlot{{scenario + "-service", service}, {scenario + "-latency", latency}}
 	for i, variant := range variants {
 		outcome, ok := outcomes[variant]
 		if !ok {
@@ -171,9 +172,9 @@
 		addLine(latency, variant, lineColor, false, outcome.Series.P50)
 		addLine(latency, "", lineColor, true, outcome.Series.P99)
 		if len(outcome.Series.Nodes) > maxLines {
-			continue // nobody can tell so many lines apart
+			continue // more lines can't be told apart
 		}
-		load := newPlot(day+", "+variant+": requests held at each node", "requests")
+		load := newPlot(scenario+", "+variant+": requests in flight at each node", "requests")
 		mark(load, outcome)
 		for nodeIndex := range outcome.Series.Nodes {
 			var points plotter.XYs
@@ -191,7 +192,7 @@
 				load.Legend.Add(outcome.Series.Nodes[nodeIndex], line)
 			}
 		}
-		out = append(out, namedPlot{day + "-" + variant + "-load", load})
+		out = append(out, namedPlot{scenario + "-" + variant + "-load", load})
 	}
 	for _, named := range out {
 		named.plot.X.Max *= legendRoom
@@ -199,7 +200,7 @@
 	return out
 }
 
-// newPlot returns an empty plot over the seconds of a day.
+// newPlot returns an empty plot with a label for the y axis. The x axis is in seconds.
 func newPlot(title, y string) *plot.Plot {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, "seconds", y
@@ -209,7 +210,7 @@
 	return p
 }
 
-// addLine adds a series with a point a second. Seconds without a value, and zeros in dashed or unnamed lines, are left out.
+// addLine adds a series with one point per second. It leaves out seconds without a value, and zeros in dashed or unnamed lines.
 func addLine(p *plot.Plot, name string, c color.Color, dashed bool, ys []*float64) {
 	var points plotter.XYs
 	for s, y := range ys {
@@ -231,7 +232,8 @@
 	}
 }
 
-// mark shades the intervals of faults. Where there are more than maxLines, each kind is shaded from its first to its last.
+// mark shades the intervals of the faults in an outcome. If there are more than maxLines, it shades one interval for each kind of fault, from
+// the first beginning to the last end.
 func mark(p *plot.Plot, o Outcome) {
 	marks := o.Events
 	if len(marks) > maxLines {
@@ -254,13 +256,13 @@
 	}
 }
 
-// shade is a stretch of time with its name.
+// shade is a shaded interval of the x axis with a text.
 type shade struct {
 	from, to float64
 	text     string
 }
 
-// Plot draws it over the whole height.
+// Plot draws the shade over the whole height of the plot.
 func (s shade) Plot(c draw.Canvas, p *plot.Plot) {
 	x, _ := p.Transforms(&c)
 	a, b := x(s.from), x(s.to)
@@ -272,23 +274,23 @@
 	c.FillText(style, vg.Point{X: a + vg.Points(6), Y: c.Min.Y + vg.Points(2)}, s.text)
 }
 
-// renderPlot draws a plot into a PNG file and returns it as SVG.
+// renderPlot writes a plot to a PNG file and returns it as SVG.
 func renderPlot(p *plot.Plot, file string) (template.HTML, error) {
 	svg := vgsvg.New(plotWidth, plotHeight)
 	p.Draw(draw.New(svg))
 	var text bytes.Buffer
 	if _, err := svg.WriteTo(&text); err != nil {
-		return "", fmt.Errorf("drawing %s: %w", p.Title.Text, err)
+		return "", fmt.Errorf("drawing the plot %s: %w", p.Title.Text, err)
 	}
 	img := vgimg.PngCanvas{Canvas: vgimg.New(plotWidth, plotHeight)}
 	p.Draw(draw.New(img))
 	var png bytes.Buffer
 	if _, err := img.WriteTo(&png); err != nil {
-		return "", fmt.Errorf("drawing %s: %w", p.Title.Text, err)
+		return "", fmt.Errorf("drawing the plot %s: %w", p.Title.Text, err)
 	}
 	if err := replace(file, png.Bytes()); err != nil {
 		return "", err
 	}
-	_, inner, _ := strings.Cut(text.String(), "<svg") // without the XML head, which HTML does not know
+	_, inner, _ := strings.Cut(text.String(), "<svg") // without the XML declaration, which is not valid in HTML
 	return template.HTML("<svg" + inner), nil
 }
--- a/internal/experiment/simulation_nodes.go
+++ b/internal/experiment/simulation_nodes.go
@@ -10,26 +10,28 @@
 	"ryeweir/logic"
 )
 
+// ticket identifies an attempt that has arrived at a node.
 type ticket struct {
-	node   int
+	node   int // number of the node
 	number uint64
 }
 
+// simNode is a node with the model of its current incarnation.
 type simNode struct {
 	*node.Node
 	number              int
 	up                  bool
 	nextAdvance         time.Duration // when it is advanced next; below 0: not scheduled
 	earlierIncarnations node.Figures
-	overloadReported    bool // to the referee
-	offeredBefore       int  // requests offered until the last sample
-	workBefore          time.Duration
+	overloadReported    bool          // the overload of this incarnation was reported to the referee
+	offeredBefore       int           // requests offered until the last sample
+	workBefore          time.Duration // work done until the last sample
 }
 
-// entry is the endpoint list's entry of the i-th node.
+// entry returns the entry of the i-th node in the endpoint list.
 func (s *simulation) entry(i int, state logic.EndpointState) logic.Endpoint {
 	spec := s.nodes[i].Spec
-	e := logic.Endpoint{ID: spec.ID, State: state, Zone: slices.Index(s.day.Spec.Zones, spec.Zone), Cell: i / 8, Weight: 1}
+	e := logic.Endpoint{ID: spec.ID, State: state, Zone: slices.Index(s.scenario.Spec.Zones, spec.Zone), Cell: i / 8, Weight: 1}
 	if spec.Started >= 0 {
 		e.StartedAt = spec.Started + moduleStart
 	}
@@ -38,7 +40,7 @@
 
 // scheduleFault schedules the beginning and the end of a node's fault.
 func (s *simulation) scheduleFault(fault emulator.NodeFault) {
-	discovery := s.day.Spec.Discovery
+	discovery := s.scenario.Spec.Discovery
 	target := s.nodes[fault.Node]
 	name := target.ID
 	s.schedule(fault.From, func() {
@@ -46,11 +48,11 @@
 		switch fault.Kind {
 		case node.Drain:
 			target.AddFault(fault.Fault)
-			s.changeList(discovery.RemovalDelay.D(), s.entry(fault.Node, logic.Draining))
+			s.changeEndpoint(discovery.RemovalDelay.D(), s.entry(fault.Node, logic.Draining))
 		case node.Restart, node.Replace:
 			s.killNode(target)
 			if fault.Kind == node.Replace || discovery.RemovalDelay.D() < fault.To-fault.From+discovery.AdditionDelay.D() {
-				s.changeList(discovery.RemovalDelay.D(), s.entry(fault.Node, logic.Removed))
+				s.changeEndpoint(discovery.RemovalDelay.D(), s.entry(fault.Node, logic.Removed))
 			}
 		default:
 			target.AddFault(fault.Fault)
@@ -61,7 +63,7 @@
 		switch fault.Kind {
 		case node.Drain:
 			s.killNode(target)
-			s.changeList(discovery.RemovalDelay.D(), s.entry(fault.Node, logic.Removed))
+			s.changeEndpoint(discovery.RemovalDelay.D(), s.entry(fault.Node, logic.Removed))
 		case node.Restart, node.Replace:
 			spec := target.Spec
 			s.incarnations++
@@ -71,16 +73,16 @@
 			spec.Started = s.now
 			target.earlierIncarnations = target.earlierIncarnations.Add(target.Figures())
 			delete(s.byID, target.ID)
-			target.Node, target.up, target.overloadReported, target.offeredBefore, target.workBefore = node.New(spec, s.day.Seed*1000+uint64(len(s.nodes)+target.number)), true, false, 0, 0
+			target.Node, target.up, target.overloadReported, target.offeredBefore, target.workBefore = node.New(spec, s.scenario.Seed*1000+uint64(len(s.nodes)+target.number)), true, false, 0, 0
 			s.byID[target.ID] = target
 			target.Advance(s.now)
 			s.advanceNode(target)
-			s.changeList(discovery.AdditionDelay.D(), s.entry(fault.Node, logic.Ready))
+			s.changeEndpoint(discovery.AdditionDelay.D(), s.entry(fault.Node, logic.Ready))
 		}
 	})
 }
 
-// killNode ends a node's process: the connections of its requests are reset.
+// killNode ends a node's process, which resets its connections.
 func (s *simulation) killNode(target *simNode) {
 	target.up = false
 	var waiting []*simAttempt
@@ -89,7 +91,7 @@
 			waiting = append(waiting, attempt)
 		}
 	}
-	slices.SortFunc(waiting, func(agent, b *simAttempt) int { return int(agent.ticket.number) - int(b.ticket.number) })
+	slices.SortFunc(waiting, func(a, b *simAttempt) int { return int(a.ticket.number) - int(b.ticket.number) })
 	for _, attempt := range waiting {
 		s.sendBack(attempt, logic.Reset, 0)
 	}
@@ -98,7 +100,7 @@
 	}
 }
 
-// advanceNode advances a node to the present, and schedules its next event.
+// advanceNode advances a node's model to the current time, and schedules the model's next event.
 func (s *simulation) advanceNode(target *simNode) {
 	s.settleNode(target)
 	next := target.NextEvent()
@@ -115,7 +117,8 @@
 	})
 }
 
-// settleNode advances a node's model and delivers the results of the requests that ended.
+// settleNode advances a node's model to the current time, reports to the referee which requests have started, and sends back the results of
+// those that have ended.
 func (s *simulation) settleNode(target *simNode) {
 	done := target.Advance(s.now)
 	for _, number := range target.TakeStarted() {
@@ -153,7 +156,7 @@
 
 // oneWay draws a one-way network delay between an agent and a node.
 func (s *simulation) oneWay(agent *simAgent, n *simNode) time.Duration {
-	conditions := s.day.PathConditions(agent.zone, n.Zone)
+	conditions := s.scenario.PathConditions(agent.zone, n.Zone)
 	delay := conditions.Delay
 	if conditions.Jitter > 0 {
 		delay += time.Duration(s.rng.Int64N(int64(conditions.Jitter)))
