--- a/internal/emulator/discovery/discovery.go
+++ b/internal/emulator/discovery/discovery.go
@@ -43,7 +43,8 @@
 	// RewriteEntry returns the entry that an agent gets in place of e; may be nil.
 	RewriteEntry func(agent string, e Entry) Entry
 	// OnNotified is called after an entry was written to an agent; may be nil. It is also called for removed endpoints that a full
-	// list leaves out; then only ID and State are set.
+	// list leaves out; then only ID and State are set. It may be called concurrently, also for one agent: the call follows the flush
+	// of the list, so the agent's next request may already be handled on another connection.
 	OnNotified func(agent string, e Entry, at time.Time)
 }
 
--- a/internal/emulator/discovery/discovery_test.go
+++ b/internal/emulator/discovery/discovery_test.go
@@ -54,8 +54,11 @@
 // never come.
 func TestWatchReturnsChangesAndFullListWhereVersionIsUnknown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
+		var mu sync.Mutex // OnNotified is called concurrently: see Config
 		var notified []string
 		s := start(t, Config{OnNotified: func(agent string, e Entry, _ time.Time) {
+			mu.Lock()
+			defer mu.Unlock()
 			notified = append(notified, fmt.Sprint(agent, e.ID, e.State == Ready))
 		}})
 		s.Set(entry("a", Ready), 0)
@@ -82,6 +85,8 @@
 			t.Errorf("with a malformed version: status %d, want %d", status, http.StatusBadRequest)
 		}
 		synctest.Wait() // OnNotified is called after the write, so the client may have the response before
+		mu.Lock()
+		defer mu.Unlock()
 		if last := notified[len(notified)-1]; last != "agenta false" && last != "agentafalse" {
 			t.Errorf("last notification is %q, want that a accepts no requests; all notifications: %v", last, notified)
 		}
