--- a/internal/emulator/backend/handle.go
+++ b/internal/emulator/backend/handle.go
@@ -79,10 +79,10 @@
 	b, observer := c.backend, c.backend.cfg.Observer
 	id := req.Header.Get("X-Request-ID")
 	if id == "" {
-		return c.respond(http.StatusNotFound, "", "missing X-Request-ID\n")
+		return c.respond(http.StatusNotFound, "", "no id\n")
 	}
 	if b.cfg.RejectUnknown && observer != nil && !observer.KnownRequest(id) {
-		return c.respond(http.StatusBadRequest, "", "request ID unknown: no caller sent it\n")
+		return c.respond(http.StatusBadRequest, "", "nobody sent this id\n")
 	}
 	if observer != nil {
 		observer.RequestArrived(id, c.node.ID, req.firstByteAt)
--- a/internal/emulator/backend/response.go
+++ b/internal/emulator/backend/response.go
@@ -29,7 +29,7 @@
 	if size <= len(head) {
 		return head
 	}
-	const filler = "this line pads the response body to the size that the caller requested\n"
+	const filler = "this line fills the answer up to its size, as menus and receipts do\n"
 	return head + strings.Repeat(filler, (size-len(head))/len(filler)+1)[:size-len(head)]
 }
 
--- a/internal/emulator/discovery/handler.go
+++ b/internal/emulator/discovery/handler.go
@@ -19,9 +19,11 @@
 const noVersion = -1
 
 var (
-	errRejected   = errors.New("discovery is overloaded or down")
+	// errRejected is returned when discovery is overloaded or down. Its text is the body of the response.
+	errRejected   = errors.New("too many calls wait")
 	errWatchEnded = errors.New("watch ended without a list")
-	errBadVersion = errors.New("since must be a version, a number of at least 0")
+	// errBadVersion is returned when since is not a version, a number of at least 0. Its text is the body of the response.
+	errBadVersion = errors.New("since must be a version")
 )
 
 func (s *Server) handler(agent string) http.Handler {
--- a/internal/emulator/path_spec.go
+++ b/internal/emulator/path_spec.go
@@ -97,14 +97,14 @@
 // appliesBetween reports whether the spec covers either direction between two hosts.
 func (p PathSpec) appliesBetween(a, b string) bool { return p.applies(a, b) || p.applies(b, a) }
 
-// String describes the spec for Event.Text.
+// String describes the spec for Event.Text, which is stored: an added delay is "more", and one direction "one way".
 func (p PathSpec) String() string {
 	change := "cut"
 	if !p.Cut {
-		change = fmt.Sprintf("%v added delay, loss %g", p.Delay.D(), p.Loss)
+		change = fmt.Sprintf("%v more, loss %g", p.Delay.D(), p.Loss)
 	}
 	if p.Way == ForwardOnly {
-		change += ", one direction"
+		change += ", one way"
 	}
 	return fmt.Sprintf("%v to %v: %s", p.A, p.B, change)
 }
