--- a/internal/emulator/agent_config.go
+++ b/internal/emulator/agent_config.go
@@ -216,7 +216,7 @@
 	return settings
 }
 
-// tenantSettings returns the tenants' shares, and quotas that divide the scenario's rate by these shares, in requests per second.
+// tenantSettings returns the tenants' shares, and their quotas, each the scenario's rate times the tenant's share, in requests per second.
 func (scenario *Scenario) tenantSettings() (settings []tenantSettings) {
 	total := 0.0
 	for _, tenant := range scenario.Tenants {
--- a/internal/emulator/backend/backend.go
+++ b/internal/emulator/backend/backend.go
@@ -58,13 +58,15 @@
 	earlierFigures   node.Figures        // of all earlier incarnations
 }
 
-// attempt is a request that was offered to the node.
+// attempt is a request that was offered to the node. Its fields are set while b.mu is held and do not change after it is released, so
+// they can be read without the lock. Only the value in done comes later.
 type attempt struct {
 	id       string
 	ticket   uint64
 	verdict  node.Verdict
-	executed bool                 // it has taken effect although it was not accepted
-	done     chan node.Completion // has capacity 1; gets one completion if the verdict is node.Accepted, unless the request is cancelled
+	executed bool // it has taken effect although it was not accepted
+	// done has capacity 1. It gets one completion if the verdict is node.Accepted, unless the request is cancelled or the process killed.
+	done chan node.Completion
 }
 
 // Start starts a backend with the first incarnation of its node. It returns an error if the spec does not pass Check. The backend
@@ -163,20 +165,19 @@
 	b.wakeDriver()
 }
 
-// State is the true state of a node, which agents cannot observe. While the process is down, only ID and Figures are set. The fields
-// without a comment are those of the methods of node.Node.
+// State is the true state of a node, which agents cannot observe. While the process is down, only ID and Figures are set.
 type State struct {
 	ID              string
-	Up              bool // the process is running
-	InFlight        int
-	Conns           int
-	Capacity        float64
-	FailureFraction float64
-	Backlog         time.Duration
+	Up              bool          // the process is running
+	InFlight        int           // requests that are executing or queued
+	Conns           int           // open connections, without those beyond node.Spec.ConnCap
+	Capacity        float64       // work per second without contention, in seconds on a core of speed 1
+	FailureFraction float64       // fraction of requests that currently fail
+	Backlog         time.Duration // until the node has completed the requests it holds: see node.Node.Backlog
 	Cores           int
-	HasCapacity     bool
-	Degraded        bool
-	Overloaded      bool
+	HasCapacity     bool         // another request would find a free slot or room in the queue
+	Degraded        bool         // slow after a sustained overload
+	Overloaded      bool         // was overloaded in slow start, and stays so until the incarnation ends
 	Figures         node.Figures // sum over all incarnations
 }
 
--- a/internal/emulator/backend/handle.go
+++ b/internal/emulator/backend/handle.go
@@ -56,7 +56,8 @@
 func microseconds(x float64) time.Duration { return time.Duration(x * 1e3) }
 
 // readDeadline returns when the client stops waiting, according to X-Timeout: a number with the unit m (milliseconds) or u
-// (microseconds). It returns 0 if the header is missing or invalid.
+// (microseconds). It returns 0, for no deadline, if the header is missing or has no number above 0. With any other unit it returns when
+// the first byte of the request arrived, so that the request has expired already.
 func readDeadline(req request) time.Duration {
 	text := req.Header.Get("X-Timeout")
 	if len(text) < 2 {
--- a/internal/emulator/backend/load_report.go
+++ b/internal/emulator/backend/load_report.go
@@ -8,8 +8,10 @@
 
 // The modes of load reports.
 const (
-	piggybackMode = "piggyback" // in a header of each response
-	silentMode    = "silent"    // never; the node answers health checks with 404
+	// In a header of the response to each request that was offered to the node, unless the response is malformed or oversized. The 404
+	// and 400 for a missing or unknown ID, the 503 on a connection beyond ConnCap, and the responses to health checks carry none.
+	piggybackMode = "piggyback"
+	silentMode    = "silent" // never; the node answers health checks with 404
 )
 
 // loadHeader returns the header line with the load report, or "" if the mode is not piggyback or there is no report yet.
--- a/internal/emulator/callers/call.go
+++ b/internal/emulator/callers/call.go
@@ -54,9 +54,9 @@
 	}
 }
 
-// Attempt begins an attempt. timeout is the timeout that the client states in the request: what is left of the deadline if it does
-// not retry, otherwise at most AttemptTimeoutFraction of the deadline. abandon is the time after which it abandons the attempt, which
-// is shorter if it is impatient. Both are 0 if the call's deadline has passed; then there is no attempt.
+// Attempt begins an attempt. timeout is the timeout that the client states in the request: what is left of the deadline, and at
+// most AttemptTimeoutFraction of the whole deadline unless Retries or AttemptTimeoutFraction is 0. abandon is the time after which it
+// abandons the attempt, which is shorter if it is impatient. Both are 0 if the call's deadline has passed; then there is no attempt.
 func (c *Call) Attempt(now time.Duration) (timeout, abandon time.Duration) {
 	remaining := c.At + c.Class.Deadline - now
 	timeout = min(remaining, time.Duration(c.profile.AttemptTimeoutFraction*float64(c.Class.Deadline)))
--- a/internal/emulator/callers/spec.go
+++ b/internal/emulator/callers/spec.go
@@ -108,7 +108,7 @@
 	until  time.Duration // end of the interval
 }
 
-// trafficAt returns the traffic of the interval that begins at a time.
+// trafficAt returns the traffic at a time, which stays the same until the end of its interval.
 func (s Spec) trafficAt(at time.Duration) traffic {
 	shares := slices.Clone(s.Agents)
 	until := time.Duration(math.MaxInt64)
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -201,7 +201,7 @@
 			}
 			first := slices.IndexFunc(violations, func(v referee.Violation) bool { return v.Rule == c.rule })
 			if first < 0 || !strings.Contains(violations[first].String(), c.evidence) {
-				t.Errorf("no violation of %s with the evidence %q: %v", c.rule, c.evidence, violations)
+				t.Errorf("no violation of %s was recorded, or the first one lacks the evidence %q; violations: %v", c.rule, c.evidence, violations)
 			}
 		})
 	}
@@ -256,7 +256,7 @@
 // An invalid scenario is rejected before anything runs, with an error that names the wrong key or explains the conflict.
 func TestScenarioCheckNamesWrongKey(t *testing.T) {
 	for want, change := range map[string]func(*emulator.ScenarioSpec){
-		"length":     func(d *emulator.ScenarioSpec) { d.Length = -1 },
+		"day.length": func(d *emulator.ScenarioSpec) { d.Length = -1 },
 		"agents":     func(d *emulator.ScenarioSpec) { d.Agents = 100000 },
 		"kind[1]":    func(d *emulator.ScenarioSpec) { d.Kinds[1].Speed = 0 },
 		"class[0]":   func(d *emulator.ScenarioSpec) { d.Classes[0].Deadline = 1 },
--- a/internal/emulator/fault_placement.go
+++ b/internal/emulator/fault_placement.go
@@ -64,7 +64,7 @@
 }
 
 // choose returns the indices of the nodes that a fault hits: those in Names, those of Zone, and as many others as Nodes says, at
-// random. It draws one permutation for every fault, even if that does not use it.
+// random. It draws one permutation of the nodes for every fault, even if Nodes is 0 and it is not used.
 func (p *faultPlacer) choose(spec FaultSpec, ending bool) (nodes []int, err error) {
 	all := p.scenario.Nodes
 	for _, name := range spec.Names {
--- a/internal/emulator/fleet_check.go
+++ b/internal/emulator/fleet_check.go
@@ -65,7 +65,8 @@
 		report(key+".kind", "%q must be one of %v", a.Kind, kinds)
 	}
 	if survives := a.Kind == AgentPause || a.Kind == AgentSlow; survives && a.WithState {
-		report(key+".kept", "must not be true for kind %q, whose process keeps its state anyway; it is for %s and %s", a.Kind, AgentRestart, AgentKill)
+		report(key+".kept", "must not be true for kind %q, whose process keeps its state anyway; only the kinds %s and %s may set it",
+			a.Kind, AgentRestart, AgentKill)
 	}
 	inRange := a.RunFraction >= minRunFraction && a.RunFraction <= maxRunFraction
 	if slow := a.Kind == AgentSlow; slow && !inRange || !slow && a.RunFraction != 0 {
--- a/internal/emulator/fleet_scenario.go
+++ b/internal/emulator/fleet_scenario.go
@@ -179,7 +179,7 @@
 	}
 }
 
-// addKind adds the faults and events of a kind. It draws a permutation of the zones for every kind, even if that does not use it.
+// addKind adds the faults and events of a kind. It draws a permutation of the zones for every kind, even for kinds that do not use it.
 func (d *scenarioDrawer) addKind(kind string) {
 	zones := d.Perm(len(d.Zones))
 	switch kind {
--- a/internal/emulator/fleet_spec.go
+++ b/internal/emulator/fleet_spec.go
@@ -72,7 +72,7 @@
 	Partitions     []PartitionSpec     `toml:"cut"`
 	RetryStorms    []RetryStormSpec    `toml:"storm"`
 	Paths          []PathSpec          `toml:"path"` // real processes only
-	ByzantinePeers []ByzantinePeerSpec `toml:"liar"` // real processes that gossip only
+	ByzantinePeers []ByzantinePeerSpec `toml:"liar"` // real processes only, and only if the agents gossip
 	Prices         Prices              `toml:"prices"`
 }
 
@@ -85,10 +85,12 @@
 
 // The false reports of a Byzantine peer.
 const (
-	FalseSuspicion = "suspect" // every node is an outlier: sent in its own and in the agents' names, with the latest timestamps that agents accept
-	FalseRemoval   = "gone"    // half of the nodes are gone
-	FalseDemand    = "demand"  // its own demand equals the whole capacity
-	FalseRate      = "rate"    // the nodes handle a million requests per second
+	// Every node is an outlier. The Byzantine peer sends this in its own name and in the name of each agent, with timestamps about as far
+	// in the future as agents accept.
+	FalseSuspicion = "suspect"
+	FalseRemoval   = "gone"   // half of the nodes are gone
+	FalseDemand    = "demand" // the Byzantine peer itself has a demand for the whole capacity of the nodes
+	FalseRate      = "rate"   // the nodes handle a million requests per second
 )
 
 // FalseReports returns all kinds of false reports.
--- a/internal/emulator/link/conn.go
+++ b/internal/emulator/link/conn.go
@@ -58,7 +58,8 @@
 	return nil
 }
 
-// Reset resets the connection at both ends at once, without the delay of the path.
+// Reset resets the connection at both ends without the delay of the path. Writes fail at once. So do reads, unless their direction is
+// cut: then they fail after the cut is over.
 func (c *Conn) Reset() {
 	c.out.reset(true)
 	c.in.reset(true)
@@ -73,7 +74,7 @@
 	delete(c.network.conns, c)
 }
 
-// OpenWithoutInput reports whether the connection is open and neither a byte nor its end has arrived that was not read yet.
+// OpenWithoutInput reports whether this end is open and has no input: no unread byte, no end of the stream and no reset has arrived.
 func (c *Conn) OpenWithoutInput() bool { return c.in.nothingArrived() }
 
 // LocalAddr returns the address of this end.
--- a/internal/emulator/link/network.go
+++ b/internal/emulator/link/network.go
@@ -16,7 +16,7 @@
 type Network struct {
 	mu        sync.Mutex
 	seed      uint64
-	connsMade uint64 // connections, and pairs of a PacketConn and a host it sends to; each has a random stream of its own
+	connsMade uint64 // connections, and pairs of a PacketConn and a host it sends to; the number selects their random streams
 	lastPort  int    // assigned last
 	listeners map[string]*Listener
 	packets   map[string]*PacketConn
@@ -169,7 +169,8 @@
 	return l, nil
 }
 
-// newRand returns the random number generator of one direction of the connection with that number.
+// newRand returns a random number generator by a number from connsMade: for direction 1 that of what the dialing end of a connection
+// sends, for 2 that of what the accepting end sends, for 3 that of the datagrams from a PacketConn to a host.
 func (n *Network) newRand(number, direction uint64) *rand.Rand {
 	h := fnv.New64a()
 	fmt.Fprint(h, number, direction)
--- a/internal/emulator/link/packet_conn.go
+++ b/internal/emulator/link/packet_conn.go
@@ -21,7 +21,7 @@
 	changed      chan struct{}      // closed and replaced at each change
 	shapers      map[string]*shaper // by destination host
 	queue        []datagram         // ordered by arrival time
-	lost         int                // datagrams that found the queue full
+	lost         int                // datagrams that found the queue full or the socket closed
 	closed       bool
 	readDeadline time.Time
 }
@@ -131,7 +131,8 @@
 	}
 }
 
-// Lost returns how many datagrams were lost because the socket's queue was full.
+// Lost returns how many datagrams were lost because the socket's queue was full, or because the socket was closed while they were sent.
+// It counts neither those lost on the path nor those that Close drops from the queue.
 func (p *PacketConn) Lost() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/emulator/link/pipe.go
+++ b/internal/emulator/link/pipe.go
@@ -17,7 +17,7 @@
 // conditions. It blocks only on channels and timers, so that the fake time of testing/synctest advances meanwhile.
 //
 // Each segment has an arrival time (due). During a cut, segments that are due after the beginning of the cut (cutAt) are held back.
-// When the cut is over, they get a new arrival time.
+// When the cut is over, they arrive after the delay of the new conditions, or at their own arrival time if that is later.
 type pipe struct {
 	mu            sync.Mutex
 	changed       chan struct{} // closed and replaced at each change
@@ -90,7 +90,7 @@
 }
 
 // setConditions changes the conditions for bytes written from now on. If that ends a cut, the bytes held back arrive after the new
-// delay.
+// delay, or at their own arrival time if that is later.
 func (p *pipe) setConditions(c Conditions) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -128,8 +128,8 @@
 	return !due.IsZero() && !due.After(now) && (!p.conditions.Cut || !due.After(p.cutAt))
 }
 
-// wakeTime returns until when to wait for something with the arrival time due. It is zero if a cut holds that back, because then it
-// arrives only after a change of the conditions. p.mu is held.
+// wakeTime returns until when a reader waits for input whose arrival time is due: until due, or without a limit (zero) if nothing is due
+// or if a cut holds the input back, which then arrives only after a change of the conditions. p.mu is held.
 func (p *pipe) wakeTime(due time.Time) time.Time {
 	if p.conditions.Cut && due.After(p.cutAt) {
 		return time.Time{}
@@ -213,7 +213,8 @@
 	p.broadcast()
 }
 
-// reset makes reads fail with syscall.ECONNRESET: at once if now is set, otherwise after the delay of the path.
+// reset makes reads fail with syscall.ECONNRESET: at once if now is set, otherwise after the delay of the path. A cut holds the reset
+// back in either case: reads fail after the cut is over.
 func (p *pipe) reset(now bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/emulator/link/relay.go
+++ b/internal/emulator/link/relay.go
@@ -39,8 +39,9 @@
 // Addr returns the address of the relay, even while it refuses connections.
 func (r *Relay) Addr() net.Addr { return r.addr }
 
-// RejectConnections sets whether new connections are refused, as by a port without a listener. When it is switched off, it returns
-// an error if another process has taken the port in the meantime.
+// RejectConnections sets whether new connections are refused, as by a port without a listener. With on it returns the error of
+// closing the listener. Without on it opens a new listener at the same port, and returns an error if that fails, for example because
+// another socket has taken the port in the meantime.
 func (r *Relay) RejectConnections(on bool) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/emulator/link/relayed_stream.go
+++ b/internal/emulator/link/relayed_stream.go
@@ -48,7 +48,7 @@
 	c.Close()
 }
 
-// run copies in both directions until both streams have ended, and then closes the sockets.
+// run copies in both directions until both have ended, and then closes the sockets.
 func (s *relayedStream) run() {
 	var copies sync.WaitGroup
 	copies.Go(func() { s.copyIn(s.forward, s.client) })
--- a/internal/emulator/loopback_network.go
+++ b/internal/emulator/loopback_network.go
@@ -11,7 +11,7 @@
 
 // LoopbackNetwork is a Network on sockets of 127.0.0.1 at free ports. Each path is a relay. The zero value is ready for use.
 type LoopbackNetwork struct {
-	WithoutRelays bool       // agents connect to nodes directly; conditions and SetDown have no effect
+	WithoutRelays bool       // agents connect to nodes and discovery directly: SetDown has no effect, and SetConditions only on Mesh
 	Mesh          *link.Mesh // paths between agents that gossip, or nil; closed by Close
 
 	mu         sync.Mutex
--- a/internal/emulator/node/affinity.go
+++ b/internal/emulator/node/affinity.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// recentKeys holds the routing keys whose data a node has cached. A request with a cached key costs less. At most
-// Affinity.MaxKeys are cached; beyond that the least recently used one is evicted.
+// recentKeys holds the routing keys that a node has used most recently. A request costs less if its key was used within Affinity.TTL.
+// A key is retained after that too, until it is evicted: at most Affinity.MaxKeys are retained, and beyond that the least recently used
+// one is evicted.
 type recentKeys struct {
 	affinity Affinity
 	usedAt   map[string]time.Duration
@@ -16,7 +17,7 @@
 	return recentKeys{affinity, map[string]time.Duration{}}
 }
 
-// recent reports whether a key is cached and was used within Affinity.TTL.
+// recent reports whether a key is retained and was used within Affinity.TTL.
 func (k *recentKeys) recent(key string, now time.Duration) bool {
 	at, ok := k.usedAt[key]
 	return ok && key != "" && now-at < k.affinity.TTL
--- a/internal/emulator/node/capacity.go
+++ b/internal/emulator/node/capacity.go
@@ -30,8 +30,9 @@
 	return speed
 }
 
-// slotRate returns the work that each slot does per second. Contention reduces it in proportion to the requests held per core
-// beyond ContentionThreshold, by at most ContentionLoss, which is reached at twice the threshold.
+// slotRate returns the work that is done per second for each executing request: what a core does, or an equal part of what all cores do
+// if more requests execute than there are cores. It is 0 if none executes. Contention reduces it in proportion to the requests held per
+// core beyond ContentionThreshold, by at most ContentionLoss, which is reached at twice the threshold.
 func (n *Node) slotRate() float64 {
 	if len(n.running) == 0 {
 		return 0
--- a/internal/emulator/node/fault.go
+++ b/internal/emulator/node/fault.go
@@ -21,7 +21,7 @@
 	OversizedResponse FaultKind = "oversize"    // Size: fraction of responses that are far longer than allowed
 	DelayedResponse   FaultKind = "late"        // Size: delay of each response after its execution, in seconds
 	Flap              FaultKind = "flap"        // the node refuses new connections
-	Drain             FaultKind = "drain"       // the node rejects new requests and discovery lists it as terminating; the process ends at To
+	Drain             FaultKind = "drain"       // rejects new requests from From on, even before discovery lists it as terminating; the process ends at To
 	Restart           FaultKind = "restart"     // the process ends at From and starts again at To, in slow start, with the same ID
 	Replace           FaultKind = "replace"     // the process ends at From; a node with a new ID starts at To at its address, in slow start
 )
--- a/internal/emulator/node/node.go
+++ b/internal/emulator/node/node.go
@@ -96,7 +96,8 @@
 	return next
 }
 
-// Advance moves the model's time to now and returns the requests that have completed since the last call, in that order.
+// Advance moves the model's time to now and returns the requests that have completed since the last call, in the order in which their
+// execution ended or, for expired ones, they left the queue.
 func (n *Node) Advance(now time.Duration) []Completion {
 	n.advanceTo(now)
 	completions := n.completions
--- a/internal/emulator/node/node_test.go
+++ b/internal/emulator/node/node_test.go
@@ -95,7 +95,8 @@
 		expired = expired || d.Ticket == 2 && d.Expired
 	}
 	if f := n.Figures(); !expired && f.Served != 2 || f.Rejected != 1 || f.Cancelled != 1 || n.InFlight() != 0 {
-		t.Errorf("figures %+v, expired %v, %d in flight", f, expired, n.InFlight())
+		t.Errorf("figures %+v, request 2 expired: %v, %d in flight; want request 2 expired or 2 served, 1 rejected, 1 cancelled, 0 in flight",
+			f, expired, n.InFlight())
 	}
 	if v, _ := n.Offer(5*time.Second, Work{Ticket: 9, Cost: 1, Deadline: 4 * time.Second}); v != Rejected {
 		t.Errorf("a request past its deadline got verdict %v, want %v", v, Rejected)
@@ -160,10 +161,11 @@
 			n.Offer(time.Duration(i)*10*time.Millisecond, Work{Ticket: uint64(i + 1), Cost: 100 * time.Millisecond, Unnotified: i%4 < unnotified})
 		}
 		if !n.Overloaded() || n.OverloadWasAvoidable() != (unnotified <= 1) {
-			t.Errorf("with %d of 4 requests from unnotified agents: overloaded %v, avoidable %v", unnotified, n.Overloaded(), n.OverloadWasAvoidable())
+			t.Errorf("with %d of 4 requests from unnotified agents: overloaded %v, avoidable %v, want true and %v",
+				unnotified, n.Overloaded(), n.OverloadWasAvoidable(), unnotified <= 1)
 		}
 		if peak := n.Figures().SlowStartPeak; (peak > 1) != (unnotified <= 1) {
-			t.Errorf("with %d of 4 requests from unnotified agents: slow start peak %.2f", unnotified, peak)
+			t.Errorf("with %d of 4 requests from unnotified agents: slow start peak %.2f, want above 1: %v", unnotified, peak, unnotified <= 1)
 		}
 	}
 }
@@ -192,14 +194,14 @@
 	}
 }
 
-// A node caches at most Affinity.MaxKeys keys and evicts the least recently used one: "b", used again, must stay.
+// A node retains at most Affinity.MaxKeys keys and evicts the least recently used one: "b", used again, must stay.
 func TestLeastRecentlyUsedKeyIsEvicted(t *testing.T) {
 	keys := newRecentKeys(Affinity{Saving: 0.5, TTL: time.Hour, MaxKeys: 3})
 	for i, key := range []string{"a", "b", "c", "d", "b", "e"} {
 		keys.remember(key, time.Duration(i))
 	}
 	if _, kept := keys.usedAt["b"]; len(keys.usedAt) != 3 || !kept {
-		t.Errorf("cached keys %v, want three with b", keys.usedAt)
+		t.Errorf("retained keys %v, want three with b", keys.usedAt)
 	}
 }
 
--- a/internal/emulator/node/spec.go
+++ b/internal/emulator/node/spec.go
@@ -1,7 +1,6 @@
 package node
 
 import (
-	"errors"
 	"fmt"
 	"time"
 )
@@ -50,8 +49,8 @@
 // Affinity configures how much work a node saves on a routing key that it has served recently.
 type Affinity struct {
 	Saving  float64       // fraction of the work; in [0, 1)
-	TTL     time.Duration // how long a key stays cached after its last use
-	MaxKeys int           // maximum number of cached keys; the least recently used one is evicted
+	TTL     time.Duration // how long after its last use a key saves work
+	MaxKeys int           // maximum number of retained keys, including those unused for TTL; the least recently used one is evicted
 }
 
 // LoadReporting configures how a node measures its load.
@@ -63,11 +62,11 @@
 
 const maxCores = 1024
 
-// Check returns an error that names the node and the first invalid setting.
+// Check returns an error that names the node, by its kind and zone if it has no ID, and the first invalid setting.
 func (s Spec) Check() error {
 	switch {
 	case s.ID == "":
-		return errors.New("node without an ID")
+		return fmt.Errorf("node spec of kind %q in zone %q: ID must not be empty", s.Kind, s.Zone)
 	case s.Cores < 1 || s.Cores > maxCores:
 		return fmt.Errorf("node %s: cores must be from 1 to 1024, not %d", s.ID, s.Cores)
 	case !(s.Speed > 0):
--- a/internal/emulator/node/work.go
+++ b/internal/emulator/node/work.go
@@ -16,7 +16,7 @@
 
 // The verdicts.
 const (
-	Accepted   Verdict = iota // queued or executing; a Completion follows unless the request is cancelled
+	Accepted   Verdict = iota // queued or executing; a Completion follows unless Cancel drops or aborts the request
 	Rejected                  // not executed: the node is full or draining, or the deadline has passed
 	FailedFast                // answered with an error at once
 	ConnReset                 // its connection is reset
@@ -49,7 +49,7 @@
 	HealthChecks, Handshakes                              int
 
 	Work         time.Duration // total work done
-	Wasted       time.Duration // the part of Work spent on cancelled requests and on requests that failed
+	Wasted       time.Duration // the part of Work spent on requests that Cancel aborted, and on requests that failed
 	Degradations int
 	// SlowStartPeak is the peak load in slow start less the slack, as a fraction of the load that overloads the node. Only load
 	// that came mostly (avoidableFraction) from agents notified of the node's start counts.
--- a/internal/emulator/referee/account.go
+++ b/internal/emulator/referee/account.go
@@ -8,7 +8,7 @@
 	Completed          int `json:"completed"`
 	Rejected           int `json:"rejected"`
 	Failed             int `json:"failed"`
-	Unanswered         int `json:"unanswered"` // no response before their timeout
+	Unanswered         int `json:"unanswered"` // no complete response before the timeout, or before an impatient client abandoned the request
 	Lost               int `json:"lost"`
 	Duplicates         int `json:"duplicates"`
 	AfterDrain         int `json:"after_drain"`
@@ -16,8 +16,8 @@
 	Attempts           int `json:"attempts"`  // requests that arrived at nodes
 	Effects            int `json:"effects"`   // executions that nodes started
 	UnknownRequests    int `json:"strangers"` // arrivals of requests that no caller sent
-	// Unnotified counts new requests from an agent that had not been notified that the node is draining or removed, if they arrived
-	// later after the first notification of any agent than the rule AfterDrain allows. They are no violations.
+	// Unnotified counts new requests to a draining or removed node from agents that had not been notified of that, if they arrived
+	// after the grace period of the rule AfterDrain, counted from the first notification of any agent. They are no violations.
 	Unnotified int `json:"unheard"`
 }
 
--- a/internal/emulator/referee/doc.go
+++ b/internal/emulator/referee/doc.go
@@ -10,7 +10,8 @@
 //     that arrive within a grace period are allowed.
 //   - SlowStartOverload: a node in slow start is not overloaded.
 //
-// Each violation includes its evidence. The requests that were open on an agent when it was killed are not counted as lost.
+// Each violation includes its evidence. Requests that were open on an agent at some time between its kill and the readiness of its
+// next process are not counted as lost if their connection closes without a response; a body that no node produced still counts as lost.
 //
 // MeasureService computes from the results of calls how well the customers were served, weighted by priority.
 package referee
--- a/internal/emulator/referee/referee.go
+++ b/internal/emulator/referee/referee.go
@@ -1,6 +1,7 @@
 package referee
 
 import (
+	"cmp"
 	"fmt"
 	"slices"
 	"sync"
@@ -25,7 +26,7 @@
 	Served           Outcome = iota // status 200
 	Rejected                        // status 429 or 503
 	Failed                          // any other status, or a malformed or truncated response
-	TimedOut                        // no complete response before the timeout
+	TimedOut                        // no complete response before the timeout, or before the caller abandoned the request
 	ConnectionClosed                // the connection closed before a response began
 	NotSent                         // the request was not sent completely
 )
@@ -124,8 +125,9 @@
 	r.notifications.set(agent, node, accepts, at)
 }
 
-// AgentKilled reports that an agent was killed at from and that its next process was ready at to. Requests that were open in
-// between are not counted as lost. The next process is not held to notifications that only the killed one received.
+// AgentKilled reports that an agent was killed at from and that its next process was ready at to. Requests that were open at
+// some time in between are counted as failed rather than lost if their connection closes without a response. A response with a body
+// that no node produced counts as lost all the same. The next process is not held to notifications that only the killed one received.
 func (r *Referee) AgentKilled(agent string, from, to time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -195,8 +197,8 @@
 		Request: id,
 		Agent:   record.Agent,
 		Node:    node,
-		Text: fmt.Sprintf("%s, which is not idempotent, was executed on %s at %.3fs and again on %s at %.3fs, sent by %s",
-			id, first.node, first.at.Seconds(), node, at.Seconds(), record.Agent),
+		Text: fmt.Sprintf("request %s, which is not idempotent, was executed on %s at %.3fs and again on %s at %.3fs, sent by %s",
+			id, first.node, first.at.Seconds(), node, at.Seconds(), cmp.Or(record.Agent, "its caller directly")),
 	})
 }
 
--- a/internal/emulator/referee/rules.go
+++ b/internal/emulator/referee/rules.go
@@ -25,7 +25,7 @@
 const (
 	Lost              Rule = "lost"        // the agent closed the connection without a response, or sent a body that no node produced
 	Duplicate         Rule = "duplicates"  // a request that is not idempotent was executed twice
-	AfterDrain        Rule = "after_drain" // a new request reached a draining or removed node after the grace period
+	AfterDrain        Rule = "after_drain" // a new request reached a draining or removed node after the grace period since the agent was notified
 	SlowStartOverload Rule = "toppled"     // a node was overloaded in slow start
 )
 
--- a/internal/emulator/scenario_defaults.go
+++ b/internal/emulator/scenario_defaults.go
@@ -82,8 +82,12 @@
 	return []TenantSpec{{"ranmuthu-eats", 0.56}, {"kottu-run", 0.24}, {"bath-box", 0.11}, {"sambol-go", 0.09}}
 }
 
-// ApplyDefaults sets the fields that have their zero value to the values of DefaultScenario. A table or list is replaced only as a
-// whole. Fields for which zero is a setting of its own, such as AgentSkew, are not changed.
+// ApplyDefaults sets fields that have their zero value to the values of DefaultScenario: a table only if all its fields are zero, a list
+// only if it is empty, and Keys and Zipf only if both are 0. So a scenario file cannot choose zero where it would be valid, as for
+// CostHintError and ResponseBytes.
+//
+// AgentSkew, HeavyFraction, HeavyFactor, Rate, Swing, Faults, Outages, Fleet and RetainFor are not changed: their zero value is a setting
+// of its own.
 func (spec *ScenarioSpec) ApplyDefaults() {
 	defaults := DefaultScenario()
 	setDefault(&spec.Length, defaults.Length)
--- a/internal/emulator/scenario_spec.go
+++ b/internal/emulator/scenario_spec.go
@@ -123,8 +123,8 @@
 	To   config.Duration `toml:"to"`
 }
 
-// ScaleTimes multiplies by a factor the scenario's length, the start and end times of everything that happens in it, FaultSpec.Stagger
-// and AgentFaultSpec.Duration.
+// ScaleTimes multiplies by a factor the scenario's length, FaultSpec.Stagger, AgentFaultSpec.Duration, and the start and end times of
+// faults, outages and the events of Fleet. It does not change those of Fleet.ByzantinePeers.
 func (spec *ScenarioSpec) ScaleTimes(factor float64) {
 	scale := func(durations ...*config.Duration) {
 		for _, d := range durations {
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -19,8 +19,8 @@
 // Settings that are the same in all scenarios.
 const (
 	ConnectionIdleTimeout = 10 * time.Second       // nodes close connections that have been idle for this long
-	ConnectTimeout        = 100 * time.Millisecond // for establishing a connection
-	HealthCheckTimeout    = 120 * time.Millisecond // for the answer to a health check
+	ConnectTimeout        = 100 * time.Millisecond // a connection that is not established by then has failed
+	HealthCheckTimeout    = 120 * time.Millisecond // a health check that is not answered by then has failed
 
 	drainSlack   = 100 * time.Millisecond // added to referee.Rules.TransitSlack for the delay in relays under load
 	nodesPerCell = 8
