--- a/internal/agent/scripted_test.go
+++ b/internal/agent/scripted_test.go
@@ -142,7 +142,7 @@
 		ops.HealthChecks.PerRequest, ops.Snapshot.Dir = 0, t.TempDir()
 		var logged bytes.Buffer
 		log := slog.New(slog.NewTextHandler(&logged, nil))
-		for run, want := range []string{"", "snapshot restored", "snapshot corrupt"} {
+		for run, want := range []string{"", "snapshot restored", "snapshot is corrupt"} {
 			network := link.NewNetwork(1)
 			l, err := network.Listen("node:80")
 			if err != nil {
