--- a/cmd/ryeweir/demo.go
+++ b/cmd/ryeweir/demo.go
@@ -55,20 +55,20 @@
 	return ctx, stop
 }
 
-// demo runs the demo's day and prints its outcome. It returns errReported if a rule was broken.
+// demo runs the demo's scenario and prints its outcome. It returns errReported if a rule was broken.
 func demo(ctx context.Context, out io.Writer, length time.Duration, seed uint64, file string) error {
 	self, err := os.Executable()
 	if err != nil {
 		return err
 	}
 	spec := experiment.DemoScenario(length)
-	day, err := spec.Draw(seed)
+	scenario, err := spec.Draw(seed)
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(out, "%d order nodes, %d agents, %.0f requests a second for %v (%d in all)\n", len(day.Nodes), len(day.Agents), day.Rate, length, len(day.Plan))
+	fmt.Fprintf(out, "%d order nodes, %d agents, %.0f requests a second for %v (%d in all)\n", len(scenario.Nodes), len(scenario.Agents), scenario.Rate, length, len(scenario.Plan))
 	screen := newScreen(out)
-	outcome, err := experiment.RunScenario(ctx, day, experiment.Variant{Name: "agent", Command: []string{self, "agent"}}, screen.show)
+	outcome, err := experiment.RunScenario(ctx, scenario, experiment.Variant{Name: "agent", Command: []string{self, "agent"}}, screen.show)
 	if err != nil {
 		return err
 	}
@@ -136,11 +136,11 @@
 
 // screen prints the figures of a running demo every second. On a terminal each sample replaces the one before; elsewhere it is a new line.
 type screen struct {
-	out      io.Writer
-	terminal bool            // out is a terminal
-	lines    int             // lines of the sample that is on the terminal
-	last     referee.Account // of the sample before
-	marks    int             // fault events printed so far, if out is not a terminal
+	out           io.Writer
+	terminal      bool            // out is a terminal
+	lines         int             // lines of the sample that is on the terminal
+	last          referee.Account // of the sample before
+	eventsPrinted int             // fault events printed so far, if out is not a terminal
 }
 
 // newScreen returns a screen that prints to out.
@@ -164,11 +164,11 @@
 		account.Completed-s.last.Completed, account.Rejected-s.last.Rejected, account.Failed+account.Unanswered-s.last.Failed-s.last.Unanswered, percentileMS(0.5), percentileMS(0.99))
 	s.last = account
 	var started []string
-	for _, m := range live.Events[min(s.marks, len(live.Events)):] {
+	for _, m := range live.Events[min(s.eventsPrinted, len(live.Events)):] {
 		started = append(started, fmt.Sprintf("%s: %s for %.0f s", m.Node, m.Text, (m.To-m.At).Seconds()))
 	}
 	if !s.terminal {
-		s.marks = len(live.Events)
+		s.eventsPrinted = len(live.Events)
 		if len(started) > 0 {
 			line += "  <- " + strings.Join(started, ", ")
 		}
--- a/cmd/ryeweir/describe.go
+++ b/cmd/ryeweir/describe.go
@@ -24,13 +24,13 @@
 		if err := config.TOML(file, data, &s); err != nil {
 			return "", err
 		}
-		return fmt.Sprintf("experiment %s: %d days with %d variants, %d repeats", s.Name, len(s.Scenarios), len(s.Variants), s.Repeats), nil
+		return fmt.Sprintf("experiment %s: %d scenarios ([[day]]) with %d variants, %d repeats", s.Name, len(s.Scenarios), len(s.Variants), s.Repeats), nil
 	case "drill":
 		var s experiment.DrillSpec
 		if err := config.TOML(file, data, &s); err != nil {
 			return "", err
 		}
-		return describeDay("drill "+s.Name, &s.Scenario, s.Seed)
+		return describeScenario("drill "+s.Name, &s.Scenario, s.Seed)
 	case "fleet":
 		s := experiment.DefaultFleet()
 		if err := config.TOML(file, data, &s); err != nil {
@@ -50,23 +50,23 @@
 		if err := config.TOML(file, data, &s); err != nil {
 			return "", err
 		}
-		return describeDay("load on "+fmt.Sprint(s.Targets), &s.Scenario, s.Seed)
+		return describeScenario("load on "+fmt.Sprint(s.Targets), &s.Scenario, s.Seed)
 	case "world":
 		var s experiment.WorldSpec
 		if err := config.TOML(file, data, &s); err != nil {
 			return "", err
 		}
-		return describeDay("world", &s.Scenario, s.Seed)
+		return describeScenario("world", &s.Scenario, s.Seed)
 	}
 	return "", &config.Error{File: file, Err: errors.New("its keys are those of neither an experiment, a drill, a fleet model, an operators' file, a world, a load nor a deployment")}
 }
 
-// describeDay returns one line on the day that a specification and a seed draw, or the error of drawing it.
-func describeDay(what string, spec *emulator.ScenarioSpec, seed uint64) (string, error) {
-	day, err := spec.Draw(seed)
+// describeScenario returns one line on the scenario that a specification and a seed draw, or the error of drawing it.
+func describeScenario(what string, spec *emulator.ScenarioSpec, seed uint64) (string, error) {
+	scenario, err := spec.Draw(seed)
 	if err != nil {
 		return "", err
 	}
-	return fmt.Sprintf("%s: day %s of %v, %d nodes, %d agents, %.0f requests a second, clients retry %d times, %d faults", what, spec.Name,
-		day.Length, len(day.Nodes), len(day.Agents), day.Rate, day.Clients.Retries, len(day.Faults)), nil
+	return fmt.Sprintf("%s: scenario %s of %v, %d nodes, %d agents, %.0f requests a second, clients retry %d times, %d faults", what, spec.Name,
+		scenario.Length, len(scenario.Nodes), len(scenario.Agents), scenario.Rate, scenario.Clients.Retries, len(scenario.Faults)), nil
 }
--- a/cmd/ryeweir/drill.go
+++ b/cmd/ryeweir/drill.go
@@ -17,9 +17,10 @@
 	command := &cobra.Command{
 		Use:   "lab FILE",
 		Short: "Run a drill: a fleet of real agent processes with injected faults, checked against expectations",
-		Long: "Starts the agents of FILE's day as processes, with emulated order nodes and discovery, and injects the day's faults: kills,\n" +
-			"pauses, restarts, cut or degraded network paths between chosen agents, nodes and discovery, and surges of load. Prints\n" +
-			"the figures and each expectation that failed; if one did, the exit code is 1. deploy/drills has ready-made drills.",
+		Long: "Starts the agents of FILE's scenario ([day]) as processes, with emulated order nodes and discovery, and injects its\n" +
+			"faults: kills, pauses, restarts, cut or degraded network paths between chosen agents, nodes and discovery, and surges of\n" +
+			"load. Prints the figures and each expectation that failed; if one did, the exit code is 1. deploy/drills has ready-made\n" +
+			"drills.",
 		Example: "  ryeweir lab deploy/drills/talk.toml",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(command *cobra.Command, args []string) error {
@@ -73,7 +74,7 @@
 			l.Median, l.Least, l.Most, l.Shed, l.Withheld, l.SelfOverloaded)
 	}
 	fmt.Fprintf(out, "this process waited %.3f ms for a processor on average, callers sent up to %.0f ms late\n", o.ProcessorWait, o.Lag)
-	printViews(out, o)
+	printPeers(out, o)
 	for _, w := range result.FailedExpectations {
 		fmt.Fprintln(out, "not as expected:", w)
 	}
--- a/cmd/ryeweir/experiment.go
+++ b/cmd/ryeweir/experiment.go
@@ -18,9 +18,9 @@
 type experimentOptions struct {
 	dir       string        // folder for the report
 	against   string        // folder of an earlier run of the same file, to compare with; empty for none
-	hunt      time.Duration // how long to run random days; 0: run FILE instead
-	seed      uint64        // seed of the first random day
-	simulated bool          // run FILE's days in simulated time, even if the file does not say so
+	hunt      time.Duration // how long to run random scenarios; 0: run FILE instead
+	seed      uint64        // seed of the first random scenario
+	simulated bool          // run FILE's scenarios in simulated time, even if the file does not say so
 	repeats   int           // overrides the number of repeats in FILE; 0: not overridden
 }
 
@@ -28,12 +28,12 @@
 	var options experimentOptions
 	command := &cobra.Command{
 		Use:   "experiment FILE",
-		Short: "Run days (scenarios) with one or more variants, repeated and paired, and report how the variants differ",
-		Long: "Runs each day of FILE with each variant (arm), repeated with other seeds; within a repeat all variants get the same\n" +
-			"arrivals and faults. Writes report.html, figures.json and plots to the folder. An interrupted experiment keeps the runs\n" +
-			"that are finished. The exit code is 1 if a rule was broken, a run failed or is missing, or the gate failed. With --hunt, no\n" +
-			"FILE is read: random days of whole fleets run in parallel, and for each that breaks a rule or serves too little a file\n" +
-			"that reproduces it is written to the folder.",
+		Short: "Run scenarios with one or more variants, repeated and paired, and report how the variants differ",
+		Long: "Runs each scenario ([[day]], [[fleet_day]]) of FILE with each variant ([[arm]]), repeated with other seeds; within a\n" +
+			"repeat all variants get the same arrivals and faults. Writes report.html, figures.json and plots to the folder. An\n" +
+			"interrupted experiment keeps the runs that are finished. The exit code is 1 if a rule was broken, a run failed or is\n" +
+			"missing, or the gate failed. With --hunt, no FILE is read: random scenarios of whole fleets run in parallel, and for each\n" +
+			"that breaks a rule or serves too little a file that reproduces it is written to the folder.",
 		Example: "  ryeweir experiment deploy/experiments/arms.toml -o /tmp/arms\n" +
 			"  ryeweir experiment deploy/experiments/many-days.toml -o /tmp/after --against /tmp/before\n" +
 			"  ryeweir experiment deploy/experiments/overload.toml --simulated --repeats 10 -o /tmp/overload\n" +
@@ -47,23 +47,23 @@
 				return usageError(errors.New("experiment needs either FILE or --hunt"))
 			}
 			if options.hunt > 0 {
-				return huntDays(command, options)
+				return huntScenarios(command, options)
 			}
 			return runExperiment(command, args[0], options)
 		},
 	}
 	flags := command.Flags()
 	flags.StringVarP(&options.dir, "output", "o", "", "folder for the report")
-	flags.DurationVar(&options.hunt, "hunt", 0, "run random days of whole fleets for this time, and write a file for each that does not pass")
-	flags.Uint64Var(&options.seed, "seed", 1, "with --hunt: seed of the first day; each further day adds 1")
-	flags.BoolVar(&options.simulated, "simulated", false, "run FILE's days in simulated time, which takes seconds instead of minutes")
+	flags.DurationVar(&options.hunt, "hunt", 0, "run random scenarios of whole fleets for this time, and write a file for each that does not pass")
+	flags.Uint64Var(&options.seed, "seed", 1, "with --hunt: seed of the first scenario; each further one adds 1")
+	flags.BoolVar(&options.simulated, "simulated", false, "run FILE's scenarios in simulated time, which takes seconds instead of minutes")
 	flags.IntVar(&options.repeats, "repeats", 0, "number of repeats; overrides the number in FILE")
 	flags.StringVar(&options.against, "against", "", "folder of another run of FILE to compare with, such as one by an earlier build of this program")
 	return command
 }
 
-// huntDays runs random days for the time of --hunt. It returns errReported if one did not pass.
-func huntDays(command *cobra.Command, options experimentOptions) error {
+// huntScenarios runs random scenarios for the time of --hunt. It returns errReported if one did not pass.
+func huntScenarios(command *cobra.Command, options experimentOptions) error {
 	ctx, stop := interruptible(command.Context())
 	defer stop()
 	ctx, cancel := context.WithTimeout(ctx, options.hunt)
@@ -75,8 +75,8 @@
 	return err
 }
 
-// runExperiment runs a file's days and prints the figures. It returns errReported if a rule was broken, the gate failed, or a run failed or
-// is missing.
+// runExperiment runs a file's scenarios and prints the figures. It returns errReported if a rule was broken, the gate failed, or a run failed
+// or is missing.
 func runExperiment(command *cobra.Command, file string, options experimentOptions) error {
 	spec, err := readExperiment(command, file, options)
 	if err != nil {
@@ -118,14 +118,14 @@
 	return &spec, nil
 }
 
-// printExperiment prints the figures of an experiment: a line for each day and variant, what agents that gossip saw of their peers, the
-// differences in service between variants, and the result of the gate.
+// printExperiment prints the figures of an experiment: a line for each scenario and variant, what agents that gossip saw of their peers,
+// the differences in service between variants, and the result of the gate.
 func printExperiment(out io.Writer, figures *experiment.Findings) {
 	for i := range figures.Rows {
 		printRow(out, figures.Simulated, &figures.Rows[i])
 	}
 	for _, outcome := range figures.Outcomes {
-		printViews(out, outcome)
+		printPeers(out, outcome)
 	}
 	for _, d := range figures.Differences {
 		if d.Figure == "service" {
@@ -146,12 +146,12 @@
 	}
 }
 
-// printRow prints the figures of one day with one variant.
+// printRow prints the figures of one scenario with one variant.
 func printRow(out io.Writer, simulated bool, row *experiment.Row) {
 	fmt.Fprintf(out, "%-12s %-12s service %.3f (%.3f to %.3f)  worst 10 s %.3f  p50 %.1f ms  p99 %.0f ms", row.Scenario, row.Variant, row.Service.Mean,
 		row.Service.Low, row.Service.High, row.WorstWindow, row.P50, row.P99)
 	if simulated {
-		fmt.Fprintf(out, "  rejected %.3f, while a node had capacity %.4f, while one of its subset had %.4f  sent into overload %.4f  health checks %.3f  nodes used %.2f  slow start peak %.2f",
+		fmt.Fprintf(out, "  rejected %.3f (without an attempt %.4f while a ready node had a free core, %.4f while a node in the agent's subset had one)  sent into overload %.4f  health checks %.3f  nodes used %.2f  slow start peak %.2f",
 			row.Rejected, row.RejectedWithCapacity, row.RejectedNearCapacity, row.SentIntoOverload, row.HealthChecks, row.NodesUsed, row.SlowStartPeak)
 	}
 	if row.Goodput.Mean > 0 {
@@ -164,16 +164,16 @@
 	fmt.Fprintln(out)
 }
 
-// printViews prints what agents that gossip saw of their peers: traffic, notices, facts, and the recovery after each fault.
-func printViews(out io.Writer, outcome experiment.Outcome) {
-	views := outcome.Peers
-	if views == nil {
+// printPeers prints what agents that gossip saw of their peers: traffic, notices, facts, and the recovery after each fault.
+func printPeers(out io.Writer, outcome experiment.Outcome) {
+	peers := outcome.Peers
+	if peers == nil {
 		return
 	}
-	fmt.Fprintf(out, "%-12s %-12s seed %d: an agent sent its peers %.0f bytes a second (%.0f at most); %d notices arrived through peers after %.0f ms (%.0f at most), and agents withheld attempts on them %d times; facts: %d held at most, %d rejected, %d evicted\n",
-		outcome.Scenario, outcome.Variant, outcome.Seed, views.MeanBytesPerSecond, views.MaxBytesPerSecond, views.Notices, views.NoticeMeanMS, views.NoticeMaxMS, views.Withheld, views.MaxFacts, views.FactsRejected, views.FactsEvicted)
-	for _, heal := range views.Recoveries {
-		fmt.Fprintf(out, "  after %s, which ended at %.1f s (fewest peers seen by an agent: %d): agents saw all others after %.2f s (median) to %.2f s (slowest), %d never did\n", heal.Fault, heal.At,
-			heal.MinPeersSeen, heal.Median, heal.Worst, heal.NeverRecovered)
+	fmt.Fprintf(out, "%-12s %-12s seed %d: an agent sent its peers %.0f bytes a second (%.0f at most); %d notices arrived through peers after %.0f ms (%.0f at most), and notices drained a node at an agent whose own list still had it as ready %d times; facts: %d held at most, %d rejected, %d evicted\n",
+		outcome.Scenario, outcome.Variant, outcome.Seed, peers.MeanBytesPerSecond, peers.MaxBytesPerSecond, peers.Notices, peers.NoticeMeanMS, peers.NoticeMaxMS, peers.Withheld, peers.MaxFacts, peers.FactsRejected, peers.FactsEvicted)
+	for _, recovery := range peers.Recoveries {
+		fmt.Fprintf(out, "  after %s, from %.1f s on (fewest peers seen by an agent before that: %d): agents saw all others after %.2f s (median) to %.2f s (slowest), %d did not before the next fault or the run ended\n", recovery.Fault, recovery.At,
+			recovery.MinPeersSeen, recovery.Median, recovery.Worst, recovery.NeverRecovered)
 	}
 }
--- a/cmd/ryeweir/faults_test.go
+++ b/cmd/ryeweir/faults_test.go
@@ -52,13 +52,13 @@
 		{Kind: emulator.AgentPause, Share: 1.0 / 6, From: secs(3.5), Duration: secs(2)},
 		{Kind: emulator.AgentRestart, Share: 1.0 / 6, From: secs(5.7), Duration: secs(0.5), WithState: true},
 	}
-	day, err := spec.Draw(3)
+	scenario, err := spec.Draw(3)
 	if err != nil {
 		t.Fatal(err)
 	}
 	before := len(children(t))
 	const peers = "../../deploy/peers.toml"
-	o, err := experiment.RunScenario(t.Context(), day, experiment.Variant{Name: "agent", Command: []string{self, "agent", "--operator", peers}, Operator: peers}, nil)
+	o, err := experiment.RunScenario(t.Context(), scenario, experiment.Variant{Name: "agent", Command: []string{self, "agent", "--operator", peers}, Operator: peers}, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -105,7 +105,7 @@
 				defer func() { <-slots }()
 				d := drill(t, program, file)
 				o := d.Outcome
-				t.Logf("%+v; attempts per request %.2f, degradations %d, by class %.3f, surge %+v, budgets %+v, views %+v", o.Account, o.Attempts, o.Degradations, o.ByClass, o.Surge, o.Admission, o.Peers)
+				t.Logf("%+v; attempts per request %.2f, degradations %d, by class %.3f, surge %+v, budgets %+v, peers %+v", o.Account, o.Attempts, o.Degradations, o.ByClass, o.Surge, o.Admission, o.Peers)
 				if d.MachineOverloaded {
 					t.Logf("the machine was overloaded, so only the rules were judged: mean wait for a processor %.2f ms, callers up to %.0f ms late", o.ProcessorWait, o.Lag)
 				}
--- a/cmd/ryeweir/load.go
+++ b/cmd/ryeweir/load.go
@@ -19,10 +19,11 @@
 	var seconds int
 	command := &cobra.Command{
 		Use:   "load FILE",
-		Short: "Send open-loop load to running agents, or compare the agent's processor time with a plain proxy's",
-		Long: "Sends the requests that FILE's day plans to the agents at its targets, and prints the results that the callers saw. With\n" +
-			"--compare, no FILE is read: the agent and a plain reverse proxy of Go's standard library are measured in turn, on one\n" +
-			"core each, with backends that answer at once, at 300 and 1,200 requests a second and at full speed over 32 connections.",
+		Short: "Send open-loop load to running agents, or compare the agent's CPU time with a plain proxy's",
+		Long: "Sends the requests that FILE's scenario ([day]) plans to the agents at its targets, and prints the results that the\n" +
+			"callers saw. With --compare, no FILE is read: the agent and a plain reverse proxy of Go's standard library are measured\n" +
+			"in turn, on one core each, with backends that answer at once, at 300 and 1,200 requests a second and at full speed over\n" +
+			"32 connections.",
 		Example: "  ryeweir load deploy/experiments/load.toml\n  ryeweir load --compare",
 		Args:    cobra.MaximumNArgs(1),
 		RunE: func(command *cobra.Command, args []string) error {
@@ -55,7 +56,7 @@
 		},
 	}
 	command.Flags().StringVar(&jsonFile, "json", "", "also write the figures to this file, as JSON")
-	command.Flags().BoolVar(&compare, "compare", false, "compare the agent's processor time with a plain proxy's")
+	command.Flags().BoolVar(&compare, "compare", false, "compare the agent's CPU time with a plain proxy's")
 	command.Flags().IntVar(&seconds, "seconds", 5, "with --compare: duration of each measurement, in seconds")
 	return command
 }
@@ -72,13 +73,13 @@
 		return err
 	}
 	out := command.OutOrStdout()
-	fmt.Fprintf(out, "%-8s %-12s %10s %24s %10s %9s %9s %9s\n", "through", "rate", "answers/s", "CPU us each", "memory MB", "p50 ms", "p99 ms", "p99.9 ms")
+	fmt.Fprintf(out, "%-8s %-12s %10s %24s %10s %9s %9s %9s\n", "process", "rate", "answers/s", "CPU us per answer", "memory MB", "p50 ms", "p99 ms", "p99.9 ms")
 	for i, cost := range costs {
 		fmt.Fprintf(out, "%-8s %-12s %10.0f %8.1f (%5.1f to %5.1f) %10.1f %9.2f %9.2f %9.2f\n", cost.Process, cost.Rate, cost.PerSecond, cost.CPU, cost.Low, cost.High, cost.MemoryMB,
 			cost.P50, cost.P99, cost.P999)
 		if ratio := ratios[i/2]; i%2 == 1 {
 			fmt.Fprintf(out, "the agent had %d connections open, %.2f handshakes per 1,000 answers\n", costs[i-1].OpenConnections, costs[i-1].HandshakesPerThousand)
-			fmt.Fprintf(out, "the agent uses %.3f (95%% interval: %.3f to %.3f) times the proxy's processor time per answer, compared slice by slice\n", ratio.Mean, ratio.Low, ratio.High)
+			fmt.Fprintf(out, "the agent uses %.3f (95%% interval: %.3f to %.3f) times the proxy's CPU time per answer, compared slice by slice\n", ratio.Mean, ratio.Low, ratio.High)
 		}
 	}
 	if jsonFile != "" {
--- a/cmd/ryeweir/soak.go
+++ b/cmd/ryeweir/soak.go
@@ -35,7 +35,8 @@
 		Short: "Inject random overlapping faults into real processes, and check the rules",
 		Long: "Runs agents and backends as real processes on loopback, with discovery and callers, injects faults of which two or three\n" +
 			"overlap at a time, and checks what each client and backend saw against the rules. Prints the seed of each run, which\n" +
-			"draws the same plan again. The exit code is 1 if a rule was broken; the logs and the account are kept then.",
+			"draws the same plan again. The exit code is 1 if a rule was broken; then the logs are kept, and beside them the file\n" +
+			"violations.txt with the plan and all violations.",
 		Example: "  ryeweir soak --seed 7 --plays 20\n  ryeweir soak --seed 7 --kinds agent-term,server-drain",
 		Args:    cobra.NoArgs,
 		RunE: func(command *cobra.Command, _ []string) error {
@@ -88,7 +89,7 @@
 	return nil
 }
 
-// maxShownPerRule is how many violations of one rule are printed. The account that is saved has all.
+// maxShownPerRule is how many violations of one rule are printed. The file violations.txt has all (see soak.Result.Save).
 const maxShownPerRule = 4
 
 // soakOnce runs one plan, prints its figures and violations, and reports whether the rules held. It removes a temporary folder
--- a/cmd/ryeweir/world.go
+++ b/cmd/ryeweir/world.go
@@ -18,8 +18,8 @@
 	return &cobra.Command{
 		Use:   "world FILE",
 		Short: "Run emulated order nodes and discovery on loopback ports until interrupted",
-		Long: "Runs the emulated order nodes and discovery of FILE's day, and writes a configuration file for each agent, so that agents\n" +
-			"can be started by hand. The day's faults are injected at their times. Ctrl-C stops it.",
+		Long: "Runs the emulated order nodes and discovery of FILE's scenario ([day]), and writes a configuration file for each agent, so\n" +
+			"that agents can be started by hand. The scenario's faults are injected at their times. Ctrl-C stops it.",
 		Example: "  ryeweir world deploy/experiments/world.toml",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(command *cobra.Command, args []string) error {
@@ -37,7 +37,7 @@
 // runWorld runs the nodes and discovery until the context ends, and prints the state of each node every five seconds as
 // ID, requests in flight / requests served.
 func runWorld(ctx context.Context, command *cobra.Command, spec *experiment.WorldSpec) error {
-	day, err := spec.Scenario.Draw(spec.Seed)
+	scenario, err := spec.Scenario.Draw(spec.Seed)
 	if err != nil {
 		return err
 	}
@@ -50,19 +50,19 @@
 	} else if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
 	}
-	world, err := emulator.Start(context.WithoutCancel(ctx), day, &emulator.LoopbackNetwork{}, false)
+	world, err := emulator.Start(context.WithoutCancel(ctx), scenario, &emulator.LoopbackNetwork{}, false)
 	if err != nil {
 		return err
 	}
 	defer world.Close()
 	out := command.OutOrStdout()
-	for i, name := range day.Agents {
+	for i, name := range scenario.Agents {
 		listen, control, err := processrig.FreePortPair("127.0.0.1", i)
 		if err != nil {
 			return err
 		}
 		known := world.EndpointList(i)
-		text, err := day.AgentConfig(i, listen, control, world.DiscoveryAddr(i), emulator.DefaultLimits(), &known)
+		text, err := scenario.AgentConfig(i, listen, control, world.DiscoveryAddr(i), emulator.DefaultLimits(), &known)
 		if err != nil {
 			return err
 		}
@@ -72,7 +72,7 @@
 		}
 		fmt.Fprintf(out, "PROXY_CONFIG=%s ryeweir agent    # clients at %s, operators at %s\n", file, listen, control)
 	}
-	fmt.Fprintf(out, "%d nodes are listening; the day's faults start now. Ctrl-C stops it.\n", len(day.Nodes))
+	fmt.Fprintf(out, "%d nodes are listening; the scenario's faults start now. Ctrl-C stops it.\n", len(scenario.Nodes))
 	world.InjectFaults()
 	tick := time.NewTicker(5 * time.Second)
 	defer tick.Stop()
--- a/internal/agent/peers.go
+++ b/internal/agent/peers.go
@@ -143,7 +143,7 @@
 	ForgedSuspicions int64            `json:"forged"`          // suspicions that were received under this agent's name, and corrected
 	BudgetStates     int              `json:"parts"`           // peers whose budget state is known
 	Names            []string         `json:"names"`           // of the peers
-	NoticeDelay      delayStats       `json:"notices"`         // from the first notification of any agent to this agent's knowledge
+	NoticeDelay      delayStats       `json:"notices"`         // from a drain's or removal's first notification until peers' facts confirmed it here
 }
 
 // stats returns the metrics of peers.
--- a/internal/agent/peers_endpoints.go
+++ b/internal/agent/peers_endpoints.go
@@ -94,8 +94,8 @@
 	return nil
 }
 
-// withOverlay returns an endpoint of this agent's own list as the core receives it: if it is ready by the list and draining by the
-// report of peers, it is draining. The caller holds p.mu.
+// withOverlay returns an endpoint of this agent's own list as the core receives it: draining if the list has it as ready and
+// peers report that it is draining or removed. The caller holds p.mu.
 func (p *peers) withOverlay(endpoint core.Endpoint) core.Endpoint {
 	if endpoint.State == logic.Ready && p.overlay.Drained(incarnation(endpoint)) {
 		endpoint.State = logic.Draining
@@ -103,8 +103,8 @@
 	return endpoint
 }
 
-// updateOverlay recomputes which endpoints are draining by the report of peers, and returns those for which that has changed, with the
-// state that they have in this agent's own list. The caller holds p.mu.
+// updateOverlay recomputes which endpoints the core receives as draining because peers report a drain or removal. It returns those for
+// which that has changed, with the state that they have in this agent's own list. The caller holds p.mu.
 func (p *peers) updateOverlay() map[string]core.Endpoint {
 	ready, before := map[fleetstate.Incarnation]bool{}, map[string]bool{}
 	for id, endpoint := range p.endpoints {
--- a/internal/config/operator/connections.go
+++ b/internal/config/operator/connections.go
@@ -7,7 +7,8 @@
 	"ryeweir/internal/pool"
 )
 
-// Connections configures how connections to endpoints are opened, reused and closed. The agent derives a limit of 0 from its own limits.
+// Connections configures how connections to endpoints are opened, reused and closed. A limit on connections, handshakes or
+// waiting attempts that is 0 is not set: the agent then derives the limit from its own limits.
 type Connections struct {
 	MaxConnections            int             `toml:"places"` // takes effect at the next start
 	MaxPerEndpoint            int             `toml:"per_server"`
--- a/internal/config/operator/describe.go
+++ b/internal/config/operator/describe.go
@@ -26,7 +26,7 @@
 	fmt.Fprintf(w, "suspect connections: after %d consecutive failed exchanges within %v; action: %s\n", c.SuspectAfterFailures, c.SuspectWindow.D(), c.SuspectAction)
 }
 
-// limitText formats a limit. The agent derives a limit of 0 from its other limits.
+// limitText formats a limit, or "derived" if it is 0: then the file does not set it, and the agent derives it from its own limits.
 func limitText(limit int) string {
 	if limit == 0 {
 		return "derived"
--- a/internal/control/handler.go
+++ b/internal/control/handler.go
@@ -10,7 +10,8 @@
 type Agent interface {
 	// Ready reports whether the agent accepts clients.
 	Ready() bool
-	// Drain turns clients away until Activate is called. Both return an error while the agent is shutting down.
+	// Drain moves clients to other agents until Activate is called: Ready reports false and connections of clients are closed, while
+	// requests that still arrive are served. Both return an error while the agent is shutting down.
 	Drain() error
 	Activate() error
 }
--- a/internal/experiment/compare.go
+++ b/internal/experiment/compare.go
@@ -96,7 +96,7 @@
 
 // Compare measures the agent and a plain proxy, with one core each, in front of the same servers, which answer at once. The two are
 // measured in alternating slices for about the given duration per rate. For each rate Compare returns the Cost of the agent and that of the
-// proxy, and the interval of the ratio of the agent's processor time to the proxy's. self is the path of this program.
+// proxy, and the interval of the ratio of the agent's CPU time to the proxy's. self is the path of this program.
 func Compare(ctx context.Context, self string, duration time.Duration) ([]Cost, []Interval, error) {
 	dir, err := os.MkdirTemp("", "ryeweir-compare-")
 	if err != nil {
@@ -241,7 +241,7 @@
 	return command, nil
 }
 
-// measureInTurn measures the agent and the proxy in alternating slices, and returns the interval of the ratio of the agent's processor time
+// measureInTurn measures the agent and the proxy in alternating slices, and returns the interval of the ratio of the agent's CPU time
 // to the proxy's. The one that goes first changes each round.
 func measureInTurn(ctx context.Context, processes []*measuredProcess, rate, rounds int) (Interval, error) {
 	for _, process := range processes {
--- a/internal/experiment/doc.go
+++ b/internal/experiment/doc.go
@@ -16,7 +16,7 @@
 //	RunDrill       runs one scenario with a fleet of agent processes and checks the outcome against expectations
 //	Hunt           runs random fleet scenarios in simulated time, searching for one that does not pass the gate
 //	RunFleetModel  models the connections of many agents in simulated time
-//	Compare        measures the processor time of the agent and of a plain proxy
+//	Compare        measures the CPU time of the agent and of a plain proxy
 //	RunLoad        sends the requests of a scenario to agents that already run
 //
 // The keys of files and reports are older than the names in this package: "day" is a scenario, "arm" a variant, "trouble" a fault, "worth"
--- a/internal/experiment/fleet.go
+++ b/internal/experiment/fleet.go
@@ -36,7 +36,7 @@
 func RunFleetModel(spec *FleetSpec, out io.Writer) ([]FleetFigures, error) {
 	var all []FleetFigures
 	table := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
-	fmt.Fprintln(table, "arm\thandshakes/request\topen\tcrossed/million\tof these not idempotent\ttimed out after partition\tpeak/100 ms at restart\tslow start share\tmean ms\tp99 ms")
+	fmt.Fprintln(table, "variant\thandshakes/request\topen connections\tcrossed/million\tof these not idempotent\ttimed out after partition\tpeak/100 ms at restart\tslow start share\tmean ms\tp99 ms")
 	for _, variant := range spec.Variants {
 		runs := make([]fleetRun, spec.Repeats)
 		for i := range runs {
--- a/internal/experiment/fleet_servers.go
+++ b/internal/experiment/fleet_servers.go
@@ -13,7 +13,7 @@
 	started         time.Duration   // time of the restart; 0: none so far
 	partitionedFrom time.Duration   // no packet passes from then until partitionedTo
 	partitionedTo   time.Duration
-	handshakeTime   time.Duration // processor time of handshakes within restartObservation after the restart
+	handshakeTime   time.Duration // CPU time of handshakes within restartObservation after the restart
 }
 
 // fleetConn is the server's end of a connection.
@@ -22,7 +22,7 @@
 	closesAt time.Duration // when the server closes the connection if no further request is sent on it
 }
 
-// capacity returns the processor time, in seconds, that a server has from its restart until over has passed.
+// capacity returns the CPU time, in seconds, that a server has from its restart until over has passed.
 func (f *fleetModel) capacity(from, over time.Duration) float64 {
 	sum := 0.0
 	for t := time.Duration(0); t < over; t += 10 * time.Millisecond {
@@ -67,7 +67,7 @@
 	return nil // the endpoint is the server's incarnation before the restart
 }
 
-// process executes work of amount processor time on the core that is free first, not before from. It returns when the work is done.
+// process executes work of amount CPU time on the core that is free first, not before from. It returns when the work is done.
 func (f *fleetModel) process(s *fleetServer, from, amount time.Duration) time.Duration {
 	core := 0
 	for i := range s.coreFreeAt {
--- a/internal/experiment/fleet_spec.go
+++ b/internal/experiment/fleet_spec.go
@@ -23,8 +23,8 @@
 	NonIdempotentFraction    float64         `toml:"careful"`   // fraction of the requests that are not idempotent
 	Length                   config.Duration `toml:"length"`    // of a run
 	Cores                    int             `toml:"cores"`     // of each server
-	Work                     config.Duration `toml:"work"`      // mean processor time of a request
-	Handshake                config.Duration `toml:"handshake"` // processor time of a handshake
+	Work                     config.Duration `toml:"work"`      // mean CPU time of a request
+	Handshake                config.Duration `toml:"handshake"` // CPU time of a handshake
 	RTT                      config.Duration `toml:"rtt"`
 	IdleTimeout              config.Duration `toml:"idle"`         // idle time after which servers close a connection, according to the agents' settings
 	ActualIdleTimeout        config.Duration `toml:"closes"`       // idle time after which servers actually close a connection; 0s: IdleTimeout
--- a/internal/experiment/gate.go
+++ b/internal/experiment/gate.go
@@ -16,8 +16,9 @@
 	FailureReason string  `json:"why,omitempty"` // empty if Passed
 }
 
-// An agent must serve delayedOracleFraction of what the delayed oracle serves. In a scenario without faults it must also serve the lower of
-// two values: the service of the random variant less randomMargin, and that of the delayed oracle less delayedOracleMargin.
+// An agent must serve delayedOracleFraction of what the delayed oracle serves. In a [[fleet_day]] of kind calm, which has no faults, it must
+// also serve the lower of two values: the service of the random variant less randomMargin, and that of the delayed oracle less
+// delayedOracleMargin. This second minimum applies only if the random variant ran with the same seed.
 const (
 	delayedOracleFraction = 0.5
 	randomMargin          = 0.05
@@ -25,7 +26,7 @@
 )
 
 // gate checks each run of an agent that also ran with the delayed oracle: no rule may be violated, each request must have exactly one
-// outcome, and enough must be served. faultFree has the names of the scenarios without faults.
+// outcome, and enough must be served. faultFree is the result of Spec.faultFreeScenarios.
 func gate(outcomes []Outcome, variants []VariantSpec, faultFree map[string]bool) (rows []GateRow) {
 	type run struct {
 		scenario string
--- a/internal/experiment/measured.go
+++ b/internal/experiment/measured.go
@@ -32,7 +32,7 @@
 	number    atomic.Uint64
 	control   string          // the address of the agent's metrics; empty for the proxy
 	opened    int64           // handshakes before the measurement
-	cpu       []float64       // by slice: microseconds of processor time per answer
+	cpu       []float64       // by slice: microseconds of CPU time per answer
 	latencies []time.Duration // of the answers in all slices
 	elapsed   time.Duration   // of all slices
 }
@@ -49,7 +49,7 @@
 	for end := time.Now().Add(processrig.ReadyTimeout); s.send(ctx).Outcome != referee.Served; {
 		if time.Now().After(end) || ctx.Err() != nil {
 			s.stop()
-			return nil, fmt.Errorf("the %s served no request within the time for its start; its log:\n%s", processName, s.log.String())
+			return nil, fmt.Errorf("the %s served no request within %v after its start, or the measurement was interrupted; its log:\n%s", processName, processrig.ReadyTimeout, s.log.String())
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
@@ -106,14 +106,14 @@
 	return all.Connections.Opened, all.Connections.Open, nil
 }
 
-// measureSlice loads the process for sliceLength and returns its processor time per answer, in microseconds.
+// measureSlice loads the process for sliceLength and returns its CPU time per answer, in microseconds.
 func (s *measuredProcess) measureSlice(ctx context.Context, rate int) (float64, error) {
-	before, err := processorTime(s.cmd.Process.Pid)
+	before, err := cpuTime(s.cmd.Process.Pid)
 	if err != nil {
 		return 0, err
 	}
 	latencies, failed, elapsed := sendAtRate(ctx, rate, sliceLength, s.send)
-	after, err := processorTime(s.cmd.Process.Pid)
+	after, err := cpuTime(s.cmd.Process.Pid)
 	if err != nil {
 		return 0, err
 	}
@@ -199,12 +199,12 @@
 	return latencies, failed, time.Since(began)
 }
 
-// processorTime returns the processor time that a process's threads have used so far (the first field of schedstat, in nanoseconds:
+// cpuTime returns the CPU time that a process's threads have used so far (the first field of schedstat, in nanoseconds:
 // Documentation/scheduler/sched-stats.rst of Linux). The clock ticks of stat (proc(5)) are too coarse for an agent with little load.
-func processorTime(pid int) (sum time.Duration, err error) {
+func cpuTime(pid int) (sum time.Duration, err error) {
 	files, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", pid))
 	if err != nil || len(files) == 0 {
-		return 0, fmt.Errorf("reading the processor time: no schedstat of process %d", pid)
+		return 0, fmt.Errorf("reading the CPU time: no schedstat of process %d", pid)
 	}
 	for _, file := range files {
 		text, err := os.ReadFile(file)
@@ -212,12 +212,12 @@
 			continue // the thread has ended meanwhile
 		}
 		if err != nil {
-			return 0, fmt.Errorf("reading the processor time: %w", err)
+			return 0, fmt.Errorf("reading the CPU time: %w", err)
 		}
 		first, _, _ := strings.Cut(string(text), " ")
 		ns, err := strconv.ParseInt(first, 10, 64)
 		if err != nil {
-			return 0, fmt.Errorf("reading the processor time: unexpected format of %s: %w", file, err)
+			return 0, fmt.Errorf("reading the CPU time: unexpected format of %s: %w", file, err)
 		}
 		sum += time.Duration(ns)
 	}
--- a/internal/experiment/outcome.go
+++ b/internal/experiment/outcome.go
@@ -67,7 +67,7 @@
 	NodesBusy         []float64                  `json:"nodes_busy,omitempty"`               // by second: work done, as a fraction of the running nodes' capacity; simulated only
 	Priced            float64                    `json:"priced"`                             // Goal less the scenario's prices for health checks, handshakes, discovery calls and waste
 	HealthCheckWork   float64                    `json:"probe_work"`                         // work of health checks, as a fraction of the nodes' capacity
-	CPU               float64                    `json:"agent_cpu_us_per_request,omitempty"` // processor time of all agents' processes
+	CPU               float64                    `json:"agent_cpu_us_per_request,omitempty"` // CPU time of all agents' processes
 	Skipped           int                        `json:"skipped"`                            // calls that were not sent because too many were open
 	Lag               float64                    `json:"lag_ms"`                             // longest delay of a call behind its planned time, in ms
 	ProcessorWait     float64                    `json:"starved_ms"`                         // mean time this process's threads waited for a processor, in ms; sockets only
@@ -104,7 +104,7 @@
 	lists      int // calls of discovery
 	load       [][]float64
 	goodput    []float64
-	marks      []emulator.Event
+	events     []emulator.Event
 }
 
 // settleTime is the time from the beginning of a run that the service figures leave out.
@@ -115,7 +115,7 @@
 	slices.SortFunc(r.calls, func(a, b referee.CallResult) int { return int(a.At - b.At) })
 	outcome := Outcome{Scenario: r.scenario.Spec.Name, Variant: variant, Seed: r.scenario.Seed, Simulated: simulated, Seconds: r.scenario.Length.Seconds(), Calls: len(r.calls),
 		Account: r.account, Violations: r.violations, Service: referee.MeasureService(r.calls, settleTime, len(r.scenario.Classes), len(r.scenario.Tenants)),
-		Latency: map[string]Percentiles{"all": percentiles(referee.Latencies(r.calls, -1))}, ListCalls: r.lists, Events: r.marks,
+		Latency: map[string]Percentiles{"all": percentiles(referee.Latencies(r.calls, -1))}, ListCalls: r.lists, Events: r.events,
 		Skipped: r.figures.Skipped, Lag: float64(r.figures.Lag.Microseconds()) / 1e3}
 	outcome.Goal = outcome.Service.Goal()
 	for i, c := range r.scenario.Classes {
--- a/internal/experiment/report.go
+++ b/internal/experiment/report.go
@@ -165,7 +165,7 @@
 			continue
 		}
 		if i == 0 {
-			mark(service, outcome)
+			shadeFaults(service, outcome)
 		}
 		lineColor := palette()[i%len(palette())]
 		addLine(service, variant, lineColor, false, outcome.Series.Service)
@@ -175,7 +175,7 @@
 			continue // more lines can't be told apart
 		}
 		load := newPlot(scenario+", "+variant+": requests in flight at each node", "requests")
-		mark(load, outcome)
+		shadeFaults(load, outcome)
 		for nodeIndex := range outcome.Series.Nodes {
 			var points plotter.XYs
 			for s, row := range outcome.Series.Load {
@@ -232,22 +232,22 @@
 	}
 }
 
-// mark shades the intervals of the faults in an outcome. If there are more than maxLines, it shades one interval for each kind of fault, from
-// the first beginning to the last end.
-func mark(p *plot.Plot, o Outcome) {
-	marks := o.Events
-	if len(marks) > maxLines {
-		marks = nil
+// shadeFaults shades the intervals of the faults in an outcome. If there are more than maxLines, it shades one interval for each kind of
+// fault, from the first beginning to the last end.
+func shadeFaults(p *plot.Plot, o Outcome) {
+	events := o.Events
+	if len(events) > maxLines {
+		events = nil
 		for _, m := range o.Events {
-			i := slices.IndexFunc(marks, func(x emulator.Event) bool { return x.Text == m.Text })
+			i := slices.IndexFunc(events, func(x emulator.Event) bool { return x.Text == m.Text })
 			if i < 0 {
-				marks = append(marks, emulator.Event{At: m.At, To: m.To, Node: "many", Text: m.Text})
+				events = append(events, emulator.Event{At: m.At, To: m.To, Node: "many", Text: m.Text})
 				continue
 			}
-			marks[i].At, marks[i].To = min(marks[i].At, m.At), max(marks[i].To, m.To)
+			events[i].At, events[i].To = min(events[i].At, m.At), max(events[i].To, m.To)
 		}
 	}
-	for _, m := range marks {
+	for _, m := range events {
 		from, to := m.At.Seconds(), min(m.To.Seconds(), o.Seconds)
 		if to <= from {
 			continue
--- a/internal/experiment/scenario.go
+++ b/internal/experiment/scenario.go
@@ -163,7 +163,7 @@
 		lists:      p.world.DiscoveryFigures().FullLists + p.world.DiscoveryFigures().Watches,
 		load:       p.load,
 		goodput:    p.goodput,
-		marks:      p.world.Events(),
+		events:     p.world.Events(),
 	}
 	outcome := record.outcome(p.variant.Name, false)
 	outcome.ProcessorWait = float64(processorWait.Microseconds()) / 1e3
--- a/internal/experiment/scenario_agents.go
+++ b/internal/experiment/scenario_agents.go
@@ -102,7 +102,7 @@
 	}
 }
 
-// stopAgents stops all agents, adds their processor time to p.cpu, and returns the errors of those that misbehaved.
+// stopAgents stops all agents, adds their CPU time to p.cpu, and returns the errors of those that misbehaved.
 func (p *scenarioRun) stopAgents() error {
 	var mu sync.Mutex
 	var errs []error
--- a/internal/experiment/simulation.go
+++ b/internal/experiment/simulation.go
@@ -105,7 +105,7 @@
 		lists:      s.list.calls,
 		load:       s.load,
 		goodput:    s.goodput,
-		marks:      s.marks,
+		events:     s.faultEvents,
 	}
 	for _, n := range s.nodes {
 		record.nodes = append(record.nodes, n.earlierIncarnations.Add(n.Figures()))
@@ -150,7 +150,7 @@
 	useful       time.Duration // work for responses that were received, until the last sample
 	nodesBusy    []float64     // see Outcome
 	nodesUsed    []float64     // see Outcome
-	marks        []emulator.Event
+	faultEvents  []emulator.Event
 	callsLeft    int // calls that have not ended
 	groundTruth  GroundTruth
 	operators    operator.File
@@ -178,7 +178,7 @@
 	s.scheduleOutages()
 	for _, cut := range s.scenario.Spec.Fleet.Partitions {
 		s.schedule(cut.From.D(), func() {
-			s.marks = append(s.marks, emulator.Event{At: cut.From.D(), To: cut.To.D(), Node: cut.Zone, Text: "cut off"})
+			s.faultEvents = append(s.faultEvents, emulator.Event{At: cut.From.D(), To: cut.To.D(), Node: cut.Zone, Text: "cut off"})
 		})
 	}
 	s.callsLeft = len(s.scenario.Plan)
@@ -199,7 +199,7 @@
 	for _, outage := range s.scenario.Spec.Outages {
 		s.schedule(outage.From.D(), func() {
 			s.list.down = true
-			s.marks = append(s.marks, emulator.Event{At: outage.From.D(), To: outage.To.D(), Node: "discovery", Text: "outage"})
+			s.faultEvents = append(s.faultEvents, emulator.Event{At: outage.From.D(), To: outage.To.D(), Node: "discovery", Text: "outage"})
 			for _, agent := range s.agents {
 				s.breakWatch(agent)
 			}
--- a/internal/experiment/simulation_agent.go
+++ b/internal/experiment/simulation_agent.go
@@ -91,7 +91,7 @@
 	} else {
 		s.schedule(s.now+maxShutdown, func() { s.endAgent(previous) })
 	}
-	s.marks = append(s.marks, emulator.Event{At: s.now, To: s.now + fault.Duration, Node: name, Text: text})
+	s.faultEvents = append(s.faultEvents, emulator.Event{At: s.now, To: s.now + fault.Duration, Node: name, Text: text})
 	s.schedule(s.now+fault.Duration, func() {
 		next := s.newProcess(fault.Agent)
 		next.incarnation, next.version = previous.incarnation+1, previous.version
--- a/internal/experiment/simulation_nodes.go
+++ b/internal/experiment/simulation_nodes.go
@@ -44,7 +44,7 @@
 	target := s.nodes[fault.Node]
 	name := target.ID
 	s.schedule(fault.From, func() {
-		s.marks = append(s.marks, emulator.Event{At: fault.From, To: fault.To, Node: name, Text: string(fault.Kind)})
+		s.faultEvents = append(s.faultEvents, emulator.Event{At: fault.From, To: fault.To, Node: name, Text: string(fault.Kind)})
 		switch fault.Kind {
 		case node.Drain:
 			target.AddFault(fault.Fault)
--- a/internal/experiment/spec.go
+++ b/internal/experiment/spec.go
@@ -156,7 +156,8 @@
 	return spec.Draw(seed)
 }
 
-// faultFreeScenarios returns the names of the fleet scenarios, with true for those without faults. The gate expects more of these.
+// faultFreeScenarios returns the names of all fleet scenarios ([[fleet_day]]), with true for those of kind calm, which have no faults. The
+// gate expects more of these. A [[day]] is not in it, even if it has no faults.
 func (s *Spec) faultFreeScenarios() map[string]bool {
 	out := map[string]bool{}
 	for _, f := range s.Fleets {
--- a/internal/experiment/views.go
+++ b/internal/experiment/views.go
@@ -21,10 +21,10 @@
 	AllSeenAtEnd       float64    `json:"whole_at_end"`          // fraction of the agents that saw all others at the end of the run
 	MeanBytesPerSecond float64    `json:"bytes_per_second"`      // sent by an agent to its peers, mean of all agents
 	MaxBytesPerSecond  float64    `json:"bytes_per_second_most"` // by the agent that sent most
-	Notices            int64      `json:"notices"`               // notices of a server's end that arrived from a peer before the agent's own endpoint list had it
-	NoticeMeanMS       float64    `json:"notice_mean_ms"`        // mean time from the notification of the first agent until the notice arrived
+	Notices            int64      `json:"notices"`               // drains and removals that a fact from a peer confirmed at an agent
+	NoticeMeanMS       float64    `json:"notice_mean_ms"`        // mean time from the notification of the first agent until that fact arrived
 	NoticeMaxMS        float64    `json:"notice_worst_ms"`       // maximum of this time
-	Withheld           int64      `json:"held_back"`             // how often a peer's notice kept an agent from sending to a server that its own list still had
+	Withheld           int64      `json:"held_back"`             // drains at an agent by notices of peers, while its own list still had the server as ready
 	FactsRejected      int64      `json:"facts_refused"`         // facts that were malformed, or too many from one agent
 	FactsEvicted       int64      `json:"facts_evicted"`         // facts evicted from a full replica
 	MaxFacts           int        `json:"facts_most"`            // most facts that an agent held at once
--- a/internal/faultshim/doc.go
+++ b/internal/faultshim/doc.go
@@ -5,7 +5,7 @@
 //
 // Commands are lines of text that Machine.Run reads, for example from the process's standard input:
 //
-//	clock 1h                    put the wall clock ahead by that time; -1h: back
+//	clock 1h                    set the wall clock that far ahead of the real one (-1h: behind it); not added to an earlier offset
 //	accept ENOBUFS 3            the next three accepts fail with that error
 //	connect EMFILE 2            the next two connects to servers fail
 //	clientread ECONNRESET 1     the next read from a client fails
--- a/internal/processrig/process.go
+++ b/internal/processrig/process.go
@@ -42,7 +42,7 @@
 	exited       chan struct{} // closed after the present process has ended and has been waited for
 	exitErr      error         // valid once exited is closed
 	stoppedByRig bool          // the rig has ended the present process, so Stop does not report its exit
-	earlierCPU   time.Duration // processor time of the processes that have ended
+	earlierCPU   time.Duration // CPU time of the processes that have ended
 }
 
 // Start starts an agent of a world, given its number, with a command such as the path of the program and "agent". It does not wait until
--- a/internal/soak/check_fleet.go
+++ b/internal/soak/check_fleet.go
@@ -122,8 +122,9 @@
 	}
 }
 
-// couldBeNotified reports whether one process of an agent was ready and running from the first time to the second, without a pause of the
-// agent or an outage of its discovery services in that time or shortly before it.
+// couldBeNotified reports whether one process of an agent was ready and running from the first time to the second, and was sent neither
+// SIGTERM nor SIGKILL by a fault, not even later. It returns false if the agent was paused or one of its discovery services had an outage
+// in that time or shortly before it.
 func (check *checker) couldBeNotified(subject *agent, from, to time.Duration) bool {
 	const margin = 4 * time.Second // a watch that began during a fault may last this long
 	runs := false
--- a/internal/soak/fault.go
+++ b/internal/soak/fault.go
@@ -20,14 +20,14 @@
 	AgentMoveAndBack FaultKind = "agent-there-back"   // two SIGHUPs in quick succession: another discovery service, then the old one
 	AgentDrain       FaultKind = "agent-drain"        // an operator drains the agent, and activates it after the duration
 	AgentWriteStall  FaultKind = "agent-hold"         // writes to servers are held up for 150 ms
-	ClockStep        FaultKind = "clock-step"         // the time of day of all agents and servers is stepped
+	ClockStep        FaultKind = "clock-step"         // the time of day of all agents and the start times listed for later server processes are stepped
 	AcceptFails      FaultKind = "accept-fails"       // accepts of client connections fail with an errno
 	ConnectFails     FaultKind = "connect-fails"      // connects to servers fail with an errno
 	ServerReadFails  FaultKind = "server-read-fails"  // reads from servers fail with an errno
 	ServerWriteFails FaultKind = "server-write-fails" // writes to servers fail with an errno
 	ClientReadFails  FaultKind = "client-read-fails"  // reads from clients fail with an errno
 	ShortReads       FaultKind = "short-reads"        // each read returns only a few bytes
-	DiskFails        FaultKind = "disk-fails"         // file operations of the agent fail with an errno
+	DiskFails        FaultKind = "disk-fails"         // writes of the agent's snapshot file fail with an errno
 	LogStalls        FaultKind = "log-stalls"         // nobody reads the agent's log
 	ServerDrain      FaultKind = "server-drain"       // the server is listed as draining, then as removed, exits, and starts again
 	ServerCrash      FaultKind = "server-crash"       // the server is killed, and starts again before discovery lists a change
@@ -42,7 +42,7 @@
 	DiscoveryReset   FaultKind = "discovery-reset"    // the open watches are aborted; full lists omit draining servers from then on
 	DiscoverySlow    FaultKind = "discovery-slow"     // responses are delayed by 300 ms
 	DiscoveryPieces  FaultKind = "discovery-pieces"   // lists are sent in small pieces
-	ClientBurst      FaultKind = "client-burst"       // 60% of the requests have the same misbehavior
+	ClientBurst      FaultKind = "client-burst"       // 60% of the requests to the agent have the same misbehavior, except GETs if it needs a body
 	IdleConnections  FaultKind = "client-crowd"       // clients open connections and send nothing on them
 )
 
--- a/internal/soak/inject.go
+++ b/internal/soak/inject.go
@@ -179,7 +179,8 @@
 	}
 }
 
-// stepClocks adds the step of the fault to the time of day of all agents and servers. The step is permanent.
+// stepClocks adds the step of the fault to the time of day of all agents, and to the start times that are listed for servers from then on.
+// The clocks of the servers' processes are not stepped. The step is permanent.
 func (r *soakRun) stepClocks(fault Fault) {
 	step, err := time.ParseDuration(fault.Detail)
 	if err != nil {
@@ -328,7 +329,7 @@
 	}
 }
 
-// injectClientFault makes the clients of an agent misbehave, or opens as many idle connections to the agent as it may have sockets.
+// injectClientFault makes clients of the target agent misbehave, or opens as many idle connections to the agent as it may have sockets.
 func (r *soakRun) injectClientFault(ctx context.Context, fault Fault) {
 	c := r.clients[fault.Target]
 	if fault.Kind == IdleConnections {
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -46,7 +46,7 @@
 	tasks      sync.WaitGroup // monitors and faults
 
 	mu                  sync.Mutex
-	clockOffset         time.Duration // of the time of day of all agents and servers
+	clockOffset         time.Duration // of the agents' time of day and the listed start times of servers, against the real time
 	seeds               *rand.Rand
 	violations          []Violation    // found during the run, before the checks
 	overConnectionLimit map[int][]span // when an agent may have been at its limit of connections
@@ -124,7 +124,7 @@
 	r.violations = append(r.violations, Violation{Rule: rule, At: monotonic() - r.startedAt, Text: fmt.Sprintf(format, args...)})
 }
 
-// timeOfDayMS returns the time of day of all agents and servers, in Unix milliseconds.
+// timeOfDayMS returns the stepped time of day, as the agents read it, in Unix milliseconds. A server that restarts is listed with it.
 func (r *soakRun) timeOfDayMS() int64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
