--- a/internal/bodybuffer/pipe.go
+++ b/internal/bodybuffer/pipe.go
@@ -9,8 +9,8 @@
 // ErrClosed means that the pipe was closed.
 var ErrClosed = errors.New("body pipe closed")
 
-// Pipe is a ring buffer between one goroutine that fills it and one that empties it; each blocks until the other makes progress.
-// All other methods are safe for concurrent use.
+// Pipe is a ring buffer between one goroutine that calls Fill and one that calls WriteTo. Fill blocks while the buffer is full, WriteTo
+// while it is empty. Neither may be called by two goroutines at a time; all methods other than these two are safe for concurrent use.
 type Pipe struct {
 	budget *Budget
 	buf    []byte
--- a/internal/connlimit/listener.go
+++ b/internal/connlimit/listener.go
@@ -15,15 +15,16 @@
 
 	// HeaderTimeout limits how long the client may take to send the head of a request that begins on an idle connection.
 	HeaderTimeout time.Duration
-	// Events records the accept and the close of each connection, and the end of each answer. It may be nil.
+	// Events records the accept and the close of each connection, and the end of each answer. It may be nil, as the methods of a
+	// nil Recorder that are called here do nothing.
 	Events *event.Recorder
-	// Monitor counts connections that are closed while a request has no answer. It may be nil.
+	// Monitor counts connections that are closed while a request has no answer. It may be nil; a nil Monitor does nothing.
 	Monitor *invariant.Monitor
 
 	maxConnections int
 
 	mu              sync.Mutex // guards the fields below, and the state of each Conn
-	capacityFreed   *sync.Cond // signaled when a slot is free, or when another connection may be evicted
+	capacityFreed   *sync.Cond // signaled when a slot is free, or when a connection that could not be evicted before can be
 	closed          bool
 	lastAccept      time.Time
 	conns           map[*Conn]struct{}
@@ -37,8 +38,10 @@
 	return l
 }
 
-// Accept returns the next connection, a *Conn. If all slots are taken, it evicts a connection and waits until a slot is free. It
-// returns net.ErrClosed if the listener is closed and no slot is free.
+// Accept returns the next connection, a *Conn. If all slots are taken, it evicts a connection and waits until a slot is free. If
+// Close is called before a slot is free, it closes the new connection and returns net.ErrClosed. A connection that
+// was taken from the inner listener before Close and finds a free slot is still returned. Errors of the inner listener are returned as
+// they are.
 func (l *Listener) Accept() (net.Conn, error) {
 	raw, err := l.Listener.Accept()
 	if err != nil {
@@ -57,6 +60,7 @@
 	return c, nil
 }
 
+// recordAccept records the accept of a connection, with the client's address if events are logged. The lock must be held.
 func (l *Listener) recordAccept(c *Conn) {
 	accepted := event.Event{Kind: event.ConnectionAccepted, Connection: c.id}
 	if l.Events.Verbose() {
@@ -108,8 +112,8 @@
 	return len(l.conns)
 }
 
-// InFlight returns the number of connections on which an answer may still be due or on its way: those with a request in flight
-// and those in a lingering close.
+// InFlight returns the number of connections on which an answer may still be due or on its way: those with a request in flight,
+// and all those in a lingering close, because the end of their last answer may not have reached the client.
 func (l *Listener) InFlight() (count int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/discovery/apply.go
+++ b/internal/discovery/apply.go
@@ -58,7 +58,8 @@
 	return fmt.Sprintf("discovery went back from version %d to version %d", e.known, e.received)
 }
 
-// apply passes a received list to the sink unless a newer one is known. wantFull is set if a full snapshot was requested.
+// apply passes a received list to the sink if its version is higher than the known one, or if it is a full snapshot of the known version.
+// wantFull is set if a full snapshot was requested. The error is errNotFull, or a versionError if a watch returned a lower version.
 func (c *Client) apply(list EndpointList, wantFull bool) error {
 	if wantFull && !list.Full {
 		return errNotFull
@@ -96,8 +97,9 @@
 }
 
 // applyCached passes the cached list to the sink as a full snapshot. Unless the client watches from the cached version on (see
-// startsFromCache), no version is known, and the next list from discovery counts as newer, even one with a lower version. If it does, apply
-// rejects a lower version in response to a watch with a versionError; the full snapshot that is requested then counts as newer.
+// startsFromCache), no version is known, and the next list from discovery counts as newer, even one with a version lower than the cached
+// one. If the client does watch from the cached version on, apply rejects a lower version with a versionError; the full snapshot that is
+// requested then counts as newer.
 func (c *Client) applyCached() {
 	list := c.cfg.CachedList
 	list.Full = true
--- a/internal/discovery/timing.go
+++ b/internal/discovery/timing.go
@@ -67,7 +67,7 @@
 
 // backoff determines the wait after failed requests: it is exponential, and at least as long as FleetTiming.RetrySpread.
 type backoff struct {
-	failures int // consecutive
+	failures int // consecutive failed requests
 }
 
 // interval returns the maximum time until the next request.
--- a/internal/framing/scanner.go
+++ b/internal/framing/scanner.go
@@ -16,14 +16,14 @@
 // server ensures this by closing it.
 type scanner struct {
 	state          state
-	ambiguous      bool   // a message so far could be parsed in two ways
+	ambiguous      bool   // at least one message read so far has a transfer encoding and also a length, or a version other than HTTP/1.1
 	desynchronized bool   // the message boundaries are lost
 	bodyRemaining  int64  // bytes of the current body or chunk still to be skipped
 	line           []byte // the first bytes of the current line, or the last bytes of a request line
 
 	// State of the head that is being read.
 	requestLineDone     bool
-	http10              bool
+	notHTTP11           bool // the request line does not end in HTTP/1.1, so a parser may ignore a transfer encoding
 	hasLength           bool
 	contentLength       int64
 	hasTransferEncoding bool
@@ -34,16 +34,18 @@
 type state int
 
 const (
-	inHead      state = iota
-	inChunkSize       // in the line before a chunk, which gives its size
-	inChunkEnd        // in the line break after a chunk
-	inTrailers
+	inHead      state = iota // in the request line, the header lines or the empty line after them
+	inChunkSize              // in the line before a chunk, which gives its size
+	inChunkEnd               // in the line break after a chunk
+	inTrailers               // in the lines after the last chunk, up to and including the empty line
 )
 
 const (
-	// maxLineBytes is how much of a line is stored: enough for the header names and numbers that matter.
+	// maxLineBytes is how much of a line is stored: enough for the names and values of Content-Length and
+	// Transfer-Encoding, for the size of a chunk, and for the HTTP version at the end of a request line.
 	maxLineBytes = 64
-	// maxChunkBytes is far above the size of any allowed body.
+	// maxChunkBytes is the largest size of a chunk that is accepted, 1 TiB. It is far above the agent's limit on a body,
+	// httpmsg.MaxBodyBytes, so no allowed body has a larger chunk.
 	maxChunkBytes = 1 << 40
 )
 
@@ -78,6 +80,7 @@
 	s.line = append(s.line[:0], s.line[max(0, len(s.line)-maxLineBytes):]...)
 }
 
+// endLine processes the line that has just ended, according to the state, and clears it.
 func (s *scanner) endLine() {
 	line := bytes.TrimSuffix(s.line, []byte("\r"))
 	s.line = s.line[:0]
@@ -86,7 +89,7 @@
 		s.parseChunkLine(line)
 	case !s.requestLineDone:
 		s.requestLineDone = true
-		s.http10 = !bytes.HasSuffix(line, []byte("HTTP/1.1"))
+		s.notHTTP11 = !bytes.HasSuffix(line, []byte("HTTP/1.1"))
 	case len(line) == 0:
 		s.endHead()
 	case bytes.IndexByte([]byte("CcTt"), line[0]) >= 0: // the relevant headers begin with C or T
@@ -101,6 +104,7 @@
 	switch {
 	case bytes.EqualFold(name, []byte("Content-Length")):
 		length, err := strconv.ParseInt(string(value), 10, 64)
+		// If the header is repeated, the last length counts here. That is safe: net/http rejects a request whose lengths differ.
 		s.hasLength, s.contentLength = true, length
 		if err != nil || length < 0 {
 			s.desynchronized = true // net/http rejects the request and closes the connection
@@ -109,7 +113,7 @@
 		s.chunked = !s.hasTransferEncoding && bytes.EqualFold(value, []byte("chunked"))
 		s.hasTransferEncoding = true
 	}
-	if s.hasTransferEncoding && (s.hasLength || s.http10) {
+	if s.hasTransferEncoding && (s.hasLength || s.notHTTP11) {
 		s.ambiguous = true
 	}
 }
--- a/internal/front/http/exchange.go
+++ b/internal/front/http/exchange.go
@@ -134,7 +134,9 @@
 			return
 		}
 		x.abandon()
-	case <-x.server.Core.Done(): // the core stops after Serve has closed all connections, so no client receives this answer
+	case <-x.server.Core.Done():
+		// The core stops after Serve has closed all connections, so no client receives this answer. It is given nevertheless, because it
+		// ends the upload and the exchange: the core may never answer the call.
 		x.answer(shutdownAnswer)
 	}
 }
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -19,13 +19,14 @@
 // descriptorEnv is the environment variable that holds the descriptor number of an inherited socket.
 const descriptorEnv = "PROXY_ACCEPT_FD"
 
-// Inherits reports whether the environment names an inherited socket. If so, another process with the same limits may accept from
-// it at the same time.
+// Inherits reports whether the environment gives the descriptor number of an inherited socket. If so, another process of the agent may
+// accept from it at the same time. Both share the limits that the platform sets, such as that on memory, so the caller must not claim
+// all of a limit for itself.
 func Inherits(getenv func(string) string) bool { return getenv(descriptorEnv) != "" }
 
-// Listen returns a listener on the inherited socket that the environment names, or on addr if it names none. inherited reports
-// which of the two it is. Connections on an inherited socket that this process does not accept are accepted by another process. The
-// error says which step failed.
+// Listen returns a listener on the inherited socket whose descriptor number the environment gives, or on addr if it gives none.
+// inherited reports whether it is the inherited socket. Connections on an inherited socket that this process does not accept are
+// accepted by another process. The error says which step failed.
 func Listen(getenv func(string) string, addr string) (l net.Listener, inherited bool, err error) {
 	if !Inherits(getenv) {
 		l, err = ListenWithRetry(addr)
@@ -62,9 +63,11 @@
 	retryInterval = 50 * time.Millisecond
 )
 
-// ListenWithRetry listens on a TCP address. If a system call fails, it tries again for retryWindow, because otherwise a temporary
-// lack of descriptors or memory, or another process that still holds the address, would keep the agent from starting. All other
-// errors, such as an address that can't be parsed, are returned at once.
+// ListenWithRetry listens on a TCP address. If a system call fails, it tries again every retryInterval for retryWindow, because
+// otherwise a temporary lack of descriptors or memory, or another process that still holds the address, would keep the agent from
+// starting. Temporary and permanent errors of system calls are not told apart, so a permanent one, such as a lack of permission, is
+// returned only after retryWindow. All other errors, such as an address that can't be parsed, are returned at once. The error is that
+// of the last try; it does not say how long the retries took.
 func ListenWithRetry(addr string) (net.Listener, error) {
 	for end := time.Now().Add(retryWindow); ; time.Sleep(retryInterval) {
 		l, err := net.Listen("tcp", addr)
--- a/internal/healthcheck/checker.go
+++ b/internal/healthcheck/checker.go
@@ -28,15 +28,17 @@
 
 // Response is the result of one health check.
 type Response struct {
-	// Result is OK, Rejected if the endpoint reports itself unhealthy, NotSent if the agent did not send the check, or a failure.
+	// Result is OK, Rejected if the endpoint reports itself unhealthy, or NotSent if the agent did not send the check. All other results
+	// mean that the check failed: ConnectFailed, TimedOut, Reset, or Failed if the response has any other status.
 	Result      logic.Result
 	LoadReport  logic.LoadReport // logic.NoLoadReport if there is none
 	Unsupported bool             // the endpoint does not support the request
 }
 
 // Transport sends a health check to a target, an incarnation of an endpoint as returned by Bind of the upstream. It returns by the
-// deadline or when the context is done, and never takes a connection that a client request is waiting for. Implementations must be safe
-// for concurrent use.
+// deadline, or earlier when the context is done. The deadline is a parameter of its own because it also limits the writes and reads on
+// the connection, which take no context. HealthCheck never takes a connection that a client request is waiting for. Implementations must
+// be safe for concurrent use.
 type Transport interface {
 	HealthCheck(ctx context.Context, target any, kind RequestKind, deadline time.Time) Response
 }
@@ -57,8 +59,8 @@
 }
 
 // maxUnsupported is the number of consecutive responses that report the request as unsupported after which no more checks are sent. If a
-// platform allows health checks but its endpoints do not support them, each one would cost the endpoints work for nothing. Any OK resets
-// the count, so endpoints that do support them keep being checked.
+// platform allows health checks but its endpoints do not support them, each check would cost an endpoint work for nothing. A check with
+// result OK resets the count, so a few endpoints without support do not keep the others from being checked.
 const maxUnsupported = 8
 
 // Checker sends health checks. It implements core.HealthChecker and is safe for concurrent use.
@@ -109,6 +111,7 @@
 	}
 }
 
+// requestKind returns the kind of request that all checks send: the one for a load report if endpoints report their load.
 func (c *Checker) requestKind() RequestKind {
 	if c.cfg.LoadReports {
 		return LoadRequest
--- a/internal/pool/acquire.go
+++ b/internal/pool/acquire.go
@@ -36,8 +36,8 @@
 }
 
 // AllowsLowPriority reports whether use that must not compete with requests, such as a health check, may get a connection to the
-// endpoint. It may if no request waits, and either the endpoint has an idle connection or a tenth of Settings.MaxConnections is
-// free.
+// endpoint. It may if no request waits, and either the endpoint has an idle connection or more than a tenth of
+// Settings.MaxConnections is free.
 func (t *Table) AllowsLowPriority(endpoint *Endpoint) bool {
 	if t.waiting > 0 {
 		return false
--- a/internal/pool/action.go
+++ b/internal/pool/action.go
@@ -63,7 +63,7 @@
 // The reject reasons.
 const (
 	RejectCapacity      RejectReason = iota // no connection in time, too many requests wait, or the agent lacks a resource or permission
-	RejectNotReady                          // the endpoint accepts no new requests
+	RejectNotReady                          // the endpoint is not listed or not ready, or its incarnation has ended, or the pool is closed
 	RejectConnectFailed                     // the handshake with the endpoint failed or takes too long
 )
 
--- a/internal/pool/dial.go
+++ b/internal/pool/dial.go
@@ -53,6 +53,7 @@
 	return conn, nil
 }
 
+// recordConnectFailure records that the handshake of a slot failed, with its error as detail.
 func (p *Pool) recordConnectFailure(slot *Slot, err error) {
 	p.cfg.Events.Record(event.Event{
 		Kind:     event.UpstreamClosed,
@@ -62,6 +63,7 @@
 	})
 }
 
+// recordOpened records that the connection of a slot was opened, with its local address if events are logged.
 func (p *Pool) recordOpened(slot *Slot, conn net.Conn) {
 	opened := event.Event{Kind: event.UpstreamOpened, Endpoint: slot.Endpoint.ID}
 	if p.cfg.Events.Verbose() {
--- a/internal/pool/endpoint.go
+++ b/internal/pool/endpoint.go
@@ -9,8 +9,8 @@
 	startedAt time.Duration // on the agent's clock; 0 means long ago
 	index     int           // position in Table.endpoints; -1 once removed
 
-	ready         bool // accepts new requests
-	notReadySince time.Duration
+	ready         bool          // accepts new requests
+	notReadySince time.Duration // when SetReady or Retire last made it stop accepting requests, on the agent's clock; 0 if neither did
 	retired       bool
 
 	connections         int     // slots that are open or opening
--- a/internal/pool/execute.go
+++ b/internal/pool/execute.go
@@ -23,6 +23,7 @@
 	}
 }
 
+// closeConn closes the connection of a slot and records the reason.
 func (p *Pool) closeConn(slot *Slot, reason CloseReason) {
 	delete(p.open, slot.Conn)
 	slot.Conn.Close()
--- a/internal/pool/get.go
+++ b/internal/pool/get.go
@@ -35,8 +35,9 @@
 	}
 }
 
-// GetLowPriority is like Get, for use that must not compete with requests, such as a health check. It fails with ErrExhausted if
-// requests wait, or if the endpoint has no idle connection and less than a tenth of Settings.MaxConnections is free.
+// GetLowPriority is like Get, for use that must not compete with requests, such as a health check. In addition to the cases
+// of Get, it fails with ErrExhausted if requests wait, or if the endpoint has no idle connection and no more than a tenth of
+// Settings.MaxConnections is free.
 func (p *Pool) GetLowPriority(ctx context.Context, endpoint *Endpoint, deadline time.Time) (*Conn, error) {
 	p.mu.Lock()
 	allowed := p.table.AllowsLowPriority(endpoint)
@@ -72,6 +73,7 @@
 	}
 }
 
+// discardStale closes a slot that was granted to a waiter but was found closed, or with unexpected bytes to read.
 func (p *Pool) discardStale(slot *Slot) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -15,7 +15,8 @@
 
 // Errors of Get.
 var (
-	// ErrNotReady means that the endpoint accepts no new requests.
+	// ErrNotReady means that the endpoint accepts no new requests: it is draining, was removed, has restarted or changed its address since
+	// the caller got it, or is not listed (nil), or the pool is closed. The error does not say which of these it is.
 	ErrNotReady = errors.New("endpoint accepts no new requests")
 	// ErrExhausted means that no connection became available within Settings.AcquireTimeout, that too many requests were waiting
 	// already, or that the agent lacked a resource or permission to open one.
@@ -49,10 +50,10 @@
 	mu        sync.Mutex
 	closed    bool
 	table     *Table
-	endpoints map[string]*Endpoint // the listed endpoints by ID
-	startedAt map[*Endpoint]time.Duration
-	open      map[*Conn]struct{}
-	idleSlots []*Slot // buffer reused by Maintain
+	endpoints map[string]*Endpoint        // the listed endpoints by ID
+	startedAt map[*Endpoint]time.Duration // start times of the listed endpoints, as listed
+	open      map[*Conn]struct{}          // all open connections, idle and in use
+	idleSlots []*Slot                     // buffer reused by Maintain
 }
 
 // New returns a pool. The caller must close it. New fails if Settings.Validate does.
--- a/internal/pool/preopen.go
+++ b/internal/pool/preopen.go
@@ -13,8 +13,8 @@
 
 // demand estimates how many requests arrive for one endpoint while a handshake with it is in progress.
 type demand struct {
-	requestRate      float64 // requests per second, smoothed, as of rateAt
-	rateAt           time.Duration
+	requestRate      float64       // requests per second, smoothed, as of rateAt
+	rateAt           time.Duration // time of the last recorded request, or at which the endpoint was added
 	handshakeSeconds float64       // smoothed; 0 before the first successful handshake
 	nextPreopen      time.Duration // earliest time at which the next connection may be opened in advance
 }
--- a/internal/pool/settings.go
+++ b/internal/pool/settings.go
@@ -89,7 +89,7 @@
 	errDuration   = errors.New("the acquire timeout, idle timeout, minimum idle limit, doubling time and suspect window must be above 0")
 	errFraction   = errors.New("the idle fraction must be above 0 and at most 1, the other fractions from 0 to 1")
 	errLimit      = errors.New("limits and rates must not be negative")
-	errSlowStart  = errors.New("there must be at least one agent, and the initial fraction of slow start must be above 0 and at most 1")
+	errSlowStart  = errors.New("there must be at least one agent, and with a slow start window the initial fraction must be above 0 and at most 1")
 )
 
 // Validate returns an error if a Table cannot work with the settings.
--- a/internal/pool/table.go
+++ b/internal/pool/table.go
@@ -21,11 +21,11 @@
 	settings     Settings
 	rng          *rand.Rand
 	endpoints    []*Endpoint // those that are not retired, and retired ones that still have connections
-	open         int         // open slots
+	open         int         // open slots, idle or in use
 	opening      int         // slots with a handshake in progress
-	idle         int
-	waiting      int
-	nextSequence uint64 // sequence number of the next waiter
+	idle         int         // idle slots; open includes them
+	waiting      int         // waiters of all endpoints
+	nextSequence uint64      // sequence number of the next waiter
 	actions      []Action
 	stats        Stats
 }
@@ -38,6 +38,7 @@
 // beginEvent clears the actions of the previous event.
 func (t *Table) beginEvent() { t.actions = t.actions[:0] }
 
+// emit adds an action to those that the current event returns.
 func (t *Table) emit(action Action) { t.actions = append(t.actions, action) }
 
 // connectionCount returns how many connections are open or opening, for comparison with Settings.MaxConnections.
--- a/internal/snapshot/file.go
+++ b/internal/snapshot/file.go
@@ -17,21 +17,24 @@
 // Reasons why a snapshot cannot be used. Errors of File.Load wrap one of these.
 var (
 	ErrNotFound = errors.New("no snapshot found")
+	// ErrCorrupt also stands for a file that exists but cannot be opened or read, for example for lack of permission.
 	ErrCorrupt  = errors.New("snapshot is corrupt or unreadable")
 	ErrMismatch = errors.New("snapshot was saved by another agent or under other settings")
 	ErrExpired  = errors.New("snapshot is too old or from the future")
 )
 
-// maxClockStepBack is how far in the future the save time of a snapshot may lie, as two processes read the clock at slightly different
+// maxTimeInFuture is how far in the future the save time of a snapshot may lie, as two processes read the clock at slightly different
 // times. A later save time means that the wall clock has since been stepped back, and the age of the snapshot is unknown.
-const maxClockStepBack = time.Second
+const maxTimeInFuture = time.Second
 
 // File is the snapshot file of an agent.
 type File struct {
-	Path    string
-	Agent   string   // name of the agent that saves it
-	Classes []string // class names in the settings, by index; the figures saved under other classes mean something else
-	Disk    Disk     // nil uses the machine's file system
+	Path  string
+	Agent string // name of the agent that saves it
+	// Classes are the class names in the settings, by index. Load does not use knowledge that was saved under other class names, because its
+	// values per class would mean something else.
+	Classes []string
+	Disk    Disk // nil uses the machine's file system
 }
 
 // FileIn returns the snapshot file of an agent in a directory. The file name contains a hash of the agent's name, because that name may
@@ -43,7 +46,8 @@
 	return File{Path: filepath.Join(dir, name), Agent: agent, Classes: classes}
 }
 
-// Save replaces the file. If it fails, the old file stays. If not all endpoints fit into MaxSize, only the first ones are saved.
+// Save replaces the file. If it fails, the old file stays. If not all endpoints fit into MaxSize, the last ones in
+// knowledge.Endpoints are left out.
 func (f File) Save(knowledge logic.Knowledge, now time.Time) error {
 	data, err := f.encodeWithin(MaxSize, knowledge, now)
 	if err != nil {
@@ -93,13 +97,15 @@
 	if age > maxAge {
 		return logic.Knowledge{}, 0, fmt.Errorf("%s: %w: saved %v ago, limit %v", f.Path, ErrExpired, age.Round(time.Millisecond), maxAge)
 	}
-	if age < -maxClockStepBack {
-		return logic.Knowledge{}, 0, fmt.Errorf("%s: %w: saved %v in the future", f.Path, ErrExpired, -age.Round(time.Millisecond))
+	if age < -maxTimeInFuture {
+		return logic.Knowledge{}, 0, fmt.Errorf("%s: %w: saved %v in the future, limit %v",
+			f.Path, ErrExpired, -age.Round(time.Millisecond), maxTimeInFuture)
 	}
 	return doc.Knowledge.toKnowledge(), max(0, age), nil
 }
 
-// read returns the contents of the file, up to MaxSize+1 bytes so that decode detects a larger file.
+// read returns the contents of the file, up to MaxSize+1 bytes so that decode detects a larger file. Its errors wrap ErrNotFound if
+// there is no file, otherwise ErrCorrupt, also if the file cannot be opened or read.
 func (f File) read() ([]byte, error) {
 	file, err := os.Open(f.Path)
 	if errors.Is(err, fs.ErrNotExist) {
--- a/internal/snapshot/file_test.go
+++ b/internal/snapshot/file_test.go
@@ -74,7 +74,7 @@
 		text string
 	}{
 		"too old":         {f, now.Add(2 * time.Minute), ErrExpired, "saved 2m0s ago, limit 1m0s"},
-		"from the future": {f, now.Add(-time.Minute), ErrExpired, "saved 1m0s in the future"},
+		"from the future": {f, now.Add(-time.Minute), ErrExpired, "saved 1m0s in the future, limit 1s"},
 		"other settings":  {otherSettings, now, ErrMismatch, f.Path},
 		"other agent":     {otherAgent, now, ErrMismatch, f.Path},
 	} {
--- a/internal/upstream/http/release.go
+++ b/internal/upstream/http/release.go
@@ -12,6 +12,7 @@
 // This file derives two things from an error: the result of the request (a logic.Result) and the state of the connection (a
 // pool.ReleaseOutcome).
 
+// isTimeout reports whether an error means that a read or a write reached the deadline of its connection.
 func isTimeout(err error) bool { return errors.Is(err, os.ErrDeadlineExceeded) }
 
 // failureResult returns the result of a request that was written completely and got no complete response.
@@ -31,7 +32,7 @@
 	return failureResult(err)
 }
 
-// releaseAfterFailure returns in which state an exchange without a response leaves its connection.
+// releaseAfterFailure returns in which state an exchange without a complete response head leaves its connection.
 func (x *exchange) releaseAfterFailure(err error) pool.ReleaseOutcome {
 	if x.outcome.Result == logic.TimedOut && x.withinLatencyObjective() {
 		return pool.Abandoned
--- a/internal/upstream/http/response.go
+++ b/internal/upstream/http/response.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	maxInterimResponses = 8
+	maxInterimResponses = 8                        // to one request, without a final response
 	maxHeadBytes        = 16 << 10                 // of a response, including interim ones
 	maxResponseBytes    = 4 * httpmsg.MaxBodyBytes // of a body on the wire, including the framing of its chunks
 	responsePrefix      = "HTTP/1."
--- a/internal/upstream/http/write.go
+++ b/internal/upstream/http/write.go
@@ -14,10 +14,10 @@
 )
 
 const (
-	writeBufferBytes = 32 << 10
+	writeBufferBytes = 32 << 10 // buffer of a request whose body still arrives from the client
 
-	// lateResponseTimeout is how long to wait for a response after the endpoint stopped reading the request. It may have sent a
-	// response before it did so.
+	// lateResponseTimeout is how long to wait for a response after the write of the request has failed. The endpoint may have sent a
+	// response before it stopped reading.
 	lateResponseTimeout = 20 * time.Millisecond
 )
 
@@ -27,7 +27,7 @@
 // writeResult describes how much of a request was written.
 type writeResult struct {
 	err      error // why the request was not written completely; nil if it was
-	answered bool  // a response started to arrive before the request was complete
+	answered bool  // a response started to arrive before the request was written completely
 }
 
 // complete reports whether the whole request was written.
