--- a/cmd/ryeweir/experiment.go
+++ b/cmd/ryeweir/experiment.go
@@ -43,8 +43,11 @@
 			if options.dir == "" {
 				return usageError(errors.New("-o DIR is required: the folder for the report"))
 			}
-			if options.hunt > 0 == (len(args) == 1) {
-				return usageError(errors.New("experiment needs either FILE or --hunt"))
+			if options.hunt > 0 && len(args) == 1 {
+				return usageError(fmt.Errorf("experiment takes either FILE or --hunt, not both: got %s and --hunt %v", args[0], options.hunt))
+			}
+			if options.hunt <= 0 && len(args) == 0 {
+				return usageError(errors.New("experiment needs FILE, or --hunt with a duration above 0"))
 			}
 			if options.hunt > 0 {
 				return huntScenarios(command, options)
--- a/cmd/ryeweir/fleet.go
+++ b/cmd/ryeweir/fleet.go
@@ -2,7 +2,6 @@
 
 import (
 	"encoding/json"
-	"errors"
 	"fmt"
 	"os"
 
@@ -38,7 +37,7 @@
 				return err
 			}
 			if err := os.WriteFile(jsonFile, append(text, '\n'), 0o644); err != nil {
-				return errors.Join(errors.New("writing the figures failed"), err)
+				return fmt.Errorf("writing the figures to %s (--json): %w", jsonFile, err)
 			}
 			fmt.Fprintln(command.OutOrStdout(), "figures:", jsonFile)
 			return nil
--- a/cmd/ryeweir/load.go
+++ b/cmd/ryeweir/load.go
@@ -29,8 +29,11 @@
 		RunE: func(command *cobra.Command, args []string) error {
 			ctx, stop := interruptible(command.Context())
 			defer stop()
-			if compare == (len(args) == 1) {
-				return usageError(errors.New("load needs either FILE or --compare"))
+			if compare && len(args) == 1 {
+				return usageError(fmt.Errorf("load takes either FILE or --compare, not both: got %s and --compare", args[0]))
+			}
+			if !compare && len(args) == 0 {
+				return usageError(errors.New("load needs FILE or --compare"))
 			}
 			if compare {
 				return compareCost(ctx, command, time.Duration(seconds)*time.Second, jsonFile)
--- a/internal/agent/lifecycle_test.go
+++ b/internal/agent/lifecycle_test.go
@@ -161,7 +161,7 @@
 
 // requestStage describes a stage of a request, at which it is 150 ms after its start, and what follows from it.
 type requestStage struct {
-	endpointScript     []peer.Step   // of the first connection; nil stands for serveAll, which later connections follow
+	endpointScript     []peer.Step   // for the first connection; nil stands for serveAll. All later connections get serveAll.
 	unreachableAfter   time.Duration // when the endpoint becomes unreachable; 0 for never
 	written            string        // what the client writes to reach the stage
 	remaining          string        // what the client has not written yet
--- a/internal/agent/scenarios_test.go
+++ b/internal/agent/scenarios_test.go
@@ -40,7 +40,7 @@
 	changeSpec      func(*emulator.ScenarioSpec)
 	during          func(*simulation)             // runs concurrently with the callers; may be nil
 	minService      float64                       // minimum fraction of service
-	verify          func(*testing.T, *simulation) // checks more than the rules; may be nil
+	verify          func(*testing.T, *simulation) // checks conditions of this scenario that checkRules does not check; may be nil
 	changeLimits    func(*emulator.Limits)        // may be nil
 	changeOperators func(*operator.File)          // may be nil
 }
--- a/internal/agent/scripted_test.go
+++ b/internal/agent/scripted_test.go
@@ -90,7 +90,7 @@
 func requestFromAgent(t *testing.T, network *link.Network, method, path string) (status int, body string) {
 	t.Helper()
 	ops := operator.Default()
-	ops.HealthChecks.PerRequest = 0 // the scripts do not respond to health checks
+	ops.HealthChecks.PerRequest = 0 // the scripted endpoint at node:80 does not respond to health checks
 	return requestFromAgentWith(t, network, ops, slog.New(slog.DiscardHandler), method, path)
 }
 
--- a/internal/experiment/compare.go
+++ b/internal/experiment/compare.go
@@ -43,7 +43,7 @@
 
 const (
 	loadConnections    = 32 // requests in flight at full speed
-	instantServerCount = 4
+	instantServerCount = 4  // servers behind the agent and the proxy
 	warmUpTime         = time.Second
 	sliceLength        = time.Second // the processes are loaded alternately for this long, so that other load on the machine affects both
 )
@@ -254,7 +254,7 @@
 			i := (k + round) % 2
 			used, err := processes[i].measureSlice(ctx, rate)
 			if err != nil {
-				return Interval{}, fmt.Errorf("measuring the %s: %w", processes[i].name, err)
+				return Interval{}, fmt.Errorf("measuring the %s at %s, round %d of %d: %w", processes[i].name, rateName(rate), round+1, rounds, err)
 			}
 			cpu[i] = used
 		}
--- a/internal/experiment/fleet.go
+++ b/internal/experiment/fleet.go
@@ -92,7 +92,7 @@
 	servers             []*fleetServer
 	latencies           []float64
 	totals              fleetRun
-	samples             int                   // of open connections, added up in totals.openConnections
+	samples             int                   // number of samples of the open connections, whose sum run keeps in totals.openConnections until its end
 	scheduled           int                   // events scheduled so far
 	handshakesPerWindow map[time.Duration]int // by the number of the peakWindow
 }
@@ -113,7 +113,7 @@
 	server        int // index in fleetAgent.servers
 }
 
-const fleetStart = time.Second // when a run begins; a time of 0 means never
+const fleetStart = time.Second // simulated time at which a run begins; not 0, because a time of 0 means never
 
 // newFleet creates the servers, and the agents with random subsets of the servers.
 func newFleet(spec *FleetSpec, variant FleetVariant, seed uint64) (*fleetModel, error) {
--- a/internal/experiment/measured.go
+++ b/internal/experiment/measured.go
@@ -26,12 +26,12 @@
 type measuredProcess struct {
 	name      string
 	cmd       *exec.Cmd
-	ended     chan error
-	log       strings.Builder
+	ended     chan error      // receives the result of cmd.Wait
+	log       strings.Builder // what the process wrote to its standard error
 	client    *callers.Client
-	number    atomic.Uint64
+	number    atomic.Uint64   // requests sent so far, from which send makes their IDs
 	control   string          // the address of the agent's metrics; empty for the proxy
-	opened    int64           // handshakes before the measurement
+	opened    int64           // handshakes of the agent with servers until the end of warmUp; 0 for the proxy
 	cpu       []float64       // by slice: microseconds of CPU time per answer
 	latencies []time.Duration // of the answers in all slices
 	elapsed   time.Duration   // of all slices
@@ -47,9 +47,13 @@
 	}
 	go func() { s.ended <- cmd.Wait() }()
 	for end := time.Now().Add(processrig.ReadyTimeout); s.send(ctx).Outcome != referee.Served; {
-		if time.Now().After(end) || ctx.Err() != nil {
+		if ctx.Err() != nil {
 			s.stop()
-			return nil, fmt.Errorf("the %s served no request within %v after its start, or the measurement was interrupted; its log:\n%s", processName, processrig.ReadyTimeout, s.log.String())
+			return nil, fmt.Errorf("the measurement was interrupted before the %s served a request; its log:\n%s", processName, s.log.String())
+		}
+		if time.Now().After(end) {
+			s.stop()
+			return nil, fmt.Errorf("the %s served no request within %v after its start; its log:\n%s", processName, processrig.ReadyTimeout, s.log.String())
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
@@ -117,8 +121,11 @@
 	if err != nil {
 		return 0, err
 	}
-	if len(latencies) == 0 || failed > len(latencies)/100 {
-		return 0, fmt.Errorf("no answers, or more than one failure per 100 answers: %d answers and %d failures; the process's log:\n%s", len(latencies), failed, s.log.String())
+	if len(latencies) == 0 {
+		return 0, fmt.Errorf("no answers and %d failures in a slice of %v; the process's log:\n%s", failed, sliceLength, s.log.String())
+	}
+	if failed > len(latencies)/100 {
+		return 0, fmt.Errorf("%d answers and %d failures in a slice of %v, more than one failure per 100 answers; the process's log:\n%s", len(latencies), failed, sliceLength, s.log.String())
 	}
 	cpu := float64((after - before).Microseconds()) / float64(len(latencies))
 	s.cpu, s.latencies, s.elapsed = append(s.cpu, cpu), append(s.latencies, latencies...), s.elapsed+elapsed
@@ -129,34 +136,38 @@
 func (s *measuredProcess) cost(rate int) (Cost, error) {
 	memory, err := residentMB(s.cmd.Process.Pid)
 	if err != nil {
-		return Cost{}, err
+		return Cost{}, fmt.Errorf("measuring the %s at %s: %w", s.name, rateName(rate), err)
 	}
 	opened, open, err := s.connections()
 	if err != nil {
 		return Cost{}, err
 	}
 	p, cpu := percentiles(s.latencies), bootstrap(s.cpu)
-	c := Cost{Process: s.name, Rate: "full speed", PerSecond: float64(len(s.latencies)) / s.elapsed.Seconds(), CPU: cpu.Mean, Low: cpu.Low, High: cpu.High,
-		MemoryMB: memory, OpenConnections: open, HandshakesPerThousand: 1000 * float64(opened-s.opened) / float64(len(s.latencies)), P50: p.P50, P99: p.P99, P999: p.P999}
+	return Cost{Process: s.name, Rate: rateName(rate), PerSecond: float64(len(s.latencies)) / s.elapsed.Seconds(), CPU: cpu.Mean, Low: cpu.Low, High: cpu.High,
+		MemoryMB: memory, OpenConnections: open, HandshakesPerThousand: 1000 * float64(opened-s.opened) / float64(len(s.latencies)), P50: p.P50, P99: p.P99, P999: p.P999}, nil
+}
+
+// rateName returns the name of a rate in requests per second, as Cost.Rate has it; 0 is full speed.
+func rateName(rate int) string {
 	if rate > 0 {
-		c.Rate = fmt.Sprintf("%d/s", rate)
+		return fmt.Sprintf("%d/s", rate)
 	}
-	return c, nil
+	return "full speed"
 }
 
 // residentMB returns the resident memory of a process in MB (the second field of statm, in pages: proc(5)).
 func residentMB(pid int) (float64, error) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", pid))
 	if err != nil {
-		return 0, fmt.Errorf("reading the resident memory: %w", err)
+		return 0, fmt.Errorf("reading the resident memory of process %d: %w", pid, err)
 	}
 	fields := strings.Fields(string(text))
 	if len(fields) < 2 {
-		return 0, fmt.Errorf("reading the resident memory: unexpected format of statm of process %d", pid)
+		return 0, fmt.Errorf("reading the resident memory: /proc/%d/statm has %d fields, at least 2 are needed", pid, len(fields))
 	}
 	pages, err := strconv.ParseFloat(fields[1], 64)
 	if err != nil {
-		return 0, fmt.Errorf("reading the resident memory: %w", err)
+		return 0, fmt.Errorf("reading the resident memory: second field of /proc/%d/statm: %w", pid, err)
 	}
 	return pages * float64(os.Getpagesize()) / (1 << 20), nil
 }
@@ -212,7 +223,7 @@
 			continue // the thread has ended meanwhile
 		}
 		if err != nil {
-			return 0, fmt.Errorf("reading the CPU time: %w", err)
+			return 0, fmt.Errorf("reading the CPU time of process %d: %w", pid, err)
 		}
 		first, _, _ := strings.Cut(string(text), " ")
 		ns, err := strconv.ParseInt(first, 10, 64)
--- a/internal/experiment/outcome.go
+++ b/internal/experiment/outcome.go
@@ -53,7 +53,7 @@
 	Account    referee.Account     `json:"account"`
 	Violations []referee.Violation `json:"breaches,omitempty"`
 	referee.Service
-	Goal              float64                    `json:"goal"`                 // see referee.Service
+	Goal              float64                    `json:"goal"`                 // result of the method Service.Goal; a field, so that the JSON has it
 	Latency           map[string]Percentiles     `json:"latency"`              // by class, and of all classes under "all"
 	Attempts          float64                    `json:"attempts_per_request"` // attempts that reached nodes
 	Waste             float64                    `json:"waste"`                // work for responses that nobody received, as a fraction of all work done
--- a/internal/experiment/simulation.go
+++ b/internal/experiment/simulation.go
@@ -2,9 +2,9 @@
 
 import (
 	"container/heap"
-	"errors"
 	"fmt"
 	"math/rand/v2"
+	"strings"
 	"time"
 
 	"ryeweir/internal/config/operator"
@@ -36,12 +36,19 @@
 
 // checkSimulable returns an error if a scenario has faults that need real processes.
 func checkSimulable(scenario *emulator.Scenario) error {
-	if len(scenario.Spec.Fleet.Paths)+len(scenario.Spec.Fleet.ByzantinePeers) > 0 {
-		return errors.New("fleet.path and fleet.liar (faults of paths between chosen hosts, and byzantine peers) need real processes, not simulated time")
+	var keys []string
+	if len(scenario.Spec.Fleet.Paths) > 0 {
+		keys = append(keys, "fleet.path (faults of paths between chosen hosts)")
+	}
+	if len(scenario.Spec.Fleet.ByzantinePeers) > 0 {
+		keys = append(keys, "fleet.liar (byzantine peers)")
+	}
+	if len(keys) > 0 {
+		return fmt.Errorf("scenario %q cannot be simulated: faults of %s need real processes, not simulated time", scenario.Spec.Name, strings.Join(keys, " and "))
 	}
 	for _, fault := range scenario.AgentFaults {
 		if fault.Survives() || fault.WithState {
-			return errors.New("agents that are paused, are throttled or restore their state need real processes, not simulated time")
+			return fmt.Errorf("scenario %q cannot be simulated: agents that are paused, are throttled or restore their state need real processes, not simulated time", scenario.Spec.Name)
 		}
 	}
 	return nil
@@ -143,7 +150,7 @@
 	incarnations int // nodes restarted or replaced so far
 	lastTicket   uint64
 	waiting      map[ticket]*simAttempt    // attempts that nodes hold
-	open         map[string]*clientRequest // by id
+	open         map[string]*clientRequest // requests that have not ended or have an attempt in flight, by id
 	calls        []referee.CallResult
 	load         [][]float64
 	goodput      []float64     // see Series
@@ -154,7 +161,7 @@
 	callsLeft    int // calls that have not ended
 	groundTruth  GroundTruth
 	operators    operator.File
-	err          error // of creating the balancer of a restarted agent
+	err          error // of newBalancer for the new process of a restarted agent; Simulate then returns it instead of an outcome
 }
 
 // scheduleEvents starts the agents, and schedules the scenario's faults, outages and calls and the first sample.
--- a/internal/experiment/spec.go
+++ b/internal/experiment/spec.go
@@ -13,13 +13,13 @@
 // VariantSpec is the [[arm]] of an experiment's file: it specifies a variant.
 type VariantSpec struct {
 	Name     string   `toml:"name"`
-	Kind     string   `toml:"kind"`     // agent, random, round-robin, two-choices, oracle or late
-	Binary   string   `toml:"binary"`   // of an agent: the path of another build of this program; empty for this one
-	Flags    []string `toml:"flags"`    // of an agent: additional arguments
-	Operator string   `toml:"operator"` // of an agent: the path of its operators' file
-	MemoryMB int      `toml:"memory_mb"`
-	Sockets  int      `toml:"sockets"`
-	Cores    float64  `toml:"cores"`
+	Kind     string   `toml:"kind"`      // agent, random, round-robin, two-choices, oracle or late
+	Binary   string   `toml:"binary"`    // of an agent: the path of another build of this program; empty for this one
+	Flags    []string `toml:"flags"`     // of an agent: additional arguments
+	Operator string   `toml:"operator"`  // of an agent: the path of its operators' file
+	MemoryMB int      `toml:"memory_mb"` // of an agent: the limit of its memory; 0: that of emulator.DefaultLimits
+	Sockets  int      `toml:"sockets"`   // of an agent: the limit of its sockets; 0: that of emulator.DefaultLimits
+	Cores    float64  `toml:"cores"`     // of an agent: the number of its cores; 0: that of emulator.DefaultLimits
 }
 
 // AgentKind is the VariantSpec.Kind of the agent.
@@ -29,8 +29,8 @@
 type Spec struct {
 	Name      string                   `toml:"name"`
 	Question  string                   `toml:"question"`
-	Repeats   int                      `toml:"repeats"`
-	Seed      uint64                   `toml:"seed"`
+	Repeats   int                      `toml:"repeats"` // 0: 5
+	Seed      uint64                   `toml:"seed"`    // of the first repeat; 0: 1
 	Simulated bool                     `toml:"simulated"`
 	Variants  []VariantSpec            `toml:"arm"`
 	Scenarios []emulator.ScenarioSpec  `toml:"day"`
@@ -139,7 +139,7 @@
 	}
 	names[fleet.Name] = true
 	if !s.Simulated {
-		errs = append(errs, config.Wrong(prefix+"kind", "a [[fleet_day]] needs simulated = true"))
+		errs = append(errs, config.Wrong(prefix+"kind", "a [[fleet_day]] runs in simulated time only, but the top-level key simulated is not true"))
 	}
 	return errors.Join(errs...)
 }
@@ -240,7 +240,7 @@
 // agents' processes.
 func checkStandalone(d *emulator.ScenarioSpec) error {
 	if len(d.Fleet.AgentFaults) > 0 || len(d.Fleet.Paths) > 0 {
-		return config.Wrong("day.fleet", "faults of agents and of the paths between them are allowed in experiments and drills only, which start the agents")
+		return config.Wrong("day.fleet", "faults of agents and of the paths between them are allowed in experiments and drills only, because only these start the agents' processes")
 	}
 	return nil
 }
--- a/internal/experiment/views.go
+++ b/internal/experiment/views.go
@@ -22,8 +22,8 @@
 	MeanBytesPerSecond float64    `json:"bytes_per_second"`      // sent by an agent to its peers, mean of all agents
 	MaxBytesPerSecond  float64    `json:"bytes_per_second_most"` // by the agent that sent most
 	Notices            int64      `json:"notices"`               // drains and removals that a fact from a peer confirmed at an agent
-	NoticeMeanMS       float64    `json:"notice_mean_ms"`        // mean time from the notification of the first agent until that fact arrived
-	NoticeMaxMS        float64    `json:"notice_worst_ms"`       // maximum of this time
+	NoticeMeanMS       float64    `json:"notice_mean_ms"`        // mean time from the notification of the first agent until the fact of a notice arrived at an agent
+	NoticeMaxMS        float64    `json:"notice_worst_ms"`       // maximum of the time whose mean is NoticeMeanMS
 	Withheld           int64      `json:"held_back"`             // drains at an agent by notices of peers, while its own list still had the server as ready
 	FactsRejected      int64      `json:"facts_refused"`         // facts that were malformed, or too many from one agent
 	FactsEvicted       int64      `json:"facts_evicted"`         // facts evicted from a full replica
@@ -46,7 +46,7 @@
 type peerSample struct {
 	at        time.Duration // since the beginning of the run
 	names     []string      // of the peers that the agent sees
-	bytesSent int64
+	bytesSent int64         // to its peers, by the current process so far
 	metrics   peerMetrics
 
 	overload *overloadMetrics // of the agent's budget; nil without one
--- a/internal/faultshim/machine.go
+++ b/internal/faultshim/machine.go
@@ -21,7 +21,8 @@
 	ServerWrite Point = "serverwrite" // write to a server's connection
 )
 
-// PlantedFault is a simulated bug of the agent, which the soak must notice. Planting it tests the soak's checks. Its value is its name in
+// PlantedFault is a simulated bug of the agent, which the soak test (internal/soak) must detect. Planting it tests
+// the soak test's checks. Its value is its name in
 // the plant command.
 type PlantedFault string
 
@@ -31,14 +32,14 @@
 	Duplicates       PlantedFault = "duplicate" // a request is sent to the server a second time
 	IgnoresDiscovery PlantedFault = "deaf"      // reads from discovery return only after ignoreDiscoveryFor
 	WrongAnswers     PlantedFault = "wrong"     // a bit of a server's response is changed
-	DelaysAttempts   PlantedFault = "late"      // a request is written to the server plantedAttemptDelay after it was decided on
+	DelaysAttempts   PlantedFault = "late"      // a write to a server takes place plantedAttemptDelay after the agent requested it
 	OverstatesTime   PlantedFault = "overstate" // a server gets ten times the timeout that the agent gave
-	IgnoresClient    PlantedFault = "mute"      // what comes on a client's connection is discarded from then on
+	IgnoresClient    PlantedFault = "mute"      // from a read that is drawn at random on, what a client sends on the connection is discarded
 )
 
 const (
-	plantedAttemptDelay = 500 * time.Millisecond // delay of a write by DelaysAttempts
-	maxShortRead        = 64                     // most bytes that a short read returns
+	plantedAttemptDelay = 500 * time.Millisecond // by which DelaysAttempts delays a write to a server
+	maxShortRead        = 64                     // upper limit of the length of a short read, in bytes
 )
 
 // Machine stands in for the machine that an agent runs on: its network, wall clock and storage fail on command. New makes one. Its methods
@@ -49,8 +50,8 @@
 	failures       map[Point]*pendingFailure
 	planted        map[PlantedFault]float64 // probability of each
 	clockOffset    time.Duration            // of the wall clock, against the real one
-	holdDuration   time.Duration            // delay of each held write
-	holdsRemaining int                      // writes that are yet to be held
+	holdDuration   time.Duration            // by which the hold command delays each of the next writes to servers
+	holdsRemaining int                      // number of writes to servers that are yet to be delayed by holdDuration
 	shortUntil     time.Time                // reads are short until then
 	diskErr        error                    // returned by writes to storage; nil if they succeed
 }
@@ -64,7 +65,7 @@
 // New returns a machine on which nothing fails yet. The seed determines when planted faults occur and how short short reads are.
 func New(seed uint64) *Machine {
 	return &Machine{
-		rng:      rand.New(rand.NewPCG(seed, 9)),
+		rng:      rand.New(rand.NewPCG(seed, 9)), // a stream of its own, apart from other generators with this seed
 		failures: map[Point]*pendingFailure{},
 		planted:  map[PlantedFault]float64{},
 	}
@@ -98,7 +99,7 @@
 	return probability > 0 && m.rng.Float64() < probability
 }
 
-// nextWriteDelay returns the delay of the next write to a server, and counts a held write as used.
+// nextWriteDelay returns the delay of the next write to a server, and counts down the writes that the hold command delays.
 func (m *Machine) nextWriteDelay() time.Duration {
 	if m.plantedFaultOccurs(DelaysAttempts) {
 		return plantedAttemptDelay
--- a/internal/processrig/process.go
+++ b/internal/processrig/process.go
@@ -130,17 +130,20 @@
 // passed.
 func (p *Process) Ready(ctx context.Context) error {
 	_, exited := p.current()
-	ctx, cancel := context.WithTimeout(ctx, ReadyTimeout)
+	timeoutCtx, cancel := context.WithTimeout(ctx, ReadyTimeout)
 	defer cancel()
 	for {
-		ready, err := p.checkReady(ctx)
+		ready, err := p.checkReady(timeoutCtx)
 		if ready || err != nil {
 			return err
 		}
 		select {
 		case <-exited:
-			return fmt.Errorf("the agent ended before it was ready: %v; its log is %s", p.exitErr, p.logFile())
-		case <-ctx.Done():
+			return fmt.Errorf("the agent ended before it was ready: %s; its log is %s", exitText(p.exitErr), p.logFile())
+		case <-timeoutCtx.Done():
+			if err := ctx.Err(); err != nil {
+				return fmt.Errorf("waiting for the agent to become ready was interrupted: %v; its log is %s", err, p.logFile())
+			}
 			return fmt.Errorf("the agent was not ready within %v; its log is %s", ReadyTimeout, p.logFile())
 		case <-time.After(readyPollInterval):
 		}
--- a/internal/processrig/signals.go
+++ b/internal/processrig/signals.go
@@ -84,7 +84,15 @@
 	if p.stoppedByRig {
 		return nil
 	}
-	return fmt.Errorf("the agent exited unexpectedly: %v; its log is %s", p.exitErr, p.logFile())
+	return fmt.Errorf("the agent exited unexpectedly: %s; its log is %s", exitText(p.exitErr), p.logFile())
+}
+
+// exitText says in an error how a process exited. exitErr is the result of its Wait, which is nil after exit code 0.
+func exitText(exitErr error) string {
+	if exitErr == nil {
+		return "exit status 0"
+	}
+	return exitErr.Error()
 }
 
 // Pause stops the process with SIGSTOP: it keeps its sockets open and answers nothing. The error wraps ErrExited if the process has ended.
--- a/internal/soak/agent.go
+++ b/internal/soak/agent.go
@@ -109,17 +109,17 @@
 	}
 }
 
-// awaitReady waits until the agent's /ready returns 200, and records the time. It returns an error if the process exits first or the
-// timeout passes.
+// awaitReady waits until the agent's /ready returns 200, and records the time. It returns an error if the process exits first, the
+// timeout passes or the caller's context ends.
 func (a *agent) awaitReady(ctx context.Context, timeout time.Duration) error {
-	ctx, cancel := context.WithTimeout(ctx, timeout)
+	timeoutCtx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	a.mu.Lock()
 	process, incarnation := a.child, a.current()
 	a.mu.Unlock()
 	client := http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	for {
-		req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+a.listen+"/ready", nil)
+		req, err := http.NewRequestWithContext(timeoutCtx, http.MethodGet, "http://"+a.listen+"/ready", nil)
 		if err != nil {
 			return err
 		}
@@ -134,8 +134,11 @@
 		}
 		select {
 		case <-process.ended:
-			return fmt.Errorf("agent %s exited before it became ready: %v", a.name, process.err)
-		case <-ctx.Done():
+			return fmt.Errorf("agent %s exited before it became ready: %s", a.name, exitText(process.err))
+		case <-timeoutCtx.Done():
+			if err := ctx.Err(); err != nil {
+				return fmt.Errorf("waiting for agent %s to become ready was interrupted: %v", a.name, err)
+			}
 			return fmt.Errorf("agent %s did not become ready within %v", a.name, timeout)
 		case <-time.After(15 * time.Millisecond):
 		}
--- a/internal/soak/answer.go
+++ b/internal/soak/answer.go
@@ -23,7 +23,7 @@
 	StallMidway           Mode = "neverends"    // stops within the response body and leaves the connection open for 1 to 8 s
 	SecondResponse        Mode = "second"       // sends a second response up to 8 ms after the first
 	CloseDelimited        Mode = "nolength"     // sends no length: the body ends with the connection
-	Chunked               Mode = "chunked"      // sends a chunked response, slowly
+	Chunked               Mode = "chunked"      // sends the body in two chunks, each after a pause of up to 120 ms
 	LongResponse          Mode = "long"         // sends a body that is far larger than an agent buffers
 	CloseAfterResponse    Mode = "closes"       // closes the connection after the response without announcing it
 	SlowResponse          Mode = "sleepy"       // responds after half to all of the time allowed, 2 s at most
--- a/internal/soak/check_fleet.go
+++ b/internal/soak/check_fleet.go
@@ -15,7 +15,7 @@
 	defer subject.mu.Unlock()
 	for _, incarnation := range subject.incarnations {
 		if incarnation.endedAt > 0 && incarnation.termAt == 0 && incarnation.killedAt == 0 {
-			check.report("crash", incarnation.endedAt, nil, "process %d of agent %s exited without a SIGTERM or SIGKILL: %v", incarnation.number, subject.name, incarnation.exitErr)
+			check.report("crash", incarnation.endedAt, nil, "process %d of agent %s exited without a SIGTERM or SIGKILL: %s", incarnation.number, subject.name, exitText(incarnation.exitErr))
 		}
 		if incarnation.endedAt > 0 && incarnation.termAt > 0 && incarnation.killedAt == 0 && incarnation.exitErr != nil {
 			check.report("crash", incarnation.endedAt, nil, "process %d of agent %s exited with an error after SIGTERM: %v", incarnation.number, subject.name, incarnation.exitErr)
@@ -77,7 +77,7 @@
 // does not poll could go on sending to the server without a violation.
 func (check *checker) presumedNotified(request *Request, attempt Attempt, incarnation *agentIncarnation) (time.Duration, string) {
 	var change time.Duration
-	for _, n := range check.registry.changes {
+	for _, n := range check.registry.entryChanges {
 		if n.server == attempt.Backend && n.at <= attempt.FirstByteAt {
 			change = n.at
 			if n.acceptsNew {
@@ -110,7 +110,7 @@
 func (check *checker) checkNotified() {
 	end := monotonic()
 	for _, subject := range check.agents {
-		for _, change := range check.registry.changes {
+		for _, change := range check.registry.entryChanges {
 			notified := slices.ContainsFunc(check.registry.notifications, func(n notification) bool {
 				return n.agent == subject.number && n.server == change.server && n.at >= change.at && n.at <= change.at+notificationBound+check.tolerance
 			})
--- a/internal/soak/child.go
+++ b/internal/soak/child.go
@@ -62,6 +62,14 @@
 	<-c.ended
 }
 
+// exitText says in a text how a process exited. exitErr is the result of its Wait, which is nil after exit code 0.
+func exitText(exitErr error) string {
+	if exitErr == nil {
+		return "exit status 0"
+	}
+	return exitErr.Error()
+}
+
 // errNoFreePort is the error of freePort after 100 ports that are in use.
 var errNoFreePort = errors.New("no free port for an agent: 100 random ports are in use")
 
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// behaviorShare is the fraction of all requests that have a behavior.
+// behaviorShare is the fraction of all requests whose clients have one given behavior.
 type behaviorShare struct {
 	behavior clientBehavior
 	fraction float64
--- a/internal/soak/registry.go
+++ b/internal/soak/registry.go
@@ -25,13 +25,21 @@
 	version int64 // of the list, when the entry last changed
 }
 
-// notification records when an agent was notified whether a server accepts new requests, or when the server's entry itself changed.
+// notification records that discovery notified an agent whether a server accepts new requests.
 type notification struct {
-	agent      int // number of the agent; -1: a change of the list
+	agent      int // number of the agent
 	server     string
-	startedMS  int64
+	startedMS  int64 // start of the server's process, as its entry states it, in Unix milliseconds
 	acceptsNew bool
-	at         time.Duration // of the machine's monotonic clock
+	at         time.Duration // when the agent was notified, on the machine's monotonic clock
+}
+
+// entryChange records that a server's entry was added to the list or replaced.
+type entryChange struct {
+	server     string
+	startedMS  int64         // start of the server's process, as its entry states it, in Unix milliseconds
+	acceptsNew bool          // whether the new entry's state is ready
+	at         time.Duration // when the entry changed, on the machine's monotonic clock
 }
 
 // registry is the server list that all discovery services of a run serve. It records its changes and which agent was notified of what.
@@ -39,14 +47,14 @@
 	mu            sync.Mutex
 	version       int64
 	entries       map[string]*entry
-	order         []string
-	changed       chan struct{} // closed and replaced at each change
+	order         []string      // ids of the servers, in the order in which they were first added; lists follow it
+	nextChange    chan struct{} // closed and replaced at each change of an entry
 	notifications []notification
-	changes       []notification // of the list, with agent -1
+	entryChanges  []entryChange // in the order of their times
 }
 
 func newRegistry() *registry {
-	return &registry{entries: map[string]*entry{}, changed: make(chan struct{})}
+	return &registry{entries: map[string]*entry{}, nextChange: make(chan struct{})}
 }
 
 // set adds or replaces a server's entry, and wakes the watches.
@@ -59,9 +67,9 @@
 		r.order = append(r.order, e.ID)
 	}
 	r.entries[e.ID] = &e
-	r.changes = append(r.changes, notification{-1, e.ID, e.StartedMS, e.State == ready, monotonic()})
-	close(r.changed)
-	r.changed = make(chan struct{})
+	r.entryChanges = append(r.entryChanges, entryChange{e.ID, e.StartedMS, e.State == ready, monotonic()})
+	close(r.nextChange)
+	r.nextChange = make(chan struct{})
 }
 
 // get returns a server's entry, or an empty one if the server is not in the list.
@@ -75,7 +83,9 @@
 }
 
 // list returns what discovery sends to an agent: all entries if since is negative, or those that have changed after the version since.
-// addr gives the address at which the agent reaches a server. nextChange is closed at the next change of the list.
+// All entries are those of the servers that are not removed; withoutDraining also leaves out each server in any other state than ready. It
+// does not affect the changed entries, which include removed servers. addr gives the address at which the agent reaches a server. nextChange
+// is closed at the next change of the list.
 func (r *registry) list(since int64, addr func(entry) string, withoutDraining bool) (version int64, full bool, entries []entry, nextChange <-chan struct{}) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -88,7 +98,7 @@
 		e.Addr = addr(e)
 		entries = append(entries, e)
 	}
-	return r.version, full, entries, r.changed
+	return r.version, full, entries, r.nextChange
 }
 
 // recordNotifications records that an agent was notified of entries. By a full list, it was also notified that the servers that the list
