--- a/internal/soak/agent.go
+++ b/internal/soak/agent.go
@@ -16,8 +16,8 @@
 
 // agentIncarnation records when one process of an agent ran, and the faults that affected it.
 type agentIncarnation struct {
-	number           int
-	startedAt        time.Duration
+	number           int           // from 1, in the order of the agent's processes
+	startedAt        time.Duration // when it was started, on the machine's monotonic clock, as all times here
 	readyAt          time.Duration // when /ready first returned 200; 0: never
 	termAt           time.Duration // when SIGTERM was sent; 0: never
 	killedAt         time.Duration // when SIGKILL was sent; 0: never
@@ -41,9 +41,9 @@
 	child               *child
 	incarnations        []*agentIncarnation
 	discovery           *discovery
-	discoveries         []*discovery     // all so far, with the current one
-	stallLog            atomic.Bool      // stop reading the agent's log
-	maxRSS              int64            // in bytes
+	discoveries         []*discovery     // all that the agent has had, of which the last is the current one
+	stallLog            atomic.Bool      // while it is set, copyLog does not read the agent's log
+	maxRSS              int64            // highest resident memory of the agent's processes so far, in bytes
 	invariantViolations map[string]int64 // by rule and process, as the agent counts them
 	ending              bool             // a fault is ending the current process
 }
--- a/internal/soak/discovery.go
+++ b/internal/soak/discovery.go
@@ -24,7 +24,7 @@
 	outages        []span                 // when the service was unreachable or slow
 	responseDelay  time.Duration          // before each response
 	inPieces       bool                   // lists are written in pieces of 40 bytes
-	hideDraining   bool                   // full lists omit draining servers
+	hideDraining   bool                   // full lists omit each server in another state than ready
 	openCalls      map[chan struct{}]bool // closing the channel aborts the call
 	reachableSince time.Duration          // end of the latest outage, or the start of the service
 }
--- a/internal/soak/monitor.go
+++ b/internal/soak/monitor.go
@@ -21,8 +21,8 @@
 	}
 }
 
-// monitorAgents scrapes the metrics of the agents every scrapeInterval, and reports an agent that uses more than 90% of a core five times in
-// a row.
+// monitorAgents scrapes the metrics of the agents every scrapeInterval, and reports an agent that uses more than 90% of a core in five such
+// intervals in a row.
 func (r *soakRun) monitorAgents(ctx context.Context) {
 	before := map[int]time.Duration{}
 	spins := map[int]int{}
