--- a/internal/budget/controller.go
+++ b/internal/budget/controller.go
@@ -32,7 +32,7 @@
 
 	slowStart    bool    // in progress: until an attempt meets overload or the rate covers the demand
 	withPeers    bool    // the agent has fresh state of its peers
-	latencySlack float64 // how far answers are below their latency objective, 0 to 1; see SetLatencyOverload
+	latencySlack float64 // 0 to 1: minus the signal of SetLatencyOverload while that is in use and below 0; otherwise 0
 	surge        surgeDetector
 }
 
--- a/internal/budget/latency.go
+++ b/internal/budget/latency.go
@@ -12,7 +12,7 @@
 )
 
 // SetLatencyOverload sets the latency signal: above 0, answers are late, and the value is the fraction of work to shed; from -1 to 0,
-// the amount by which answers are below their latency objective.
+// answers are in time, and minus the value is how far they are below the latency at which work is shed, as a fraction of that latency.
 //
 // The signal covers queues at endpoints that reject nothing: latency shows them long before any rejection, or without one. The allowed
 // rate falls at once by latencyShedFactor times the signal, and is restored as soon as answers are in time. As a decrease of the
--- a/internal/budget/tokens_test.go
+++ b/internal/budget/tokens_test.go
@@ -31,7 +31,7 @@
 	}
 }
 
-// Health checks are limited to their share of admitted requests.
+// The number of health checks is limited to one per 100 admitted requests.
 func TestHealthChecksAreBoundedByRatio(t *testing.T) {
 	b := newBudget(t, nil)
 	checks, admitted := 0, 0
--- a/internal/core/attempts.go
+++ b/internal/core/attempts.go
@@ -7,10 +7,11 @@
 	"ryeweir/logic"
 )
 
-// startAttempt executes a Send action in a separate goroutine, so that a slow dial does not block the loop.
+// startAttempt executes a Send action in a separate goroutine, so that a slow dial does not block the loop. If
+// invariant.Repeat or the budget denies the attempt, it is not sent and ends as NotSent. AttemptDecided is recorded in that case too.
 func (c *Core) startAttempt(action logic.Action) {
 	call := c.calls[action.Request]
-	allowed := c.mayRepeat(call)
+	allowed := c.mayRepeat(call) // before newAttempt, which adds this attempt to those that may have been executed
 	attempt := call.newAttempt(action, c.clock.Now(), c.config.UploadTimeout)
 	attempt.core = c
 	c.config.Events.Record(event.Event{
@@ -31,9 +32,9 @@
 
 // mayRepeat reports whether the next attempt of a call breaks no rule of invariant.Repeat. It uses what the core has itself recorded
 // about the call. A request that must not be executed twice and may have been executed is thus not sent again, even if the balancer
-// decides so because its own state is wrong.
+// decides on a further attempt because the balancer's own state is wrong.
 func (c *Core) mayRepeat(call *Call) bool {
-	first := call.firstPossibleExecution()
+	first := call.firstPossibleExecution() // SentAt of the earliest such attempt; 0 if none may have been executed
 	check := invariant.Repeat{
 		Now:               c.clock.Now(),
 		MayHaveExecuted:   first > 0,
@@ -47,8 +48,8 @@
 	return !check.Denied
 }
 
-// runAttempt lets the upstream execute an attempt. If it returns without reporting an outcome, the request may have been executed,
-// and the attempt ends as reset.
+// runAttempt lets the upstream execute an attempt. If it returns without reporting an outcome, the request may have been executed.
+// The attempt then ends as reset, which does not rule that out.
 func (c *Core) runAttempt(attempt *Attempt) {
 	c.upstream.Execute(c.ctx, attempt)
 	if attempt.reported.CompareAndSwap(false, true) {
@@ -57,7 +58,8 @@
 	}
 }
 
-// endAttempt processes the outcome of an attempt. If it is a success, the call is answered before the balancer handles the outcome.
+// endAttempt processes the outcome of an attempt. If it is a success, the call is answered before the balancer handles
+// the outcome, so that the outcome tells the balancer that the call is closed.
 func (c *Core) endAttempt(attempt *Attempt, outcome Outcome) {
 	call := attempt.Call
 	call.attemptEnded(attempt, outcome.Result)
@@ -115,7 +117,7 @@
 }
 
 // startHealthCheck executes a health check in a separate goroutine. If Config has no HealthChecker or the budget denies the check,
-// its result is NotSent.
+// its result is NotSent. Without a HealthChecker, a check that the budget allows still takes from the budget.
 func (c *Core) startHealthCheck(endpoint string) {
 	target := c.upstream.Bind(endpoint)
 	denied := c.config.Budget != nil && !c.config.Budget.AllowHealthCheck()
--- a/internal/core/boundary.go
+++ b/internal/core/boundary.go
@@ -11,7 +11,8 @@
 // Time limits in the contract with frontends and upstreams, and how they are checked.
 const (
 	periodicCheckInterval = 500 * time.Millisecond
-	// outcomeGrace is the time after the deadline of an attempt, or of an upload, until its missing outcome or end counts as overdue.
+	// outcomeGrace is how long after the deadline of an attempt its missing outcome counts as overdue. A body whose end has not arrived
+	// is overdue this long after the upload timeout.
 	outcomeGrace = time.Second
 	// answerTimeout is the time that a frontend has to receive an answer that is ready.
 	answerTimeout = 2 * time.Second
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -92,8 +92,9 @@
 	pending.Wait()
 }
 
-// A client disconnects while an attempt is in flight, and a second call uses the same id. The outcome of the attempt could not be
-// matched to one of the two calls, so the second one is a duplicate. After the outcome the id is free. The first call gets no answer.
+// A client disconnects while an attempt is in flight, and a second call uses the same id. Outcomes are matched to calls by id, so
+// the second call could get the answer to the first; it is rejected as a duplicate. After the outcome the id is free. The first call gets
+// no answer.
 func TestAbandonedCallOccupiesItsIDUntilItsAttemptEnds(t *testing.T) {
 	endpoints := map[string]*lineEndpoint{"a": {reply: replyOKAfter(100 * time.Millisecond)}}
 	withCore(t, endpoints, nil, func(t *testing.T, f *fixture) {
--- a/internal/discovery/timing.go
+++ b/internal/discovery/timing.go
@@ -46,7 +46,7 @@
 // of them, and the agents would retry together again, which shows as rejected requests at discovery after an outage. The time over which
 // requests are spread grows with the size of the fleet.
 type FleetTiming struct {
-	StartSpread     time.Duration // with a cached list, the first request is sent within this time
+	StartSpread     time.Duration // maximum wait between the use of a cached list and the next request; no wait without a cached list
 	RetrySpread     time.Duration // lower limit of the backoff interval after a failed request
 	MaxWatchTimeout time.Duration // limit of the watch timeout while discovery is overloaded
 }
--- a/internal/emulator/callers/plan.go
+++ b/internal/emulator/callers/plan.go
@@ -55,7 +55,8 @@
 			continue
 		}
 		if len(plan) == maxRequests {
-			return nil, fmt.Errorf("the plan exceeds %d requests: reduce rate, load or length", maxRequests)
+			return nil, fmt.Errorf("the plan exceeds %d requests at %v of a length of %v, with a peak rate of %.0f requests a second: reduce rate, load or length",
+				maxRequests, now, spec.Duration, peak)
 		}
 		plan = append(plan, p.draw(len(plan), now, traffic.agents))
 	}
--- a/internal/emulator/fleet_check.go
+++ b/internal/emulator/fleet_check.go
@@ -111,7 +111,7 @@
 	checkInterval(key, s.From, s.To, report)
 	fractions := []float64{s.AttemptTimeoutFraction, s.ImpatientFraction}
 	if s.Retries < 0 || s.Retries > maxRetries || slices.ContainsFunc(fractions, notAFraction) || s.Backoff < 0 {
-		report(key+".retries", "must be from 0 to %d, not %d, try_share (%v) and impatient (%v) from 0 to 1, and backoff (%v) at least 0",
-			maxRetries, s.Retries, s.AttemptTimeoutFraction, s.ImpatientFraction, s.Backoff.D())
+		report(key+".retries", "retries (%d) must be from 0 to %d, try_share (%v) and impatient (%v) from 0 to 1, and backoff (%v) at least 0",
+			s.Retries, maxRetries, s.AttemptTimeoutFraction, s.ImpatientFraction, s.Backoff.D())
 	}
 }
--- a/internal/emulator/link/conditions.go
+++ b/internal/emulator/link/conditions.go
@@ -19,7 +19,8 @@
 // Check returns an error that describes the first invalid field.
 func (c Conditions) Check() error {
 	if c.Delay < 0 || c.Jitter < 0 || c.Bandwidth < 0 || c.Resend < 0 {
-		return fmt.Errorf("delay, jitter, bandwidth and resend must be at least 0: %+v", c)
+		return fmt.Errorf("delay (%v), jitter (%v), bandwidth (%v bytes per second) and resend (%v) must be at least 0",
+			c.Delay, c.Jitter, c.Bandwidth, c.Resend)
 	}
 	if c.Loss < 0 || c.Loss >= 1 {
 		return fmt.Errorf("loss must be at least 0 and below 1, not %v", c.Loss)
--- a/internal/emulator/link/mesh.go
+++ b/internal/emulator/link/mesh.go
@@ -61,7 +61,7 @@
 func (m *Mesh) Add(host, ip, target string) (addr string, err error) {
 	f, err := newFront(host, target)
 	if err != nil {
-		return "", fmt.Errorf("mesh: %w", err)
+		return "", fmt.Errorf("add host %s with target %s to the mesh: %w", host, target, err)
 	}
 	m.mu.Lock()
 	m.hosts[ip], m.fronts[host] = host, f
--- a/internal/emulator/memory_network.go
+++ b/internal/emulator/memory_network.go
@@ -31,8 +31,8 @@
 	m.Set(other, agent, reverse)
 }
 
-// SetDown does nothing: connections are refused as soon as the node's listener is closed.
-func (MemoryNetwork) SetDown(string, bool) error { return nil }
+// SetDown does nothing: connections to a node are refused while its listener is closed, which is so while its process is down.
+func (MemoryNetwork) SetDown(node string, down bool) error { return nil }
 
 // Dialer returns the dial function of a host.
 func (m MemoryNetwork) Dialer(host string) Dial { return m.Network.Dialer(host) }
--- a/internal/emulator/referee/referee.go
+++ b/internal/emulator/referee/referee.go
@@ -228,7 +228,7 @@
 		return false
 	}
 	record.ended = true
-	r.expireRequests(id, at)
+	r.recordEnded(id, at)
 	switch outcome {
 	case Served:
 		r.served(record, bodyHash, at)
@@ -267,8 +267,9 @@
 	r.violated(Violation{Rule: Lost, At: at, Request: record.ID, Agent: record.Agent, Node: record.lastNode, Text: text})
 }
 
-// expireRequests adds a request that has ended, and drops those that ended more than Rules.RetainFor ago. r.mu is held.
-func (r *Referee) expireRequests(ended string, now time.Duration) {
+// recordEnded adds a request to endedRequests, and deletes the records of those that ended more than Rules.RetainFor ago. It does
+// nothing if RetainFor is 0, which retains all records. r.mu is held.
+func (r *Referee) recordEnded(ended string, now time.Duration) {
 	if r.rules.RetainFor == 0 {
 		return
 	}
--- a/internal/emulator/scenario_check.go
+++ b/internal/emulator/scenario_check.go
@@ -154,8 +154,8 @@
 		}
 		hitsNothing := fault.Nodes == 0 && len(fault.Names) == 0 && fault.Zone == ""
 		if fault.Nodes < 0 || fault.Nodes > nodes || hitsNothing || fault.Stagger < 0 {
-			report(key, "nodes must be from 0 to %d, not %d, at least one of nodes, names (%v) and zone (%q) must be set, and over must be at least 0, not %v",
-				nodes, fault.Nodes, fault.Names, fault.Zone, fault.Stagger.D())
+			report(key, "nodes (%d) must be from 0 to %d, at least one of nodes, names (%v) and zone (%q) must be set, and over (%v) must be at least 0",
+				fault.Nodes, nodes, fault.Names, fault.Zone, fault.Stagger.D())
 		}
 		if fault.Zone != "" && !slices.Contains(spec.Zones, fault.Zone) {
 			report(fmt.Sprintf("trouble[%d].zone", i), "%q must be one of %v", fault.Zone, spec.Zones)
--- a/internal/fleetstate/replica.go
+++ b/internal/fleetstate/replica.go
@@ -8,7 +8,7 @@
 // Limits bound a replica. The zero value is not valid: see DefaultLimits.
 type Limits struct {
 	MaxSuspicions          int // of all origins
-	MaxNotices             int // of all incarnations, each of which has at most two
+	MaxNotices             int // of all incarnations, each of which has at most requiredConfirmations
 	MaxSuspicionsPerOrigin int
 	SuspicionTTL           time.Duration // counted from the timestamp
 	NoticeTTL              time.Duration // counted from the timestamp
@@ -30,7 +30,7 @@
 // Stats count the operations of a replica, for metrics. All but Facts never decrease.
 type Stats struct {
 	Facts    int   `json:"held"`    // facts held at present
-	Accepted int64 `json:"fresh"`   // facts that were new or greater than the copy held
+	Accepted int64 `json:"fresh"`   // facts that were new, or greater in the order of compare than the copy held
 	Stale    int64 `json:"stale"`   // facts that were no greater than the copies held
 	Expired  int64 `json:"expired"` // facts dropped or not accepted because their lifetime had ended
 	Rejected int64 `json:"refused"` // facts that were malformed, timestamped too far ahead, or over the limit of their origin
@@ -61,7 +61,8 @@
 }
 
 // Put writes a fact of this agent with the current timestamp and returns it for sending to peers. It returns false if there is nothing to
-// send, because the replica already holds at least as much or its limits leave no room.
+// send: the fact is a notice, and the replica already holds one with this key and the same or a later state, or that state is already
+// confirmed; or the limits of the replica leave no room.
 func (r *Replica) Put(now time.Time, key Key, value int64, reporter string) (Fact, bool) {
 	fact := Fact{Key: key, Value: value, Reporter: reporter}
 	if key.Kind == Notice && (r.facts[key].Value >= value || r.NoticeState(key.incarnation()) >= value) {
@@ -86,8 +87,8 @@
 	return accepted
 }
 
-// accept stores a fact if it is greater than the copy held. It reports whether the change must be sent to peers: a notice that only adds
-// another origin or an earlier time to a confirmed state need not be.
+// accept stores a fact if it is greater than the copy held. It reports whether the fact must be sent to peers. A notice of a state that
+// was already confirmed need not be sent: it only adds another origin, or replaces a notice by one with an earlier timestamp.
 func (r *Replica) accept(now time.Time, fact Fact) (changed bool) {
 	confirmed := r.NoticeState(fact.incarnation())
 	if r.expired(now, fact) {
@@ -107,6 +108,7 @@
 	return fact.Kind == Suspicion || confirmed < fact.Value
 }
 
+// lifetime returns how long after its timestamp a fact of a kind expires.
 func (r *Replica) lifetime(kind Kind) time.Duration {
 	if kind == Notice {
 		return r.limits.NoticeTTL
@@ -114,6 +116,7 @@
 	return r.limits.SuspicionTTL
 }
 
+// expired reports whether the lifetime of a fact has ended at now.
 func (r *Replica) expired(now time.Time, fact Fact) bool {
 	return !now.Before(fact.Timestamp.Time().Add(r.lifetime(fact.Kind)))
 }
@@ -130,9 +133,9 @@
 	return len(notices) == requiredConfirmations && compare(fact, notices[requiredConfirmations-1]) <= 0
 }
 
-// makeRoom drops the fact that a new one replaces: its older copy, the lesser of two notices, or the oldest of its kind if the kind is
-// full. It returns false if the origin has reached its limit of suspicions, so that a flood from one origin cannot evict the facts of
-// others.
+// makeRoom drops the fact that a new one replaces: the older copy with the same key; the least of the incarnation's notices, in the order
+// of compare, if there are already requiredConfirmations; or the oldest fact of the kind if the kind is full. It returns false if the
+// origin has reached its limit of suspicions, so that a flood from one origin cannot evict the facts of others.
 func (r *Replica) makeRoom(fact Fact) bool {
 	old, known := r.facts[fact.Key]
 	notices := r.noticesOf[fact.incarnation()]
@@ -168,10 +171,13 @@
 	r.stats.Evicted++
 }
 
+// older reports whether a has the earlier timestamp. Facts with equal timestamps are ordered by compare, so that the fact to evict depends
+// less on the random order in which a map is iterated.
 func older(a, b Fact) bool {
 	return a.Timestamp < b.Timestamp || a.Timestamp == b.Timestamp && compare(a, b) < 0
 }
 
+// insert adds a fact to facts and the indexes. The replica must hold no fact with its key, and have room for it.
 func (r *Replica) insert(fact Fact) {
 	r.facts[fact.Key] = fact
 	r.countByKind[fact.Kind]++
@@ -185,6 +191,7 @@
 	}
 }
 
+// remove deletes a fact that the replica holds from facts and the indexes.
 func (r *Replica) remove(fact Fact) {
 	delete(r.facts, fact.Key)
 	r.countByKind[fact.Kind]--
--- a/internal/invariant/repeat.go
+++ b/internal/invariant/repeat.go
@@ -7,7 +7,7 @@
 	Now             time.Duration
 	MayHaveExecuted bool          // an earlier attempt may have been executed, or may still be
 	FirstSentAt     time.Duration // when the earliest such attempt was decided on; valid only if MayHaveExecuted
-	Idempotent      bool          // the request may be executed twice
+	Idempotent      bool          // executing the request twice does no harm
 	// IdempotencyWindow is the time after FirstSentAt within which a further attempt may begin, for a class with idempotency keys;
 	// 0 for other classes.
 	IdempotencyWindow time.Duration
--- a/logic/attempt.go
+++ b/logic/attempt.go
@@ -32,8 +32,9 @@
 	neverExecuted   bool
 }
 
-// awaitsResponse reports whether the endpoint has received the whole request.
-func (a *attempt) awaitsResponse() bool { return a.responseDueFrom > 0 }
+// fullySent reports whether the endpoint has received the whole request, so that its response is due. This
+// stays true after the attempt has ended.
+func (a *attempt) fullySent() bool { return a.responseDueFrom > 0 }
 
 // maySend reports whether a request may be sent to an endpoint now. Every send passes this check, so these
 // rules hold regardless of selection and retries:
--- a/logic/hedge.go
+++ b/logic/hedge.go
@@ -45,5 +45,5 @@
 
 func (b *Balancer) isLate(a *attempt) bool {
 	hedgeDelay := time.Duration(hedgeDelayFactor * b.baseline[a.request.Class])
-	return a.awaitsResponse() && b.now-a.responseDueFrom > hedgeDelay
+	return a.fullySent() && b.now-a.responseDueFrom > hedgeDelay
 }
--- a/logic/knowledge.go
+++ b/logic/knowledge.go
@@ -161,8 +161,8 @@
 	}
 }
 
-// restoreEjection ejects the endpoint until the given time. It does nothing if that is time 0 of the clock,
-// which ejectedUntil uses for healthy endpoints.
+// restoreEjection ejects the endpoint until the given time. It does nothing unless that is after time 0 of
+// the clock: an ejectedUntil of 0 stands for a healthy endpoint.
 func (h *endpointHealth) restoreEjection(until time.Duration) {
 	if until > 0 {
 		h.eject(until)
--- a/logic/outlier.go
+++ b/logic/outlier.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// Outlier detection ejects an endpoint for one horizon if its requests fail, or if it accepts requests
-// without responding. The endpoint is readmitted by a half-open request (halfopen.go).
+// Outlier detection ejects an endpoint for one horizon, the longest latency objective of all classes, if its
+// requests fail, or if it accepts requests without responding. The endpoint is readmitted by a half-open
+// request (halfopen.go).
 
 const (
 	// outcomeWeight is the weight of a new outcome in the failure rate of an endpoint.
@@ -25,13 +26,13 @@
 // healthState is the state of an endpoint in outlier detection.
 //
 //	from               to               when
-//	healthy            ejectedLocally   its failure rate is too high, or it misses too many responses
-//	healthy            ejectedLocally   it misses some responses, and a health check gets none
+//	healthy            ejectedLocally   its failure rate is too high, or it misses more than maxMissedResponses
+//	healthy            ejectedLocally   it misses more than checkMissedResponses, and a health check gets none
 //	healthy            ejectedByGossip  a peer reports it as unhealthy
 //	ejectedByGossip    healthy          no peer reports it as unhealthy any more
 //	ejected, either    halfOpen         the ejection time is over and a request tests the endpoint
 //	halfOpen           healthy          that request succeeds
-//	halfOpen           ejectedLocally   that request fails, or the endpoint misses too many responses
+//	halfOpen           ejectedLocally   that request fails, or the endpoint misses more than maxMissedResponses
 //	halfOpen           previous state   the outcome of that request is inconclusive
 //	any but healthy    ejectedLocally   a health check gets no response
 //	any                healthy          the process restarts
@@ -52,7 +53,7 @@
 type endpointHealth struct {
 	state          healthState
 	beforeHalfOpen healthState   // the state restored by an inconclusive half-open request
-	ejectedUntil   time.Duration // unless healthy: when a half-open request may test it
+	ejectedUntil   time.Duration // from when on a half-open request may test it; 0 while healthy
 	failureRate    float64       // moving average of outcomes: 1 for a failure, 0 for a success
 }
 
@@ -118,10 +119,10 @@
 	overloadEvidence                 // it responds to other requests, but not to this one in time
 )
 
-// evidenceOf classifies the outcome of an attempt. A timeout is not a fault if the healthy endpoint has
-// responded to another request in the meantime: the request is costly or the endpoint overloaded. A
-// rejection counts as a fault, so that an endpoint that rejects several requests in a row is avoided for a
-// horizon, whatever the cause.
+// evidenceOf classifies the outcome of an attempt. A timeout is not a fault if the endpoint is healthy when
+// the attempt ends and has responded to another request since it received this one: the request is costly
+// or the endpoint overloaded. A rejection counts as a fault, so that an endpoint that rejects several
+// requests in a row is avoided for a horizon, whatever the cause.
 func evidenceOf(a *attempt, result Result) evidence {
 	switch result {
 	case OK:
@@ -164,11 +165,12 @@
 	}
 }
 
-// timedOutBeforeObjective reports whether the client waited for less than the latency objective. Such a
-// timeout indicates neither a fault of the endpoint nor an overload. If it did, clients with short
-// deadlines would cause the ejection of healthy endpoints.
+// timedOutBeforeObjective reports whether an attempt timed out although the endpoint had less time than the
+// latency objective to respond, counted from when it had received the whole request. Such a timeout
+// indicates neither a fault of the endpoint nor an overload. If it did, clients with short deadlines would
+// cause the ejection of healthy endpoints.
 func (b *Balancer) timedOutBeforeObjective(a *attempt, result Result) bool {
-	return result == TimedOut && a.awaitsResponse() && b.now-a.responseDueFrom < a.request.class.LatencyObjective
+	return result == TimedOut && a.fullySent() && b.now-a.responseDueFrom < a.request.class.LatencyObjective
 }
 
 // updateHealth updates the failure rate with a success or a failure, and ejects or readmits the endpoint.
@@ -204,7 +206,8 @@
 }
 
 // hasUnexecutedAttemptAtSameEndpoint reports whether another ended attempt of the request at the same
-// endpoint was never executed. A further rejection there adds no information.
+// endpoint was provably not executed: it was rejected, or not connected or sent. When the endpoint rejects
+// the request after that, the rejection adds no information about an overload.
 func (a *attempt) hasUnexecutedAttemptAtSameEndpoint() bool {
 	return slices.ContainsFunc(a.request.attempts, func(other *attempt) bool {
 		return other != a && other.endpoint == a.endpoint && !other.inFlight && other.neverExecuted
@@ -226,7 +229,7 @@
 // class. The sum distinguishes an unresponsive endpoint from a single costly request.
 func (b *Balancer) missedResponses(e *endpoint) (n float64) {
 	for _, a := range e.inFlight {
-		if a.awaitsResponse() {
+		if a.fullySent() {
 			n += float64(b.now-max(a.responseDueFrom, e.lastSeen)) / b.baseline[a.request.Class]
 		}
 	}
--- a/logic/overload.go
+++ b/logic/overload.go
@@ -173,7 +173,7 @@
 		}
 		for _, a := range e.inFlight {
 			objective := a.request.class.LatencyObjective
-			if a.awaitsResponse() && b.now-a.responseDueFrom <= objective {
+			if a.fullySent() && b.now-a.responseDueFrom <= objective {
 				sample.attempts++
 				sample.inverseObjectives += 1 / objective.Seconds()
 				sample.relativeAge += float64(b.now-a.responseDueFrom) / float64(objective)
