--- a/internal/emulator/fault_placement.go
+++ b/internal/emulator/fault_placement.go
@@ -21,7 +21,8 @@
 }
 
 // faultPlacer draws which nodes each fault hits. A node gets at most one fault that ends its process (a drain, a restart or a
-// replacement): a second one would hit a process that no longer exists.
+// replacement): a second one would hit a process that no longer exists. Nodes that have such a fault are skipped when nodes are drawn or
+// taken by zone for another one; naming one of them is an error.
 type faultPlacer struct {
 	scenario *Scenario
 	rng      *rand.Rand
--- a/internal/emulator/link_faults.go
+++ b/internal/emulator/link_faults.go
@@ -13,7 +13,8 @@
 	added   link.Conditions // in addition to those of the path itself
 }
 
-// addConditions combines two conditions: delays and jitters are summed, losses are independent.
+// addConditions adds the conditions of a fault to c: delays and jitters are summed, losses are independent, and a cut of either is a
+// cut. Bandwidth and Resend remain those of c.
 func addConditions(c, added link.Conditions) link.Conditions {
 	c.Delay, c.Jitter = c.Delay+added.Delay, c.Jitter+added.Jitter
 	c.Loss = 1 - (1-c.Loss)*(1-added.Loss)
--- a/internal/emulator/loopback_network.go
+++ b/internal/emulator/loopback_network.go
@@ -33,7 +33,8 @@
 	return net.Listen("tcp", addr)
 }
 
-// AddPath starts a relay between an agent and a host, and returns the relay's address.
+// AddPath starts a relay between an agent and a host, and returns the relay's address. With WithoutRelays it starts none and returns
+// addr.
 func (n *LoopbackNetwork) AddPath(agent, host, addr string, conditions link.Conditions) (string, error) {
 	if n.WithoutRelays {
 		return addr, nil
--- a/internal/emulator/referee/notifications.go
+++ b/internal/emulator/referee/notifications.go
@@ -4,8 +4,8 @@
 
 // notifications records which agents have been notified by discovery that a node accepts no new requests.
 type notifications struct {
-	byAgent map[agentNode]time.Duration // when the agent was first notified
-	first   map[string]time.Duration    // by node: when any agent was first notified
+	byAgent map[agentNode]time.Duration // when the agent was first notified of that
+	first   map[string]time.Duration    // by node: when any agent was first notified of that
 }
 
 type agentNode struct{ agent, node string }
@@ -14,7 +14,8 @@
 	return notifications{map[agentNode]time.Duration{}, map[string]time.Duration{}}
 }
 
-// set records whether a node accepts new requests according to a notification. A repeated notification changes nothing.
+// set records whether a node accepts new requests according to a notification. A repeated notification that it accepts none
+// changes nothing. One that it accepts them ends the agent's entry, and the node's first for all agents.
 func (n *notifications) set(agent, node string, accepts bool, at time.Duration) {
 	key := agentNode{agent, node}
 	if accepts {
--- a/internal/emulator/referee/service.go
+++ b/internal/emulator/referee/service.go
@@ -102,7 +102,8 @@
 	(*s)[second].add(c)
 }
 
-// worstWindow returns the minimum earned fraction of all windows, or atMost if that is lower.
+// worstWindow returns the minimum earned fraction of all windows, or atMost if that is lower. A window starts at each second from which
+// WorstWindowLength fits into the seconds of s.
 func (s weightsBySecond) worstWindow(atMost float64) float64 {
 	worst := atMost
 	length := int(WorstWindowLength / time.Second)
--- a/internal/emulator/world_faults.go
+++ b/internal/emulator/world_faults.go
@@ -148,7 +148,7 @@
 	w.discovery.Set(w.entry(i, spec, discovery.Ready), delays.AdditionDelay.D()+w.listDelay())
 }
 
-// nextID counts an incarnation. If replace is set, it sets and returns the node's new ID.
+// nextID counts an incarnation. If replace is set, it sets and returns the node's new ID; otherwise it returns "".
 func (w *World) nextID(i int, replace bool) string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
